--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -5,8 +5,8 @@
 from benchmarks.capacity.limits import ADDED_US, CHANGE, CONTROL_MB, TICK_US
 from benchmarks.capacity.measure import PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.interface import Outcome, Relief
-from otterrudder.logic import Rudder
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.interface import Outcome, Relief
 
 SIZES = (10, 100, 1_000, 10_000, 100_000)
 SIZES_QUICK = (10, 40, 160, 640)
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from otterrudder.boot import boot
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.factory import boot
 from otterrudder.lab.processes.standins import SETTINGS
-from otterrudder.logic import Rudder
 
 TENANT_PER_S = 5.0  # txns a second that each tenant is entitled to, in the whole fleet
 
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -23,7 +23,7 @@
 # Assumptions of ours, each with what changes with it in docs/CAPACITY.md.
 SERVERS_OF_A_CALLER = 20  # that a caller holds connections to
 SESSION_SLA_S = 1.0  # SLA time of the products that make sessions; one lives ten times as long
-TICKS_PER_S = 25.0  # otterrudder/logic.py, TICK_MS
+TICKS_PER_S = 25.0  # otterrudder/admission/controller.py, TICK_MS
 CONNECTIONS = round(CALLERS * SERVERS_OF_A_CALLER / SERVERS)  # a server holds
 SESSIONS = round(
     SERVER_PER_S * 10 * SESSION_SLA_S
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -17,7 +17,7 @@
 )
 from benchmarks.capacity.measure import MB, PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.boot import products_of, tenants_of
+from otterrudder.admission.factory import products_of, tenants_of
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.policy import own_of
 from otterrudder.fleet.policy import parse as parse_policy
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -12,8 +12,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))  # pyperf's workers start in an environment of their own
 
+from otterrudder.admission.interface import Outcome  # noqa: E402
 from otterrudder.files import load_toml  # noqa: E402
-from otterrudder.interface import Outcome  # noqa: E402
 from otterrudder.lab.site import BadInput, Site, site_of  # noqa: E402
 from otterrudder.levels import LevelController, Table, read  # noqa: E402
 from otterrudder.net.core import Core  # noqa: E402
--- a/otterrudder/logic.py
+++ b/otterrudder/admission/controller.py
@@ -3,7 +3,7 @@
 An adapter (otterrudder/drill, otterrudder/net) makes one Rudder for each server process. It says
 the time with at, calls begin, arrive, finished, needs_call, call_ended, left, retire, step_down, step_up,
 reduce or ring, and carries out, in order, the steps that done returns. Plain types and the words of the
-steps: otterrudder/interface.py.
+steps: otterrudder/admission/interface.py.
 
 A txn passes a chain of stages: Expiry, Repeats, Sessions, Levels, Memory, Holds, Slots, Calls. Each may pass
 it on, keep it or end it; what becomes of it runs back through the chain in reverse. docs/design.md says why.
@@ -15,7 +15,19 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from otterrudder.interface import Cut, Limits, Outcome, Part, Place, Product, Relief, Step, Tenant, Trim, Txn
+from otterrudder.admission.interface import (
+    Cut,
+    Limits,
+    Outcome,
+    Part,
+    Place,
+    Product,
+    Relief,
+    Step,
+    Tenant,
+    Trim,
+    Txn,
+)
 
 # Constants: unit and reason. None is a site's figure.
 RETIRED = "retired"  # the drain that has no way back
--- a/otterrudder/boot.py
+++ b/otterrudder/admission/factory.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from otterrudder.interface import Effect, Limits, Product, Tenant
-from otterrudder.logic import Rudder
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.interface import Effect, Limits, Product, Tenant
 
 _EFFECTS = {"safe": Effect.INQUIRY, "keyed": Effect.REFERENCED, "unsafe": Effect.ONCE}
 _SAY = {"min_rank": "rank", "tokens": "credit"}  # a bias is left unsaid: no deployment has it
--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -6,7 +6,7 @@
 
 import click
 
-from otterrudder.interface import Effect, Product, Tenant
+from otterrudder.admission.interface import Effect, Product, Tenant
 
 BAD_INPUT = 2  # the exit code for input that can't be used; 1 is for a result that is not what was wanted
 
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -7,10 +7,10 @@
 
 import click
 
-from otterrudder.boot import products_of, tenants_of
+from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.interface import Cut, Product, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
-from otterrudder.interface import Cut, Product, Tenant
 from otterrudder.levels import BadTable, Ladder, Rung, Table, read
 from otterrudder.levels.table import FACTS
 
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -10,10 +10,10 @@
 
 import click
 
-from otterrudder.boot import products_of, tenants_of
+from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.interface import Product, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
-from otterrudder.interface import Product, Tenant
 from otterrudder.net import control
 from otterrudder.vrrp import packet
 from otterrudder.vrrp.group import BadGroups, parse_groups
--- a/otterrudder/configuration.py
+++ b/otterrudder/configuration.py
@@ -1,14 +1,14 @@
 """The platform's configuration file: read, checked as far as a start needs it, and handed on as it came.
 
 It is the platform's own form: names beyond those checked here are passed over, and the settings are read by
-boot.py."""
+admission/factory.py."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
 import msgspec
 
-from otterrudder.boot import boot
+from otterrudder.admission.factory import boot
 
 # Variables of the environment: each names a file, those of the options where the command line does not.
 CONFIGURATION_VARIABLE = "NODE_CONFIG"
@@ -33,7 +33,7 @@
 
 class _Class(msgspec.Struct):
     name: str | None = None
-    effect: str | None = None  # a word that is not known is taken for the one that forbids most, see boot.py
+    effect: str | None = None  # a word that is not known is taken for the one that forbids most, see the factory
     windowUs: _NotBelow0 | None = None
     promiseUs: _Above0 | None = None
     hardLimitUs: _Above0 | None = None
@@ -83,7 +83,7 @@
 
 
 class _Settings(msgspec.Struct):
-    """The platform's names. What is absent is taken as boot.py says; what is there has to be of its kind."""
+    """The platform's names. What is absent is taken as admission.factory says; what is there has to be of its kind."""
 
     classes: Annotated[list[_Class], msgspec.Meta(min_length=1)]
     realms: list[_Realm] | None = None
@@ -110,7 +110,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked configuration. Addresses are `host:port`; the settings are as the file has them: boot.py."""
+    """A checked configuration. Addresses are `host:port`; the settings are as the file has them."""
 
     name: str
     listen: str
--- a/otterrudder/drill/frames.py
+++ b/otterrudder/drill/frames.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from otterrudder.interface import Outcome, Step
+from otterrudder.admission.interface import Outcome, Step
 
 Event = tuple[Any, ...]  # (code, instance, fields...)
 
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -3,10 +3,10 @@
 import json
 from typing import Any
 
-from otterrudder.boot import boot, gauge_names
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.factory import boot, gauge_names
+from otterrudder.admission.interface import Outcome, Step
 from otterrudder.drill import frames
-from otterrudder.interface import Outcome, Step
-from otterrudder.logic import Rudder
 
 FATAL = 77
 
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from otterrudder.boot import below_of, limits_of, products_of, tenants_of
+from otterrudder.admission.factory import below_of, limits_of, products_of, tenants_of
+from otterrudder.admission.interface import Limits, Product, Tenant
 from otterrudder.files import convert
-from otterrudder.interface import Limits, Product, Tenant
 from otterrudder.levels.table import BadTable, Table, build
 
 VERSION = 1  # of the form
--- a/otterrudder/lab/below.py
+++ b/otterrudder/lab/below.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from otterrudder.interface import Outcome
+from otterrudder.admission.interface import Outcome
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.streams import lognormal
 
--- a/otterrudder/lab/ledger.py
+++ b/otterrudder/lab/ledger.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from otterrudder.interface import Product
+from otterrudder.admission.interface import Product
 
 SETTLED, LATE, DECLINED, VOIDED, UNREACHED = "settled", "late", "declined", "voided", "unreached"
 
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -12,11 +12,11 @@
 from typing import NoReturn
 
 from otterrudder import log
+from otterrudder.admission.interface import Outcome
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet import agent
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.state import Standing
-from otterrudder.interface import Outcome
 from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
 from otterrudder.net import core, registry, serve
 
--- a/otterrudder/lab/search.py
+++ b/otterrudder/lab/search.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from ipaddress import IPv4Address
 
-from otterrudder.interface import Part
+from otterrudder.admission.interface import Part
 from otterrudder.vrrp.gate import Door, Gate, HoldDown
 from otterrudder.vrrp.machine import Action, Became, Machine, Send, State, Timer
 
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
-from otterrudder.interface import Effect, Outcome
+from otterrudder.admission.interface import Effect, Outcome
 from otterrudder.lab.arrivals import Ask
 from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from otterrudder.interface import Effect, Limits, Product, Tenant
-from otterrudder.logic import Rudder
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.interface import Effect, Limits, Product, Tenant
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
--- a/otterrudder/levels/controller.py
+++ b/otterrudder/levels/controller.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from otterrudder.interface import Relief
+from otterrudder.admission.interface import Relief
 from otterrudder.levels.ladder import FULL, Ladder, Move
 from otterrudder.levels.table import Table
 
--- a/otterrudder/levels/ladder.py
+++ b/otterrudder/levels/ladder.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from otterrudder.interface import Relief
+from otterrudder.admission.interface import Relief
 from otterrudder.levels.window import Window
 
 # facts of what is asked for, not of how it goes: a trial passes over them
--- a/otterrudder/levels/table.py
+++ b/otterrudder/levels/table.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from otterrudder.interface import Cut, Effect, Product, Relief, Tenant, Trim
+from otterrudder.admission.interface import Cut, Effect, Product, Relief, Tenant, Trim
 from otterrudder.levels.ladder import FULL, Bound, Damping, Rung
 
 VERSION = 1  # of the form; another one is refused, not guessed at
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -21,8 +21,19 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
-from otterrudder.interface import Cut, Effect, Limits, Outcome, Part, Product, Relief, Step, Tenant, Trim
-from otterrudder.logic import Rudder
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.interface import (
+    Cut,
+    Effect,
+    Limits,
+    Outcome,
+    Part,
+    Product,
+    Relief,
+    Step,
+    Tenant,
+    Trim,
+)
 
 if TYPE_CHECKING:  # a server without levels does not carry them
     from otterrudder.levels import LevelController, LevelUpdate, Table
--- a/otterrudder/net/gateways.py
+++ b/otterrudder/net/gateways.py
@@ -12,7 +12,7 @@
 import anyio.abc
 
 from otterrudder import clock
-from otterrudder.interface import Effect
+from otterrudder.admission.interface import Effect
 from otterrudder.log import log
 from otterrudder.net import jsonrpc, sockets
 from otterrudder.net.dispatcher import Dispatcher
--- a/otterrudder/net/lines.py
+++ b/otterrudder/net/lines.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Callable, Iterator
 
-from otterrudder.interface import Outcome
+from otterrudder.admission.interface import Outcome
 from otterrudder.net.sockets import Buffer, ProtocolError
 
 LINE_MOST = 512  # bytes of a line without its body: an id, a name and some numbers
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -9,7 +9,7 @@
 import anyio.abc
 
 from otterrudder import clock
-from otterrudder.interface import Outcome
+from otterrudder.admission.interface import Outcome
 from otterrudder.log import log
 from otterrudder.net import lines, sockets
 from otterrudder.net.dispatcher import Dispatcher
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -13,7 +13,9 @@
 import msgspec
 
 from otterrudder import clock
-from otterrudder.boot import boot, can_stop, gauge_names, products_of, tenants_of
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.factory import boot, can_stop, gauge_names, products_of, tenants_of
+from otterrudder.admission.interface import Effect, Product
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
     FLEET_VARIABLE,
@@ -25,9 +27,7 @@
     address,
     read_configuration,
 )
-from otterrudder.interface import Effect, Product
 from otterrudder.log import log
-from otterrudder.logic import Rudder
 from otterrudder.net import core, early_sighup
 from otterrudder.net.dispatcher import Dispatcher
 from otterrudder.net.gateways import Gateways
--- a/otterrudder/vrrp/gate.py
+++ b/otterrudder/vrrp/gate.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from otterrudder.interface import Part
+from otterrudder.admission.interface import Part
 from otterrudder.vrrp.machine import State
 
 
--- a/otterrudder/vrrp/group.py
+++ b/otterrudder/vrrp/group.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from otterrudder.admission.interface import Part, Product, Tenant
 from otterrudder.files import convert, load_toml
-from otterrudder.interface import Part, Product, Tenant
 from otterrudder.vrrp.gate import HoldDown
 from otterrudder.vrrp.packet import ADDRESSES_MOST, CENTISECOND_MS, INTERVAL_MOST, Address
 from otterrudder.vrrp.seal import BadKeys, Keys, read_keys
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from otterrudder.admission.interface import Effect, Limits, Product, Tenant
 from otterrudder.fleet.change import (
     Refused,
     Settler,
@@ -23,7 +24,6 @@
 from otterrudder.fleet.records import Keys, Settled, View, digest_of
 from otterrudder.fleet.state import Record, Rules, Standing
 from otterrudder.fleet.store import Delete
-from otterrudder.interface import Effect, Limits, Product, Tenant
 from otterrudder.lab.fleet.simulation import play
 from otterrudder.lab.keyspace import KeySpace
 
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -7,9 +7,9 @@
 
 from helpers import SETTINGS, Server
 
-from otterrudder.boot import boot, gauge_names, products_of, tenants_of
+from otterrudder.admission.factory import boot, gauge_names, products_of, tenants_of
+from otterrudder.admission.interface import Limits, Outcome
 from otterrudder.fleet.policy import Own, parse
-from otterrudder.interface import Limits, Outcome
 from otterrudder.levels import LevelController
 from otterrudder.net.core import Core
 
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -17,6 +17,7 @@
 from helpers import ROOT
 
 from otterrudder import clock
+from otterrudder.admission.interface import Tenant
 from otterrudder.cli.fleet import fleet as fleet_command
 from otterrudder.configuration import BadConfiguration
 from otterrudder.fleet.agent import open_folder
@@ -50,7 +51,6 @@
 from otterrudder.fleet.orders import Orders
 from otterrudder.fleet.policy import Own
 from otterrudder.fleet.records import TEXT_MOST, Keys, View
-from otterrudder.interface import Tenant
 from otterrudder.lab.processes.link import Harm, Link, free_port
 from otterrudder.net.serve import Files
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,8 +25,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from otterrudder.interface import Cut, Effect, Limits, Outcome, Part, Product, Relief, Tenant, Trim
-from otterrudder.logic import Rudder
+from otterrudder.admission.controller import Rudder
+from otterrudder.admission.interface import Cut, Effect, Limits, Outcome, Part, Product, Relief, Tenant, Trim
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]  # how the operators start it
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterrudder.interface import Outcome
+from otterrudder.admission.interface import Outcome
 from otterrudder.lab.below import Below
 from otterrudder.lab.claims import interval, judge
 from otterrudder.lab.cores import Cores
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -5,8 +5,9 @@
 import pytest
 
 from otterrudder import logic
+from otterrudder.admission.controller import Expiry, Holds, Repeats, Slots
+from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
-from otterrudder.interface import Outcome
 from otterrudder.lab.day import Bare, Day
 from otterrudder.lab.plan import read_experiment
 from otterrudder.lab.runner import perform, play
@@ -14,7 +15,6 @@
 from otterrudder.lab.site import BadInput, site_of
 from otterrudder.lab.troubles import Trouble
 from otterrudder.levels import read
-from otterrudder.logic import Expiry, Holds, Repeats, Slots
 from otterrudder.net import core
 from otterrudder.net.core import Core
 
--- a/tests/levels/test_ladder.py
+++ b/tests/levels/test_ladder.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterrudder.interface import Relief
+from otterrudder.admission.interface import Relief
 from otterrudder.levels import Bound, Damping, Ladder, Reason, Rung
 from otterrudder.levels.window import BUCKETS, Window
 
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import ROOT
 
-from otterrudder.interface import Cut, Effect, Product, Tenant
+from otterrudder.admission.interface import Cut, Effect, Product, Tenant
 from otterrudder.levels import BadTable, LevelController, parse, read
 from otterrudder.net.core import Core
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,9 +5,9 @@
 import pytest
 from helpers import SETTINGS
 
-from otterrudder.boot import boot
-from otterrudder.interface import Outcome
-from otterrudder.logic import BREAK_MS, Rudder
+from otterrudder.admission.controller import BREAK_MS, Rudder
+from otterrudder.admission.factory import boot
+from otterrudder.admission.interface import Outcome
 
 WAITING = 10  # txns of each server that stand at a call
 BACK_MS = 5000.0  # when the service is back
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -23,8 +23,8 @@
 from helpers import SETTINGS, Gateway, Server, listener
 
 from otterrudder import clock
-from otterrudder.boot import boot, gauge_names, products_of
-from otterrudder.interface import Outcome
+from otterrudder.admission.factory import boot, gauge_names, products_of
+from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, gateways, records, serve
 from otterrudder.net.dispatcher import Dispatcher
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -17,9 +17,9 @@
 # import from itself and from lower layers: not from another name of its layer, nor from a higher one.
 LAYERS = (
     ("otterrudder",),  # the version alone
-    ("otterrudder.clock", "otterrudder.files", "otterrudder.interface", "otterrudder.log"),
-    ("otterrudder.durable", "otterrudder.levels", "otterrudder.logic", "otterrudder.vrrp"),
-    ("otterrudder.boot",),
+    ("otterrudder.clock", "otterrudder.files", "otterrudder.log"),
+    ("otterrudder.admission",),
+    ("otterrudder.durable", "otterrudder.levels", "otterrudder.vrrp"),
     ("otterrudder.configuration", "otterrudder.drill"),
     ("otterrudder.fleet",),
     ("otterrudder.net",),
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import ROOT
 
-from otterrudder.boot import boot
+from otterrudder.admission.factory import boot
 from otterrudder.cli.migrate import migrate_settings
 from otterrudder.configuration import BadConfiguration, read_configuration
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,8 +9,8 @@
 import pytest
 from helpers import SETTINGS
 
-from otterrudder.boot import boot, gauge_names, products_of
-from otterrudder.interface import Outcome
+from otterrudder.admission.factory import boot, gauge_names, products_of
+from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, jsonrpc, lines
 from otterrudder.net.dispatcher import Dispatcher
 from otterrudder.net.sockets import Buffer, ProtocolError
--- a/tests/vrrp/test_pure.py
+++ b/tests/vrrp/test_pure.py
@@ -9,7 +9,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from otterrudder.interface import Effect, Part, Product
+from otterrudder.admission.interface import Effect, Part, Product
 from otterrudder.vrrp import packet
 from otterrudder.vrrp.gate import Door, Gate, HoldDown, Order
 from otterrudder.vrrp.group import BadGroups, read_groups
