--- a/otterrudder/configuration.py
+++ b/otterrudder/configuration.py
@@ -33,7 +33,7 @@
 
 class _Class(msgspec.Struct):
     name: str | None = None
-    effect: str | None = None  # a word that is not known is taken for the one that forbids most, see the factory
+    effect: str | None = None  # an unknown word is taken for the one that forbids most
     windowUs: _NotBelow0 | None = None
     promiseUs: _Above0 | None = None
     hardLimitUs: _Above0 | None = None
@@ -83,7 +83,7 @@
 
 
 class _Settings(msgspec.Struct):
-    """The platform's names. What is absent is taken as admission.factory says; what is there has to be of its kind."""
+    """The platform's names. The factory has defaults for what is absent; what is there has to be of its kind."""
 
     classes: Annotated[list[_Class], msgspec.Meta(min_length=1)]
     realms: list[_Realm] | None = None
