--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,12 +1,12 @@
-"""The server's decisions: a txn, a tick, a build and a session, by products and tenants."""
+"""The server's decisions: a request, a tick, a build and a session, by products and tenants."""
 
 from benchmarks.capacity import size
-from benchmarks.capacity.inputs import rudder_of, settings_of
+from benchmarks.capacity.inputs import controller_of, settings_of
 from benchmarks.capacity.limits import ADDED_US, CHANGE, CONTROL_MB, TICK_US
 from benchmarks.capacity.measure import PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.interface import Outcome, Relief
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import Outcome, ServiceLevel
 
 SIZES = (10, 100, 1_000, 10_000, 100_000)
 SIZES_QUICK = (10, 40, 160, 640)
@@ -20,77 +20,81 @@
 FEW = 10  # of what is not varied
 
 
-def play_txns(rudder: Rudder, txns: int, products: int, tenants: int, first: int = 1) -> None:
-    """So many txns, one in hand at a time, each product and tenant in turn; each is a session of its own."""
-    for n in range(first, first + txns):
-        rudder.at(n * 2.0)
-        rudder.arrive(n, n % products, tenant=n % tenants, key=n, kb=20.0, left_ms=2000.0)
-        rudder.done()
-        rudder.finished(n, Outcome.OK)
-        rudder.done()
+def play_txns(
+    controller: AdmissionController, requests: int, products: int, tenants: int, first: int = 1
+) -> None:
+    """So many requests, one in hand at a time, each product and tenant in turn; each is a session of its
+    own."""
+    for n in range(first, first + requests):
+        controller.advance_to(n * 2.0)
+        controller.handle_arrival(n, n % products, tenant=n % tenants, key=n, kb=20.0, left_ms=2000.0)
+        controller.take_commands()
+        controller.handle_finished(n, Outcome.OK)
+        controller.take_commands()
 
 
-def play_rings(rudder: Rudder, rings: int) -> None:
+def play_rings(controller: AdmissionController, rings: int) -> None:
     for _ in range(rings):
-        rudder.at(rudder.now + 40.0)
-        rudder.ring(0.2, 1.0)
-        rudder.done()
+        controller.advance_to(controller.now + 40.0)
+        controller.tick(0.2, 1.0)
+        controller.take_commands()
 
 
-def txn_us(products: int, tenants: int, txns: int, relief: Relief | None = None) -> float:
-    rudder = rudder_of(settings_of(products, tenants))
+def txn_us(products: int, tenants: int, requests: int, relief: ServiceLevel | None = None) -> float:
+    controller = controller_of(settings_of(products, tenants))
     if relief:
-        rudder.reduce(relief)
-    starts = iter(range(1, 1 << 40, txns))
+        controller.set_service_level(relief)
+    starts = iter(range(1, 1 << 40, requests))
 
     def act() -> None:
-        play_txns(rudder, txns, products, tenants, next(starts))
+        play_txns(controller, requests, products, tenants, next(starts))
 
     act()
-    return cpu_s(act, TRIES) / txns * 1e6
+    return cpu_s(act, TRIES) / requests * 1e6
 
 
 def tick_us(products: int, tenants: int, rings: int) -> float:
-    rudder = rudder_of(settings_of(products, tenants))
-    play_txns(rudder, rings, products, tenants)
-    return cpu_s(lambda: play_rings(rudder, rings), TRIES) / rings * 1e6
+    controller = controller_of(settings_of(products, tenants))
+    play_txns(controller, rings, products, tenants)
+    return cpu_s(lambda: play_rings(controller, rings), TRIES) / rings * 1e6
 
 
 def build_s(products: int, tenants: int) -> float:
     settings = settings_of(products, tenants)
-    return cpu_s(lambda: rudder_of(settings), 2)
+    return cpu_s(lambda: controller_of(settings), 2)
 
 
 def build_mb(products: int, tenants: int) -> float:
     settings = settings_of(products, tenants)
-    return memory_of(lambda: rudder_of(settings)).kept_mb
+    return memory_of(lambda: controller_of(settings)).kept_mb
 
 
 def session_mb(sessions: int) -> float:
-    """Of the table of sessions: what a Rudder holds more by once so many txns have settled."""
+    """Of the table of sessions: what an AdmissionController holds more by once so many requests have
+    settled."""
     settings = settings_of(10, 10)
 
-    def held() -> Rudder:
-        rudder = rudder_of(settings)
+    def held() -> AdmissionController:
+        controller = controller_of(settings)
         for n in range(1, sessions + 1):  # at one moment, so that none lapses
-            rudder.arrive(n, n % 10, tenant=n % 10, key=n, kb=20.0, left_ms=2000.0)
-            rudder.finished(n, Outcome.OK)
-            rudder.done()
-        rudder.at(5_000.0)  # what was due for each txn is over
-        assert len(rudder.sessions.table) == sessions
-        return rudder
+            controller.handle_arrival(n, n % 10, tenant=n % 10, key=n, kb=20.0, left_ms=2000.0)
+            controller.handle_finished(n, Outcome.OK)
+            controller.take_commands()
+        controller.advance_to(5_000.0)  # what was due for each request is over
+        assert len(controller.sessions.table) == sessions
+        return controller
 
     return memory_of(held).kept_mb
 
 
 def decisions(quick: bool) -> list[Slope]:
-    sizes, txns, rings = (SIZES_QUICK, 20, 20) if quick else (SIZES, TXNS, RINGS)
+    sizes, requests, rings = (SIZES_QUICK, 20, 20) if quick else (SIZES, TXNS, RINGS)
     found: list[Slope] = []
     for name, target in (("products", size.ROUTES), ("tenants", size.TENANTS)):
         pairs = [(n, FEW) if name == "products" else (FEW, n) for n in sizes]
         series = Series("decisions", f"{name}, with {FEW} of the other", sizes, target)
-        txn, tick = [txn_us(*pair, txns) for pair in pairs], [tick_us(*pair, rings) for pair in pairs]
-        series.add(f"txn by {name}", "arrival to done, us", PROCESS_TIME, txn, ADDED_US)
+        request, tick = [txn_us(*pair, requests) for pair in pairs], [tick_us(*pair, rings) for pair in pairs]
+        series.add(f"txn by {name}", "arrival to done, us", PROCESS_TIME, request, ADDED_US)
         series.add(f"tick by {name}", "a tick, us", PROCESS_TIME, tick, TICK_US)
         found += series.slopes
     return [
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -3,11 +3,11 @@
 import json
 from typing import Any
 
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.factory import boot
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.factory import create_controller
 from otterrudder.lab.processes.standins import SETTINGS
 
-TENANT_PER_S = 5.0  # txns a second that each tenant is entitled to, in the whole fleet
+TENANT_PER_S = 5.0  # requests a second that each tenant is entitled to, in the whole fleet
 
 
 def settings_of(products: int, tenants: int) -> dict[str, Any]:
@@ -36,8 +36,8 @@
     return json.dumps(told)
 
 
-def rudder_of(settings: dict[str, Any]) -> Rudder:
-    return boot(0.0, 1, 7, settings)
+def controller_of(settings: dict[str, Any]) -> AdmissionController:
+    return create_controller(0.0, 1, 7, settings)
 
 
 def policy_text(tenants: int) -> str:
--- a/benchmarks/capacity/size.py
+++ b/benchmarks/capacity/size.py
@@ -27,4 +27,4 @@
 CONNECTIONS = round(CALLERS * SERVERS_OF_A_CALLER / SERVERS)  # a server holds
 SESSIONS = round(
     SERVER_PER_S * 10 * SESSION_SLA_S
-)  # a server holds at the most: one for each txn that settles
+)  # a server holds at the most: one for each request that settles
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -1,4 +1,4 @@
-"""The server on sockets: CPU a txn and added time by open loop at stepped rates; connections it holds."""
+"""The server on sockets: CPU a request and added time by open loop at stepped rates; connections it holds."""
 
 import asyncio
 import gc
@@ -28,8 +28,8 @@
 CONNECTIONS_QUICK = (5, 10, 20, 40)
 IDLE_S = 4.0
 IDLE_QUICK_S = 0.2
-STOPS = 4  # of a txn at the server: its request, the wanted call, the reply to that, the end of its run
-REPLAYED = 50_000  # txns
+STOPS = 4  # of a request at the server: its request, the wanted call, the reply to that, the end of its run
+REPLAYED = 50_000  # requests
 REPLAYED_QUICK = 500
 REPLAYED_WANTED = 10_000
 HALVINGS = 10
@@ -41,7 +41,7 @@
 
 
 class NothingServed(Exception):
-    """No txn of a rate had a result, so it has no added time."""
+    """No request of a rate had a result, so it has no added time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     per_s: float
     asked: int
     unserved: int
-    cpu_us: float  # that the server used a txn, ticks and all
+    cpu_us: float  # that the server used a request, ticks and all
     own_us: float  # the same, less what it uses when nobody asks
     core: float  # share of a core that the server used
     waited: float  # in the quietest windows: share of the time in which others had the core
@@ -113,12 +113,12 @@
     )
 
 
-def wanted_us(per_s: float, txns: int) -> float:
-    """The most CPU a txn at which 99 in 100 keep what may be added, with a core to itself."""
+def wanted_us(per_s: float, requests: int) -> float:
+    """The most CPU a request at which 99 in 100 keep what may be added, with a core to itself."""
     least, most = 0.0, size.ADDED_MS * 1000
     for _ in range(HALVINGS):
         middle = (least + most) / 2
-        if replayed_p99_ms(per_s, middle, txns) > size.ADDED_MS:
+        if replayed_p99_ms(per_s, middle, requests) > size.ADDED_MS:
             most = middle
         else:
             least = middle
@@ -137,14 +137,14 @@
     return pooled
 
 
-def replayed_p99_ms(per_s: float, cpu_us: float, txns: int) -> float:
-    """What 99 in 100 would take with a core to itself: each txn is handled at its four stops in the order in
-    which they come, at an even part of the measured CPU. It leaves out the system's own part."""
+def replayed_p99_ms(per_s: float, cpu_us: float, requests: int) -> float:
+    """What 99 in 100 would take with a core to itself: each request is handled at its four stops in the order
+    in which they come, at an even part of the measured CPU. It leaves out the system's own part."""
     chance, now = random.Random(round(per_s)), 0.0
     waiting: list[tuple[float, int, int]] = []  # due, number, stop
     began: list[float] = []
     took: list[float] = []
-    for number in range(txns):
+    for number in range(requests):
         now += chance.expovariate(per_s)
         began.append(now)
         heapq.heappush(waiting, (now, number, 1))
@@ -186,16 +186,16 @@
 def server(quick: bool) -> list[Slope]:
     steps = asyncio.run(_steps(quick))
     rates = [one.per_s for one in steps]
-    txns = REPLAYED_QUICK if quick else REPLAYED
-    replayed = [replayed_p99_ms(one.per_s, one.own_us, txns) for one in steps]
+    requests = REPLAYED_QUICK if quick else REPLAYED
+    replayed = [replayed_p99_ms(one.per_s, one.own_us, requests) for one in steps]
     added = Limit(
         size.ADDED_MS, f"1.5 ms for 99 in 100; kept up to {held_up_to(rates, p99_of(steps)):g} a second"
     )
     alone = Limit(size.ADDED_MS, f"1.5 ms for 99 in 100; kept up to {held_up_to(rates, replayed):g} a second")
     series = Series("server", "txns a second, one call each", rates, size.SERVER_PER_S)
     series.add("core", "share of a core", BY_PROCESS, [s.core for s in steps], ONE_CORE)
-    series.add("cpu", "CPU a txn, ticks and all, us", BY_PROCESS, [s.cpu_us for s in steps])
-    series.add("own", "CPU a txn, less what it uses idle, us", BY_PROCESS, [s.own_us for s in steps])
+    series.add("cpu", "CPU a request, ticks and all, us", BY_PROCESS, [s.cpu_us for s in steps])
+    series.add("own", "CPU a request, less what it uses idle, us", BY_PROCESS, [s.own_us for s in steps])
     series.add("p50", "added time, half of all, ms", BY_CLOCK, [s.p50_ms for s in steps])
     series.add("p99", "added time, 99 in 100, ms", BY_CLOCK, p99_of(steps), added)
     series.add("p99 alone", "added time with a core to itself, 99 in 100, ms", BY_REPLAY, replayed, alone)
--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -35,7 +35,7 @@
 class Books:
     """What was asked, when, and what of the time until the answer was spent here."""
 
-    sent: dict[int, float] = field(default_factory=dict)  # s, by the number of a txn
+    sent: dict[int, float] = field(default_factory=dict)  # s, by the number of a request
     own_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by call
     added_ms: list[float] = field(default_factory=list)
     unserved: int = 0  # answered otherwise than by a result
@@ -116,7 +116,7 @@
 
     def __init__(self, books: Books) -> None:
         self.books, self.data, self.count = books, b"", 0
-        self.numbers: dict[int, int] = {}  # of txns, by the id of their request
+        self.numbers: dict[int, int] = {}  # of requests, by the id of their request
         self.checked = asyncio.Event()  # the last check is answered
         self.has_passed = False  # that one
         self.transport: asyncio.Transport
@@ -133,7 +133,7 @@
         return self.has_passed
 
     def ask(self, number: int) -> None:
-        """A txn; each second one is referenced."""
+        """A request; each second one is referenced."""
         call, is_pay = f"{number:016x}", number % 2 == 0
         params: dict[str, object] = dict(
             call=call,
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -52,11 +52,13 @@
 
 
 def levels(quick: bool) -> list[Slope]:
-    sizes, txns = (SIZES_QUICK, 20) if quick else (TABLE_SIZES, TXNS)
+    sizes, requests = (SIZES_QUICK, 20) if quick else (TABLE_SIZES, TXNS)
     found = [*_levels_of("products", sizes, size.ROUTES), *_levels_of("tenants", sizes, size.TENANTS)]
-    txn = [txn_us(n, FEW, txns, _table(n, FEW).rungs[0].relief) for n in sizes]
+    request = [txn_us(n, FEW, requests, _table(n, FEW).rungs[0].relief) for n in sizes]
     series = Series("levels", f"products, with {FEW} tenants", sizes, size.ROUTES)
-    series.add("txn by products", "arrival to done with a level in force, us", PROCESS_TIME, txn, ADDED_US)
+    series.add(
+        "txn by products", "arrival to done with a level in force, us", PROCESS_TIME, request, ADDED_US
+    )
     return [*found, *series.slopes]
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,5 +1,5 @@
-"""What a fleet costs a server: CPU a txn, memory, and the lateness of its loop while the store is well, slow,
-silent, or floods its watch. On sockets, one server and one gateway.
+"""What a fleet costs a server: CPU a request, memory, and the lateness of its loop while the store is well,
+slow, silent, or floods its watch. On sockets, one server and one gateway.
 
     .venv/bin/python benchmarks/fleet.py             # about a minute; nothing else should use the cores
 """
@@ -16,7 +16,7 @@
 
 from otterrudder.lab.processes.rig import Rig  # noqa: E402
 
-PACE_MS = 5.0  # 200 txns a second: what a server of the platform gets
+PACE_MS = 5.0  # 200 requests a second: what a server of the platform gets
 SKIPPED = 1  # the first line of turns: the start is in it
 SPAN_S = 21.0  # two of the server's own reports
 FAULTS: dict[str, dict[str, object]] = {
@@ -49,9 +49,9 @@
         ][SKIPPED:]
         last = [line for line in log.splitlines() if "event=doing" in line][-1]
         told = dict(re.findall(r"(\w+)=([\d.]+)", last))
-        txns = sum(a.answered > 0 for a in rig.wire.asked) / SPAN_S * 10
+        requests = sum(a.answered > 0 for a in rig.wire.asked) / SPAN_S * 10
         wanted = ("cpu_s", "rss_mb", "worst_turn_ms", "worst_ring_late_ms")
-        found = {word: float(told[word]) for word in wanted} | {"txns": txns}
+        found = {word: float(told[word]) for word in wanted} | {"txns": requests}
         found |= {word: sum(float(one[word]) for one in turns) for word in ("over_1ms", "turns")}
         return found | {"worst_cpu_ms": max(float(one["worst_ms"]) for one in turns)}
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -1,4 +1,4 @@
-"""What levels of reduced service cost a txn: a core without them, with them idle, with one in force.
+"""What levels of reduced service cost a request: a core without them, with them idle, with one in force.
 
 .venv/bin/python benchmarks/levels.py            # pyperf; --fast for a quick look
 """
@@ -18,14 +18,14 @@
 from otterrudder.levels import LevelController, Table, read  # noqa: E402
 from otterrudder.net.core import Core  # noqa: E402
 
-PER_RING = 8  # txns between rings: 200 a second at 25 rings, what a server of the platform gets
+PER_RING = 8  # requests between rings: 200 a second at 25 rings, what a server of the platform gets
 TABLE_OF = {"no levels": "", "levels, full service": "full", "levels, one in force": "checks-when-free"}
 
 
 def served(loops: int, site: Site, table: Table | None, start: str) -> float:
-    """Seconds for `loops` txns from arrival to answer, one in hand at a time, rings between."""
+    """Seconds for `loops` requests from arrival to answer, one in hand at a time, rings between."""
     controller = LevelController(Table(table.rungs, table.damping, False, start), 0.0) if table else None
-    core = Core(site.boot(1, 1), site.products, ["busy", "on_cores"], controller)
+    core = Core(site.create_controller(1, 1), site.products, ["busy", "on_cores"], controller)
     now = 0.0
     core.at(now + 1e12, now)
     core.begin(True, 1e6)
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -1,12 +1,13 @@
-"""From the settings object, as a server is told it at its start, to a Rudder: for drill and server alike."""
+"""From the settings object, as a server is told it at its start, to an AdmissionController: for drill and
+server alike."""
 
 from collections.abc import Mapping
 from typing import Any
 
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.interface import Effect, Limits, Product, Tenant
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
 
-_EFFECTS = {"safe": Effect.INQUIRY, "keyed": Effect.REFERENCED, "unsafe": Effect.ONCE}
+_EFFECTS = {"safe": Idempotency.SAFE, "keyed": Idempotency.IDEMPOTENT, "unsafe": Idempotency.NON_IDEMPOTENT}
 _SAY = {"min_rank": "rank", "tokens": "credit"}  # a bias is left unsaid: no deployment has it
 _GAUGES = {"core_use": "busy", "on_cores": "on_cores"}
 _BELOW = {"common": "shared", "next_hop": "tier"}
@@ -17,13 +18,13 @@
     return (default_us if value is None else value) / 1000
 
 
-def products_of(settings: Mapping[str, Any]) -> list[Product]:
+def products_of(settings: Mapping[str, Any]) -> list[RequestClass]:
     info = settings.get("familyInfo") or {}
     calls, omits = info.get("classCalls") or [], info.get("classSkipWorth") or []
     return [
-        Product(
+        RequestClass(
             name=c.get("name") or str(n),
-            effect=_EFFECTS.get(c.get("effect", ""), Effect.ONCE),
+            effect=_EFFECTS.get(c.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             value=c.get("worth") or 0.0,
             sla_ms=_ms(c, "promiseUs", c.get("hardLimitUs") or 1e6),
             expiry_ms=_ms(c, "hardLimitUs", 1e6),
@@ -59,7 +60,8 @@
 
 
 def can_stop(settings: Mapping[str, Any]) -> bool:
-    """Whether running work can be stopped: a stop of an answered txn ends it where work is paused as well."""
+    """Whether running work can be stopped: a stop of an answered request ends it where work is paused as
+    well."""
     return (settings.get("familyInfo") or {}).get("stopMode") in ("drop", "pause")
 
 
@@ -68,8 +70,10 @@
     return [_GAUGES.get(name, "") for name in (settings.get("familyInfo") or {}).get("gauges") or []]
 
 
-def boot(now: float, instance: int, seed: int, settings: Mapping[str, Any], **told: object) -> Rudder:
-    """`told`: what this start knows better than the settings, by the Rudder's own names."""
+def create_controller(
+    now: float, instance: int, seed: int, settings: Mapping[str, Any], **told: object
+) -> AdmissionController:
+    """`told`: what this start knows better than the settings, by the AdmissionController's own names."""
     info, rules = settings.get("familyInfo") or {}, settings.get("rules") or {}
     facts: dict[str, Any] = dict(
         products=products_of(settings),
@@ -94,6 +98,6 @@
         linger_ms=_ms(info, "lingerUs"),
         marks_retry=(settings.get("clients") or {}).get("marksRetry") is not False,
     )
-    rudder = Rudder(now, instance=instance, seed=seed, **(facts | told))
-    rudder.begin()
-    return rudder
+    controller = AdmissionController(now, instance=instance, seed=seed, **(facts | told))
+    controller.start()
+    return controller
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -18,13 +18,13 @@
 from enum import Enum
 from typing import Any
 
-Step = tuple[str, *tuple[Any, ...]]  # a word and its arguments, in the forms above
+Command = tuple[str, *tuple[Any, ...]]  # a word and its arguments, in the forms above
 
 
-class Effect(Enum):
-    INQUIRY = "inquiry-like"  # may run again
-    REFERENCED = "referenced"  # a repeat is known by its mark; runs once
-    ONCE = "once-only"  # must never run twice
+class Idempotency(Enum):
+    SAFE = "inquiry-like"  # may run again
+    IDEMPOTENT = "referenced"  # a repeat is known by its mark; runs once
+    NON_IDEMPOTENT = "once-only"  # must never run twice
 
 
 class Outcome(Enum):
@@ -34,10 +34,10 @@
     ERROR = "error"
     FULL = "full"
     TIMEOUT = "timeout"
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     RESET = "reset"
-    STOPPED = "stopped"
-    MOOT = "moot"
+    CANCELLED = "stopped"
+    NEVER_STARTED = "moot"
 
     @property
     def is_over(self) -> bool:
@@ -46,19 +46,19 @@
 
     @property
     def never_ran(self) -> bool:
-        return self in (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_STARTED)
 
 
 @dataclass(frozen=True, slots=True)
-class Product:
-    """A kind of txn, as the operator states it."""
+class RequestClass:
+    """A kind of request, as the operator states it."""
 
     name: str
-    effect: Effect
+    effect: Idempotency
     value: float
     sla_ms: float
     expiry_ms: float
-    window_ms: float = 0.0  # how long a referenced txn may come again
+    window_ms: float = 0.0  # how long a referenced request may come again
     late_value: float = 0.0  # the share of the value left after the SLA time
     calls: bool = False  # may call what lies below
     omit_value: float = 0.0  # the share of the value left when the call is omitted
@@ -68,7 +68,7 @@
 class Tenant:
     name: str
     share: float
-    per_ms: float = 0.0  # txns of its share that are one server's part; 0: nobody says
+    per_ms: float = 0.0  # requests of its share that are one server's part; 0: nobody says
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,10 +77,10 @@
 
     stay_away_ms: float = 0.0  # for how long callers may be asked to keep away; 0: they do not hear it
     calls: float = 0.0  # mean calls in hand at a shared service below that are this server's part
-    over_value: float = 0.0  # share of its value that a txn beyond its tenant's share is worth
+    over_value: float = 0.0  # share of its value that a request beyond its tenant's share is worth
 
 
-class Cut(Enum):
+class RestrictionKind(Enum):
     """What a level of reduced service does with what it trims, the mildest first."""
 
     OMIT = "omit"  # it runs without its call
@@ -91,22 +91,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trim:
-    cut: Cut
+class Restriction:
+    cut: RestrictionKind
     share: float = 0.0  # of those that come, admitted
     rank: float = math.inf  # only what ranks below this
     tenants: frozenset[int] | None = None  # only what these send
 
-    def fits(self, txn: "Txn") -> bool:
-        return txn.rank < self.rank and (self.tenants is None or txn.tenant in self.tenants)
+    def fits(self, request: "Request") -> bool:
+        return request.rank < self.rank and (self.tenants is None or request.tenant in self.tenants)
 
 
 @dataclass(frozen=True, slots=True)
-class Relief:
+class ServiceLevel:
     """A level of reduced service as the module is told it; full service is one that trims nothing."""
 
     name: str
-    trims: tuple[tuple[Trim, ...], ...] = ()  # by product, the strongest first; empty: nothing is trimmed
+    trims: tuple[
+        tuple[Restriction, ...], ...
+    ] = ()  # by product, the strongest first; empty: nothing is trimmed
     answers_held: bool = False  # what is held and would be declined is answered when the level starts
     keeps_away: bool = False  # callers are asked to stay away until the level may end
     stay_ms: float = 0.0  # how long it lasts at the least, from when it is told
@@ -114,34 +116,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """The txns that are served or not together: of these products, or of these tenants; None: of all."""
+class RequestScope:
+    """The requests that are served or not together: of these products, or of these tenants; None: of all."""
 
     products: frozenset[int] | None = None
     tenants: frozenset[int] | None = None
 
-    def fits(self, txn: "Txn") -> bool:
-        mine = self.products is None or txn.product in self.products
-        return mine and (self.tenants is None or txn.tenant in self.tenants)
+    def fits(self, request: "Request") -> bool:
+        mine = self.products is None or request.product in self.products
+        return mine and (self.tenants is None or request.tenant in self.tenants)
 
     @property
     def is_all(self) -> bool:
         return self.products is None and self.tenants is None
 
 
-class Place(Enum):
-    HELD = "held"
-    FOLLOWS = "follows"  # held behind an earlier try that is held itself
-    RUNS = "runs"
-    CALLS = "calls"  # off the cores, at or before a call
-    WAITS = "waits"  # to be answered from an earlier try
-    OVER = "over"
+class RequestState(Enum):
+    QUEUED = "held"
+    FOLLOWING = "follows"  # held behind an earlier try that is held itself
+    RUNNING = "runs"
+    CALLING = "calls"  # off the cores, at or before a call
+    REPLAYING = "waits"  # to be answered from an earlier try
+    FINISHED = "over"
 
 
-class Txn:
-    """One txn with what this server knows of it."""
+class Request:
+    """One request with what this server knows of it."""
 
-    def __init__(self, ident: int, product: int, spec: Product, now: float, age: float) -> None:
+    def __init__(self, ident: int, product: int, spec: RequestClass, now: float, age: float) -> None:
         self.ident, self.product, self.spec = ident, product, spec
         self.arrived = now - age
         self.due = self.in_time = 0.0  # when its answer is owed; until when it earns its full value
@@ -150,15 +152,15 @@
         self.kb = 1.0  # memory while held
         self.cost = 0.0  # expected ms on the cores, fixed when held
         self.retry = self.old = self.queued = self.ran = self.answered = self.settled = self.calling = False
-        self.place = Place.HELD
+        self.place = RequestState.QUEUED
         self.started = self.off_cores = self.away = 0.0  # when it began, last left the cores; ms off them
         self.tries = 0  # calls made at the present stop
-        self.followers: list[Txn] = []
+        self.followers: list[Request] = []
 
     @property
     def referenced(self) -> bool:
-        return self.spec.effect is Effect.REFERENCED
+        return self.spec.effect is Idempotency.IDEMPOTENT
 
     @property
     def effectful(self) -> bool:
-        return self.spec.effect is not Effect.INQUIRY
+        return self.spec.effect is not Idempotency.SAFE
--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -6,7 +6,7 @@
 
 import click
 
-from otterrudder.admission.interface import Effect, Product, Tenant
+from otterrudder.admission.interface import Idempotency, RequestClass, Tenant
 
 BAD_INPUT = 2  # the exit code for input that can't be used; 1 is for a result that is not what was wanted
 
@@ -23,7 +23,7 @@
     return [part for part in listed if isinstance(part, dict)] if isinstance(listed, list) else []
 
 
-def named_in(parts: Iterable[dict[str, object]]) -> tuple[list[Product], list[Tenant]]:
+def named_in(parts: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
     """Without a configuration every name that a file's own tables use is taken for good."""
     found: dict[str, set[str]] = {"products": set(), "tenants": set()}
     for part in parts:
@@ -31,7 +31,7 @@
             told = part.get(key)
             names |= {name for name in told if isinstance(name, str)} if isinstance(told, list) else set()
     products = [
-        Product(name, Effect.INQUIRY, 1.0, 1000.0, 1000.0, calls=True, omit_value=1.0)
+        RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, calls=True, omit_value=1.0)
         for name in sorted(found["products"])
     ]
     return products, [Tenant(name, 1.0) for name in sorted(found["tenants"])]
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -8,7 +8,7 @@
 import click
 
 from otterrudder.admission.factory import products_of, tenants_of
-from otterrudder.admission.interface import Cut, Product, Tenant
+from otterrudder.admission.interface import RequestClass, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
 from otterrudder.levels import BadTable, Ladder, Rung, Table, read
@@ -23,10 +23,10 @@
 
 
 _DOES = {
-    Cut.OMIT: "runs without its call",
-    Cut.SPARE: "runs where a slot is free, and is never held",
-    Cut.ESTABLISHED: "newcomers are declined",
-    Cut.DECLINE: "declined",
+    RestrictionKind.OMIT: "runs without its call",
+    RestrictionKind.SPARE: "runs where a slot is free, and is never held",
+    RestrictionKind.ESTABLISHED: "newcomers are declined",
+    RestrictionKind.DECLINE: "declined",
 }
 
 
@@ -112,7 +112,7 @@
         give_up(trouble)
 
 
-def _known(file: str, config: str | None) -> tuple[list[Product], list[Tenant]]:
+def _known(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
     """The products and tenants that a table is checked against."""
     path = config or os.environ.get(CONFIGURATION_VARIABLE)
     if path:
@@ -124,7 +124,7 @@
     return _named_in(file)
 
 
-def _named_in(file: str) -> tuple[list[Product], list[Tenant]]:
+def _named_in(file: str) -> tuple[list[RequestClass], list[Tenant]]:
     try:
         whole = tomllib.loads(Path(file).read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
@@ -132,7 +132,7 @@
     return named_in(cut for level in tables_in(whole, "level") for cut in tables_in(level, "cut"))
 
 
-def _words(n: int, rung: Rung, products: list[Product], tenants: list[Tenant]) -> list[str]:
+def _words(n: int, rung: Rung, products: list[RequestClass], tenants: list[Tenant]) -> list[str]:
     joined = " and " if rung.needs_all else " or "
     entry = joined.join(f"{bound.fact} >= {bound.value:g}" for bound in rung.entry)
     leave = " and ".join(f"{bound.fact} <= {bound.value:g}" for bound in rung.exit)
@@ -144,7 +144,7 @@
     ]
     for product, trims in zip(products, rung.relief.trims, strict=True):
         for trim in trims:
-            what = f"admits {trim.share:.0%}" if trim.cut is Cut.SHARE else _DOES[trim.cut]
+            what = f"admits {trim.share:.0%}" if trim.cut is RestrictionKind.SHARE else _DOES[trim.cut]
             whose = ", ".join(tenants[t].name for t in sorted(trim.tenants)) if trim.tenants else ""
             only = [f"of {whose}"] if whose else []
             only += [f"below rank {trim.rank:g}"] if trim.rank <= 1.0 else []
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -11,7 +11,7 @@
 import click
 
 from otterrudder.admission.factory import products_of, tenants_of
-from otterrudder.admission.interface import Product, Tenant
+from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
 from otterrudder.net import control
@@ -79,7 +79,7 @@
     )
 
 
-def _known(told: dict[str, object]) -> tuple[list[Product], list[Tenant]]:
+def _known(told: dict[str, object]) -> tuple[list[RequestClass], list[Tenant]]:
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
         return products_of(settings), tenants_of(settings)
--- a/otterrudder/configuration.py
+++ b/otterrudder/configuration.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from otterrudder.admission.factory import boot
+from otterrudder.admission.factory import create_controller
 
 # Variables of the environment: each names a file, those of the options where the command line does not.
 CONFIGURATION_VARIABLE = "NODE_CONFIG"
@@ -83,7 +83,7 @@
 
 
 class _Settings(msgspec.Struct):
-    """The platform's names. The factory has defaults for what is absent; what is there has to be of its kind."""
+    """The platform's names. The factory has defaults for what is absent; the rest has to be of its kind."""
 
     classes: Annotated[list[_Class], msgspec.Meta(min_length=1)]
     realms: list[_Realm] | None = None
@@ -148,7 +148,7 @@
         for name in ("listen", *MOVABLE):
             if (value := getattr(checked, name)) is not None:
                 address(value, name)
-        boot(0.0, 0, 1, told["settings"])  # what is well formed and yet can't be started with
+        create_controller(0.0, 0, 1, told["settings"])  # what is well formed and yet can't be started with
     except msgspec.ValidationError as trouble:
         what, _, at = str(trouble).partition(" - at `$.")
         where = at.rstrip("`")
--- a/otterrudder/drill/frames.py
+++ b/otterrudder/drill/frames.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from otterrudder.admission.interface import Outcome, Step
+from otterrudder.admission.interface import Command, Outcome
 
 Event = tuple[Any, ...]  # (code, instance, fields...)
 
@@ -34,10 +34,10 @@
     13: Outcome.ERROR,
     8: Outcome.FULL,
     4: Outcome.TIMEOUT,
-    14: Outcome.UNREACHED,
+    14: Outcome.UNREACHABLE,
     10: Outcome.RESET,
-    1: Outcome.STOPPED,
-    9: Outcome.MOOT,
+    1: Outcome.CANCELLED,
+    9: Outcome.NEVER_STARTED,
 }
 _WAKE = struct.Struct(">HHII")
 _ADVERTISE = struct.Struct(">HHf")
@@ -105,7 +105,7 @@
     return min(max(round(ms * 1000), 0), 0xFFFFFFFF)
 
 
-def encode_step(instance: int, step: Step) -> bytes:
+def encode_step(instance: int, step: Command) -> bytes:
     """The record of a step; empty for `close`, which the wire has no record of."""
     word, *rest = step
     if word in _PLAIN:
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.factory import boot, gauge_names
-from otterrudder.admission.interface import Outcome, Step
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.factory import create_controller, gauge_names
+from otterrudder.admission.interface import Command, Outcome
 from otterrudder.drill import frames
 
 FATAL = 77
@@ -13,7 +13,7 @@
 
 class Host:
     def __init__(self) -> None:
-        self._rudders: dict[int, Rudder] = {}
+        self._rudders: dict[int, AdmissionController] = {}
         self._gauges: dict[int, list[str]] = {}
 
     def play(self, body: bytes) -> bytes:
@@ -29,22 +29,22 @@
                 break
         return frames.frame(records)
 
-    def _handle(self, now: float, code: int, instance: int, f: list[Any]) -> list[Step]:
+    def _handle(self, now: float, code: int, instance: int, f: list[Any]) -> list[Command]:
         if code == frames.BOOT:
             settings = json.loads(f[1])
-            started = self._rudders[instance] = boot(now, instance, f[0], settings)
+            started = self._rudders[instance] = create_controller(now, instance, f[0], settings)
             self._gauges[instance] = gauge_names(settings)
-            return started.done()
+            return started.take_commands()
         if code == frames.KILL:
             self._rudders.pop(instance, None)
             return []
-        rudder = self._rudders.get(instance)
-        if rudder is None:
+        controller = self._rudders.get(instance)
+        if controller is None:
             return []
-        rudder.at(now)
+        controller.advance_to(now)
         if code == frames.INBOUND:
             ident, _hint, earlier, kb, key, age, rank, product, left, flags, _source, tenant = f
-            rudder.arrive(
+            controller.handle_arrival(
                 ident,
                 product,
                 tenant=tenant,
@@ -57,16 +57,16 @@
                 rank=rank,
             )
         elif code == frames.FINISHED:
-            rudder.finished(f[0], frames.OUTCOMES.get(f[1], Outcome.ERROR))
+            controller.handle_finished(f[0], frames.OUTCOMES.get(f[1], Outcome.ERROR))
         elif code == frames.RING:
             told = zip(self._gauges[instance], f[1], strict=False)
-            rudder.ring(**{name: value for name, value in told if name})
+            controller.tick(**{name: value for name, value in told if name})
         elif code == frames.NEEDS:
-            rudder.needs_call(f[0])
+            controller.handle_call_needed(f[0])
         elif code == frames.CALLED:
-            rudder.call_ended(f[0], frames.OUTCOMES.get(f[1], Outcome.ERROR))
+            controller.handle_call_ended(f[0], frames.OUTCOMES.get(f[1], Outcome.ERROR))
         elif code == frames.LEFT:
-            rudder.left(f[0])
+            controller.handle_disconnect(f[0])
         else:
-            rudder.retire(f[0] / 1000)
-        return rudder.done()
+            controller.begin_graceful_shutdown(f[0] / 1000)
+        return controller.take_commands()
--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -3,7 +3,7 @@
 
 The dispatcher's turn asks it first (`pulse`), so what is decided on the member's standing is decided by the
 clock of the very turn that admits: a process that was frozen finds out before its first admission after
-waking. No txn ever waits for the store: requests run in tasks of their own, one a lane, each with its
+waking. No request ever waits for the store: requests run in tasks of their own, one a lane, each with its
 deadline, and the folder is written by a thread.
 
 Owners: the store's channel and the folder are given back in `run`, on every way out."""
--- a/otterrudder/fleet/effects.py
+++ b/otterrudder/fleet/effects.py
@@ -56,7 +56,7 @@
 @dataclass(frozen=True, slots=True)
 class Judge:
     """Check a policy's text against the server's own configuration: what is wrong with it, "" if nothing. Off
-    the loop: a long one takes as long as many txns."""
+    the loop: a long one takes as long as many requests."""
 
     digest: str
     text: str
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from otterrudder.admission.factory import below_of, limits_of, products_of, tenants_of
-from otterrudder.admission.interface import Limits, Product, Tenant
+from otterrudder.admission.interface import Limits, RequestClass, Tenant
 from otterrudder.files import convert
 from otterrudder.levels.table import BadTable, Table, build
 
@@ -27,7 +27,7 @@
 VALUE_MOST = 1e9  # of a product; a larger one is a slip
 STAY_AWAY_MOST_MS = 3_600_000.0
 CALLS_MOST = 1e6  # calls in hand at a service below, in the mean, of the whole fleet
-PER_S_MOST = 1e7  # txns a second of a tenant, in the whole fleet
+PER_S_MOST = 1e7  # requests a second of a tenant, in the whole fleet
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     """What a policy says, ready for a server; what it does not name is as in the server's configuration."""
 
     levels: Table | None
-    products: list[Product]
+    products: list[RequestClass]
     tenants: list[Tenant]
     limits: Limits
 
@@ -45,7 +45,7 @@
     """What a server's own configuration says, against which a policy is checked. `limits`: None where it is
     not known; `servers`: of the fleet; `shares_below`: what lies below is one service for all servers."""
 
-    products: Sequence[Product]
+    products: Sequence[RequestClass]
     tenants: Sequence[Tenant]
     servers: int = 1
     limits: Limits | None = None
@@ -113,7 +113,7 @@
     return Content(levels, valued, shared, _limited(told, own))
 
 
-def _valued(product: Product, told: _Product | None) -> Product:
+def _valued(product: RequestClass, told: _Product | None) -> RequestClass:
     if told and told.value is not None:
         product = replace(product, value=_within(told.value, VALUE_MOST, f"products.{product.name}.value"))
     if told and told.late_value is not None:
@@ -123,7 +123,7 @@
 
 
 def _shared(tenant: Tenant, told: _Tenant | None, servers: int) -> Tenant:
-    """A tenant's txns a second are the fleet's; each server holds it to an even part."""
+    """A tenant's requests a second are the fleet's; each server holds it to an even part."""
     if told is None:
         return tenant
     per_s = _within(told.per_s, PER_S_MOST, f"tenants.{tenant.name}.per_s")
--- a/otterrudder/lab/arrivals.py
+++ b/otterrudder/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""All txns of a day, drawn beforehand: variants of the day meet the very same ones."""
+"""All requests of a day, drawn beforehand: variants of the day meet the very same ones."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Ask:
-    """One txn as a caller asks for it, whatever becomes of its tries."""
+    """One request as a caller asks for it, whatever becomes of its tries."""
 
     number: int
     at: float  # ms
@@ -27,7 +27,7 @@
     work: float  # ms on a core of speed 1, the same for each try
     calls: int
     patience: float  # ms after which its caller goes away; inf: never before its expiry
-    left: int = 0  # further txns of its session
+    left: int = 0  # further requests of its session
     session: int = 0
 
 
@@ -96,7 +96,7 @@
         return float(self._work.lognormal(*lognormal(spec.work_ms, spec.cv)))
 
     def next_of(self, ask: Ask, now: float) -> Ask:
-        """The next txn of a session, asked for as soon as the last has settled."""
+        """The next request of a session, asked for as soon as the last has settled."""
         self._count += 1
         work = self._draw_work(ask.product)
         return replace(ask, number=self._count, at=now, work=work, patience=float("inf"), left=ask.left - 1)
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -164,7 +164,7 @@
         asked = told.table("asked").sum()
         figures: dict[str, float] = dict(
             value=told.value(),
-            txns=float(asked),
+            txns=float(asked),  # a name that experiments read
             tries=told.tries / max(float(asked), 1.0),
             broken=float(checker.broken_count),
             read_late=float(checker.counts["read late"]),
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -37,7 +37,7 @@
         if second and second % LINE_S == 0 and self.engine.now <= self.length_ms:
             asked = self.demand(second - LINE_S / 2)
             bar = "#" * round(asked * BAR / 2)
-            # The last line's txns may still be on their way: what is shown is the line before it.
+            # The last line's requests may still be on their way: what is shown is the line before it.
             kept = self.ledger.value(max(second - 2 * LINE_S, 0), second - LINE_S) if second > LINE_S else 1.0
             self.say(f"{second:6d} s  demand {asked:4.2f} {bar:<{BAR}} value in time {kept:.2f}")
 
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -131,7 +131,7 @@
 
     # Its life.
 
-    def boot(self, n: int) -> None:
+    def create_controller(self, n: int) -> None:
         """A process starts at that place, with what its folder holds."""
         host = self.hosts[n]
         host.life += 1
@@ -271,7 +271,7 @@
         for n, host in enumerate(world.hosts):
             host.is_frozen = host.is_cut = host.is_full = False
             if not host.member:
-                world.boot(n)
+                world.create_controller(n)
         opened = -1.0
         for _ in range(PEACE_STEPS):
             if trouble := world._deliver_all():
@@ -533,7 +533,7 @@
     for n, host in enumerate(world.hosts):
         if not host.member:
             up = world.copy(f"{n} starts")
-            up.boot(n)
+            up.create_controller(n)
             yield up
             knows_store = world.variant.names_store or not world.variant.copies
             if may_harm and not host.is_struck and knows_store:
@@ -621,7 +621,7 @@
     world = World(variant)
     for n in range(variant.members):
         world.hosts.append(Host(f"n{n}", f"folder {n}"))
-        world.boot(n)
+        world.create_controller(n)
     if trouble := world._deliver_all():
         raise Apart(trouble)
     world.write(propose(world.view(), "first", "policy", "", "", 0.0, DEADLINE_MS))
@@ -635,5 +635,5 @@
         raise Apart("the fleet does not come together")
     if variant.has_twin:
         world.hosts.append(Host("n0", "another folder"))
-        world.boot(variant.members)
+        world.create_controller(variant.members)
     return world
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -3,8 +3,8 @@
 
 A gateway knows only what it was told itself. Its list of servers follows their coming and going late. One
 that heeds stay-away leaves a server out for as long as it was asked; one that heeds `stop` tries nowhere
-else; one that heeds the load keeps no more open at a server than it advertised, and turns a txn away itself
-when no server has room."""
+else; one that heeds the load keeps no more open at a server than it advertised, and turns a request away
+itself when no server has room."""
 
 import math
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class Try:
-    """One try of a txn at one server; it is the address that the core answers to."""
+    """One try of a request at one server; it is the address that the core answers to."""
 
     __slots__ = ("ask", "at", "gateway", "is_marked", "is_over", "number", "server", "wait")
 
@@ -83,7 +83,7 @@
         self.away: dict[int, float] = {}  # by server: until when it asked to be left alone
         self.load: dict[int, float] = {}  # by server: the open tries it wants at the most
         self.open: dict[int, int] = {}
-        # of open tries: where the txn was, since when
+        # of open tries: where the request was, since when
         self.trail: dict[int, tuple[tuple[int, ...], float]] = {}
         self.turn = number  # of the round
         self.listed: list[int] = []  # servers as this gateway knows them
--- a/otterrudder/lab/ledger.py
+++ b/otterrudder/lab/ledger.py
@@ -4,14 +4,14 @@
 
 import numpy as np
 
-from otterrudder.admission.interface import Product
+from otterrudder.admission.interface import RequestClass
 
 SETTLED, LATE, DECLINED, VOIDED, UNREACHED = "settled", "late", "declined", "voided", "unreached"
 
 
 @dataclass(slots=True)
 class SecondCounts:
-    """Counts of the txns that were asked for in one second, by product."""
+    """Counts of the requests that were asked for in one second, by product."""
 
     asked: list[int]
     in_time: list[int]
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """How a session of txns goes: one that does not settle breaks it."""
+    """How a session of requests goes: one that does not settle breaks it."""
 
     settled: int = 0
     is_broken: bool = False
@@ -29,9 +29,9 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """What was asked for in a day of `length_s`, and how each txn ended for its caller."""
+    """What was asked for in a day of `length_s`, and how each request ended for its caller."""
 
-    products: list[Product]
+    products: list[RequestClass]
     length_s: int
     seconds: list[SecondCounts] = field(init=False)
     ends: dict[str, int] = field(default_factory=dict)
@@ -47,11 +47,11 @@
         return self.seconds[min(int(at / 1000), self.length_s)]
 
     def asked(self, at: float, product: int) -> None:
-        """A caller asks for a txn at `at`."""
+        """A caller asks for a request at `at`."""
         self._second(at).asked[product] += 1
 
     def ended(self, at: float, now: float, product: int, how: str) -> None:
-        """The end of a txn asked for at `at`, as its caller saw it."""
+        """The end of a request asked for at `at`, as its caller saw it."""
         spec = self.products[product]
         if how == SETTLED:
             self.times.append(now - at)
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from otterrudder import logic
+from otterrudder.admission import controller
 from otterrudder.files import load_toml, merged
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, Site, convert, site_of
@@ -124,7 +124,7 @@
     told: _Experiment = convert(load_toml(path, BadInput), _Experiment, where)
     for variant in told.variant:
         for constant in variant.module:
-            if not isinstance(getattr(logic, constant, None), float):
+            if not isinstance(getattr(controller, constant, None), float):
                 raise BadInput(f"{where}: variant {variant.name}: the module has no constant {constant!r}")
     whole = load_toml(path.parent / told.site, BadInput)
     site_where = Path(told.site).name
--- a/otterrudder/lab/processes/cell_hollow.py
+++ b/otterrudder/lab/processes/cell_hollow.py
@@ -1,5 +1,5 @@
 """Hollow servers beside the real ones of a rig of cells: some hundreds in a few processes, with the agent
-and the stream of a server and no txns. They tell at once what they go by and whether they admit, by the
+and the stream of a server and no requests. They tell at once what they go by and whether they admit, by the
 clock that all processes of a machine share; so a switch is timed exactly, and who stands aside is seen."""
 
 import os
--- a/otterrudder/lab/processes/cell_ledger.py
+++ b/otterrudder/lab/processes/cell_ledger.py
@@ -44,7 +44,7 @@
 
 
 def _aside_ms(served: list[Asked], window: QuietWindow) -> float:
-    """From each first txn declined to the next one settled."""
+    """From each first request declined to the next one settled."""
     ms, since = 0.0, None
     for one in served:
         if one.outcome == "declined" and since is None:
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -20,7 +20,7 @@
 from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
 from otterrudder.net import core, registry, serve
 
-EACH = 6  # txns, of which one is spoilt
+EACH = 6  # requests, of which one is spoilt
 LATE_S = 4.6  # s until an answer that is late: the gateways wait 4 s
 PAUSE_S = 5.0  # s, in a fifth of which the list is told anything
 
@@ -44,12 +44,12 @@
     """Now and then an answer is never sent."""
     real, count = core.Core._answer, [0]
 
-    def answer(self: core.Core, txn: core.Txn, *rest: object) -> None:
+    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
         count[0] += 1
         if count[0] % EACH == 0:
-            txn.answered = True
+            request.answered = True
             return
-        real(self, txn, *rest)  # type: ignore[arg-type]
+        real(self, request, *rest)  # type: ignore[arg-type]
 
     setattr(core.Core, "_answer", answer)  # noqa: B010
 
@@ -81,9 +81,9 @@
     """Says the same again."""
     real = core.Core._answer
 
-    def answer(self: core.Core, txn: core.Txn, *rest: object) -> None:
+    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
         sent = len(self.out)
-        real(self, txn, *rest)  # type: ignore[arg-type]
+        real(self, request, *rest)  # type: ignore[arg-type]
         self.out += self.out[sent:]
 
     setattr(core.Core, "_answer", answer)  # noqa: B010
@@ -93,17 +93,17 @@
     """Now and then an answer lies about until its caller has given up."""
     real, count = core.Core._answer, [0]
 
-    def answer(self: core.Core, txn: core.Txn, *rest: object) -> None:
+    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
         count[0] += 1
-        if count[0] % EACH or txn.answered:
-            real(self, txn, *rest)  # type: ignore[arg-type]
+        if count[0] % EACH or request.answered:
+            real(self, request, *rest)  # type: ignore[arg-type]
             return
 
         def later() -> None:
-            txn.answered = False
-            real(self, txn, *rest)  # type: ignore[arg-type]
+            request.answered = False
+            real(self, request, *rest)  # type: ignore[arg-type]
 
-        txn.answered = True
+        request.answered = True
         asyncio.get_running_loop().call_later(LATE_S, later)
 
     setattr(core.Core, "_answer", answer)  # noqa: B010
@@ -112,10 +112,10 @@
 def _declines_repeats() -> None:
     """A repeat of what ran is turned away."""
 
-    def reuse(self: core.Core, txn: core.Txn) -> None:
-        self._decline(txn, False, 0.0)
-        assert self.rudder
-        self.rudder.finished(txn.number, Outcome.MOOT)
+    def reuse(self: core.Core, request: core.PendingRequest) -> None:
+        self._decline(request, False, 0.0)
+        assert self.controller
+        self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
     setattr(core.Core, "_reuse", reuse)  # noqa: B010
     core._OF_A_TXN["reuse"] = reuse
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -188,7 +188,7 @@
             f"{figures['aside_share']:.1%}",
             played.dealt,
             played.missed,
-            f"{figures['txns']:.0f}",
+            f"{figures['requests']:.0f}",
         ]
         rows.append("| " + " | ".join(map(str, of)) + " |")
     return "\n".join(rows)
@@ -223,7 +223,7 @@
 
 
 def chart(run: Run, path: Path) -> None:
-    """Servers down the page, time along it; a stroke for each txn settled, by its product and so by the
+    """Servers down the page, time along it; a stroke for each request settled, by its product and so by the
     policies that serve it; versions as lines, faults as crosses."""
     import matplotlib
 
--- a/otterrudder/lab/processes/ledger.py
+++ b/otterrudder/lab/processes/ledger.py
@@ -1,9 +1,9 @@
 """The checker's own ledger: what crossed the wire at gateways and runtimes, and when the store had which
 policy. It never asks a server.
 
-A policy shows in what is settled: each of the rig's policies declines one product for good, so a settled txn
-tells under which policies it may have been admitted. It breaks the bound if none of these was in force, or
-had been within the bound, at any time between its sending and its answer."""
+A policy shows in what is settled: each of the rig's policies declines one product for good, so a settled
+request tells under which policies it may have been admitted. It breaks the bound if none of these was in
+force, or had been within the bound, at any time between its sending and its answer."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -156,8 +156,8 @@
 
 
 def _figures(wire: Wire, versions: list[InForce], bound_ms: float, old: int) -> dict[str, float]:
-    """What the rig's tables show. A txn that the policy of its time serves, and is declined, stood before a
-    server that stood aside."""
+    """What the rig's tables show. A request that the policy of its time serves, and is declined, stood before
+    a server that stood aside."""
     served = declined = lost = 0
     for asked in wire.asked:
         if asked.call != asked.first:
@@ -174,7 +174,7 @@
         lost += asked.outcome in ("", "lost")
     asked_in_all = max(served + declined, 1)
     return dict(
-        txns=len(wire.asked),
+        txns=len(wire.asked),  # a name that experiments read
         settled=sum(a.outcome == "settled" for a in wire.asked),
         repeats=sum(a.call != a.first for a in wire.asked),
         lost_with_server=lost,
--- a/otterrudder/lab/processes/standins.py
+++ b/otterrudder/lab/processes/standins.py
@@ -20,11 +20,11 @@
 LONG_RUN_MS = 300.0  # of one that a drain has to wait for
 TTL_MS = 4000  # that a gateway waits for an answer
 PRODUCTS = ("look", "pay")  # inquiry-like; referenced
-OPEN_MOST = 30  # txns on one connection: the platform allows 32
+OPEN_MOST = 30  # requests on one connection: the platform allows 32
 REPEAT_MS = 15_000.0  # from a first try's sending in which it is asked for again: the window is 20 s
 OLD_MS = 60_000.0  # that the runtimes are up at the start: no server is cold
 NOTICES_MOST = 4000  # that a runtime keeps
-KNOWN_MOST = 200  # txns of a connection whose answers are known as theirs, answered ones too
+KNOWN_MOST = 200  # requests of a connection whose answers are known as theirs, answered ones too
 AGAIN_MS = 50.0  # until a lost connection is tried again
 SETTINGS: dict[str, object] = {
     "classes": [
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One txn as its gateway saw it."""
+    """One request as its gateway saw it."""
 
     server: int
     life: int
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from otterrudder import logic
+from otterrudder.admission import controller
 from otterrudder.lab.claims import Verdict, judge
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
@@ -33,14 +33,14 @@
 def play(run: Run) -> Result:
     """One day; the same for the same run on every machine."""
     kind = Bare if run.bare else Ladder
-    before = {name: getattr(logic, name) for name, _ in run.module}
+    before = {name: getattr(controller, name) for name, _ in run.module}
     try:
         for name, value in run.module:
-            setattr(logic, name, value)
+            setattr(controller, name, value)
         return Day(run.site, run.load, run.troubles, run.levels, run.seed, run.length_s, kind).play()
     finally:
         for name, value in before.items():
-            setattr(logic, name, value)
+            setattr(controller, name, value)
 
 
 def perform(experiment: Experiment, workers: int = 0, progress: Progress | None = None) -> Outcome:
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -1,5 +1,6 @@
-"""Servers without txns, many in one process: each has the agent, the store's client, the folder and the check
-of policies that `serve --fleet` gives a server, and a connection of its own. No gateway, no runtime, no core.
+"""Servers without requests, many in one process: each has the agent, the store's client, the folder and the
+check of policies that `serve --fleet` gives a server, and a connection of its own. No gateway, no runtime, no
+core.
 
     python -m otterrudder.lab.scale.hollow FLEET.toml CONFIG.json --count 50 --folder DIR [--first 0]
 
@@ -123,7 +124,7 @@
 
 
 def _parsed(words: Sequence[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Servers without txns, many in one process.")
+    parser = argparse.ArgumentParser(description="Servers without requests, many in one process.")
     parser.add_argument("fleet", type=Path, help="TOML file of the fleet")
     parser.add_argument("configuration", help="JSON file of a server's configuration")
     parser.add_argument("--count", type=int, required=True, choices=range(1, COUNT_MOST + 1), metavar="N")
--- a/otterrudder/lab/search.py
+++ b/otterrudder/lab/search.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from ipaddress import IPv4Address
 
-from otterrudder.admission.interface import Part
+from otterrudder.admission.interface import RequestScope
 from otterrudder.vrrp.gate import Door, Gate, HoldDown
 from otterrudder.vrrp.machine import Action, Became, Machine, Send, State, Timer
 
@@ -128,7 +128,7 @@
 
 
 def _fresh(n: int, priority: int, make: Maker, gate: type[Gate]) -> Router:
-    return Router(make(n, priority), gate(Part(), 1500.0, HELD))
+    return Router(make(n, priority), gate(RequestScope(), 1500.0, HELD))
 
 
 def _following(world: World, priorities: tuple[int, ...], make: Maker, gate: type[Gate]) -> Iterator[World]:
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
-from otterrudder.admission.interface import Effect, Outcome
+from otterrudder.admission.interface import Idempotency, Outcome
 from otterrudder.lab.arrivals import Ask
 from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
@@ -24,7 +24,7 @@
 
 
 class Attempt(Protocol):
-    """One try of a txn at this server, as its gateway made it; the core's answers go to it."""
+    """One try of a request at this server, as its gateway made it; the core's answers go to it."""
 
     number: int
     ask: Ask
@@ -41,7 +41,7 @@
 
 
 class Run:
-    """A started txn on the cores or at a call."""
+    """A started request on the cores or at a call."""
 
     __slots__ = ("calls_left", "job", "part")
 
@@ -86,8 +86,8 @@
         s = self.site.server
         self.cores.start(1.0 if warm else s.cold_from, 0.0 if warm else s.cold_s * 1000)
         controller = LevelController(self.table, self.spread(), self.kind) if self.table else None
-        boot = self.site.boot(self.number + 1, self.seed * 1000 + self.life)
-        self.core = Core(boot, self.products, GAUGES, controller)
+        create_controller = self.site.create_controller(self.number + 1, self.seed * 1000 + self.life)
+        self.core = Core(create_controller, self.products, GAUGES, controller)
         self.tries: dict[str, Attempt] = {}
         self.runs: dict[str, Run] = {}
         self.urgent: list[tuple[Callable[..., object], tuple[object, ...], dict[str, Any]]] = []
@@ -164,7 +164,7 @@
             return
         ask, call = attempt.ask, f"{attempt.number:016x}"
         spec = self.products[ask.product]
-        referenced = spec.effect is Effect.REFERENCED
+        referenced = spec.effect is Idempotency.IDEMPOTENT
         self.tries[call] = attempt
         self.checker.read(
             self.engine.now,
@@ -172,7 +172,7 @@
             self.life,
             attempt.at,
             attempt.at + attempt.wait,
-            0 if spec.effect is Effect.INQUIRY else ask.number,
+            0 if spec.effect is Idempotency.SAFE else ask.number,
         )
         self.post_arrival(
             self.core.arrive,
@@ -214,7 +214,7 @@
             stopped = self.runs.pop(rest[0])
             if stopped.job:
                 self.cores.cancel(stopped.job)
-            self.post(self.core.ended, rest[0], Outcome.STOPPED, b"")
+            self.post(self.core.ended, rest[0], Outcome.CANCELLED, b"")
 
     def _work(self, call: str, run: Run) -> None:
         run.job = self.cores.run(run.part, lambda: self._worked(call, run))
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.interface import Effect, Limits, Product, Tenant
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
@@ -23,7 +23,7 @@
 
 
 class ProductPart(_Strict, kw_only=True, frozen=True):
-    """A product and what its txns are like."""
+    """A product and what its requests are like."""
 
     name: str
     share: Positive
@@ -57,7 +57,7 @@
     read_share: Share = 0.25  # of the mean work: the cost of a read, whatever is then decided
     cold_from: Share = 0.3  # of its speed a fresh server has
     cold_s: float = 10.0
-    memory_runs: Positive = 14.0  # running txns a core that fill the memory
+    memory_runs: Positive = 14.0  # running requests a core that fill the memory
     run_factor: Positive = 16.0
     held_kb: Positive = 40.0
     ref_kb: float = 20.0
@@ -105,16 +105,16 @@
     gateways: GatewaysPart = GatewaysPart()
     keys: Count = 5000  # distinct users
     zipf: float = 0.8  # how much more some come than others
-    # txns of a session that goes on as each settles
+    # requests of a session that goes on as each settles
     session_mean: Annotated[float, msgspec.Meta(ge=1)] | None = None
     keys_known: bool = True  # whether servers are told them
 
     @property
-    def products(self) -> list[Product]:
+    def products(self) -> list[RequestClass]:
         return [
-            Product(
+            RequestClass(
                 p.name,
-                Effect(p.effect),
+                Idempotency(p.effect),
                 p.value,
                 p.sla_ms,
                 p.expiry_ms,
@@ -145,12 +145,14 @@
         speeds = [self.server.speed[n % len(self.server.speed)] for n in range(self.server.count)]
         return self.server.cores * sum(speeds) / (self.mean_work_ms + self.read_ms)
 
-    def boot(self, instance: int, seed: int) -> Callable[[float, bool, float], Rudder]:
-        """What a core makes its Rudder with: boot(now, warm, up_ms)."""
+    def create_controller(
+        self, instance: int, seed: int
+    ) -> Callable[[float, bool, float], AdmissionController]:
+        """What a core makes its AdmissionController with: create_controller(now, warm, up_ms)."""
         s = self.server
 
-        def make(now: float, warm: bool, up_ms: float) -> Rudder:
-            rudder = Rudder(
+        def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
+            controller = AdmissionController(
                 now,
                 instance=instance,
                 seed=seed,
@@ -176,8 +178,8 @@
                 linger_ms=0.0,
                 up_ms=up_ms,
             )
-            rudder.begin()
-            return rudder
+            controller.start()
+            return controller
 
         return make
 
--- a/otterrudder/levels/__init__.py
+++ b/otterrudder/levels/__init__.py
@@ -2,7 +2,7 @@
 
 `table` reads the operators' TOML file into rungs, `ladder` moves between them, `controller` is what a server
 holds: the ladder, its mode (enforced or shadow) and the words for the log. None of them does I/O on its own,
-knows a clock or draws chance; the decision module alone enforces a level (`Rudder.reduce`)."""
+knows a clock or draws chance; the decision module alone enforces a level (`AdmissionController.reduce`)."""
 
 from otterrudder.levels.controller import LevelController, LevelUpdate
 from otterrudder.levels.ladder import Bound, Damping, Ladder, Move, Reason, Rung
--- a/otterrudder/levels/controller.py
+++ b/otterrudder/levels/controller.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from otterrudder.admission.interface import Relief
+from otterrudder.admission.interface import ServiceLevel
 from otterrudder.levels.ladder import FULL, Ladder, Move
 from otterrudder.levels.table import Table
 
@@ -17,7 +17,7 @@
 class LevelUpdate:
     """What a tick brought: the level the module is to be told, if it changes, and a line for the log."""
 
-    relief: Relief | None
+    relief: ServiceLevel | None
     text: str
     facts: dict[str, object]
 
@@ -31,9 +31,9 @@
         self.is_shadow = table.is_shadow
 
     @property
-    def relief(self) -> Relief:
+    def relief(self) -> ServiceLevel:
         """What is to be enforced now; full service in shadow."""
-        return Relief(FULL) if self.is_shadow else self._ladder.relief
+        return ServiceLevel(FULL) if self.is_shadow else self._ladder.relief
 
     @property
     def name(self) -> str:
--- a/otterrudder/levels/ladder.py
+++ b/otterrudder/levels/ladder.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from otterrudder.admission.interface import Relief
+from otterrudder.admission.interface import ServiceLevel
 from otterrudder.levels.window import Window
 
 # facts of what is asked for, not of how it goes: a trial passes over them
@@ -65,7 +65,7 @@
     exit_ms: float
     stay_ms: float
     trial_ms: float
-    relief: Relief
+    relief: ServiceLevel
     needs_all: bool = False  # of its entry conditions; else any one is enough
 
 
@@ -89,7 +89,7 @@
     readings: tuple[Reading, ...]
     stay_ms: float  # the least stay now, damping included
     damped: float  # the factor in it
-    relief: Relief
+    relief: ServiceLevel
     up: bool  # to less service
 
 
@@ -151,10 +151,10 @@
         return self.rungs[self.position - 1].name if self.position else FULL
 
     @property
-    def relief(self) -> Relief:
+    def relief(self) -> ServiceLevel:
         """What the module is to be told now; full service trims nothing."""
         if not self.position:
-            return Relief(FULL)
+            return ServiceLevel(FULL)
         rung = self.rungs[self.position - 1]
         return replace(rung.relief, stay_ms=rung.stay_ms * self._stay.factor)
 
--- a/otterrudder/levels/table.py
+++ b/otterrudder/levels/table.py
@@ -1,7 +1,7 @@
 """The operators' table of levels: TOML text to rungs, checked whole, with errors that name the key.
 
 `read` takes a file, `parse` its text; both want to know the products and tenants of the settings. Form: the
-commented deploy/levels.toml. Each level states all it does, and may do no less, for any txn, than the one
+commented deploy/levels.toml. Each level states all it does, and may do no less, for any request, than the one
 before it."""
 
 import math
@@ -13,7 +13,14 @@
 
 import msgspec
 
-from otterrudder.admission.interface import Cut, Effect, Product, Relief, Tenant, Trim
+from otterrudder.admission.interface import (
+    Idempotency,
+    RequestClass,
+    Restriction,
+    RestrictionKind,
+    ServiceLevel,
+    Tenant,
+)
 from otterrudder.levels.ladder import FULL, Bound, Damping, Rung
 
 VERSION = 1  # of the form; another one is refused, not guessed at
@@ -24,7 +31,7 @@
 # What a condition may go by: the least and the most that it can be, as the module or its server tells it.
 FACTS: dict[str, tuple[float, float]] = {
     "pressure": (0.0, 1.0),  # how hard callers are asked to hold back
-    "waits": (0.0, 1.0),  # mean part of its SLA time that a txn waits here
+    "waits": (0.0, 1.0),  # mean part of its SLA time that a request waits here
     "given_up": (0.0, 1.0),  # share of recent runs that settled too late or not at all
     "stretch": (1.0, math.inf),  # recent latency over the lowest
     "busy": (0.0, math.inf),  # share of the cores in use
@@ -33,7 +40,7 @@
     "retries": (0.0, 1.0),  # share of marked further tries among arrivals
     "late_ms": (0.0, math.inf),  # ms by which the last tick of the process itself came late
 }
-_STRENGTH = {cut: n for n, cut in enumerate(Cut, 1)}  # the order of the enum: the mildest first
+_STRENGTH = {cut: n for n, cut in enumerate(RestrictionKind, 1)}  # the order of the enum: the mildest first
 
 
 class BadTable(Exception):
@@ -87,7 +94,7 @@
     damping: dict[str, Any] = {}
 
 
-def read(path: str | Path, products: Sequence[Product], tenants: Sequence[Tenant]) -> Table:
+def read(path: str | Path, products: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Table:
     """The table in the file at `path`; BadTable says what is wrong with it, by the file's name and the
     key."""
     try:
@@ -98,7 +105,7 @@
         raise BadTable(f"{Path(path).name}: {trouble}") from None
 
 
-def parse(text: str, products: Sequence[Product], tenants: Sequence[Tenant]) -> Table:
+def parse(text: str, products: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Table:
     """The table in `text`; BadTable names the key at fault. Levels are counted from 1."""
     try:
         whole = tomllib.loads(text)
@@ -107,7 +114,7 @@
     return build(whole, products, tenants)
 
 
-def build(whole: Mapping[str, Any], products: Sequence[Product], tenants: Sequence[Tenant]) -> Table:
+def build(whole: Mapping[str, Any], products: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Table:
     """The table in a TOML table that was read already; BadTable as `parse`."""
     told = _convert(whole, _Table, "")
     if told.version != VERSION:
@@ -160,12 +167,12 @@
     """One level on its way from text to rung."""
 
     def __init__(
-        self, n: int, told: dict[str, Any], products: Sequence[Product], tenants: Sequence[Tenant]
+        self, n: int, told: dict[str, Any], products: Sequence[RequestClass], tenants: Sequence[Tenant]
     ) -> None:
         self.where = f"level[{n}]"
         self.products, self.tenants = products, tenants
         self.told: _Level = _convert(told, _Level, self.where)
-        self.trims: list[list[tuple[int, Trim]]] = [[] for _ in products]  # with the number of the cut
+        self.trims: list[list[tuple[int, Restriction]]] = [[] for _ in products]  # with the number of the cut
 
     def rung(self) -> Rung:
         told, where = self.told, self.where
@@ -186,7 +193,7 @@
         if not told.cut:
             raise BadTable(f"{where}.cut: a level that cuts nothing does nothing")
         trims = tuple(tuple(trim for _, trim in self._strongest_first(fits)) for fits in self.trims)
-        relief = Relief(told.name, trims, told.held == "answer", told.stay_away, stay * 1000)
+        relief = ServiceLevel(told.name, trims, told.held == "answer", told.stay_away, stay * 1000)
         return Rung(
             told.name,
             _as_bounds(self.entry),
@@ -231,7 +238,7 @@
                 yield tenant, math.nextafter(rank, -math.inf), shown
 
     @staticmethod
-    def _strongest_first(fits: list[tuple[int, Trim]]) -> list[tuple[int, Trim]]:
+    def _strongest_first(fits: list[tuple[int, Restriction]]) -> list[tuple[int, Restriction]]:
         return sorted(fits, key=lambda fit: _strength(fit[1]), reverse=True)
 
     def _bounds(self, told: Mapping[str, Any], which: str) -> tuple[dict[str, float], float, bool]:
@@ -256,8 +263,8 @@
         return rest, span, need == "all"
 
     def _cut(self, told: _Cut, n: int) -> None:
-        where, cut = f"{self.where}.cut[{n}]", Cut(told.do)
-        if (told.share is not None) != (cut is Cut.SHARE):
+        where, cut = f"{self.where}.cut[{n}]", RestrictionKind(told.do)
+        if (told.share is not None) != (cut is RestrictionKind.SHARE):
             raise BadTable(f'{where}.share: it goes with do = "share", and that needs it')
         share = _within(told.share, 0.01, 0.99, f"{where}.share") if told.share is not None else 0.0
         rank = math.inf
@@ -268,14 +275,14 @@
             tenants = frozenset(_numbers(told.tenants, [t.name for t in self.tenants], f"{where}.tenants"))
         for product in _numbers(told.products, [p.name for p in self.products], f"{where}.products"):
             spec = self.products[product]
-            if cut is Cut.OMIT and not (spec.calls and spec.omit_value):
+            if cut is RestrictionKind.OMIT and not (spec.calls and spec.omit_value):
                 raise BadTable(f"{where}.products: {spec.name} has no call that may be omitted")
-            if spec.effect is not Effect.INQUIRY and cut is Cut.OMIT:
+            if spec.effect is not Idempotency.SAFE and cut is RestrictionKind.OMIT:
                 raise BadTable(f"{where}.products: {spec.name} has an effect: its call is not omitted")
-            self.trims[product].append((n, Trim(cut, share, rank, tenants)))
+            self.trims[product].append((n, Restriction(cut, share, rank, tenants)))
 
 
-def _strength(trim: Trim) -> tuple[int, float]:
+def _strength(trim: Restriction) -> tuple[int, float]:
     return _STRENGTH[trim.cut], 1.0 - trim.share
 
 
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -24,7 +24,9 @@
 REPORT_MS = 10_000.0  # ms between lines on how this process does
 
 
-Mail = tuple[Callable[..., object], tuple[Any, ...], dict[str, Any], str]  # a call, its arguments, whose txn
+Mail = tuple[
+    Callable[..., object], tuple[Any, ...], dict[str, Any], str
+]  # a call, its arguments, whose request
 
 
 class Address(Protocol):
@@ -49,7 +51,7 @@
         self.before_turn: list[Callable[[float], None]] = []  # played at the head of each turn
 
     def post(self, act: Callable[..., object], *args: Any, of: str = "", **more: Any) -> None:
-        """Puts a call of the core into the mailbox; `of` names the txn that is voided if it fails."""
+        """Puts a call of the core into the mailbox; `of` names the request that is voided if it fails."""
         self.urgent.append((act, args, more, of))
         self.wake.set()
 
@@ -151,7 +153,7 @@
         log.info(
             "doing",
             **of.counters(),
-            txns=len(of.txns),
+            requests=len(of.requests),
             references=len(of.references),
             numbered=of.numbered,
             worst_ring_late_ms=round(self.lag, 1),
--- a/otterrudder/net/gateways.py
+++ b/otterrudder/net/gateways.py
@@ -12,7 +12,7 @@
 import anyio.abc
 
 from otterrudder import clock
-from otterrudder.admission.interface import Effect
+from otterrudder.admission.interface import Idempotency
 from otterrudder.log import log
 from otterrudder.net import jsonrpc, sockets
 from otterrudder.net.dispatcher import Dispatcher
@@ -46,7 +46,7 @@
 
 
 class Peer:
-    """One connection. Gives back its socket and its open txns in `run`, on every way out."""
+    """One connection. Gives back its socket and its open requests in `run`, on every way out."""
 
     def __init__(self, gateways: "Gateways", sock: socket.socket) -> None:
         self.gateways, self.dispatcher = gateways, gateways.dispatcher
@@ -127,11 +127,11 @@
             self._reject(rpc, jsonrpc.REQUEST, f"more than {OPEN_MOST} open requests")
         else:
             try:
-                fields = jsonrpc.txn(
+                fields = jsonrpc.request(
                     params,
                     self.gateways.tenants,
                     clock.unix(),
-                    core.products[product].effect is Effect.REFERENCED,
+                    core.products[product].effect is Idempotency.IDEMPOTENT,
                 )
             except ValueError as trouble:
                 self._reject(rpc, jsonrpc.PARAMS, str(trouble))
@@ -156,10 +156,10 @@
         if self.wrongs == 1:
             self.gateways.complain(why)
         elif self.wrongs >= WRONGS_MOST:
-            self.stream.leave("too many wrong messages")  # its good txns are still answered
+            self.stream.leave("too many wrong messages")  # its good requests are still answered
 
     def sweep(self, now: float, idle_ms: float, wordless_ms: float, grace_ms: float) -> None:
-        """An idle peer is told first: a txn on its way here still comes, and is answered."""
+        """An idle peer is told first: a request on its way here still comes, and is answered."""
         if self.stream.unsent and now - self.stream.taken_at > STUCK_MS:
             self.stream.end("reads nothing of what it is owed")
         if self.is_busy():
@@ -180,8 +180,8 @@
         return bool(self.open or self.stream.unsent or self.stream.why)
 
     def leave(self, why: str, leave_s: float = LEAVE_S) -> bool:
-        """Whether it is on its way out. A txn may lie unread where the loop was busy, or half of one: what
-        has come is heard first, and who said something new stays. More of an old half is nothing new."""
+        """Whether it is on its way out. A request may lie unread where the loop was busy, or half of one:
+        what has come is heard first, and who said something new stays. More of an old half is nothing new."""
         half = self.half_since
         if not self.stream.catch_up() or half == self.half_since < math.inf:
             self.stream.leave(why, leave_s)
--- a/otterrudder/net/jsonrpc.py
+++ b/otterrudder/net/jsonrpc.py
@@ -10,12 +10,12 @@
 
 from otterrudder.net.sockets import Buffer
 
-BODY_MOST = 2048  # bytes of a txn's body
+BODY_MOST = 2048  # bytes of a request's body
 LINE_MOST = 16 * 1024  # bytes of a line: a body, its base64 and every field with room to spare
 ID_MOST = 2**53  # ids count from 1; past that not all readers of JSON can tell them apart
 AWRY_MS = 3600e3  # ms by which a gateway's clock may differ from ours: past an hour it is no clock
 WAIT_MOST_MS = 86400e3  # ms that a try may wait: nobody waits for a day
-KB_MOST = 2000.0  # KB below which a txn's memory lies
+KB_MOST = 2000.0  # KB below which a request's memory lies
 MARK_MOST = 64  # characters of a mark: all that is kept for its window is bounded
 
 PARSE, REQUEST, METHOD, PARAMS, FAILED, NEVER_RAN = -32700, -32600, -32601, -32602, -32000, -32014
@@ -40,7 +40,7 @@
 
 
 class TxnFields(TypedDict):
-    """What a gateway says of a txn, by the names of `Core.arrive`."""
+    """What a gateway says of a request, by the names of `Core.arrive`."""
 
     call: str
     recv: float  # Unix time in ms
@@ -103,8 +103,8 @@
     return value
 
 
-def txn(params: dict[str, Any], tenants: dict[str, int], unix: float, marked: bool) -> TxnFields:
-    """The fields of a txn by the core's names; ValueError says what is wrong with them."""
+def request(params: dict[str, Any], tenants: dict[str, int], unix: float, marked: bool) -> TxnFields:
+    """The fields of a request by the core's names; ValueError says what is wrong with them."""
     org, row, mark = text(params, "org"), text(params, "row"), text(params, "dedupe")
     if len(mark) > MARK_MOST or (marked and not mark):
         raise ValueError("dedupe is missing or too long")
--- a/otterrudder/net/lines.py
+++ b/otterrudder/net/lines.py
@@ -10,13 +10,18 @@
 BODY_MOST = 60 * 1024  # bytes of a body: results are 4 KiB at most, replies not much more
 ROOM = 64 * 1024  # bytes of a receive buffer: a body and its line fit
 
-ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.STOPPED, "unknown": Outcome.MOOT}
+ENDS = {
+    "complete": Outcome.OK,
+    "error": Outcome.ERROR,
+    "cancelled": Outcome.CANCELLED,
+    "unknown": Outcome.NEVER_STARTED,
+}
 REPLIES = {
     "DONE": Outcome.OK,
     "WAIT": Outcome.FULL,
     "ERROR": Outcome.ERROR,
     "PAST": Outcome.TIMEOUT,
-    "EMPTY": Outcome.MOOT,
+    "EMPTY": Outcome.NEVER_STARTED,
 }
 
 Words = list[str]
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -16,10 +16,10 @@
 
 LINKS_MOST = 48  # connections: twice the calls that a server of the usual size has out
 REUSE_MS = 500.0  # ms unused after which one takes no call: the service may have forgotten it, and then it
-# resets it at the call, which proves nothing; a new one costs less than a txn with an effect
+# resets it at the call, which proves nothing; a new one costs less than a request with an effect
 HALF_MS = 250.0  # ms that a reply may stay half read: its length is wrong, or its line never ends
 SWEEP_S = 0.1  # s between looks for connections unused or stuck
-CARRIED_MOST = 16  # last calls known of a connection: a txn's next call must not meet a copy of its reply
+CARRIED_MOST = 16  # last calls known of a connection: a request's next call must not meet a copy of its reply
 UNSENT_MOST = 1 << 20  # bytes not yet read by the service
 CONNECT_S = 1.0  # s to connect: a proxy on this machine answers at once or hangs
 
@@ -58,7 +58,7 @@
         return bool(self.stream and (self.stream.catch_up() or self.stream.why))
 
     async def run(self) -> None:
-        outcome, why = Outcome.UNREACHED, "no answer to the connection"
+        outcome, why = Outcome.UNREACHABLE, "no answer to the connection"
         try:
             with anyio.move_on_after(CONNECT_S):
                 sock = await sockets.connect(self.address)
@@ -128,14 +128,14 @@
     def tell(self, word: str, *rest: Any) -> None:
         call = rest[0]
         if word == "call":
-            if earlier := self.on.pop(call, None):  # a second call for one txn gives up the first
+            if earlier := self.on.pop(call, None):  # a second call for one request gives up the first
                 earlier.give_up(call)
             link = self._link(call, self.address, self.group) if self.address and self.group else None
             if link:
                 self.on[call] = link
                 link.take(call, lines.encode_with_body(rest[2], "OP", call, max(math.ceil(rest[1]), 1)))
             else:  # it never ran: the module may try again
-                self.dispatcher.post(self.dispatcher.core.replied, call, Outcome.UNREACHED, of=call)
+                self.dispatcher.post(self.dispatcher.core.replied, call, Outcome.UNREACHABLE, of=call)
         elif link := self.on.pop(call, None):
             link.give_up(call)
 
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from otterrudder import clock
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.factory import boot, can_stop, gauge_names, products_of, tenants_of
-from otterrudder.admission.interface import Effect, Product
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.factory import can_stop, create_controller, gauge_names, products_of, tenants_of
+from otterrudder.admission.interface import Idempotency, RequestClass
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
     FLEET_VARIABLE,
@@ -153,13 +153,13 @@
     tenants = {tenant.name: n for n, tenant in enumerate(tenants_of(settings))}
     # A fleet shares one table: each server's own lag keeps them from leaving a level together.
     spread = zlib.crc32(f"{configuration.name}/levels".encode()) / 2**32
-    controller = None
+    level_controller = None
     if levels:
         from otterrudder.levels import LevelController
 
-        controller = LevelController(levels, spread)
+        level_controller = LevelController(levels, spread)
     the_core = core.Core(
-        _rudder_factory(configuration, products), products, gauge_names(settings), controller
+        _controller_factory(configuration, products), products, gauge_names(settings), level_controller
     )
     dispatcher = Dispatcher(the_core)
     runtime = Runtime(dispatcher, address(configuration.runtime))
@@ -171,9 +171,9 @@
     speaker = _speaker(groups, dispatcher, runtime, records, registry) if groups else None
     agent = _agent(fleet, configuration, dispatcher, spread) if fleet else None
     log.info("listening", address=configuration.listen, pid=os.getpid())
-    if levels and controller:
+    if levels and level_controller:
         names = [rung.name for rung in levels.rungs]
-        log.info("levels", service=controller.name, shadow=controller.is_shadow, of=names)
+        log.info("levels", service=level_controller.name, shadow=level_controller.is_shadow, of=names)
     gc.collect()
     gc.freeze()  # what lives as long as the process is not looked through again and again
     async with anyio.create_task_group() as group:
@@ -191,25 +191,26 @@
         )
         await gateways.run(group)
         group.cancel_scope.cancel()
-    log.info("left", unanswered=sum(not txn.answered for txn in the_core.txns.values()))
+    log.info("left", unanswered=sum(not request.answered for request in the_core.requests.values()))
 
 
-def _served_products(settings: dict[str, Any]) -> list[Product]:
+def _served_products(settings: dict[str, Any]) -> list[RequestClass]:
     """The products as they can be served here, see `unsupported_settings`."""
     return [replace(product, omit_value=0.0) for product in products_of(settings)]
 
 
-def _rudder_factory(
-    configuration: Configuration, products: list[Product]
-) -> Callable[[float, bool, float], Rudder]:
-    """What makes the Rudder once the runtime has said how it stands: by the time, warmth and ms up."""
+def _controller_factory(
+    configuration: Configuration, products: list[RequestClass]
+) -> Callable[[float, bool, float], AdmissionController]:
+    """What makes the AdmissionController once the runtime has said how it stands: by the time, warmth and ms
+    up."""
     # A reference outlives its window by an expiry, see core.py.
-    kept = [p for p in products if p.effect is Effect.REFERENCED]
+    kept = [p for p in products if p.effect is Idempotency.IDEMPOTENT]
     stays = [1 + p.expiry_ms / (p.window_ms or p.expiry_ms) for p in kept]
     refs_most = configuration.limits.memory_mb * 1e6 * RESULTS_SHARE / RESULT_BYTES / max(stays, default=1.0)
 
-    def make(now: float, warm: bool, up_ms: float) -> Rudder:
-        return boot(
+    def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
+        return create_controller(
             now,
             configuration.settings.get("me") or 0,
             configuration.seed,
@@ -261,7 +262,7 @@
             records=records.is_refused,
             late=dispatcher.statistics.is_late(),
             level=core.levels is not None and core.levels.name != "full",
-            unhealthy=bool(core.rudder) and not core.healthy and not core.left_parts,
+            unhealthy=bool(core.controller) and not core.healthy and not core.left_parts,
         )
 
     def changed() -> None:
@@ -301,7 +302,7 @@
         dispatcher.post(dispatcher.core.stand_aside, is_aside)
 
     def facts() -> dict[str, float]:
-        return dispatcher.core.rudder.facts() if dispatcher.core.rudder else {}
+        return dispatcher.core.controller.load_report() if dispatcher.core.controller else {}
 
     try:
         agent = make_agent(fleet, configuration.name, own, apply, stand_aside, facts)
--- a/otterrudder/vrrp/__init__.py
+++ b/otterrudder/vrrp/__init__.py
@@ -3,7 +3,7 @@
 `packet` and `seal` turn bytes into adverts and back, `machine` is the state machine of one group, `track`
 lowers a priority by facts, `gate` says what a state means for service, `group` reads the operators' TOML
 file: all pure. `speaker` is the actor with the sockets. Off where no file is named; the module alone carries
-out what the gate says (`Rudder.step_down`, `Rudder.step_up`).
+out what the gate says (`AdmissionController.step_down`, `AdmissionController.step_up`).
 
 The RFC's Active Router is what operators call the master; code and pages here say master, and Backup as the
 RFC does."""
--- a/otterrudder/vrrp/gate.py
+++ b/otterrudder/vrrp/gate.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from otterrudder.admission.interface import Part
+from otterrudder.admission.interface import RequestScope
 from otterrudder.vrrp.machine import State
 
 
@@ -38,7 +38,7 @@
 class Order:
     """What the module is to be told: the part is served from now on, or left with so long to answer."""
 
-    part: Part
+    part: RequestScope
     is_up: bool
     left_ms: float = 0.0
 
@@ -73,7 +73,7 @@
 class Gate:
     """One group's door. It starts closed, and says so itself with its first order (`begin`)."""
 
-    def __init__(self, part: Part, hand_over_ms: float, hold_down: HoldDown) -> None:
+    def __init__(self, part: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
         self.part, self.hand_over, self.hold_down = part, hand_over_ms, hold_down
         self.door = Door.CLOSED
         self.due = float("inf")  # when its time is up, for a held or draining one
--- a/otterrudder/vrrp/group.py
+++ b/otterrudder/vrrp/group.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from otterrudder.admission.interface import Part, Product, Tenant
+from otterrudder.admission.interface import RequestClass, RequestScope, Tenant
 from otterrudder.files import convert, load_toml
 from otterrudder.vrrp.gate import HoldDown
 from otterrudder.vrrp.packet import ADDRESSES_MOST, CENTISECOND_MS, INTERVAL_MOST, Address
@@ -47,7 +47,7 @@
     preempts: bool
     preempt_delay_ms: float
     accepts: bool
-    part: Part
+    part: RequestScope
     peers: tuple[Peer, ...]
     tracks: tuple[Weight, ...]
 
@@ -101,13 +101,15 @@
     group: list[dict[str, Any]]
 
 
-def read_groups(path: str | Path, products: Sequence[Product], tenants: Sequence[Tenant]) -> Groups:
+def read_groups(path: str | Path, products: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Groups:
     """The groups in a file, with their keys; BadGroups says what is wrong."""
     path = Path(path)
     return parse_groups(load_toml(path, BadGroups), path, products, tenants)
 
 
-def parse_groups(told: Any, path: Path, products: Sequence[Product], tenants: Sequence[Tenant]) -> Groups:
+def parse_groups(
+    told: Any, path: Path, products: Sequence[RequestClass], tenants: Sequence[Tenant]
+) -> Groups:
     where = path.name
     whole = convert(told, _File, where, BadGroups)
     if whole.version != VERSION:
@@ -136,7 +138,7 @@
     )
 
 
-def _group(told: Any, where: str, products: Sequence[Product], tenants: Sequence[Tenant]) -> Group:
+def _group(told: Any, where: str, products: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Group:
     group = convert(told, _Group, where, BadGroups)
     address = _address(group.address, f"{where}.address")
     virtual = frozenset(_address(text, f"{where}.virtual") for text in group.virtual)
@@ -166,7 +168,7 @@
     if len({track.fact for track in tracks}) < len(tracks):
         raise BadGroups(f"{where}.track: a fact stands twice")
     delay = _within(group.preempt_delay_ms, 0.0, 3.6e6, f"{where}.preempt_delay_ms")
-    part = Part(
+    part = RequestScope(
         _numbers(group.products, [p.name for p in products], f"{where}.products"),
         _numbers(group.tenants, [t.name for t in tenants], f"{where}.tenants"),
     )
@@ -205,7 +207,7 @@
 
 
 def _check_apart(groups: list[Group], where: str) -> None:
-    """Names, numbers and parts of groups don't meet: a txn belongs to one group at the most."""
+    """Names, numbers and parts of groups don't meet: a request belongs to one group at the most."""
     for n, group in enumerate(groups, 1):
         for k, other in enumerate(groups[: n - 1], 1):
             if group.name == other.name:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from otterrudder.admission.interface import Effect, Limits, Product, Tenant
+from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
 from otterrudder.fleet.change import (
     Refused,
     Settler,
@@ -31,7 +31,7 @@
 GOOD = 'version = 1\nfleet = "f"\nstore = ["127.0.0.1:2379"]\nfolder = "state"\n'
 KEYS = Keys("f")
 PRODUCTS = [
-    Product(name, Effect.INQUIRY, 1.0, 1000.0, 2000.0)
+    RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 2000.0)
     for name in ("addr-lookup", "form-check", "form-submit")
 ]
 
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -7,7 +7,7 @@
 
 from helpers import SETTINGS, Server
 
-from otterrudder.admission.factory import boot, gauge_names, products_of, tenants_of
+from otterrudder.admission.factory import create_controller, gauge_names, products_of, tenants_of
 from otterrudder.admission.interface import Limits, Outcome
 from otterrudder.fleet.policy import Own, parse
 from otterrudder.levels import LevelController
@@ -33,7 +33,9 @@
 class Played:
     def __init__(self) -> None:
         def make(now: float, warm: bool, up_ms: float):
-            return boot(now, 1, 7, SETTINGS, fresh=not warm, up_ms=up_ms, products=PRODUCTS, ref_kb=0.0)
+            return create_controller(
+                now, 1, 7, SETTINGS, fresh=not warm, up_ms=up_ms, products=PRODUCTS, ref_kb=0.0
+            )
 
         self.core, self.now, self.rpc = Core(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
 
@@ -100,7 +102,7 @@
     played.core.stand_aside(False)
     assert words(played.ask(0))[0][0] == "declined"
     assert ("runtime", "start") in words(played.ask(1, "n" * 32))
-    assert played.core.rudder.products[1].value == 50.0
+    assert played.core.controller.products[1].value == 50.0
 
 
 def test_a_level_that_moves_while_aside_opens_nothing() -> None:
@@ -121,25 +123,27 @@
     played = Played()
     played.up()
     played.ask(1, "m" * 32)
-    before = next(iter(played.core.rudder.txns.values()))
+    before = next(iter(played.core.controller.requests.values()))
     played.policy(CUTS_LOOK)
     played.ask(1, "n" * 32)
     assert before.spec == PRODUCTS[1]
-    assert [txn.spec for txn in played.core.rudder.txns.values()][-1] == replace(PRODUCTS[1], value=50.0)
+    assert [request.spec for request in played.core.controller.requests.values()][-1] == replace(
+        PRODUCTS[1], value=50.0
+    )
 
 
 def test_limits_and_budgets_are_in_force_at_once_and_go_with_the_policy() -> None:
     played = Played()
     played.up()
-    rudder = played.core.rudder
-    before = rudder.limits
+    controller = played.core.controller
+    before = controller.limits
     played.policy("version = 1\n[limits]\nstay_away_ms = 120\nover_share_value = 0.5\n[budgets]\ncalls = 2")
-    assert rudder.limits == Limits(120.0, 2.0, 0.5) != before
+    assert controller.limits == Limits(120.0, 2.0, 0.5) != before
     played.core.stand_aside(True)
     (declined,) = words(played.ask(0))
     assert declined[0] == "declined" and declined[2] <= 120.0  # as long as callers are asked to keep away
     played.policy("version = 1")
-    assert rudder.limits.over_value == before.over_value
+    assert controller.limits.over_value == before.over_value
 
 
 def test_a_server_without_a_fleet_imports_nothing_of_it() -> None:
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -300,7 +300,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A record of somebody else's under the fleet's keys, and errors that no client, and no decision, should
-    raise. A watch's, and one in what is wanted, ended the server with all its txns."""
+    raise. A watch's, and one in what is wanted, ended the server with all its requests."""
     space, asked, failed = KeySpace(), [0], set[str]()
 
     def fails_once(what: str) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,8 +2,8 @@
 
 server cores=2 crowd=4          what the server is told at its start (names: SERVER)
 product pay referenced sla=1000 expiry=3000 window=9000 value=3 calls
-tenant north 0.5 1.2            its share, and how many txns/s of it are one server's part, if known
-at 10 arrive a pay key=7        a call at 10 ms, after all due rings; a1..a9: nine txns; *: all running
+tenant north 0.5 1.2            its share, and how many requests/s of it are one server's part, if known
+at 10 arrive a pay key=7        a call at 10 ms, after all due rings; a1..a9: nine requests; *: all running
 at 50 finished a ok             also: needs a, called a full, left a, retire 5000; or nothing
 at 55 stepdown pay 2000         a product (-: all) is left with so long to answer; stepup pay
 at 60 reduce - look=decline     a level in force; also =share:0.5, =omit, held, away, stay=5000
@@ -25,8 +25,18 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from otterrudder.admission.controller import Rudder
-from otterrudder.admission.interface import Cut, Effect, Limits, Outcome, Part, Product, Relief, Tenant, Trim
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import (
+    Idempotency,
+    Limits,
+    Outcome,
+    RequestClass,
+    RequestScope,
+    Restriction,
+    RestrictionKind,
+    ServiceLevel,
+    Tenant,
+)
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]  # how the operators start it
@@ -41,9 +51,9 @@
 class Play:
     def __init__(self) -> None:
         self.told: dict = dict(SERVER)
-        self.products: list[Product] = []
+        self.products: list[RequestClass] = []
         self.tenants: list[Tenant] = []
-        self.rudder: Rudder | None = None
+        self.controller: AdmissionController | None = None
         self.steps: list[tuple] = []
         self.running: list[str] = []
         self.ring_at = 0.0
@@ -55,9 +65,9 @@
         self.steps += steps
         self.running += [step[1] for step in steps if step[0] == "run"]
 
-    def start(self, now: float) -> Rudder:
+    def start(self, now: float) -> AdmissionController:
         t = self.told
-        rudder = Rudder(
+        controller = AdmissionController(
             now, instance=1, seed=1, products=self.products, tenants=self.tenants, cores=int(t["cores"]),
             callers=int(t["callers"]), memory_kb=t["memory"], run_factor=t["factor"], ref_kb=t["ref"],
             crowd_per_core=t["crowd"], fresh=bool(t["fresh"]), cold_from=t["cold_from"], cold_ms=t["cold"],
@@ -66,59 +76,62 @@
             may_stop=bool(t["stop"]), below=t["below"], calls_span_ms=t["span"], linger_ms=t["linger"],
             marks_retry=bool(t["marks"]),
         )  # fmt: skip
-        rudder.begin()
-        self.take(now, rudder.done())
-        return rudder
+        controller.start()
+        self.take(now, controller.take_commands())
+        return controller
 
     def at(self, now: float, words: list[str]) -> None:
         self.steps = []
-        self.rudder = self.rudder or self.start(now)
+        self.controller = self.controller or self.start(now)
         while self.ring_at <= now:
-            self.rudder.at(self.ring_at)
-            self.rudder.ring(self.told["busy"], self.told["on_cores"])
-            self.take(self.ring_at, self.rudder.done())
+            self.controller.advance_to(self.ring_at)
+            self.controller.tick(self.told["busy"], self.told["on_cores"])
+            self.take(self.ring_at, self.controller.take_commands())
         if not words:
             return
         verb, *rest = words
         for ident in list(self.running) if rest[0] == "*" else names(rest[0]):
-            self.rudder.at(now)
+            self.controller.advance_to(now)
             self.call(verb, ident, rest[1:])
-            self.take(now, self.rudder.done())
+            self.take(now, self.controller.take_commands())
 
     def call(self, verb: str, ident: str, rest: list[str]) -> None:
-        rudder = self.rudder
+        controller = self.controller
         if verb == "arrive":
             more = {k: v if k == "earlier" else float(v) for k, v in (w.split("=") for w in rest[1:])}
             kinds = {"key": int, "tenant": int, "retry": bool}
             more = {k: kinds.get(k, type(v))(v) for k, v in more.items()}
             more = {k + "_ms" if k in ("left", "age") else k: v for k, v in more.items()}
             number = [p.name for p in self.products].index(rest[0])
-            rudder.arrive(ident, number, **{"kb": 10.0, **more})
+            controller.handle_arrival(ident, number, **{"kb": 10.0, **more})
             return
         if verb == "reduce":
-            rudder.reduce(self.relief(rest))
+            controller.set_service_level(self.relief(rest))
             return
         if verb in ("stepdown", "stepup"):
             names = [product.name for product in self.products]
-            part = Part(None if ident == "-" else frozenset({names.index(ident)}))
-            rudder.step_down(part, float(rest[0])) if rest else rudder.step_up(part)
+            part = RequestScope(None if ident == "-" else frozenset({names.index(ident)}))
+            controller.drain(part, float(rest[0])) if rest else controller.resume(part)
             return
         if verb == "finished" and ident in self.running:
             self.running.remove(ident)
         calls = {
-            "finished": rudder.finished, "called": rudder.call_ended, "needs": rudder.needs_call,
-            "left": rudder.left, "retire": lambda left: rudder.retire(float(left)),
-        }  # fmt: skip
+            "finished": controller.handle_finished,
+            "called": controller.handle_call_ended,
+            "needs": controller.handle_call_needed,
+            "left": controller.handle_disconnect,
+            "retire": lambda left: controller.begin_graceful_shutdown(float(left)),
+        }
         calls[verb](ident, *map(Outcome, rest[:1]))
 
-    def relief(self, words: list[str]) -> Relief:
+    def relief(self, words: list[str]) -> ServiceLevel:
         told = dict(word.split("=") for word in words if "=" in word)
         stay = float(told.pop("stay", 1000))
         trims = []
         for product in self.products:
             cut, _, share = told.get(product.name, "").partition(":")
-            trims.append((Trim(Cut(cut), float(share or 0)),) if cut else ())
-        return Relief("level", tuple(trims), "held" in words, "away" in words, stay)
+            trims.append((Restriction(RestrictionKind(cut), float(share or 0)),) if cut else ())
+        return ServiceLevel("level", tuple(trims), "held" in words, "away" in words, stay)
 
     def line(self, text: str) -> None:
         word, *rest = text.split()
@@ -128,8 +141,8 @@
                 self.told[name] = value if isinstance(SERVER[name], str) else float(value)
         elif word == "product":
             facts = dict(w.split("=") for w in rest[2:] if "=" in w)
-            self.products.append(Product(
-                rest[0], Effect(rest[1]), float(facts.get("value", 1)), float(facts["sla"]),
+            self.products.append(RequestClass(
+                rest[0], Idempotency(rest[1]), float(facts.get("value", 1)), float(facts["sla"]),
                 float(facts["expiry"]), float(facts.get("window", 0)), float(facts.get("late", 0)),
                 "calls" in rest, float(facts.get("omit", 0)),
             ))  # fmt: skip
@@ -138,7 +151,7 @@
         elif word == "at":
             self.at(float(rest[0]), rest[1:])
         elif word == "memory":
-            assert self.rudder.memory.used <= float(rest[0]), self.rudder.memory.used
+            assert self.controller.memory.used <= float(rest[0]), self.controller.memory.used
         else:
             count = int(rest.pop(0)) if rest[0].isdigit() else None
             found = sum(matches(step, rest) for step in self.steps)
@@ -294,7 +307,7 @@
         self.sock.sendall(self.message(method, **params))
         return self.count
 
-    def txn(self, call: str, product: str = "look", body: bytes = b"ask", **params: object) -> int:
+    def request(self, call: str, product: str = "look", body: bytes = b"ask", **params: object) -> int:
         self.sock.sendall(self.txn_message(call, product, body, **params))
         return self.count
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from otterrudder import logic
+from otterrudder.admission import controller
 from otterrudder.admission.controller import Expiry, Holds, Repeats, Slots
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
@@ -49,10 +49,10 @@
 def test_an_answer_that_is_lost_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     close, lost = Core._close, []
 
-    def forgets(at: Core, txn) -> None:
-        if txn.number % 40 == 0 and at.out and at.out[-1][0] is txn.peer:
+    def forgets(at: Core, request) -> None:
+        if request.number % 40 == 0 and at.out and at.out[-1][0] is request.peer:
             lost.append(at.out.pop())
-        close(at, txn)
+        close(at, request)
 
     monkeypatch.setattr(Core, "_close", forgets)
     found = day([]).broken
@@ -62,12 +62,12 @@
 def test_an_effect_that_happens_twice_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     run_over = Core._run_over
 
-    def twice(at: Core, txn, outcome: Outcome, body: bytes = b"") -> None:
-        if txn.mark and not txn.answered and not hasattr(at, "again"):
+    def twice(at: Core, request, outcome: Outcome, body: bytes = b"") -> None:
+        if request.mark and not request.answered and not hasattr(at, "again"):
             at.again = True
-            at._start(txn)
+            at._start(request)
             return
-        run_over(at, txn, outcome, body)
+        run_over(at, request, outcome, body)
 
     monkeypatch.setattr(Core, "_run_over", twice)
     assert any("rule 2" in what and "twice" in what for what in day([]).broken)
@@ -76,8 +76,8 @@
 def test_a_decline_of_what_has_run_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Repeats, "started", lambda *_: None)
 
-    def declines(at: Core, txn) -> None:
-        at._decline(txn, False, 0.0)
+    def declines(at: Core, request) -> None:
+        at._decline(request, False, 0.0)
 
     monkeypatch.setitem(core._OF_A_TXN, "void", declines)
     slow = [Trouble(kind="slow", at_s=2, for_s=40, times=40.0)]
@@ -101,7 +101,7 @@
 def test_a_server_that_takes_everything_falls_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Slots, "may_start", lambda *_: True)
     monkeypatch.setattr(Holds, "_hopeless", lambda *_: False)
-    monkeypatch.setattr(logic, "MEMORY_READ", 9.0)
+    monkeypatch.setattr(controller, "MEMORY_READ", 9.0)
     assert any("rule 4" in what for what in day([], None, load=[Part(shape="constant", at=2.5)]).broken)
 
 
--- a/tests/levels/test_ladder.py
+++ b/tests/levels/test_ladder.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterrudder.admission.interface import Relief
+from otterrudder.admission.interface import ServiceLevel
 from otterrudder.levels import Bound, Damping, Ladder, Reason, Rung
 from otterrudder.levels.window import BUCKETS, Window
 
@@ -22,7 +22,7 @@
         3000.0,
         stay,
         trial,
-        Relief(f"l{n}"),
+        ServiceLevel(f"l{n}"),
     )
 
 
@@ -170,7 +170,7 @@
         3000.0,
         1000.0,
         9000.0,
-        Relief("l1"),
+        ServiceLevel("l1"),
         needs_all=True,
     )
     on = Ladder((both,), Damping())
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -8,14 +8,14 @@
 import pytest
 from helpers import ROOT
 
-from otterrudder.admission.interface import Cut, Effect, Product, Tenant
+from otterrudder.admission.interface import Idempotency, RequestClass, RestrictionKind, Tenant
 from otterrudder.levels import BadTable, LevelController, parse, read
 from otterrudder.net.core import Core
 
 PRODUCTS = [
-    Product("addr-lookup", Effect.INQUIRY, 1, 1200, 2900),
-    Product("form-check", Effect.INQUIRY, 2, 2700, 6500, calls=True, omit_value=0.5),
-    Product("form-submit", Effect.REFERENCED, 5, 2000, 4700, 14214, calls=True, omit_value=0.5),
+    RequestClass("addr-lookup", Idempotency.SAFE, 1, 1200, 2900),
+    RequestClass("form-check", Idempotency.SAFE, 2, 2700, 6500, calls=True, omit_value=0.5),
+    RequestClass("form-submit", Idempotency.IDEMPOTENT, 5, 2000, 4700, 14214, calls=True, omit_value=0.5),
 ]
 TENANTS = [Tenant("north", 0.6), Tenant("south", 0.4)]
 LEVEL = """
@@ -38,8 +38,10 @@
     told = read(ROOT / "deploy/levels.toml", PRODUCTS, TENANTS)
     assert [rung.name for rung in told.rungs] == ["checks-when-free", "lookups-when-free", "submits-only"]
     first, second, third = (rung.relief.trims for rung in told.rungs)
-    assert (first[0], first[1][0].cut, first[2]) == ((), Cut.SPARE, ())
-    assert (second[0][0].cut, second[1][0].cut) == (Cut.SPARE, Cut.DECLINE) and third[0][0].cut is Cut.DECLINE
+    assert (first[0], first[1][0].cut, first[2]) == ((), RestrictionKind.SPARE, ())
+    assert (second[0][0].cut, second[1][0].cut) == (RestrictionKind.SPARE, RestrictionKind.DECLINE) and third[
+        0
+    ][0].cut is RestrictionKind.DECLINE
     assert not third[2] and told.rungs[0].stay_ms == 8000.0 and not told.is_shadow
 
 
@@ -47,8 +49,8 @@
     cuts = SHARE + ', { do = "decline", products = ["addr-lookup"], rank_below = 0.3, tenants = ["south"] }'
     trims = parse(table(cuts), PRODUCTS, TENANTS).rungs[0].relief.trims[0]
     assert [(trim.cut, trim.rank, trim.tenants) for trim in trims] == [
-        (Cut.DECLINE, 0.3, frozenset({1})),
-        (Cut.SHARE, float("inf"), None),
+        (RestrictionKind.DECLINE, 0.3, frozenset({1})),
+        (RestrictionKind.SHARE, float("inf"), None),
     ]
 
 
@@ -114,25 +116,25 @@
 
 
 class Module:
-    """A stand-in of the Rudder: what it is told, and facts as scripted."""
+    """A stand-in of the AdmissionController: what it is told, and facts as scripted."""
 
     def __init__(self) -> None:
         self.told: list[str] = []
         self.known = {"pressure": 0.0, "demand": 0.0, "busy": 1.0}
 
-    def reduce(self, relief) -> None:
+    def set_service_level(self, relief) -> None:
         self.told.append(relief.name)
 
-    def at(self, now: float) -> None: ...
+    def advance_to(self, now: float) -> None: ...
 
-    def ring(self, **gauges: float) -> None: ...
+    def tick(self, **gauges: float) -> None: ...
 
-    def done(self) -> list:
+    def take_commands(self) -> list:
         return []
 
-    def retire(self, left_ms: float) -> None: ...
+    def begin_graceful_shutdown(self, left_ms: float) -> None: ...
 
-    def facts(self) -> dict[str, float]:
+    def load_report(self) -> dict[str, float]:
         return dict(self.known)
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,45 +5,45 @@
 import pytest
 from helpers import SETTINGS
 
-from otterrudder.admission.controller import BREAK_MS, Rudder
-from otterrudder.admission.factory import boot
+from otterrudder.admission.controller import BREAK_MS, AdmissionController
+from otterrudder.admission.factory import create_controller
 from otterrudder.admission.interface import Outcome
 
-WAITING = 10  # txns of each server that stand at a call
+WAITING = 10  # requests of each server that stand at a call
 BACK_MS = 5000.0  # when the service is back
 TOOK_MS = 20.0  # ms of a call
 
 
 def calls_after_return(servers: int) -> list[float]:
     """When calls went out, in ms from the return of the service; all fail before it."""
-    rudders = [boot(0.0, n, n, SETTINGS) for n in range(servers)]
+    controllers = [create_controller(0.0, n, n, SETTINGS) for n in range(servers)]
     due: list[tuple[float, int, int, str]] = []
     sent = []
 
-    def take(n: int, now: float, rudder: Rudder) -> None:
-        for word, *rest in rudder.done():
+    def take(n: int, now: float, controller: AdmissionController) -> None:
+        for word, *rest in controller.take_commands():
             if word == "wake":
                 heapq.heappush(due, (now + rest[0], n, -1, "ring"))
             elif word == "run":
-                rudder.needs_call(rest[0])
-                take(n, now, rudder)
+                controller.handle_call_needed(rest[0])
+                take(n, now, controller)
             elif word == "call":
                 sent.append(now - BACK_MS)
                 heapq.heappush(due, (now + TOOK_MS, n, rest[0], "ok" if now >= BACK_MS else "reset"))
 
-    for n, rudder in enumerate(rudders):
+    for n, controller in enumerate(controllers):
         for ident in range(1, WAITING + 1):
-            rudder.arrive(ident, 0, left_ms=16_000.0)
-        take(n, 0.0, rudder)
+            controller.handle_arrival(ident, 0, left_ms=16_000.0)
+        take(n, 0.0, controller)
     while due and due[0][0] < BACK_MS + 4000.0:
         now, n, ident, what = heapq.heappop(due)
-        rudder = rudders[n]
-        rudder.at(now)
+        controller = controllers[n]
+        controller.advance_to(now)
         if what == "ring":
-            rudder.ring(0.2, 1.0)
+            controller.tick(0.2, 1.0)
         else:
-            rudder.call_ended(ident, Outcome(what))
-        take(n, now, rudder)
+            controller.handle_call_ended(ident, Outcome(what))
+        take(n, now, controller)
     return [at for at in sent if at >= 0]
 
 
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -23,7 +23,7 @@
 from helpers import SETTINGS, Gateway, Server, listener
 
 from otterrudder import clock
-from otterrudder.admission.factory import boot, gauge_names, products_of
+from otterrudder.admission.factory import create_controller, gauge_names, products_of
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, gateways, records, serve
 from otterrudder.net.dispatcher import Dispatcher
@@ -52,7 +52,7 @@
     def __init__(self, group: anyio.abc.TaskGroup, sockets_most: int = 256) -> None:
         self.group, self.runtime = group, Sent()
         the_core = core.Core(
-            lambda now, warm, up: boot(now, 1, 1, SETTINGS, fresh=False),
+            lambda now, warm, up: create_controller(now, 1, 1, SETTINGS, fresh=False),
             products_of(SETTINGS),
             gauge_names(SETTINGS),
         )
@@ -308,7 +308,7 @@
 
 
 def test_a_peer_that_is_owed_an_answer_keeps_no_room_from_being_made() -> None:
-    # It is on its way out as long as its txn runs; the others were once not asked meanwhile.
+    # It is on its way out as long as its request runs; the others were once not asked meanwhile.
     async def play(rig: Inside) -> None:
         owed, owed_peer = await rig.connect()
         owed.sock.sendall(owed.txn_message(A) + b"{\n" * 6)
@@ -372,14 +372,15 @@
             told = [json.loads(text) for text in (await end(gateway)).splitlines()]
             assert [message.get("method") for message in told[:1]] == ["noMore"]
             assert [message["error"]["code"] for message in told[1:]] == [-32014]
-        assert b"noMore" in await end(busy)  # its half was never a txn
+        assert b"noMore" in await end(busy)  # its half was never a request
         assert not rig.runtime.started and not rig.gateways.peers
 
     inside(play)
 
 
 def test_whoever_waits_to_be_accepted_at_the_end_of_a_drain_is_answered(tmp_path: Path) -> None:
-    # The table is full of connections with an open txn until the stop, so those behind wait in the backlog.
+    # The table is full of connections with an open request until the stop, so those behind wait in the
+    # backlog.
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 48}
     with Server(tmp_path, limits=limits) as server:
         runtime = server.runtime()
@@ -387,10 +388,10 @@
         room = 48 - 48 // 8 - gateways.SPARE
         busy = [server.gateway() for _ in range(room)]
         for n, gateway in enumerate(busy):
-            gateway.txn(f"{n:016x}")
+            gateway.request(f"{n:016x}")
         while not server.logged("cannot accept"):  # full, and none may go: those behind wait
             server.wires.append(waiting := Gateway(server.address))
-            waiting.txn(os.urandom(8).hex())
+            waiting.request(os.urandom(8).hex())
             busy.append(waiting)
             runtime.idle(1) if len(runtime.data) else time.sleep(0.01)
             assert len(busy) < 3 * room
@@ -418,7 +419,7 @@
         gateway.answer()
         stopped(server)
         runtime.say("ready hot 60000")
-        gateway.txn(A), gateway.txn(B, "pay", dedupe=MARK)
+        gateway.request(A), gateway.request(B, "pay", dedupe=MARK)
         server.process.terminate()
         server.process.send_signal(signal.SIGCONT)
         answers = {}
@@ -432,7 +433,9 @@
 def test_a_runtime_that_comes_up_in_a_drain_finds_nobody() -> None:
     async def play(rig: Inside) -> None:
         the_core = core.Core(
-            lambda now, warm, up: boot(now, 1, 1, SETTINGS), products_of(SETTINGS), gauge_names(SETTINGS)
+            lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
+            products_of(SETTINGS),
+            gauge_names(SETTINGS),
         )
         rig.dispatcher.core = rig.gateways.dispatcher.core = the_core
         gateway, _ = await rig.connect()
@@ -455,7 +458,9 @@
 
     async def play(rig: Inside) -> None:
         the_core = core.Core(
-            lambda now, warm, up: boot(now, 1, 1, SETTINGS), products_of(SETTINGS), gauge_names(SETTINGS)
+            lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
+            products_of(SETTINGS),
+            gauge_names(SETTINGS),
         )
         rig.dispatcher.core = rig.gateways.dispatcher.core = the_core
 
@@ -490,7 +495,7 @@
 def test_signals_in_any_order_end_in_one_drain(tmp_path: Path) -> None:
     with Server(tmp_path) as server:
         runtime, gateway = server.up()
-        gateway.txn(A)
+        gateway.request(A)
         runtime.expect("start", A)
         stopped(server)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
@@ -536,7 +541,7 @@
         runtime = server.runtime()
         runtime.idle(2)
         gateway = server.gateway()
-        gateway.txn(A)
+        gateway.request(A)
         runtime.expect("start", A)
         runtime.ends(A)
         assert gateway.result() == b"done"
@@ -557,7 +562,7 @@
         server.log.write_text("")
         server.process.send_signal(signal.SIGHUP)
         server.until("configuration not taken", lambda: runtime.idle(1))
-        gateway.txn(A)
+        gateway.request(A)
         runtime.expect("start", A)
         runtime.ends(A)
         assert gateway.result() == b"done"
@@ -593,7 +598,7 @@
         for n in range(5):
             call, gateway = f"{n:016x}", server.gateway()
             began = time.monotonic()
-            gateway.txn(call, ttl=4000)
+            gateway.request(call, ttl=4000)
             runtime.expect("start", call)
             if not n:  # descriptors for the service below are there
                 runtime.tell(f"wants {call}", b"?")
@@ -672,7 +677,7 @@
         for service in services:
             service.setblocking(False)
         ends: list[socket.socket] = []
-        out: dict[str, bytes] = {}  # calls with their bodies; a txn's next call has the same name
+        out: dict[str, bytes] = {}  # calls with their bodies; a request's next call has the same name
         ended, last = 0, {}
         rig.group.start_soon(pool.run)
 
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import ROOT
 
-from otterrudder.admission.factory import boot
+from otterrudder.admission.factory import create_controller
 from otterrudder.cli.migrate import migrate_settings
 from otterrudder.configuration import BadConfiguration, read_configuration
 
@@ -61,18 +61,18 @@
 
 
 def test_the_module_is_told_what_the_settings_say() -> None:
-    rudder = boot(0.0, 1, 7, OLD)
-    assert (rudder.may_stop, rudder.signals.marks, rudder.limits.over_value) == (False, True, 0.1)
-    assert rudder.sessions.tenants[0].per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
-    assert boot(0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")).may_stop
-    assert not boot(0.0, 1, 7, settings_with("clients.marksRetry", False)).signals.marks
+    controller = create_controller(0.0, 1, 7, OLD)
+    assert (controller.may_stop, controller.signals.marks, controller.limits.over_value) == (False, True, 0.1)
+    assert controller.sessions.tenants[0].per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
+    assert create_controller(0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")).may_stop
+    assert not create_controller(0.0, 1, 7, settings_with("clients.marksRetry", False)).signals.marks
 
 
 def test_what_is_absent_leaves_the_module_as_it_was() -> None:
     settings = {"classes": OLD["classes"], "realms": [{"name": "hill-country", "share": 0.6}]}
-    rudder = boot(0.0, 1, 7, settings)
-    assert (rudder.may_stop, rudder.signals.marks) == (False, True)
-    assert rudder.sessions.tenants[0].per_ms == 0.0  # no share is known, so nobody is beyond it
+    controller = create_controller(0.0, 1, 7, settings)
+    assert (controller.may_stop, controller.signals.marks) == (False, True)
+    assert controller.sessions.tenants[0].per_ms == 0.0  # no share is known, so nobody is beyond it
 
 
 @pytest.mark.parametrize(
@@ -101,8 +101,13 @@
     done = migrated(str(old), "--out", str(new))
     assert done.returncode == 0, done.stderr
     told = read_configuration(str(new)).document
-    rudder = boot(0.0, 1, 7, told["settings"])
-    assert rudder.may_stop and rudder.calls.shared and not rudder.signals.marks and not rudder.signals.kind
+    controller = create_controller(0.0, 1, 7, told["settings"])
+    assert (
+        controller.may_stop
+        and controller.calls.shared
+        and not controller.signals.marks
+        and not controller.signals.kind
+    )
     assert told["settings"]["classes"][1]["effect"] == "unsafe"
     assert told | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
     assert "classes[1].windowUs" in done.stdout and "familyInfo.callsOut" in done.stdout
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import SETTINGS
 
-from otterrudder.admission.factory import boot, gauge_names, products_of
+from otterrudder.admission.factory import create_controller, gauge_names, products_of
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, jsonrpc, lines
 from otterrudder.net.dispatcher import Dispatcher
@@ -110,7 +110,7 @@
 
     def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
         self.core = core.Core(
-            lambda now, warm, up: boot(now, 1, 1, settings, **told),
+            lambda now, warm, up: create_controller(now, 1, 1, settings, **told),
             products_of(settings),
             gauge_names(settings),
         )
@@ -214,9 +214,9 @@
         body=b"b",
     )
     bench.step(bench.core.left, "c")
-    slots = bench.core.rudder.slots
-    assert (slots.in_hand, slots.running, bench.core.rudder.memory.txns_kb) == (0, 0, 0.0)
-    assert not bench.core.txns and not bench.core.rudder.txns and not bench.words("start")
+    slots = bench.core.controller.slots
+    assert (slots.in_hand, slots.running, bench.core.controller.memory.txns_kb) == (0, 0, 0.0)
+    assert not bench.core.requests and not bench.core.controller.requests and not bench.words("start")
 
 
 def test_none_left_is_not_unknown() -> None:
@@ -232,9 +232,9 @@
     bench = Bench()
     bench.step(bench.core.ask)
     bench.step(bench.core.gauged, bench.core.asked, [float("nan"), float("inf"), 0.0, 0.0])
-    limit = bench.core.rudder.slots.limit
+    limit = bench.core.controller.slots.limit
     bench.step(bench.core.ring, ms=40.0)
-    assert bench.core.rudder.slots.busy == 1.0 and bench.core.rudder.slots.limit == limit
+    assert bench.core.controller.slots.busy == 1.0 and bench.core.controller.slots.limit == limit
 
 
 def test_a_ring_that_fails_is_not_the_last() -> None:
@@ -243,7 +243,7 @@
     dispatcher.addresses |= {core.GATEWAYS: Mock(), core.RUNTIME: Mock()}
     dispatcher.tell("wake", 40.0)
     dispatcher.ring_at = dispatcher.ask_at = 0.0
-    bench.core.rudder.holds = None  # the module is broken: whatever it is asked fails
+    bench.core.controller.holds = None  # the module is broken: whatever it is asked fails
     dispatcher.turn()
     assert 0.0 < dispatcher.ring_at < float("inf")
 
@@ -254,7 +254,7 @@
     bench.step(bench.core.unlinked)
     bench.step(bench.core.restarted)
     bench.step(bench.core.linked)
-    assert [bench.answers[n][0][0] for n in (1, 2)] == ["voided"] * 2 and not bench.core.txns
+    assert [bench.answers[n][0][0] for n in (1, 2)] == ["voided"] * 2 and not bench.core.requests
 
 
 def test_a_start_in_doubt_stays_so_over_further_links() -> None:
@@ -270,8 +270,8 @@
     bench.step(bench.core.left, f"{1:016x}")
     bench.step(bench.core.linked)
     assert len(bench.words("start")) == 2  # it is over, so this only asks how it stands
-    bench.step(bench.core.ended, f"{1:016x}", Outcome.MOOT, b"")
-    assert not bench.core.txns and bench.core.rudder.slots.in_hand == 0
+    bench.step(bench.core.ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
+    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
 
 
 def test_a_failing_event_voids_its_txn_and_no_other() -> None:
@@ -284,7 +284,7 @@
         1: [("voided", "given up", bench.core.load)],
         2: [("settled", b"r", bench.core.load)],
     }
-    assert not bench.core.txns and bench.core.rudder.slots.in_hand == 0
+    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -321,14 +321,18 @@
                 call = chance.choice(sorted(running))
                 del running[call]
                 at_calls.discard(call)
-                how = chance.choice([Outcome.OK] * 5 + [Outcome.ERROR, Outcome.MOOT, Outcome.STOPPED])
-                if how is Outcome.MOOT:  # nothing was started
+                how = chance.choice(
+                    [Outcome.OK] * 5 + [Outcome.ERROR, Outcome.NEVER_STARTED, Outcome.CANCELLED]
+                )
+                if how is Outcome.NEVER_STARTED:  # nothing was started
                     effects.pop(the_core.calls[call].mark, None)
                 news = bench.step(the_core.ended, call, how, b"r")
             elif what == 6 and (calm := sorted(set(running) - at_calls)):
                 news = bench.step(the_core.wants, chance.choice(calm), b"?")
             elif what < 10 and at_calls:
-                how = chance.choice([Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.MOOT])
+                how = chance.choice(
+                    [Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.NEVER_STARTED]
+                )
                 out_below.discard(call := chance.choice(sorted(at_calls)))
                 news = bench.step(the_core.replied, call, how, b"!")
             elif what == 10:
@@ -347,24 +351,24 @@
         assert told["in_hand"] == told["runs"]  # the module's count and the wire's agree
     bench.step(the_core.retire, 1500.0)
     bench.step(lambda: None, ms=1500.0)
-    assert bench.words("close") and all(txn.answered for txn in the_core.txns.values())
-    for call in [txn.call for txn in the_core.txns.values() if txn.started]:
-        bench.step(the_core.ended, call, Outcome.STOPPED, b"")
+    assert bench.words("close") and all(request.answered for request in the_core.requests.values())
+    for call in [request.call for request in the_core.requests.values() if request.started]:
+        bench.step(the_core.ended, call, Outcome.CANCELLED, b"")
     bench.step(lambda: None, ms=60_000.0)
     assert all(len(bench.answers.get(n, [])) == 1 or n in gone for n in range(1, 900))
     assert max(map(len, bench.answers.values())) == 1
-    rudder = the_core.rudder
+    controller = the_core.controller
     left = (
-        the_core.txns,
+        the_core.requests,
         the_core.calls,
         the_core.references,
         the_core.lapses,
-        rudder.txns,
-        rudder.repeats.refs,
+        controller.requests,
+        controller.repeats.refs,
     )
     assert not any(left), left
-    assert (rudder.slots.running, rudder.slots.in_hand, rudder.sessions.held) == (0, 0, 0)
-    assert abs(rudder.memory.txns_kb) < 1e-6 and rudder.calls.out == 0
+    assert (controller.slots.running, controller.slots.in_hand, controller.sessions.held) == (0, 0, 0)
+    assert abs(controller.memory.txns_kb) < 1e-6 and controller.calls.out == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -401,8 +405,8 @@
             if not over:
                 break
             del running[over[0]]
-            how = chance.choice([Outcome.OK] * 4 + [Outcome.ERROR, Outcome.MOOT])
-            if how is Outcome.MOOT:  # nothing was started, so nothing ran
+            how = chance.choice([Outcome.OK] * 4 + [Outcome.ERROR, Outcome.NEVER_STARTED])
+            if how is Outcome.NEVER_STARTED:  # nothing was started, so nothing ran
                 del ran[marks[over[0]]]
             out = bench.step(bench.core.ended, over[0], how, over[0].encode())
     for n, ((word, *rest), *more) in bench.answers.items():
--- a/tests/test_otterrudder.py
+++ b/tests/test_otterrudder.py
@@ -35,9 +35,9 @@
 def test_batch_decodes() -> None:
     clock, events = frames.decode(BATCH[4:])
     assert clock == 8412.25
-    txn, ring, gone = events
-    assert txn[:5] == (1, 3, 0xC5DF65D3A91C4, 12000, 0x2964F0E6F2B19)
-    assert txn[5:] == (24.5, 0x91F03B7C55D20A64, 1850, 0.625, 0, 240000, 1, 17, 0)
+    request, ring, gone = events
+    assert request[:5] == (1, 3, 0xC5DF65D3A91C4, 12000, 0x2964F0E6F2B19)
+    assert request[5:] == (24.5, 0x91F03B7C55D20A64, 1850, 0.625, 0, 240000, 1, 17, 0)
     assert ring[:3] == (9, 3, 77) and ring[3] == pytest.approx((0.62, 3.0, 0.41, 120.0))
     assert gone == (2, 5, 0x2964F0E6F2B19)
 
@@ -71,9 +71,9 @@
             "tickUs": 4000,
         }
     ).encode()
-    boot = struct.pack(">HHQI", 6, 3, 99, len(env)) + env
-    txn = struct.pack(">HHQIQfQIfHIHIH", 1, 3, 0x2964F0E6F2B19, 0, 0, 24.5, 0, 0, 0.6, 0, 0, 0, 17, 0)
-    body = struct.pack(">QI", 8412250, 2) + boot + txn
+    create_controller = struct.pack(">HHQI", 6, 3, 99, len(env)) + env
+    request = struct.pack(">HHQIQfQIfHIHIH", 1, 3, 0x2964F0E6F2B19, 0, 0, 24.5, 0, 0, 0.6, 0, 0, 0, 17, 0)
+    body = struct.pack(">QI", 8412250, 2) + create_controller + request
     batch = struct.pack(">I", len(body)) + body
     done = subprocess.run(["/bin/sh", "-c", sim], input=batch, capture_output=True, timeout=60, cwd=ROOT)
     assert done.returncode == 0, done.stderr.decode()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -27,8 +27,8 @@
 
 
 def settles(runtime: Runtime, gateway: Gateway, call: str, body: bytes = b"ask") -> None:
-    """A txn from end to end, byte for byte: the server is well."""
-    rpc = gateway.txn(call, body=body)
+    """A request from end to end, byte for byte: the server is well."""
+    rpc = gateway.request(call, body=body)
     words, got = runtime.expect("start", call, "look")
     assert got == body
     runtime.ends(call, body[::-1])
@@ -40,7 +40,7 @@
 def test_a_txn_settles_byte_for_byte_and_answers_come_in_any_order(server: Server) -> None:
     runtime, gateway = server.up()
     settles(runtime, gateway, A, bytes(range(256)) * 8)
-    first, second = gateway.txn(B), gateway.txn(C)
+    first, second = gateway.request(B), gateway.request(C)
     runtime.expect("start", B), runtime.expect("start", C)
     runtime.ends(C, b""), runtime.ends(B, b"x", how="error")
     answer = gateway.answer()
@@ -52,20 +52,20 @@
 def test_a_repeat_is_answered_from_the_first_run(server: Server) -> None:
     runtime, gateway = server.up()
     other = server.gateway()
-    gateway.txn(A, "pay", dedupe=MARK)
+    gateway.request(A, "pay", dedupe=MARK)
     runtime.expect("start", A, "pay")
-    other.txn(B, "pay", dedupe=MARK, rep=1)  # while it runs
+    other.request(B, "pay", dedupe=MARK, rep=1)  # while it runs
     runtime.idle()
     runtime.ends(A, b"paid")
     assert gateway.result() == other.result() == b"paid"
-    other.txn(C, "pay", dedupe=MARK, rep=1)  # afterwards
+    other.request(C, "pay", dedupe=MARK, rep=1)  # afterwards
     assert other.result() == b"paid"
     runtime.idle()
 
 
 def test_calls_are_made_repeated_given_up_and_late_replies_dropped(server: Server) -> None:
     runtime, gateway = server.up()
-    rpc = gateway.txn(A, "pay", dedupe=MARK)
+    rpc = gateway.request(A, "pay", dedupe=MARK)
     runtime.expect("start", A)
     runtime.tell(f"wants {A}", b"row?")
     records = server.record()
@@ -82,7 +82,7 @@
     gateway.ask("interrupt", call=A)
     assert records.line() == b""  # its close gives up its only call; a late reply meets nobody
     runtime.ends(A, b"", how="cancelled")
-    gateway.txn(B)
+    gateway.request(B)
     assert runtime.next()[0][:2] == ["start", B]  # no `give` of the late reply before it
     runtime.ends(B)
     assert gateway.answer()["id"] == rpc + 2
@@ -91,7 +91,7 @@
 def test_a_broken_records_link_proves_nothing_and_a_refused_one_that_nothing_ran(server: Server) -> None:
     runtime, gateway = server.up()
     links = {}
-    gateway.txn(A, "pay", dedupe=MARK), gateway.txn(B, "look")
+    gateway.request(A, "pay", dedupe=MARK), gateway.request(B, "look")
     for call in (A, B):
         runtime.expect("start", call)
         runtime.tell(f"wants {call}", b"?")
@@ -114,10 +114,10 @@
 def test_a_spoilt_reply_costs_its_call_and_no_other(server: Server) -> None:
     # One connection for all calls lost all of them with each spoilt reply.
     runtime, gateway = server.up()
-    gateway.txn(B), runtime.expect("start", B)
+    gateway.request(B), runtime.expect("start", B)
     runtime.tell(f"wants {B}", b"?")
     good = server.called(B, b"?")
-    gateway.txn(A), runtime.expect("start", A)
+    gateway.request(A), runtime.expect("start", A)
     runtime.tell(f"wants {A}", b"?")
     for spoilt in SPOILT:
         records = server.called(A, b"?")
@@ -133,7 +133,7 @@
     runtime, gateway = server.up()
     calls = (A, B)
     for call in calls:
-        gateway.txn(call), runtime.expect("start", call)
+        gateway.request(call), runtime.expect("start", call)
         runtime.tell(f"wants {call}", b"?")
         if call == calls[0]:
             records = server.called(call, b"?")
@@ -146,8 +146,8 @@
 
 def test_a_new_configuration_moves_runtime_records_and_registry(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A, "pay", dedupe=MARK), runtime.expect("start", A)
-    gateway.txn(C), runtime.expect("start", C)
+    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
+    gateway.request(C), runtime.expect("start", C)
     runtime.tell(f"wants {C}", b"?")
     old_records = server.called(C, b"?")
     for bad in ("{", '{"name": "n3"}'):  # half written, or lacking the rest: the old one stays in force
@@ -163,7 +163,7 @@
         runtime.say(f"load {words[1]} 0.2 1 0.1 5")
     new = server.runtime()
     assert new.synced == 1
-    gateway.txn(B), new.expect("start", B)  # not A again: its start was read
+    gateway.request(B), new.expect("start", B)  # not A again: its start was read
     new.tell(f"wants {B}", b"?")
     server.called(B, b"?").say(f"{B} DONE", b"!")
     new.expect("give", B)
@@ -195,7 +195,7 @@
     gateway = server.gateway()
     check = gateway.ask("check")
     assert gateway.answer() == {"jsonrpc": "2.0", "id": check, "result": {"pass": False}}
-    gateway.txn(A)
+    gateway.request(A)
     assert gateway.answer()["error"]["code"] == -32014
     runtime = server.runtime(ready="")
     runtime.sock.settimeout(0.3)
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize("cut", [b"end 2 ", f"end 2 {A} complete 3.5 40\r\nhalf of".encode()])
 def test_a_lost_runtime_link_is_made_anew_and_replayed(server: Server, cut: bytes) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A, "pay", dedupe=MARK), gateway.txn(B)
+    gateway.request(A, "pay", dedupe=MARK), gateway.request(B)
     runtime.expect("start", A), runtime.expect("start", B)
     runtime.idle()  # proves that both starts were read
     runtime.tell("info hello there")
@@ -229,7 +229,7 @@
 def test_after_a_lost_link_only_what_has_no_effect_is_started_again(server: Server) -> None:
     runtime, gateway = server.up()
     runtime.unanswered = True  # so nothing proves that the starts were read
-    gateway.txn(A, "pay", dedupe=MARK), gateway.txn(B)
+    gateway.request(A, "pay", dedupe=MARK), gateway.request(B)
     runtime.expect("start", A), runtime.expect("start", B)
     runtime.close()
     runtime = server.runtime()
@@ -245,7 +245,7 @@
 
 def test_a_reply_that_comes_without_a_link_is_given_on_the_next(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A)
+    gateway.request(A)
     runtime.expect("start", A)
     runtime.tell(f"wants {A}", b"?")
     records = server.record()
@@ -271,9 +271,9 @@
     server.runtimes.close()
     runtime.close()
     server.until("runtime link lost")  # a start on a link that dies unseen is in doubt, which is another test
-    gateway.txn(A, "pay", dedupe=MARK)
+    gateway.request(A, "pay", dedupe=MARK)
     gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is True  # it has read the txn before
+    assert gateway.answer()["result"]["pass"] is True  # it has read the request before
     server.runtimes = socket.create_server(server.runtimes_at)
     server.runtimes.settimeout(20)
     runtime = server.runtime()
@@ -297,7 +297,7 @@
 )
 def test_a_runtime_that_speaks_nonsense_loses_its_link_only(server: Server, junk: str) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A)
+    gateway.request(A)
     runtime.expect("start", A)
     runtime.idle()
     runtime.sock.sendall(junk.encode("latin-1") + b"\r\n")
@@ -313,7 +313,7 @@
 
 def test_a_nack_and_an_unknown_end_a_txn(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A), gateway.txn(B)
+    gateway.request(A), gateway.request(B)
     runtime.expect("start", A), runtime.expect("start", B)
     runtime.say(f"nack start {A}")
     assert gateway.answer()["error"]["code"] == -32602
@@ -323,7 +323,7 @@
 
 def test_a_drain_answers_all_and_ends_with_0(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A, "pay", dedupe=MARK), gateway.txn(B), gateway.txn(C)
+    gateway.request(A, "pay", dedupe=MARK), gateway.request(B), gateway.request(C)
     for call in (A, B, C):
         runtime.expect("start", call)
     runtime.tell(f"wants {C}", b"?")
@@ -339,7 +339,7 @@
     assert {gateway.answer()["error"]["code"] for _ in "AC"} == {-32000}  # they ran, so never "declined"
     with pytest.raises(AssertionError, match="closed"):
         while True:  # what crosses the end is answered as long as the connection stands
-            gateway.txn(os.urandom(8).hex())
+            gateway.request(os.urandom(8).hex())
             assert gateway.answer()["error"]["code"] == -32014
     assert server.ends() == 0
     assert server.logged("event=left unanswered=0")
@@ -362,7 +362,7 @@
 
 def test_a_restart_takes_the_same_address_from_nothing(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A)
+    gateway.request(A)
     runtime.expect("start", A)
     server.process.kill()
     server.process.wait()
@@ -376,10 +376,10 @@
 
 def test_a_stall_of_the_process_is_dealt_with_before_new_work(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(A, ttl=400)
+    gateway.request(A, ttl=400)
     runtime.expect("start", A)
     server.process.send_signal(signal.SIGSTOP)
-    gateway.txn(B, ttl=300), gateway.txn(C)
+    gateway.request(B, ttl=300), gateway.request(C)
     time.sleep(0.6)  # longer than the first two may wait: what makes them late, not what the test waits for
     server.process.send_signal(signal.SIGCONT)
     assert gateway.answer()["error"]["code"] == -32000  # it ran
@@ -409,7 +409,7 @@
     bad = server.gateway()
     for fields in BAD_FIELDS:
         rude = server.gateway()
-        rude.txn(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
+        rude.request(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
         assert rude.answer()["error"]["code"] == -32602, fields
         rude.close()
     for line, code in BAD_LINES.items():
@@ -420,9 +420,9 @@
     bad.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # no id to answer under
     assert bad.answer() == {"jsonrpc": "2.0", "id": None, "error": {"code": -32600, "message": "no id"}}
     settles(runtime, bad, A)
-    bad.txn(B)
+    bad.request(B)
     runtime.expect("start", B)
-    bad.txn(B)  # open already
+    bad.request(B)  # open already
     assert "error" in bad.answer()
     runtime.ends(B)
     assert bad.result() == b"done"
@@ -435,23 +435,23 @@
 def test_a_mark_with_another_body_or_method_is_never_served(server: Server) -> None:
     # Its result was once given to whoever named the mark.
     runtime, gateway = server.up()
-    gateway.txn(A, "pay", dedupe=MARK), runtime.expect("start", A)
-    gateway.txn(B, "pay", dedupe=MARK, body=b"other")
+    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
+    gateway.request(B, "pay", dedupe=MARK, body=b"other")
     assert gateway.answer()["error"]["code"] == -32602
     runtime.ends(A, b"paid")
     assert gateway.result() == b"paid"
-    gateway.txn(B, "pay", dedupe=MARK, body=b"other")
+    gateway.request(B, "pay", dedupe=MARK, body=b"other")
     assert gateway.answer()["error"]["code"] == -32602
-    gateway.txn(C, "pay", dedupe=MARK)
+    gateway.request(C, "pay", dedupe=MARK)
     assert gateway.result() == b"paid"
 
 
 def test_a_start_that_the_runtime_would_not_make_leaves_its_mark_free(server: Server) -> None:
     runtime, gateway = server.up()
-    gateway.txn(B, "pay", dedupe=MARK, body=b"other"), runtime.expect("start", B)
+    gateway.request(B, "pay", dedupe=MARK, body=b"other"), runtime.expect("start", B)
     runtime.say(f"nack start {B}")
     assert gateway.answer()["error"]["code"] == -32602
-    gateway.txn(A, "pay", dedupe=MARK), runtime.expect("start", A)
+    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
     runtime.ends(A, b"paid")
     assert gateway.result() == b"paid"
 
@@ -460,7 +460,7 @@
     runtime, _ = server.up()
     silent, half, back = server.gateway(), server.gateway(), server.gateway()
     half.sock.sendall(b'{"jsonrpc":"2.0","id":1,')
-    back.txn(A), back.ask("interrupt", call=A)
+    back.request(A), back.ask("interrupt", call=A)
     wrong = server.gateway()
     wrong.sock.sendall(b"{\n" * 500)
     assert [json.loads(wrong.line())["id"] for _ in range(6)] == [None] * 6
@@ -491,7 +491,7 @@
 def test_a_33rd_open_request_is_turned_away(server: Server) -> None:
     runtime, gateway = server.up()
     for n in range(33):
-        gateway.txn(f"{n:016x}", "pay", dedupe=MARK)
+        gateway.request(f"{n:016x}", "pay", dedupe=MARK)
     answer = gateway.answer()
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
@@ -499,7 +499,7 @@
 def test_a_reset_and_a_peer_that_never_reads_harm_nobody(server: Server) -> None:
     runtime, gateway = server.up()
     rude = server.gateway()
-    rude.txn(A)
+    rude.request(A)
     runtime.expect("start", A)
     rude.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     rude.close()
@@ -542,11 +542,11 @@
     limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # room for one result
     with Server(tmp_path, limits=limits) as server:
         runtime, gateway = server.up()
-        gateway.txn(A, "pay", dedupe=MARK)
+        gateway.request(A, "pay", dedupe=MARK)
         runtime.expect("start", A)
-        gateway.txn(B, "pay", dedupe=MARK[::-1])
+        gateway.request(B, "pay", dedupe=MARK[::-1])
         assert gateway.answer()["error"]["code"] == -32014
-        gateway.txn(C, "pay", dedupe=MARK)  # the one that is kept is still known
+        gateway.request(C, "pay", dedupe=MARK)  # the one that is kept is still known
         runtime.ends(A, b"paid")
         assert {gateway.result(), gateway.result()} == {b"paid"}
 
@@ -647,22 +647,22 @@
     monkeypatch.setenv("OTTERRUDDER_LEVELS", str(file))
     with Server(tmp_path) as server:
         runtime, gateway = server.up()
-        gateway.txn(A)
+        gateway.request(A)
         error = gateway.answer()["error"]
         assert error["code"] == -32014
-        gateway.txn(B, "pay", dedupe=MARK), runtime.expect("start", B, "pay")
+        gateway.request(B, "pay", dedupe=MARK), runtime.expect("start", B, "pay")
         file.write_text("version = 1\nlevel = 7")
         server.process.send_signal(signal.SIGHUP)
         server.until("levels not taken", lambda: runtime.idle(1))
         file.write_text(table.format(start="no-pay", product="pay"))
         server.process.send_signal(signal.SIGHUP)
         server.until("entered=no-pay", lambda: runtime.idle(1))
-        gateway.txn(A), runtime.expect("start", A, "look")
-        gateway.txn(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
+        gateway.request(A), runtime.expect("start", A, "look")
+        gateway.request(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
         runtime.idle()
         runtime.ends(B, b"paid")
         assert gateway.result() == gateway.result() == b"paid"
-        gateway.txn("00000000000000dd", "pay", dedupe="d" * 32)
+        gateway.request("00000000000000dd", "pay", dedupe="d" * 32)
         assert gateway.answer()["error"]["code"] == -32014
 
 
@@ -674,12 +674,12 @@
 def test_a_migrated_server_serves_and_says_only_what_the_runtime_knows(tmp_path: Path) -> None:
     with Server(tmp_path, settings=new_shape()) as server:
         runtime, gateway = server.up()
-        gateway.txn(A)
+        gateway.request(A)
         runtime.expect("start", A)
         gateway.close()  # under `pause` the module would stop it: a line that is no command ends the link
         runtime.idle()
         gateway = server.gateway()
-        gateway.txn(B)
+        gateway.request(B)
         runtime.expect("start", B)
         runtime.ends(B, b"b")
         assert gateway.result() == b"b"
@@ -697,7 +697,7 @@
     with Server(tmp_path, settings=new_shape()) as server:
         runtime, gateway = server.up()
         runtime.unanswered = True  # so nothing proves that the starts were read
-        gateway.txn(A, "pay"), gateway.txn(B)
+        gateway.request(A, "pay"), gateway.request(B)
         runtime.expect("start", A), runtime.expect("start", B)
         runtime.close()
         runtime = server.runtime()
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -116,7 +116,7 @@
 
 
 def asked(gateway: Gateway, n: int, product: str = "look") -> int:
-    return gateway.txn(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
+    return gateway.request(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
 
 
 def test_it_admits_only_as_master_and_hands_over_what_it_read(pair: tuple[Server, Speaker]) -> None:
@@ -135,7 +135,7 @@
     assert speaker.hear().priority == 150
     rpc = asked(gateway, 2, "pay")
     assert runtime.expect("start", f"{2:016x}", "pay")
-    speaker.speaking.set()  # a better one: it steps down with a txn in hand
+    speaker.speaking.set()  # a better one: it steps down with a request in hand
     becomes(server, runtime, "backup", 2)
     time.sleep(0.6)  # past the grace of 400 ms
     declined = asked(gateway, 3)
@@ -143,11 +143,11 @@
     runtime.ends(f"{2:016x}", b"paid")
     answer = gateway.answer()
     assert answer["id"] == rpc and "result" in answer
-    repeat = gateway.txn(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
+    repeat = gateway.request(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
     assert gateway.answer()["id"] == repeat  # a backup keeps its references; this one came past the grace
     speaker.speaking.clear()
     opens(server, runtime, 2)
-    again = gateway.txn(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
+    again = gateway.request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
     answer = gateway.answer()  # known across both: from the first run, nothing starts
     assert answer["id"] == again and "result" in answer
     shown = control.ask("n3", "vrrp")["vrrp"][0]
--- a/tests/vrrp/test_pure.py
+++ b/tests/vrrp/test_pure.py
@@ -9,7 +9,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from otterrudder.admission.interface import Effect, Part, Product
+from otterrudder.admission.interface import Idempotency, RequestClass, RequestScope
 from otterrudder.vrrp import packet
 from otterrudder.vrrp.gate import Door, Gate, HoldDown, Order
 from otterrudder.vrrp.group import BadGroups, read_groups
@@ -191,7 +191,7 @@
 
 
 def test_a_door_holds_down_one_that_flaps_and_lets_it_back_in_the_midst_of_a_drain() -> None:
-    part = Part(frozenset({1}))
+    part = RequestScope(frozenset({1}))
     gate = Gate(part, 3000.0, HoldDown(1000.0, 8000.0, 30_000.0))
     assert gate.begin() == [Order(part, False)]
     assert gate.became(0.0, State.MASTER) == [Order(part, True)] and gate.begin() == []
@@ -224,7 +224,10 @@
     assert track.step(1e6, {"runtime": True}) == 1 and Track(255, [Weight("late", 9)]).step(0.0, {}) == 255
 
 
-PRODUCTS = [Product("look", Effect.INQUIRY, 1, 1, 1), Product("pay", Effect.ONCE, 1, 1, 1)]
+PRODUCTS = [
+    RequestClass("look", Idempotency.SAFE, 1, 1, 1),
+    RequestClass("pay", Idempotency.NON_IDEMPOTENT, 1, 1, 1),
+]
 GOOD = (ROOT / "deploy/vrrp.toml").read_text()
 SECOND = GOOD[GOOD.index("[[group]]") :].replace('"intake"', '"pay"').replace("vrid = 51", "vrid = 52")
 
@@ -263,7 +266,7 @@
     keys.chmod(0o600)
     file.write_text(GOOD)
     good = read_groups(file, PRODUCTS, [])
-    assert good.groups[0].part == Part() and good.groups[0].tracks[0].fact == "runtime"
+    assert good.groups[0].part == RequestScope() and good.groups[0].tracks[0].fact == "runtime"
     assert old in GOOD
     file.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(BadGroups) as raised:
