--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -16,8 +16,25 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from otterrudder.admission.interface import (
+from otterrudder.admission.commands import (
+    AdvertiseLoad,
+    CallDownstream,
+    CloseConnections,
     Command,
+    EvictKey,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    ReplayResponse,
+    RetainKey,
+    ScheduleTick,
+    SetHealth,
+    SetIdleTimeout,
+    SkipCall,
+    StartRequest,
+    StopRequest,
+)
+from otterrudder.admission.interface import (
     Limits,
     Outcome,
     Request,
@@ -164,7 +181,7 @@
             for request in [request for request in self.controller.requests.values() if part.fits(request)]:
                 self.controller.refuse(request, gone=True)
             if key == RETIRED:
-                self.controller.steps.append(("close",))
+                self.controller.commands.append(CloseConnections())
 
 
 class Repeats(Stage):
@@ -192,7 +209,7 @@
     def keep(self, request: Request) -> None:
         span = max(request.arrived + request.spec.window_ms - self.controller.now + self.tick, self.tick)
         self.refs[request.ident] = request
-        self.controller.steps.append(("keep", request.ident, span))
+        self.controller.commands.append(RetainKey(request.ident, span))
         self.controller.agenda.at(self.controller.now + span + self.tick, lambda: self._lapse(request))
 
     def _lapse(self, request: Request) -> None:
@@ -222,7 +239,7 @@
             heirs[0].followers, heirs[0].place = heirs[1:], RequestState.QUEUED
             self.controller.forward(heirs[0], after=self)
         elif held:
-            self.controller.steps.append(("forget", request.ident))
+            self.controller.commands.append(EvictKey(request.ident))
 
 
 class Memory(Stage):
@@ -526,7 +543,7 @@
         self.running += 1
         self.in_hand += 1
         self.memory.run(request)
-        self.controller.steps.append(("run", request.ident))
+        self.controller.commands.append(StartRequest(request.ident))
         self.repeats.started(request)
         self.controller.sessions.started(request)
         if self.controller.may_stop and not request.effectful and not request.spec.late_value:
@@ -620,13 +637,13 @@
             if needed and not allowed and not request.spec.omit_value:
                 self.queue.append(request)
             elif needed and not allowed:
-                self.controller.steps.append(("omit", request.ident))
+                self.controller.commands.append(SkipCall(request.ident))
                 self.controller.slots.on_cores(request)
             elif needed:
                 request.tries, request.calling, self.called = request.tries + 1, True, self.controller.now
                 self._count(1)
-                self.controller.steps.append(
-                    ("call", request.ident, max(request.due - self.controller.now, 1.0))
+                self.controller.commands.append(
+                    CallDownstream(request.ident, max(request.due - self.controller.now, 1.0))
                 )
 
     def _hang_up(self, request: Request, linger_ms: float) -> None:
@@ -641,7 +658,9 @@
         self._hang_up(request, 0.0 if outcome.is_over else self.linger)
         if outcome is Outcome.OK:
             if self.failed >= BREAK_AFTER:
-                self.controller.steps.append(("log", f"calls below work again after {self.failed} failures"))
+                self.controller.commands.append(
+                    LogMessage(f"calls below work again after {self.failed} failures")
+                )
             self.failed = request.tries = 0
             self.gap = self.gap / 2 if self.gap > TICK_MS / 2 else 0.0  # by degrees: all others come back too
             self.controller.slots.on_cores(request)
@@ -651,7 +670,7 @@
                 self.gap = BREAK_MS * (
                     1 + self.controller.chance(request.ident) / 2
                 )  # no two servers in step
-                self.controller.steps.append(("log", "calls below stop: too many failures in a row"))
+                self.controller.commands.append(LogMessage("calls below stop: too many failures in a row"))
             if request.effectful and not outcome.never_ran:
                 self.controller.void(request)
             elif not request.answered:
@@ -720,10 +739,10 @@
         self.idle = min(max(self.idle * by, LINK_SHORT_MS), self.idle_max)
         if abs(self.idle - self.told_idle) > self.told_idle / 8:
             self.told_idle = self.idle
-            self.controller.steps.append(("idle", self.idle))
+            self.controller.commands.append(SetIdleTimeout(self.idle))
         if value != self.told:
             self.told = value
-            self.controller.steps.append(("advertise", value))
+            self.controller.commands.append(AdvertiseLoad(value))
 
 
 class AdmissionController:
@@ -761,7 +780,7 @@
     ) -> None:
         self.now, self.instance, self.products, self.may_stop = now, instance, products, may_stop
         self.limits = limits
-        self.counter, self.steps = seed, list[Command]()
+        self.counter, self.commands = seed, list[Command]()
         self.requests: dict[int, Request] = {}  # everything in the hold, on the cores or at a call
         self.agenda = Agenda()
         self.expiry = Expiry(self, drain_grace_ms)
@@ -791,13 +810,13 @@
         self.agenda.play(now)
 
     def take_commands(self) -> list[Command]:
-        steps, self.steps = self.steps, []
-        return steps
+        commands, self.commands = self.commands, []
+        return commands
 
     def start(self) -> None:
         self.signals.renew()
         wake = TICK_MS * (0.5 + self.chance(self.instance) / 2)  # servers should not all ring in step
-        self.steps += [("health", True), ("wake", wake)]
+        self.commands += [SetHealth(True), ScheduleTick(wake)]
 
     def handle_arrival(
         self,
@@ -848,7 +867,7 @@
 
     def begin_graceful_shutdown(self, left_ms: float) -> None:
         log = f"draining: {len(self.requests)} in hand, {left_ms:.0f} ms to the stop"
-        self.steps += [("health", False), ("log", log)]
+        self.commands += [SetHealth(False), LogMessage(log)]
         self.expiry.step_down(RequestScope(), left_ms, RETIRED)
 
     def set_service_level(self, relief: ServiceLevel | None) -> None:
@@ -882,13 +901,13 @@
     def drain(self, part: RequestScope, left_ms: float) -> None:
         """Another serves this part now: a drain with a way back. All read of it is answered in left_ms."""
         self.expiry.step_down(part, left_ms, part)
-        self.steps.append(("health", not self.expiry.is_shut()))
+        self.commands.append(SetHealth(not self.expiry.is_shut()))
 
     def resume(self, part: RequestScope) -> None:
         """This part is served here again, from cold. What was started before is still in doubt."""
         if self.expiry.shut.pop(part, None):
             self.slots.cool()
-            self.steps.append(("health", not self.expiry.is_shut()))
+            self.commands.append(SetHealth(not self.expiry.is_shut()))
 
     def tick(self, busy: float = 1.0, on_cores: float = 0.0) -> None:
         self.slots.turn(busy, on_cores, self.sessions.held)
@@ -897,7 +916,7 @@
         self.calls.pump()
         self.repeats.unrun = (set(), self.repeats.unrun[0])
         self.signals.renew()
-        self.steps.append(("wake", TICK_MS))
+        self.commands.append(ScheduleTick(TICK_MS))
 
     def chance(self, ident: int) -> float:
         self.counter += 1
@@ -927,7 +946,7 @@
         if request.place not in (RequestState.RUNNING, RequestState.CALLING):
             self._free(request)
         elif self.may_stop and request.place is RequestState.RUNNING and not request.effectful:
-            self.steps.append(("stop", request.ident))
+            self.commands.append(StopRequest(request.ident))
 
     def refuse(
         self, request: Request, room: bool = True, away_ms: float | None = None, gone: bool = False
@@ -937,19 +956,19 @@
             return self.void(request)
         if not request.answered:
             self.signals.shed += SHED_GAIN
-            self.steps.append(
-                ("decline", request.ident, *self.signals.advice(room, request.retry, away_ms, gone))
+            self.commands.append(
+                RejectRequest(request.ident, *self.signals.advice(room, request.retry, away_ms, gone))
             )
             self._end(request)
         return False
 
     def void(self, request: Request) -> bool:
         if not request.answered:
-            self.steps.append(("void", request.ident))
+            self.commands.append(FailRequest(request.ident))
             self._end(request)
         return False
 
     def reuse(self, request: Request) -> None:
         request.place = RequestState.REPLAYING
         self.memory.run(request)
-        self.steps.append(("reuse", request.ident))
+        self.commands.append(ReplayResponse(request.ident))
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -1,24 +1,12 @@
 """Plain types shared by the decision module and whatever calls it (the drill, the server).
 
 All times are milliseconds with fractions on the caller's clock. Ids are handed back exactly as given.
-What the module wants done after a call is a list of steps, plain tuples that start with a word:
-
-    ("run", id)  ("reuse", id)  ("stop", id)           start it; answer it from its earlier try; halt it
-    ("decline", id, terminal, stay_away_ms)            final: turned away, never ran
-    ("void", id)                                       final: failed, no promise
-    ("keep", id, span_ms)  ("forget", id)              the entry by which a repeat is known
-    ("call", id, wait_ms)  ("omit", id)                make the call it waits for; go on without
-    ("wake", delay_ms)                                 ring once after this long
-    ("advertise", value)  ("health", good)  ("idle", ms)  ("log", text)
-    ("close",)                                         the drain is over: all is answered, so leave
+What the module wants done after a call is a list of commands: `commands`.
 """
 
 import math
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
-
-Command = tuple[str, *tuple[Any, ...]]  # a word and its arguments, in the forms above
 
 
 class Idempotency(Enum):
--- a/otterrudder/drill/frames.py
+++ b/otterrudder/drill/frames.py
@@ -4,7 +4,9 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from otterrudder.admission.interface import Command, Outcome
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
+from otterrudder.admission.interface import Outcome
 
 Event = tuple[Any, ...]  # (code, instance, fields...)
 
@@ -39,16 +41,22 @@
     1: Outcome.CANCELLED,
     9: Outcome.NEVER_STARTED,
 }
-_WAKE = struct.Struct(">HHII")
+_SCHEDULE = struct.Struct(">HHII")
 _ADVERTISE = struct.Struct(">HHf")
 _HEALTH = struct.Struct(">HHBB")
 _IDLE = struct.Struct(">HHI")
-_TXN = struct.Struct(">HHQ")
-_TXN_SPAN = struct.Struct(">HHQI")
-_DECLINE = struct.Struct(">HHQBI")
+_REQUEST = struct.Struct(">HHQ")
+_REQUEST_SPAN = struct.Struct(">HHQI")
+_REJECT = struct.Struct(">HHQBI")
 _TEXT = struct.Struct(">HHH")
-_PLAIN = {"run": 76, "reuse": 73, "stop": 68, "void": 72, "forget": 71, "omit": 69}
-_SPAN = {"keep": 78, "call": 70}
+_PLAIN_CODES: dict[type[Command], int] = {
+    commands.StartRequest: 76,
+    commands.ReplayResponse: 73,
+    commands.StopRequest: 68,
+    commands.FailRequest: 72,
+    commands.EvictKey: 71,
+    commands.SkipCall: 69,
+}
 
 
 def read_batches(stream: BinaryIO) -> Iterator[bytes]:
@@ -105,28 +113,31 @@
     return min(max(round(ms * 1000), 0), 0xFFFFFFFF)
 
 
-def encode_step(instance: int, step: Command) -> bytes:
-    """The record of a step; empty for `close`, which the wire has no record of."""
-    word, *rest = step
-    if word in _PLAIN:
-        return _TXN.pack(_PLAIN[word], instance, rest[0])
-    if word in _SPAN:
-        return _TXN_SPAN.pack(_SPAN[word], instance, rest[0], _us(rest[1]))
-    if word == "decline":
-        return _DECLINE.pack(75, instance, rest[0], rest[1], _us(rest[2]))
-    if word == "wake":
-        return _WAKE.pack(65, instance, _us(rest[0]), 0)
-    if word == "advertise":
-        return _ADVERTISE.pack(66, instance, rest[0])
-    if word == "health":
-        return _HEALTH.pack(67, instance, rest[0], True)  # answered from store: a check must not cost a run
-    if word == "idle":
-        return _IDLE.pack(74, instance, _us(rest[0]))
-    if word == "close":
-        return b""  # the simulator ends the process itself
-    if word == "log":
-        return encode_text(79, instance, rest[0])
-    raise ValueError(f"no record for step {word!r}")
+def encode_command(instance: int, command: Command) -> bytes:
+    """The record of a command; empty for `CloseConnections`, as the simulator ends the process itself."""
+    match command:
+        case commands.RejectRequest():
+            retry_after_us = _us(command.retry_after_ms)
+            return _REJECT.pack(75, instance, command.request_id, command.is_final, retry_after_us)
+        case commands.RetainKey():
+            return _REQUEST_SPAN.pack(78, instance, command.request_id, _us(command.retention_ms))
+        case commands.CallDownstream():
+            return _REQUEST_SPAN.pack(70, instance, command.request_id, _us(command.timeout_ms))
+        case commands.ScheduleTick():
+            return _SCHEDULE.pack(65, instance, _us(command.delay_ms), 0)
+        case commands.AdvertiseLoad():
+            return _ADVERTISE.pack(66, instance, command.value)
+        case commands.SetHealth():
+            # The last field: answered without a run.
+            return _HEALTH.pack(67, instance, command.is_healthy, True)
+        case commands.SetIdleTimeout():
+            return _IDLE.pack(74, instance, _us(command.timeout_ms))
+        case commands.LogMessage():
+            return encode_text(79, instance, command.text)
+        case commands.CloseConnections():
+            return b""
+        case _:
+            return _REQUEST.pack(_PLAIN_CODES[type(command)], instance, command.request_id)
 
 
 def encode_text(code: int, instance: int, text: str) -> bytes:
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -3,9 +3,10 @@
 import json
 from typing import Any
 
+from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller, gauge_names
-from otterrudder.admission.interface import Command, Outcome
+from otterrudder.admission.interface import Outcome
 from otterrudder.drill import frames
 
 FATAL = 77
@@ -21,8 +22,8 @@
         records: list[bytes] = []
         for code, instance, *fields in events:
             try:
-                steps = self._handle(now, code, instance, fields)
-                records += filter(None, (frames.encode_step(instance, step) for step in steps))
+                commands = self._handle(now, code, instance, fields)
+                records += filter(None, (frames.encode_command(instance, command) for command in commands))
             except Exception as trouble:  # the wire wants a failure of the module in words
                 text = f"{type(trouble).__name__}: {trouble}"
                 records.append(frames.encode_text(FATAL, instance, text))
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -175,7 +175,7 @@
             below_full=self.below.full / max(self.below.calls, 1),
             p50_ms=_quantile(told.times, 0.5),
             p99_ms=_quantile(told.times, 0.99),
-            failed_steps=float(self.logged.get("a step failed", 0)),
+            failed_steps=float(self.logged.get("a command failed", 0)),
         )
         for n, product in enumerate(told.products):
             figures[f"served.{product.name}"] = told.served(n)
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -12,6 +12,7 @@
 from typing import NoReturn
 
 from otterrudder import log
+from otterrudder.admission import commands
 from otterrudder.admission.interface import Outcome
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet import agent
@@ -118,7 +119,7 @@
         self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
     setattr(core.Core, "_reuse", reuse)  # noqa: B010
-    core._OF_A_TXN["reuse"] = reuse
+    core._REQUEST_COMMANDS[commands.ReplayResponse] = reuse
 
 
 def _unlisted() -> None:
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -21,9 +21,10 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
-    Command,
     Idempotency,
     Limits,
     Outcome,
@@ -156,15 +157,14 @@
 
     def done(self) -> list[Outgoing]:
         """Carries the steps out, and those that follow from them, and hands over what is to be sent."""
-        while self.controller and (steps := self.controller.take_commands()):
-            for step in steps:
+        while self.controller and (pending := self.controller.take_commands()):
+            for command in pending:
                 try:
-                    self._carry_out(step)
-                except Exception as trouble:  # one request's failure is not the others'
-                    self.out.append(
-                        (DISPATCHER, "log", "a step failed", {"step": step, "trouble": repr(trouble)})
-                    )
-                    if len(step) > 1 and (request := self.requests.get(step[1])):
+                    self._carry_out(command)
+                except Exception as error:  # one request's failure is not the others'
+                    facts = {"command": command, "error": repr(error)}
+                    self.out.append((DISPATCHER, "log", "a command failed", facts))
+                    if request := self.requests.get(getattr(command, "request_id", 0)):
                         self._void(request)
         self.fresh.clear()
         out, self.out = self.out, []
@@ -433,23 +433,27 @@
 
     # Steps.
 
-    def _carry_out(self, step: Command) -> None:
-        word, *rest = step
-        if word in _OF_A_TXN:
-            if request := self.requests.get(rest[0]):
-                _OF_A_TXN[word](self, request, *rest[1:])
-            elif word == "run":  # its caller left within this batch: nothing starts, and its slot comes back
-                self._module.handle_finished(rest[0], Outcome.NEVER_STARTED)
-        elif word == "wake":
-            self.out.append((DISPATCHER, "wake", rest[0]))
-        elif word == "advertise":
-            self.load = rest[0]
-        elif word == "health":
-            self.healthy = rest[0]
-        elif word == "log":
-            self.out.append((DISPATCHER, "log", rest[0], {}))
-        else:
-            self.out.append((GATEWAYS, word, *rest))
+    def _carry_out(self, command: Command) -> None:
+        if commands.is_request_command(command):
+            if request := self.requests.get(command.request_id):
+                _REQUEST_COMMANDS[type(command)](self, request, *command[1:])
+            elif isinstance(command, commands.StartRequest):
+                # Its caller left within this batch: nothing starts, and its slot comes back.
+                self._module.handle_finished(command.request_id, Outcome.NEVER_STARTED)
+            return
+        match command:
+            case commands.ScheduleTick():
+                self.out.append((DISPATCHER, "wake", command.delay_ms))
+            case commands.AdvertiseLoad():
+                self.load = command.value
+            case commands.SetHealth():
+                self.healthy = command.is_healthy
+            case commands.LogMessage():
+                self.out.append((DISPATCHER, "log", command.text, {}))
+            case commands.SetIdleTimeout():
+                self.out.append((GATEWAYS, "idle", command.timeout_ms))
+            case commands.CloseConnections():
+                self.out.append((GATEWAYS, "close"))
 
     def _run(self, request: PendingRequest) -> None:
         request.started = True
@@ -584,14 +588,14 @@
         return self.products[request.product].effect is not Idempotency.SAFE
 
 
-_OF_A_TXN: dict[str, Any] = {
-    "run": Core._run,
-    "reuse": Core._reuse,
-    "stop": Core._stop,
-    "decline": Core._decline,
-    "void": Core._void,
-    "keep": Core._keep,
-    "forget": Core._forget,
-    "call": Core._call,
-    "omit": Core._omit,
+_REQUEST_COMMANDS: dict[type[Command], Callable[..., None]] = {
+    commands.StartRequest: Core._run,
+    commands.ReplayResponse: Core._reuse,
+    commands.StopRequest: Core._stop,
+    commands.RejectRequest: Core._decline,
+    commands.FailRequest: Core._void,
+    commands.RetainKey: Core._keep,
+    commands.EvictKey: Core._forget,
+    commands.CallDownstream: Core._call,
+    commands.SkipCall: Core._omit,
 }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,8 @@
 at 50 finished a ok             also: needs a, called a full, left a, retire 5000; or nothing
 at 55 stepdown pay 2000         a product (-: all) is left with so long to answer; stepup pay
 at 60 reduce - look=decline     a level in force; also =share:0.5, =omit, held, away, stay=5000
-  sees run a                    a step since the last `at`, by its first words (<3: less); `sees 2 run`
-  lacks decline a               no such step
+  sees start a                  a command since the last `at`, by its first words (<3: less); `sees 2 start`
+  lacks reject a                no such command
 memory 100                      what the server may use now, in kB, by its own count, is no more than this
 """
 
@@ -25,6 +25,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
     Idempotency,
@@ -48,22 +50,43 @@
 }  # fmt: skip
 
 
+WORDS = {
+    commands.StartRequest: "start",
+    commands.ReplayResponse: "replay",
+    commands.StopRequest: "stop",
+    commands.RejectRequest: "reject",
+    commands.FailRequest: "fail",
+    commands.RetainKey: "retain",
+    commands.EvictKey: "evict",
+    commands.CallDownstream: "call",
+    commands.SkipCall: "skip",
+    commands.ScheduleTick: "tick",
+    commands.AdvertiseLoad: "advertise",
+    commands.SetHealth: "health",
+    commands.SetIdleTimeout: "idle",
+    commands.LogMessage: "log",
+    commands.CloseConnections: "close",
+}
+
+
 class Play:
     def __init__(self) -> None:
         self.told: dict = dict(SERVER)
         self.products: list[RequestClass] = []
         self.tenants: list[Tenant] = []
         self.controller: AdmissionController | None = None
-        self.steps: list[tuple] = []
+        self.commands: list[Command] = []
         self.running: list[str] = []
         self.ring_at = 0.0
 
-    def take(self, now: float, steps: list[tuple]) -> None:
-        for step in steps:
-            if step[0] == "wake":
-                self.ring_at = now + step[1]
-        self.steps += steps
-        self.running += [step[1] for step in steps if step[0] == "run"]
+    def take(self, now: float, taken: list[Command]) -> None:
+        for command in taken:
+            if isinstance(command, commands.ScheduleTick):
+                self.ring_at = now + command.delay_ms
+        self.commands += taken
+        self.running += [
+            command.request_id for command in taken if isinstance(command, commands.StartRequest)
+        ]
 
     def start(self, now: float) -> AdmissionController:
         t = self.told
@@ -81,7 +104,7 @@
         return controller
 
     def at(self, now: float, words: list[str]) -> None:
-        self.steps = []
+        self.commands = []
         self.controller = self.controller or self.start(now)
         while self.ring_at <= now:
             self.controller.advance_to(self.ring_at)
@@ -154,13 +177,14 @@
             assert self.controller.memory.used <= float(rest[0]), self.controller.memory.used
         else:
             count = int(rest.pop(0)) if rest[0].isdigit() else None
-            found = sum(matches(step, rest) for step in self.steps)
+            found = sum(matches(command, rest) for command in self.commands)
             expected = {"sees": found == count if count is not None else found > 0, "lacks": found == 0}[word]
-            assert expected, f"{text!r}: got {self.steps}"
+            assert expected, f"{text!r}: got {self.commands}"
 
 
-def matches(step: tuple, words: list[str]) -> bool:
-    return len(step) >= len(words) and all(map(fits, step, words))
+def matches(command: Command, words: list[str]) -> bool:
+    values = (WORDS[type(command)], *command)
+    return len(values) >= len(words) and all(map(fits, values, words))
 
 
 def fits(value: object, word: str) -> bool:
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from otterrudder.admission import controller
+from otterrudder.admission import commands, controller
 from otterrudder.admission.controller import Expiry, Holds, Repeats, Slots
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
@@ -79,7 +79,7 @@
     def declines(at: Core, request) -> None:
         at._decline(request, False, 0.0)
 
-    monkeypatch.setitem(core._OF_A_TXN, "void", declines)
+    monkeypatch.setitem(core._REQUEST_COMMANDS, commands.FailRequest, declines)
     slow = [Trouble(kind="slow", at_s=2, for_s=40, times=40.0)]
     assert any("rule 2" in what and "declined" in what for what in day(slow).broken)
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,6 +5,7 @@
 import pytest
 from helpers import SETTINGS
 
+from otterrudder.admission.commands import CallDownstream, ScheduleTick, StartRequest
 from otterrudder.admission.controller import BREAK_MS, AdmissionController
 from otterrudder.admission.factory import create_controller
 from otterrudder.admission.interface import Outcome
@@ -21,15 +22,16 @@
     sent = []
 
     def take(n: int, now: float, controller: AdmissionController) -> None:
-        for word, *rest in controller.take_commands():
-            if word == "wake":
-                heapq.heappush(due, (now + rest[0], n, -1, "ring"))
-            elif word == "run":
-                controller.handle_call_needed(rest[0])
+        for command in controller.take_commands():
+            if isinstance(command, ScheduleTick):
+                heapq.heappush(due, (now + command.delay_ms, n, -1, "tick"))
+            elif isinstance(command, StartRequest):
+                controller.handle_call_needed(command.request_id)
                 take(n, now, controller)
-            elif word == "call":
+            elif isinstance(command, CallDownstream):
                 sent.append(now - BACK_MS)
-                heapq.heappush(due, (now + TOOK_MS, n, rest[0], "ok" if now >= BACK_MS else "reset"))
+                outcome = "ok" if now >= BACK_MS else "reset"
+                heapq.heappush(due, (now + TOOK_MS, n, command.request_id, outcome))
 
     for n, controller in enumerate(controllers):
         for ident in range(1, WAITING + 1):
@@ -39,7 +41,7 @@
         now, n, ident, what = heapq.heappop(due)
         controller = controllers[n]
         controller.advance_to(now)
-        if what == "ring":
+        if what == "tick":
             controller.tick(0.2, 1.0)
         else:
             controller.handle_call_ended(ident, Outcome(what))
--- a/tests/test_otterrudder.py
+++ b/tests/test_otterrudder.py
@@ -8,6 +8,7 @@
 import pytest
 from helpers import ROOT, play
 
+from otterrudder.admission.commands import LogMessage, ScheduleTick, StartRequest
 from otterrudder.drill import frames
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -43,10 +44,10 @@
 
 
 def test_reply_encodes() -> None:
-    run = frames.encode_step(3, ("run", 0xC5DF65D3A91C4))
-    log = frames.encode_step(5, ("log", "two servers known"))
+    run = frames.encode_command(3, StartRequest(0xC5DF65D3A91C4))
+    log = frames.encode_command(5, LogMessage("two servers known"))
     wake = struct.pack(">HHII", 65, 3, 500000, 77)
-    assert frames.encode_step(3, ("wake", 500.0)) == wake[:-4] + bytes(4)
+    assert frames.encode_command(3, ScheduleTick(500.0)) == wake[:-4] + bytes(4)
     assert frames.frame([run, wake, log]) == REPLY
 
 
