--- a/otterrudder/lab/cores.py
+++ b/otterrudder/lab/cores.py
@@ -1,7 +1,7 @@
-"""The cores of one server: everything on them runs side by side at one speed, slower in a crowd.
+"""The cores of one server: all jobs run side by side at one speed, slower when there are too many.
 
 Processor sharing by virtual work: all jobs get the same service a ms, so one running sum says how far each
-is, and a heap of sums says who ends next. Adding, ending and taking away a job cost a logarithm, however
+is, and a heap of sums says which ends next. Adding, ending and cancelling a job cost a logarithm, however
 many run."""
 
 import heapq
@@ -10,42 +10,68 @@
 
 from otterrudder.lab.engine import Engine
 
-FALL_MS = 2000.0  # ms over which the crowd is meant, for the fourth rule
-BUSY_MS = 200.0  # ms over which the gauge of the cores' use is meant
+JOBS_MEAN_MS = 2000.0  # time constant of the mean of jobs a core
+BUSY_MEAN_MS = 200.0  # time constant of the gauge of the cores' use
+MIN_WORK_MS = 1e-6
 
 
 class Job:
-    __slots__ = ("act", "ends", "gone")
+    """One job: it ends when the virtual work reaches `ends`, and then calls `act` unless it is cancelled."""
+
+    __slots__ = ("act", "ends", "is_over")
 
     def __init__(self, ends: float, act: Callable[[], None]) -> None:
-        self.ends, self.act, self.gone = ends, act, False
+        self.ends = ends
+        self.act = act
+        self.is_over = False  # ended or cancelled
 
 
 class Cores:
-    def __init__(self, engine: Engine, cores: int, speed: float, crowd_at: float, crowd_loss: float) -> None:
-        self.engine, self.cores, self.speed = engine, cores, speed
-        self.crowd_at, self.crowd_loss = crowd_at, crowd_loss
-        self.factor = 1.0  # of a trouble: 0 while frozen
-        self.born, self.cold_from, self.cold_ms = 0.0, 1.0, 0.0
-        self.jobs = self.reading = 0
+    """Cores that share their time evenly among all jobs.
+
+    Beyond `contention_from` jobs a core, each further job a core costs the share `contention_loss` of the
+    speed.
+    """
+
+    def __init__(
+        self, engine: Engine, cores: int, speed: float, contention_from: float, contention_loss: float
+    ) -> None:
+        self.engine = engine
+        self.cores = cores
+        self.speed = speed
+        self.contention_from = contention_from
+        self.contention_loss = contention_loss
+        self.factor = 1.0  # of the speed, less under a fault: 0 while frozen
+        self.started_at = 0.0
+        self.cold_from = 1.0  # share of the speed right after the start
+        self.cold_ms = 0.0  # until the full speed
+        self.jobs = 0
+        self.reading = 0  # of these, reads of requests
         self.unread: deque[tuple[float, Callable[[], None]]] = deque()
-        self.busy = self.crowd = 0.0  # recent means: share in use; jobs a core
+        self.busy = 0.0  # recent mean share of the cores in use
+        self.jobs_per_core = 0.0  # recent mean
         self.done_ms = 0.0  # work done, in ms on a core of speed 1
-        self._sum = self._rate = 0.0  # virtual work each job has had; of it, a ms
+        self._sum = 0.0  # virtual work that each job has had
+        self._rate = 0.0  # virtual work a ms
         self._as_of = engine.now
         self._heap: list[tuple[float, int, Job]] = []
-        self._count = self._version = 0
+        self._count = 0
+        self._version = 0
 
     def start(self, cold_from: float, cold_ms: float) -> None:
-        """A process has just come up on them."""
-        self.born, self.cold_from, self.cold_ms = self.engine.now, cold_from, cold_ms
+        """A process has just started on them."""
+        self.started_at = self.engine.now
+        self.cold_from = cold_from
+        self.cold_ms = cold_ms
         self._touch()
 
     def warmth(self) -> float:
-        share = (self.engine.now - self.born) / self.cold_ms if self.cold_ms > 0 else 1.0
+        """Share of the full speed that the process has reached."""
+        share = (self.engine.now - self.started_at) / self.cold_ms if self.cold_ms > 0 else 1.0
         return min(self.cold_from + (1 - self.cold_from) * share, 1.0)
 
     def set_factor(self, factor: float) -> None:
+        """Slows all jobs down to this share of their speed."""
         self._touch()
         self.factor = factor
         self._touch()
@@ -54,27 +80,29 @@
         """The process has died: nothing of it goes on."""
         self._touch()
         for _, _, job in self._heap:
-            job.gone = True
+            job.is_over = True
         self._heap.clear()
         self.unread.clear()
         self.jobs = self.reading = 0
-        self.busy = self.crowd = 0.0
+        self.busy = 0.0
+        self.jobs_per_core = 0.0
         self._touch()
 
     def run(self, work: float, act: Callable[[], None]) -> Job:
-        """`act` is played when `work` ms (on a core of speed 1) are done."""
+        """Calls `act` when `work` ms (on a core of speed 1) are done."""
         self._touch()
         self._count += 1
-        job = Job(self._sum + max(work, 1e-6), act)
+        job = Job(self._sum + max(work, MIN_WORK_MS), act)
         heapq.heappush(self._heap, (job.ends, self._count, job))
         self.jobs += 1
         self._touch()
         return job
 
     def cancel(self, job: Job) -> None:
-        if not job.gone:
+        """Takes a job off the cores; `act` is not called."""
+        if not job.is_over:
             self._touch()
-            job.gone = True
+            job.is_over = True
             self.jobs -= 1
             self._touch()
 
@@ -106,9 +134,12 @@
         if span > 0:
             self._sum += span * self._rate
             self.done_ms += span * self._rate * self.jobs
-            used = min(self.jobs / self.cores, 1.0) if self.factor > 0 else 1.0
-            self.busy += min(span / BUSY_MS, 1.0) * (used - self.busy)
-            self.crowd += min(span / FALL_MS, 1.0) * (self.jobs / self.cores - self.crowd)
+            jobs_per_core = self.jobs / self.cores
+            used = min(jobs_per_core, 1.0) if self.factor > 0 else 1.0
+            self.busy += min(span / BUSY_MEAN_MS, 1.0) * (used - self.busy)
+            self.jobs_per_core += min(span / JOBS_MEAN_MS, 1.0) * (
+                self.jobs / self.cores - self.jobs_per_core
+            )
             self._as_of = now
 
     def _touch(self) -> None:
@@ -118,27 +149,30 @@
             self._rate = 0.0
             self._version += 1
             return
-        each = self.jobs / self.cores
-        over = max(each - self.crowd_at, 0.0)
-        share = min(1.0, 1.0 / each) / (1.0 + self.crowd_loss * over)
-        rate = self.speed * self.factor * self.warmth() * share
-        self._rate = rate
+        rate = self._rate = self._current_rate()
         self._version += 1
-        while self._heap and self._heap[0][2].gone:
+        while self._heap and self._heap[0][2].is_over:
             heapq.heappop(self._heap)
         if self._heap and rate > 0:
             due = (self._heap[0][0] - self._sum) / rate
             self.engine.at(self.engine.now + max(due, 0.0), self._end, self._version)
 
+    def _current_rate(self) -> float:
+        """Virtual work a ms with the present jobs."""
+        jobs_per_core = self.jobs / self.cores
+        excess = max(jobs_per_core - self.contention_from, 0.0)
+        share = min(1.0, 1.0 / jobs_per_core) / (1.0 + self.contention_loss * excess)
+        return self.speed * self.factor * self.warmth() * share
+
     def _end(self, version: int) -> None:
         if version != self._version:
             return
         self._touch()
         ended = []
-        while self._heap and (self._heap[0][2].gone or self._heap[0][0] <= self._sum + 1e-6):
+        while self._heap and (self._heap[0][2].is_over or self._heap[0][0] <= self._sum + 1e-6):
             job = heapq.heappop(self._heap)[2]
-            if not job.gone:
-                job.gone = True
+            if not job.is_over:
+                job.is_over = True
                 self.jobs -= 1
                 ended.append(job)
         self._touch()
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -1,4 +1,4 @@
-"""One day: a site under a load, with its troubles, as one variant meets it. From files to figures."""
+"""One day: a site under a load, with its faults, as one variant meets it. From files to figures."""
 
 from dataclasses import dataclass, field, replace
 from itertools import count
@@ -7,16 +7,16 @@
 import numpy as np
 
 from otterrudder.lab.arrivals import Arrivals, Ask
-from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
+from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
+from otterrudder.lab.faults import EndpointNotifier, Fault, FaultTimeline
 from otterrudder.lab.gateways import Gateway
 from otterrudder.lab.ledger import Ledger, Session
 from otterrudder.lab.server import Server
 from otterrudder.lab.shapes import Part, demand
 from otterrudder.lab.site import Site
 from otterrudder.lab.streams import Streams
-from otterrudder.lab.troubles import Notice, Timeline, Trouble
 from otterrudder.levels import Bound, Damping, Ladder, Rung, Table
 from otterrudder.levels.ladder import FULL
 
@@ -66,7 +66,7 @@
         self,
         site: Site,
         load: list[Part],
-        troubles: list[Trouble],
+        faults: list[Fault],
         levels: Table | None,
         seed: int,
         length_s: float,
@@ -80,7 +80,7 @@
         self.demand = demand(load, streams, length_s)
         self.arrivals = Arrivals(site, self.demand, streams, self.length_ms)
         b = site.below
-        self.below = Below(self.engine, b.slots, b.line, b.call_ms, b.cv, streams.of("below"))
+        self.below = Downstream(self.engine, b.slots, b.line, b.call_ms, b.cv, streams.of("below"))
         self.moves: list[Move] = []
         self.logged: dict[str, int] = {}
         lives = count(1)
@@ -106,9 +106,9 @@
             )
             for n in range(site.gateways.count)
         ]
-        notice = Notice(self.engine, list(self.gateways), site.gateways.notice_ms)
-        self.timeline = Timeline(self.engine, self.servers, self.below, notice)
-        self.timeline.plan(troubles)
+        notifier = EndpointNotifier(self.engine, list(self.gateways), site.gateways.notice_ms)
+        self.fault_timeline = FaultTimeline(self.engine, self.servers, self.below, notifier)
+        self.fault_timeline.schedule(faults)
         self.heights: list[list[float]] = [[] for _ in self.servers]
         self._coming = iter(self.arrivals.asks)
 
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -19,7 +19,7 @@
 
     def __init__(self, run: Run, say: Callable[[str], None]) -> None:
         self.say = say
-        super().__init__(run.site, run.load, run.troubles, run.levels, run.seed, run.length_s)
+        super().__init__(run.site, run.load, run.faults, run.levels, run.seed, run.length_s)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         super()._log(now, server, text, facts)
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -13,10 +13,10 @@
 from otterrudder.lab.arrivals import Ask
 from otterrudder.lab.checker import Checker
 from otterrudder.lab.engine import Engine
+from otterrudder.lab.faults import EndpointListener
 from otterrudder.lab.ledger import DECLINED, SETTLED, UNREACHED, VOIDED, Ledger
 from otterrudder.lab.server import Server
 from otterrudder.lab.site import GatewaysPart, Site
-from otterrudder.lab.troubles import Listed
 
 WALK_MS = 1.0  # ms from a decline to the next try
 
@@ -60,7 +60,7 @@
         self._hear("timeout", ())
 
 
-class Gateway(Listed):
+class Gateway(EndpointListener):
     def __init__(
         self,
         number: int,
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -5,9 +5,9 @@
     [[variant]]  name = "levels"  levels = "../deploy/levels.toml"  bare = false  [variant.site] ...
     [[case]]     name = "sine"  length_s = 600  variants = [...]  [case.grid] period_s = [20, 60]
     [[case.load]] ... [[claim]]    text = "..."  cases = "sine*"  figure = "moves_per_min"  variant =
-    "levels"  at_most = 1.0 [[chart]]    kind = "timeline" | "lines" ...
+    "levels"  at_most = 1.0 [[chart]]    kind = "fault_timeline" | "lines" ...
 
-A text "$name" in a case's load, trouble or site stands for the grid's value. A claim with `over` is of the
+A text "$name" in a case's load, fault or site stands for the grid's value. A claim with `over` is of the
 difference to that variant, paired by seed. Everything is checked before anything is played."""
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 from otterrudder.admission import controller
 from otterrudder.files import load_toml, merged
+from otterrudder.lab.faults import Fault
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, Site, convert, site_of
-from otterrudder.lab.troubles import Trouble
 from otterrudder.levels import BadTable, Table, read
 
 LENGTH_MOST_S = 4 * 3600.0  # s of a day
@@ -100,7 +100,7 @@
     seed: int
     site: Site
     load: list[Part]
-    troubles: list[Trouble]
+    faults: list[Fault]
     levels: Table | None
     bare: bool
     module: tuple[tuple[str, float], ...]
@@ -170,14 +170,14 @@
     shown = ",".join(f"{name}={value:g}" for name, value in values.items())
     name = f"{case.name}[{shown}]" if shown else case.name
     load = convert(_filled(case.load, values, f"{place}.load"), list[Part], f"{place}.load")
-    troubles = convert(_filled(case.trouble, values, f"{place}.trouble"), list[Trouble], f"{place}.trouble")
+    faults = convert(_filled(case.trouble, values, f"{place}.trouble"), list[Fault], f"{place}.trouble")
     if not load:
         raise BadInput(f"{place}.load: it is empty")
     for variant in variants:
         changed = merged(merged(whole, _filled(case.site, values, f"{place}.site")), variant.site)
         site = site_of(changed, f"{site_where} as {place} and {variant.name} change it")
-        for k, trouble in enumerate(troubles, 1):
-            if any(not 0 <= number < site.server.count for number in trouble.servers):
+        for k, fault in enumerate(faults, 1):
+            if any(not 0 <= number < site.server.count for number in fault.servers):
                 raise BadInput(f"{place}.trouble[{k}].servers: there are {site.server.count}, counted from 0")
         levels = _levels(folder, variant, site)
         for seed in seeds:
@@ -189,7 +189,7 @@
                 seed,
                 site,
                 load,
-                troubles,
+                faults,
                 levels,
                 variant.bare,
                 tuple(variant.module.items()),
@@ -202,8 +202,8 @@
         return None
     try:
         return read(folder / variant.levels, site.products, site.tenants)
-    except BadTable as trouble:
-        raise BadInput(f"variant {variant.name}: {trouble}") from None
+    except BadTable as error:
+        raise BadInput(f"variant {variant.name}: {error}") from None
 
 
 def _grid(grid: dict[str, list[float]]) -> Iterator[dict[str, float]]:
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -37,7 +37,7 @@
     try:
         for name, value in run.module:
             setattr(controller, name, value)
-        return Day(run.site, run.load, run.troubles, run.levels, run.seed, run.length_s, kind).play()
+        return Day(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).play()
     finally:
         for name, value in before.items():
             setattr(controller, name, value)
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -2,7 +2,7 @@
 
 A batch is the time first, then what the runtime and the records tier said, then arrivals, the ring if it is
 due, one `done`; what comes at one instant makes one batch. The process may be killed, frozen, slowed or
-drained by troubles, and dies by itself of memory or a crowd, as the platform's would."""
+drained by faults, and dies by itself of memory or a crowd, as the platform's would."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -10,9 +10,9 @@
 
 from otterrudder.admission.interface import Idempotency, Outcome
 from otterrudder.lab.arrivals import Ask
-from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
 from otterrudder.lab.cores import Cores, Job
+from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.site import Site
 from otterrudder.levels import Ladder, LevelController, Table
@@ -56,7 +56,7 @@
         number: int,
         site: Site,
         engine: Engine,
-        below: Below,
+        below: Downstream,
         checker: Checker,
         *,
         seed: int,
@@ -292,7 +292,7 @@
         refs = len(self.core.references) * s.ref_kb
         used = (counters["held"] + counters["runs"] * s.run_factor) * s.held_kb + refs
         self.memory_peak = max(self.memory_peak, used / self.memory_most)
-        crowd = self.cores.crowd / (1 + (s.falls_at - 1) * warm)
+        crowd = self.cores.jobs_per_core / (1 + (s.falls_at - 1) * warm)
         self.crowd_peak = max(self.crowd_peak, crowd)
         why = "memory" if used > self.memory_most else "a crowd on its cores" if crowd > 1 else ""
         if why:
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -188,8 +188,8 @@
     """`told` as `kind`; BadInput names the place as msgspec knows it."""
     try:
         return msgspec.convert(told, kind)
-    except msgspec.ValidationError as trouble:
-        what, _, at = str(trouble).partition(" - at `")
+    except msgspec.ValidationError as error:
+        what, _, at = str(error).partition(" - at `")
         key = at.rstrip("`").lstrip("$").lstrip(".")
         raise BadInput(": ".join(filter(None, (where, key, what)))) from None
 
--- a/otterrudder/lab/streams.py
+++ b/otterrudder/lab/streams.py
@@ -1,4 +1,4 @@
-"""Chance, a stream for each source: one source's draws never shift another's."""
+"""Random numbers, a stream for each source: one source's draws never shift another's."""
 
 import zlib
 
@@ -6,6 +6,8 @@
 
 
 class Streams:
+    """The streams of one seed."""
+
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
@@ -15,6 +17,6 @@
 
 
 def lognormal(mean: float, cv: float) -> tuple[float, float]:
-    """The two figures that a generator's lognormal wants for this mean and coefficient of variation."""
-    sigma2 = float(np.log(1 + cv * cv))
-    return float(np.log(mean)) - sigma2 / 2, sigma2**0.5
+    """The two parameters of a lognormal distribution with this mean and coefficient of variation."""
+    variance = float(np.log(1 + cv * cv))
+    return float(np.log(mean)) - variance / 2, variance**0.5
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from otterrudder.admission.interface import Outcome
-from otterrudder.lab.below import Below
 from otterrudder.lab.claims import interval, judge
 from otterrudder.lab.cores import Cores
+from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.plan import ClaimPart, read_experiment
 from otterrudder.lab.shapes import Part, demand
@@ -91,7 +91,7 @@
 
 def test_the_tier_below_holds_to_its_slots_and_line() -> None:
     engine = Engine()
-    below = Below(engine, 2, 3, 50.0, 0.5, Streams(1).of("x"))
+    below = Downstream(engine, 2, 3, 50.0, 0.5, Streams(1).of("x"))
     heard: list[Outcome] = []
     for _ in range(7):
         below.call(heard.append)
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -9,11 +9,11 @@
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
 from otterrudder.lab.day import Bare, Day
+from otterrudder.lab.faults import Fault
 from otterrudder.lab.plan import read_experiment
 from otterrudder.lab.runner import perform, play
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, site_of
-from otterrudder.lab.troubles import Trouble
 from otterrudder.levels import read
 from otterrudder.net import core
 from otterrudder.net.core import Core
@@ -23,18 +23,18 @@
 SITE = site_of(load_toml(ROOT / "experiments/sites/intake.toml", BadInput), "intake.toml")
 TABLE = read(ROOT / "deploy/levels.toml", SITE.products, SITE.tenants)
 HARD = [Part(shape="constant", at=1.0), Part(shape="step", at=0.5, from_s=10, to_s=30)]
-RELEASE = [Trouble(kind="release", at_s=8, for_s=1, gap_s=9)]
+RELEASE = [Fault(kind="release", at_s=8, for_s=1, gap_s=9)]
 ALL = [
     *RELEASE,
-    Trouble(kind="dead", at_s=25, for_s=4, servers=[1]),
-    Trouble(kind="freeze", at_s=30, for_s=0.8, servers=[0]),
-    Trouble(kind="below", at_s=5, for_s=20, size=0.1),
-    Trouble(kind="slow", at_s=33, for_s=10, servers=[0]),
+    Fault(kind="dead", at_s=25, for_s=4, servers=[1]),
+    Fault(kind="freeze", at_s=30, for_s=0.8, servers=[0]),
+    Fault(kind="below", at_s=5, for_s=20, size=0.1),
+    Fault(kind="slow", at_s=33, for_s=10, servers=[0]),
 ]
 
 
-def day(troubles: list[Trouble], levels: object = TABLE, seed: int = 3, load=HARD, site=SITE):
-    return Day(site, load, troubles, levels, seed, 45.0).play()
+def day(faults: list[Fault], levels: object = TABLE, seed: int = 3, load=HARD, site=SITE):
+    return Day(site, load, faults, levels, seed, 45.0).play()
 
 
 @pytest.mark.parametrize("levels", [None, TABLE], ids=["none", "levels"])
@@ -80,7 +80,7 @@
         at._decline(request, False, 0.0)
 
     monkeypatch.setitem(core._REQUEST_COMMANDS, commands.FailRequest, declines)
-    slow = [Trouble(kind="slow", at_s=2, for_s=40, times=40.0)]
+    slow = [Fault(kind="slow", at_s=2, for_s=40, times=40.0)]
     assert any("rule 2" in what and "declined" in what for what in day(slow).broken)
 
 
@@ -94,7 +94,7 @@
     monkeypatch.setattr(Expiry, "step_down", never_stops_taking)
     late = msgspec.structs.replace(SITE.gateways, notice_ms=9000.0)
     site = msgspec.structs.replace(SITE, gateways=late)
-    found = day([Trouble(kind="release", at_s=8, for_s=1)], site=site).broken
+    found = day([Fault(kind="release", at_s=8, for_s=1)], site=site).broken
     assert any("rule 3" in what for what in found)
 
 
