--- /dev/null
+++ b/tests/fleet/test_stored_bytes.py
@@ -0,0 +1,391 @@
+"""Bytes that an earlier release wrote to the store and the state directory stay readable, and the same.
+
+The literals were written by the release before the move to the field's terms. Only the names of imported
+classes and functions, and the table of them at the top, may follow a rename: the literals may not."""
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from otterrudder.durable.folder import Folder, seal, unseal
+from otterrudder.fleet import commits
+from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.change import propose, settle, strike, try_out, withdraw
+from otterrudder.fleet.configuration import Fleet
+from otterrudder.fleet.queue import enqueue, leave_queue, open_first
+from otterrudder.fleet.records import (
+    Change,
+    Keys,
+    Live,
+    PolicyHead,
+    Queued,
+    Roster,
+    Settled,
+    Trial,
+    View,
+    Vote,
+    decode,
+    digest_of,
+    encode,
+)
+from otterrudder.fleet.state import Open, Record, Rules, Seen
+from otterrudder.fleet.store import Entry, Snapshot
+
+# What each stored record is read as.
+TYPES: dict[str, Any] = {
+    "trial": Trial,
+    "policy": PolicyHead,
+    "change": Change,
+    "queued": Queued,
+    "settled": Settled,
+    "roster": Roster,
+    "live": Live,
+    "vote": Vote,
+}
+STATE_TYPE = Record
+
+TRIAL = (
+    b'{"change":"c-6","version":6,"back":"d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0","span_ms":60000.0,'
+    b'"conditions":[["busy",0.9],["rejected",0.25]]}'
+)
+CHANGE = (
+    b'{"id":"c-7","version":7,"digest":"abababababababababababababababab","author":"ann",'
+    b'"note":"more calls","at":1700000000123.5,"deadline_ms":20000.0,"trial":' + TRIAL + b"}"
+)
+POLICY = (
+    b'{"version":6,"change":"c-6","digest":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6","author":"ann",'
+    b'"note":"more calls","at":1700000000123.5}'
+)
+QUEUED = (
+    b'{"id":"c-8","digest":"abababababababababababababababab","author":"ann","note":"note","at":12.0,'
+    b'"deadline_ms":5000.0,"base":"cdcdcdcdcdcdcdcdcdcdcdcdcdcdcdcd","trial_ms":60000.0,'
+    b'"conditions":[["busy",0.9]]}'
+)
+ABORTED = (
+    b'{"id":"c-7","version":7,"digest":"abababababababababababababababab","committed":false,'
+    b'"why":"s1: no","author":"ann","note":"note","left_out":["s2","s3"]}'
+)
+LIVE = (
+    b'{"epoch":"e1e1e1e1e1e1e1e1","program":"4.2.0","zone":"north","version":7,'
+    b'"digest":"abababababababababababababababab","state":"serving","products":["BALANCE","PAYMENT"],'
+    b'"figures":[["busy",0.5]],"relay":"10.0.0.1:9000"}'
+)
+
+WHOLE = [
+    ("trial", TRIAL),
+    ("policy", POLICY),
+    ("policy", b'{"version":1,"change":"c-1","digest":"abababababababababababababababab"}'),
+    ("change", CHANGE),
+    ("change", b'{"id":"c-1","version":1,"digest":"abababababababababababababababab","author":""}'),
+    ("queued", QUEUED),
+    ("queued", b'{"id":"c-8"}'),
+    ("settled", ABORTED),
+    ("settled", b'{"id":"c-7","version":7,"digest":"abababababababababababababababab","committed":true}'),
+    ("roster", b'{"folder":"f0f0f0f0f0f0f0f0","absent":"leave-out"}'),
+    ("roster", b'{"folder":"f0f0f0f0f0f0f0f0","absent":"wait"}'),
+    ("live", LIVE),
+    ("live", b'{"epoch":"e1e1e1e1e1e1e1e1"}'),
+    ("vote", b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}'),
+    ("vote", b'{"yes":false,"why":"s1: levels: no such","epoch":"e1e1e1e1e1e1e1e1"}'),
+    ("vote", b'{"yes":true}'),
+]
+
+STATE = (
+    b'{"name":"s1","folder":"f0f0f0f0f0f0f0f0","known":{"version":7,"change":"c-7",'
+    b'"digest":"abababababababababababababababab","text":"version = 1\\n# \xc3\xa9\\n"},'
+    b'"pledge":{"change":"c-8","created":42},"joined":true,"cluster":51966,"revision":41,"waited":true}'
+)
+STATE_FILE = b"otterrudder-state 1 248 f12080bd\n" + STATE
+NEW_STATE = (
+    b'{"name":"s1","folder":"f0f0f0f0f0f0f0f0","known":{"version":0,"change":"","digest":"","text":""},'
+    b'"pledge":null,"joined":false,"cluster":0,"revision":0,"waited":false}'
+)
+NEW_STATE_FILE = b"otterrudder-state 1 166 4724643d\n" + NEW_STATE
+
+KEYS = Keys("bank")
+TEXT = "version = 1\n"
+TEXT_DIGEST = "e4db8edaacbe94515506b9adb3095a00"
+
+
+def view_of(**stored: bytes) -> Any:
+    """A snapshot at revision 99 of these keys, each made at revision 10 and written last at revision 20. A
+    double underscore stands for a slash."""
+    keys = {f"bank/{key.replace('__', '/')}": value for key, value in stored.items()}
+    return View(KEYS, Snapshot(0xCAFE, 99, {key: Entry(value, 10, 20) for key, value in keys.items()}))
+
+
+def written(commit: Any) -> list[Any]:
+    """What a commit does, as plain tuples: its compares, and then its writes."""
+    return [*map(tuple, commit.compares), *map(tuple, commit.writes)]
+
+
+@pytest.mark.parametrize(("kind", "data"), WHOLE)
+def test_a_stored_record_is_read_and_written_as_before(kind: str, data: bytes) -> None:
+    record = decode(data, TYPES[kind])
+    assert encode(record) == data
+    assert json.loads(json.dumps(msgspec.to_builtins(record))) == json.loads(data)
+
+
+@pytest.mark.parametrize(("kind", "data"), WHOLE)
+def test_a_field_of_a_newer_release_is_passed_over(kind: str, data: bytes) -> None:
+    assert encode(decode(data[:-1] + b',"of_a_newer_release":1}', TYPES[kind])) == data
+
+
+@pytest.mark.parametrize(
+    ("kind", "data", "wanted"),
+    [
+        ("vote", b'{"why":"no answer to the question"}', "yes"),
+        ("change", b'{"version":7,"digest":"ab","author":""}', "id"),
+        ("roster", b'{"folder":"f0"}', "absent"),
+        ("settled", b'{"id":"c-7","version":7,"digest":"ab"}', "committed"),
+        ("live", b"{}", "epoch"),
+        ("trial", b'{"change":"c","version":1,"span_ms":1.0,"conditions":[]}', "back"),
+    ],
+)
+def test_a_record_without_a_required_field_is_refused_by_its_name(
+    kind: str, data: bytes, wanted: str
+) -> None:
+    with pytest.raises(msgspec.ValidationError, match=f"`{wanted}`"):
+        decode(data, TYPES[kind])
+
+
+def test_the_keys_are_as_before() -> None:
+    assert [
+        KEYS.head,
+        KEYS.policy,
+        KEYS.change,
+        KEYS.settled,
+        KEYS.trial,
+        KEYS.leader,
+        KEYS.joined,
+        KEYS.opening,
+        KEYS.text("d"),
+        KEYS.queued("i"),
+        KEYS.roster("n"),
+        KEYS.live("n"),
+        KEYS.vote("n"),
+    ] == [
+        "bank/head/",
+        "bank/head/policy",
+        "bank/head/change",
+        "bank/head/settled",
+        "bank/head/trial",
+        "bank/head/leader",
+        "bank/joined",
+        "bank/opening",
+        "bank/text/d",
+        "bank/queue/i",
+        "bank/roster/n",
+        "bank/live/n",
+        "bank/vote/n",
+    ]
+    assert digest_of(TEXT) == TEXT_DIGEST
+
+
+def fleet_of(folder: Path) -> Any:
+    return Fleet("bank", (), Rules(), folder, "", None, None, None)
+
+
+@pytest.mark.parametrize(("file", "state"), [(STATE_FILE, STATE), (NEW_STATE_FILE, NEW_STATE)])
+def test_a_state_file_is_read_and_written_as_before(tmp_path: Path, file: bytes, state: bytes) -> None:
+    (tmp_path / "member").write_bytes(file)
+    folder, record = open_folder(fleet_of(tmp_path), "s1")
+    assert folder and isinstance(record, STATE_TYPE)
+    assert msgspec.json.encode(record) == state
+    folder.write("member", msgspec.json.encode(record))
+    folder.close()
+    assert (tmp_path / "member").read_bytes() == file
+    assert sorted(path.name for path in tmp_path.iterdir()) == ["lock", "member"]
+
+
+def test_a_state_file_may_lack_what_has_a_default(tmp_path: Path) -> None:
+    """An earlier release had no `waited`; the oldest had only what names the directory."""
+    for old, new in [
+        (b'{"name":"s1","folder":"f0f0f0f0f0f0f0f0"}', NEW_STATE),
+        (STATE.replace(b',"waited":true', b""), STATE.replace(b'"waited":true', b'"waited":false')),
+        (STATE[:-1] + b',"of_a_newer_release":1}', STATE),
+    ]:
+        (tmp_path / "member").write_bytes(seal(old))
+        folder, record = open_folder(fleet_of(tmp_path), "s1")
+        assert folder and msgspec.json.encode(record) == new
+        folder.close()
+
+
+@pytest.mark.parametrize("file", [STATE_FILE[:-1], STATE, b"", STATE_FILE.replace(b"state 1", b"state 2")])
+def test_a_state_file_that_is_torn_or_another_s_is_kept_beside(tmp_path: Path, file: bytes) -> None:
+    (tmp_path / "member").write_bytes(file)
+    folder, record = open_folder(fleet_of(tmp_path), "s1")
+    assert folder and record is None
+    folder.close()
+    assert (tmp_path / "member.bad").read_bytes() == file
+
+
+def test_a_state_file_of_another_name_is_kept_beside(tmp_path: Path) -> None:
+    (tmp_path / "member").write_bytes(STATE_FILE)
+    folder, record = open_folder(fleet_of(tmp_path), "s2")
+    assert folder and record is None
+    folder.close()
+    assert (tmp_path / "member.bad").read_bytes() == STATE_FILE
+
+
+def test_the_form_of_a_state_file_is_as_before(tmp_path: Path) -> None:
+    assert seal(STATE) == STATE_FILE
+    assert unseal(STATE_FILE, "member") == STATE
+    folder = Folder(tmp_path)
+    folder.take()
+    assert {path.name for path in tmp_path.iterdir()} == {"lock"}
+    folder.close()
+
+
+def test_what_a_member_writes_is_as_before() -> None:
+    live, roster = decode(LIVE, TYPES["live"]), decode(WHOLE[9][1], TYPES["roster"])
+    seen = Seen(99, None, None, None, 0, None, 0, False, None)
+    assert written(commits.register(KEYS, "s1", live, roster, seen, 77)) == [
+        ("bank/live/s1", "created", 0),
+        ("bank/roster/s1", "modified", 0),
+        ("bank/live/s1", LIVE, 77),
+        ("bank/joined", b"s1", 0),
+        ("bank/roster/s1", WHOLE[9][1], 0),
+    ]
+    ballot = decode(b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', TYPES["vote"])
+    assert written(commits.vote(KEYS, "s1", Open("c-7", 7, "ab", 10), 33, ballot)) == [
+        ("bank/head/change", "created", 10),
+        ("bank/live/s1", "created", 33),
+        ("bank/vote/s1", "created", 0),
+        ("bank/vote/s1", b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', 0),
+    ]
+    assert written(commits.tell(KEYS, "s1", live, 33, 77)) == [
+        ("bank/live/s1", "created", 33),
+        ("bank/live/s1", LIVE, 77),
+    ]
+
+
+def test_what_a_proposer_writes_is_as_before() -> None:
+    conditions = (("busy", 0.9),)
+    commit = propose(view_of(head__policy=POLICY), "c-9", TEXT, "ann", "why", 5.0, 9000.0, 60.0, conditions)
+    assert written(commit) == [
+        ("bank/head/change", "created", 0),
+        ("bank/head/policy", "modified", 20),
+        (
+            "bank/head/change",
+            b'{"id":"c-9","version":7,"digest":"e4db8edaacbe94515506b9adb3095a00","author":"ann",'
+            b'"note":"why","at":5.0,"deadline_ms":9000.0,"trial":{"change":"c-9","version":7,'
+            b'"back":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6","span_ms":60.0,"conditions":[["busy",0.9]]}}',
+            0,
+        ),
+        ("bank/text/e4db8edaacbe94515506b9adb3095a00", b"version = 1\n", 0),
+        ("bank/opening", b"version = 1\n", 0),
+    ]
+
+
+def test_what_the_queue_writes_is_as_before() -> None:
+    entry = decode(b'{"id":"c-8","author":"ann","base":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6"}', TYPES["queued"])
+    stored = (
+        b'{"id":"c-8","digest":"e4db8edaacbe94515506b9adb3095a00","author":"ann",'
+        b'"base":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6"}'
+    )
+    assert written(enqueue(view_of(head__policy=POLICY), entry, TEXT)) == [
+        ("bank/queue/c-8", "created", 0),
+        ("bank/queue/c-8", stored, 0),
+        ("bank/text/e4db8edaacbe94515506b9adb3095a00", b"version = 1\n", 0),
+    ]
+    waiting = {"head__policy": POLICY, "queue__c-8": stored}
+    opened = open_first(view_of(**waiting))
+    assert opened and written(opened) == [
+        ("bank/head/change", "created", 0),
+        ("bank/head/policy", "modified", 20),
+        ("bank/queue/c-8", "modified", 20),
+        (
+            "bank/head/change",
+            b'{"id":"c-8","version":7,"digest":"e4db8edaacbe94515506b9adb3095a00","author":"ann"}',
+            0,
+        ),
+        ("bank/queue/c-8", False),
+    ]
+    assert written(leave_queue(view_of(**waiting), "c-8")) == [
+        ("bank/queue/c-8", "modified", 20),
+        ("bank/head/settled", "modified", 0),
+        (
+            "bank/head/settled",
+            b'[{"id":"c-8","version":0,"digest":"e4db8edaacbe94515506b9adb3095a00","committed":false,'
+            b'"why":"withdrawn before its turn","author":"ann"}]',
+            0,
+        ),
+        ("bank/queue/c-8", False),
+    ]
+    stale = stored.replace(b"d6d6d6d6d6d6d6d6", b"d5d5d5d5d5d5d5d5")
+    dropped = open_first(view_of(head__policy=POLICY, **{"queue__c-8": stale}))
+    assert dropped and written(dropped)[-2] == (
+        "bank/head/settled",
+        b'[{"id":"c-8","version":0,"digest":"e4db8edaacbe94515506b9adb3095a00","committed":false,'
+        b'"why":"it was made from policy d5d5d5d5d5d5, which is not in force at its turn","author":"ann"}]',
+        0,
+    )
+
+
+def test_what_ends_a_change_writes_is_as_before() -> None:
+    view = view_of(
+        head__policy=POLICY,
+        head__change=CHANGE,
+        head__settled=b"[" + ABORTED + b"]",
+        joined=b"s1",
+        roster__s1=b'{"folder":"f0f0f0f0f0f0f0f0","absent":"wait"}',
+        vote__s1=b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}',
+    )
+    committed = settle(view, False)
+    assert committed and written(committed) == [
+        ("bank/head/change", "modified", 20),
+        ("bank/joined", "modified", 20),
+        (
+            "bank/head/settled",
+            b"[" + ABORTED + b',{"id":"c-7","version":7,"digest":"abababababababababababababababab",'
+            b'"committed":true,"author":"ann","note":"more calls"}]',
+            0,
+        ),
+        ("bank/head/change", False),
+        ("bank/opening", False),
+        ("bank/vote/", True),
+        (
+            "bank/head/policy",
+            b'{"version":7,"change":"c-7","digest":"abababababababababababababababab","author":"ann",'
+            b'"note":"more calls","at":1700000000123.5}',
+            0,
+        ),
+        ("bank/head/trial", TRIAL, 0),
+    ]
+    withdrawn = written(withdraw(view, "c-7", "enough"))
+    assert withdrawn[0] == ("bank/head/change", "modified", 20)
+    assert (
+        "bank/head/settled",
+        b"[" + ABORTED + b',{"id":"c-7","version":7,"digest":"abababababababababababababababab",'
+        b'"committed":false,"why":"enough","author":"ann","note":"more calls"}]',
+        0,
+    ) in withdrawn
+    assert written(strike(view, "s1")) == [
+        ("bank/roster/s1", "modified", 20),
+        ("bank/live/s1", "created", 0),
+        ("bank/roster/s1", False),
+    ]
+
+
+def test_what_ends_a_trial_writes_is_as_before() -> None:
+    live = LIVE.replace(b'"version":7', b'"version":6').replace(b'["busy",0.5]', b'["busy",0.95]')
+    view = view_of(head__policy=POLICY, head__trial=TRIAL, live__s1=live)
+    over, strikes = try_out(view, 60000.0, 1)
+    assert over and strikes == 0
+    assert written(over) == [("bank/head/trial", "modified", 20), ("bank/head/trial", False)]
+    back, strikes = try_out(view, 10.0, 2)
+    assert back and strikes == 0
+    assert written(back) == [
+        ("bank/head/change", "created", 0),
+        ("bank/head/policy", "modified", 20),
+        (
+            "bank/head/change",
+            b'{"id":"back-c-6","version":7,"digest":"d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0","author":"the fleet",'
+            b'"note":"trial of version 6 ended: busy 0.95 > 0.9","at":1700000000123.5}',
+            0,
+        ),
+    ]
