--- a/otterrudder/fleet/assembly.py
+++ b/otterrudder/fleet/assembly.py
@@ -102,8 +102,8 @@
 ) -> "CellAgent":
     """A server of a cell: its relay is a member in its place."""
     from otterrudder.fleet.cell.agent import CellAgent
-    from otterrudder.fleet.cell.kind import kind_of
+    from otterrudder.fleet.cell.fingerprint import server_fingerprint
 
-    kind = kind_of(own)
+    kind = server_fingerprint(own)
     log.info("of a cell", fleet=fleet.name, relays=fleet.relays, lease_ms=fleet.server_lease_ms, kind=kind)
     return CellAgent(fleet, name, kind, checker.check, orders)
--- a/tests/fleet/test_cell_stored_bytes.py
+++ b/tests/fleet/test_cell_stored_bytes.py
@@ -10,7 +10,7 @@
 from cell_harness import Harness
 
 from otterrudder.fleet.cell.configuration import RelayTable
-from otterrudder.fleet.cell.kind import kind_of as server_fingerprint
+from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import decode_from_peer, decode_from_relay, decode_from_server, encode
 from otterrudder.fleet.cell.relay import CellIdentity
 from otterrudder.fleet.cell.wire import CONSENT as CONSENT_METHOD
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -5,7 +5,7 @@
 import subprocess
 import time
 from collections.abc import AsyncIterator, Callable, Iterator
-from dataclasses import replace
+from dataclasses import fields, replace
 from pathlib import Path
 from typing import Any
 
@@ -17,12 +17,13 @@
 from helpers import ROOT
 
 from otterrudder import clock
-from otterrudder.admission.interface import Tenant
+from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
 from otterrudder.cli.fleet import fleet as fleet_command
 from otterrudder.configuration import BadConfiguration
 from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.cell import fingerprint
 from otterrudder.fleet.cell.agent import CellAgent
-from otterrudder.fleet.cell.kind import kind_of
+from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import (
     AskConsent,
     Consent,
@@ -437,11 +438,26 @@
         check_descriptors(1000)
 
 
+def test_a_fingerprint_covers_each_field_of_a_configuration() -> None:
+    request_class = RequestClass("a", Idempotency.SAFE, 1.0, 10.0, 20.0)
+    for value, keys in (
+        (Own((), ()), fingerprint._configuration_fields(Own((), ()))),
+        (request_class, fingerprint._request_class_fields(request_class)),
+        (Tenant("t", 0.5), fingerprint._tenant_fields(Tenant("t", 0.5))),
+        (Limits(), fingerprint._limits_fields(Limits())),
+    ):
+        assert len(keys) == len(fields(value))
+
+
 def test_a_kind_is_what_a_server_judges_by() -> None:
     own = Own((), (Tenant("t", 0.5, 1.0),), 3)
-    assert kind_of(own) == kind_of(Own((), (Tenant("t", 0.5, 1.0),), 3))
+    assert server_fingerprint(own) == server_fingerprint(Own((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
-    kinds = [kind_of(own), kind_of(own, "another program"), *map(kind_of, others)]
+    kinds = [
+        server_fingerprint(own),
+        server_fingerprint(own, "another program"),
+        *map(server_fingerprint, others),
+    ]
     assert len(set(kinds)) == len(kinds)
 
 
