--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -18,7 +18,7 @@
 from otterrudder.lab.streams import Streams
 from otterrudder.lab.troubles import Notice, Timeline, Trouble
 from otterrudder.levels import Bound, Damping, Ladder, Rung, Table
-from otterrudder.levels.ladder import FULL
+from otterrudder.levels.selector import FULL
 
 SWEEP_MS = 1000.0  # ms between looks of the checker for what is overdue
 AFTER_MS = 12_000.0  # ms played past the last arrival: longer than any expiry, so that nothing is left open
--- a/otterrudder/levels/__init__.py
+++ b/otterrudder/levels/__init__.py
@@ -5,7 +5,7 @@
 knows a clock or draws chance; the decision module alone enforces a level (`AdmissionController.reduce`)."""
 
 from otterrudder.levels.controller import LevelController, LevelUpdate
-from otterrudder.levels.ladder import Bound, Damping, Ladder, Move, Reason, Rung
+from otterrudder.levels.selector import Bound, Damping, Ladder, Move, Reason, Rung
 from otterrudder.levels.table import BadTable, Table, parse, read
 
 __all__ = [
--- a/otterrudder/levels/controller.py
+++ b/otterrudder/levels/controller.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from otterrudder.admission.interface import ServiceLevel
-from otterrudder.levels.ladder import FULL, Ladder, Move
+from otterrudder.levels.selector import FULL, Ladder, Move
 from otterrudder.levels.table import Table
 
 
--- a/otterrudder/levels/table.py
+++ b/otterrudder/levels/table.py
@@ -21,7 +21,7 @@
     ServiceLevel,
     Tenant,
 )
-from otterrudder.levels.ladder import FULL, Bound, Damping, Rung
+from otterrudder.levels.selector import FULL, Bound, Damping, Rung
 
 VERSION = 1  # of the form; another one is refused, not guessed at
 LEVELS_MOST = 16  # levels in a table: more than anybody can tell apart at night
