--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -21,8 +21,7 @@
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.policy import own_of
 from otterrudder.fleet.policy import parse as parse_policy
-from otterrudder.levels import Table
-from otterrudder.levels.table import parse as parse_levels
+from otterrudder.levels import LevelTable, parse_table
 
 TABLE_SIZES = (500, 1_000, 2_000, 4_000, 8_000)
 CONFIGURATION_SIZES = (1_000, 3_000, 10_000, 30_000, 100_000)
@@ -31,9 +30,9 @@
 TXNS = 4_000
 
 
-def _table(products: int, tenants: int) -> Table:
+def _table(products: int, tenants: int) -> LevelTable:
     settings = settings_of(products, tenants)
-    return parse_levels(levels_text(products), products_of(settings), tenants_of(settings))
+    return parse_table(levels_text(products), products_of(settings), tenants_of(settings))
 
 
 def _levels_of(name: str, sizes: tuple[int, ...], target: int) -> list[Slope]:
@@ -42,7 +41,7 @@
     for n in sizes:
         products, tenants = (n, FEW) if name == "products" else (FEW, n)
         settings, text = settings_of(products, tenants), levels_text(products)
-        read = partial(parse_levels, text, products_of(settings), tenants_of(settings))
+        read = partial(parse_table, text, products_of(settings), tenants_of(settings))
         seconds.append(cpu_s(read, 2))
         kept.append(memory_of(read).kept_mb)
     series = Series("levels", f"{name}, with {FEW} of the other", sizes, target)
@@ -54,7 +53,7 @@
 def levels(quick: bool) -> list[Slope]:
     sizes, requests = (SIZES_QUICK, 20) if quick else (TABLE_SIZES, TXNS)
     found = [*_levels_of("products", sizes, size.ROUTES), *_levels_of("tenants", sizes, size.TENANTS)]
-    request = [txn_us(n, FEW, requests, _table(n, FEW).rungs[0].relief) for n in sizes]
+    request = [txn_us(n, FEW, requests, _table(n, FEW).levels[0].service_level) for n in sizes]
     series = Series("levels", f"products, with {FEW} tenants", sizes, size.ROUTES)
     series.add(
         "txn by products", "arrival to done with a level in force, us", PROCESS_TIME, request, ADDED_US
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -15,16 +15,18 @@
 from otterrudder.admission.interface import Outcome  # noqa: E402
 from otterrudder.files import load_toml  # noqa: E402
 from otterrudder.lab.site import BadInput, Site, site_of  # noqa: E402
-from otterrudder.levels import LevelController, Table, read  # noqa: E402
+from otterrudder.levels import LevelController, LevelTable, read_table  # noqa: E402
 from otterrudder.net.core import Core  # noqa: E402
 
 PER_RING = 8  # requests between rings: 200 a second at 25 rings, what a server of the platform gets
 TABLE_OF = {"no levels": "", "levels, full service": "full", "levels, one in force": "checks-when-free"}
 
 
-def served(loops: int, site: Site, table: Table | None, start: str) -> float:
+def served(loops: int, site: Site, table: LevelTable | None, start: str) -> float:
     """Seconds for `loops` requests from arrival to answer, one in hand at a time, rings between."""
-    controller = LevelController(Table(table.rungs, table.damping, False, start), 0.0) if table else None
+    controller = (
+        LevelController(LevelTable(table.levels, table.damping, False, start), 0.0) if table else None
+    )
     core = Core(site.create_controller(1, 1), site.products, ["busy", "on_cores"], controller)
     now = 0.0
     core.at(now + 1e12, now)
@@ -65,7 +67,7 @@
 
 def main() -> None:
     site = site_of(load_toml(ROOT / "experiments/sites/intake.toml", BadInput), "intake.toml")
-    table = read(ROOT / "deploy/levels.toml", site.products, site.tenants)
+    table = read_table(ROOT / "deploy/levels.toml", site.products, site.tenants)
     runner = pyperf.Runner()
     for name, start in TABLE_OF.items():
         runner.bench_time_func(name, served, site, table if start else None, start)
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -1,28 +1,29 @@
-"""levels: look at a table of reduced service before a server does."""
+"""`otterrudder levels`: check and show a table of levels, and replay recorded facts through it."""
 
 import csv
 import os
 import tomllib
+from collections.abc import Iterator
+from dataclasses import dataclass, field
 from pathlib import Path
 
 import click
 
 from otterrudder.admission.factory import products_of, tenants_of
-from otterrudder.admission.interface import RequestClass, RestrictionKind, Tenant
+from otterrudder.admission.interface import RequestClass, Restriction, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
-from otterrudder.levels import BadTable, Ladder, Rung, Table, read
-from otterrudder.levels.table import FACTS
+from otterrudder.levels import Level, LevelSelector, LevelTable, LevelTableError, Transition, read_table
+from otterrudder.levels.facts import FACTS
 
-AGAINST = click.option(
+CONFIG_OPTION = click.option(
     "--config",
     "config",
     metavar="FILE",
-    help="Configuration whose names it is for; else NODE_CONFIG's, else the table's own.",
+    help="Configuration whose names the table uses; by default NODE_CONFIG's, else the table's own names.",
 )
 
-
-_DOES = {
+RESTRICTION_TEXTS = {
     RestrictionKind.OMIT: "runs without its call",
     RestrictionKind.SPARE: "runs where a slot is free, and is never held",
     RestrictionKind.ESTABLISHED: "newcomers are declined",
@@ -30,128 +31,173 @@
 }
 
 
+@dataclass(frozen=True, slots=True)
+class FactSample:
+    """One row of recorded facts."""
+
+    at_ms: float
+    facts: dict[str, float]
+
+
+@dataclass(slots=True)
+class ReplaySummary:
+    """What a replay counts: transitions and the time on each level."""
+
+    transitions: int = 0
+    ms_by_level: dict[str, float] = field(default_factory=dict)
+
+    def add_time(self, level: str, span_ms: float) -> None:
+        """Adds time on a level."""
+        self.ms_by_level[level] = self.ms_by_level.get(level, 0.0) + span_ms
+
+    def line(self) -> str:
+        """The last line that `replay` prints."""
+        total_ms = sum(self.ms_by_level.values()) or 1.0
+        shares = ", ".join(f"{name} {span_ms / total_ms:.1%}" for name, span_ms in self.ms_by_level.items())
+        return f"{self.transitions} transitions in {total_ms / 1000:.0f} s; {shares}"
+
+
 @click.group()
 def levels() -> None:
-    """Tables of reduced service: check and show them, and play recorded facts through them."""
+    """Tables of reduced service: check and show them, and replay recorded facts through them."""
 
 
 @levels.command()
 @click.argument("file")
-@AGAINST
+@CONFIG_OPTION
 def check(file: str, config: str | None) -> None:
-    """Say what is wrong with FILE, if anything."""
+    """Check the table in FILE."""
     table = _table(file, config)
-    click.echo(f"{file}: good: {len(table.rungs)} levels, {'shadow' if table.is_shadow else 'enforced'}")
+    click.echo(f"{file}: good: {len(table.levels)} levels, {'shadow' if table.is_shadow else 'enforced'}")
 
 
 @levels.command()
 @click.argument("file")
-@AGAINST
+@CONFIG_OPTION
 def show(file: str, config: str | None) -> None:
-    """Say in words when each level of FILE comes and goes and what it does."""
-    products, tenants = _known(file, config)
-    for n, rung in enumerate(_table(file, config).rungs, 1):
-        for line in _words(n, rung, products, tenants):
+    """Describe when each level of FILE is entered and left, and what it restricts."""
+    request_classes, tenants = _names(file, config)
+    for number, level in enumerate(_table(file, config).levels, 1):
+        for line in _description(number, level, request_classes, tenants):
             click.echo(line)
 
 
 @levels.command()
 @click.argument("file")
 @click.argument("facts")
-@AGAINST
+@CONFIG_OPTION
 def replay(file: str, facts: str, config: str | None) -> None:
-    """Play recorded FACTS (CSV: at_ms, then a column a fact; empty = not known) through the ladder of FILE.
+    """Replay recorded FACTS (CSV: at_ms, then a column per fact; empty = unknown) through the levels of FILE.
 
-    Prints each transition and the share of time on each level: what other thresholds would have done."""
+    Prints each transition and the share of time on each level, to compare thresholds."""
     table = _table(file, config)
-    ladder = Ladder(table.rungs, table.damping, start=table.start)
-    spent: dict[str, float] = {}
-    moves, first, last = 0, None, 0.0
-    for at, known in _recorded(facts):
-        if first is None:
-            first = last = at
-        spent[ladder.name] = spent.get(ladder.name, 0.0) + at - last
-        last = at
-        if move := ladder.step(at, known):
-            moves += 1
-            why = ", ".join(f"{r.fact} {r.value:.3g} ({r.bound:g})" for r in move.readings)
-            when = f"{(at - first) / 1000:9.1f} s"
-            click.echo(f"{when}  {move.left} -> {move.entered}  {move.reason.value}: {why}")
-    whole = sum(spent.values()) or 1.0
-    shares = ", ".join(f"{name} {ms / whole:.1%}" for name, ms in spent.items())
-    click.echo(f"{moves} transitions in {whole / 1000:.0f} s; {shares}")
-
-
-def _recorded(path: str) -> list[tuple[float, dict[str, float]]]:
-    rows = []
+    selector = LevelSelector(table.levels, table.damping, start=table.start)
+    samples = _read_samples(facts)
+    summary = ReplaySummary()
+    previous_ms = samples[0].at_ms if samples else 0.0
+    for sample in samples:
+        summary.add_time(selector.name, sample.at_ms - previous_ms)
+        previous_ms = sample.at_ms
+        if transition := selector.step(sample.at_ms, sample.facts):
+            summary.transitions += 1
+            click.echo(_transition_line(transition, sample.at_ms - samples[0].at_ms))
+    click.echo(summary.line())
+
+
+def _transition_line(transition: Transition, elapsed_ms: float) -> str:
+    readings = ", ".join(
+        f"{reading.fact} {reading.value:.3g} ({reading.threshold:g})" for reading in transition.readings
+    )
+    return (
+        f"{elapsed_ms / 1000:9.1f} s  {transition.previous} -> {transition.entered}  "
+        f"{transition.reason.value}: {readings}"
+    )
+
+
+def _read_samples(path: str) -> list[FactSample]:
+    """The rows of a CSV file of facts, in time order."""
     try:
         with Path(path).open(newline="") as file:
-            reader = csv.DictReader(file)
-            unknown = set(reader.fieldnames or ()) - {"at_ms", *FACTS}
-            if unknown or "at_ms" not in (reader.fieldnames or ()):
-                wrong = ", ".join(sorted(unknown)) or "without at_ms"
-                give_up(f"{path}: columns are at_ms and {', '.join(FACTS)}, not {wrong}")
-            for n, row in enumerate(reader, 2):
-                try:
-                    numbers = {name: float(value) for name, value in row.items() if value}
-                    rows.append((numbers.pop("at_ms"), numbers))
-                except (KeyError, TypeError, ValueError):
-                    give_up(f"{path}: line {n}: not numbers by the columns' names")
-    except (OSError, UnicodeDecodeError) as trouble:
-        give_up(f"cannot read {path}: {trouble}")
-    if any(later[0] < earlier[0] for earlier, later in zip(rows, rows[1:], strict=False)):
+            samples = list(_parse_samples(path, csv.DictReader(file)))
+    except (OSError, UnicodeDecodeError) as error:
+        give_up(f"cannot read {path}: {error}")
+    if any(later.at_ms < earlier.at_ms for earlier, later in zip(samples, samples[1:], strict=False)):
         give_up(f"{path}: at_ms goes back")
-    return rows
+    return samples
 
 
-def _table(file: str, config: str | None) -> Table:
-    products, tenants = _known(file, config)
-    try:
-        return read(file, products, tenants)
-    except BadTable as trouble:
-        give_up(trouble)
+def _parse_samples(path: str, reader: "csv.DictReader[str]") -> Iterator[FactSample]:
+    columns = set(reader.fieldnames or ())
+    unknown = columns - {"at_ms", *FACTS}
+    if unknown or "at_ms" not in columns:
+        found = ", ".join(sorted(unknown)) or "without at_ms"
+        give_up(f"{path}: columns are at_ms and {', '.join(FACTS)}, not {found}")
+    for line, row in enumerate(reader, 2):
+        try:
+            numbers = {name: float(value) for name, value in row.items() if value}
+            yield FactSample(numbers.pop("at_ms"), numbers)
+        except (KeyError, TypeError, ValueError):
+            give_up(f"{path}: line {line}: not numbers by the columns' names")
 
 
-def _known(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
-    """The products and tenants that a table is checked against."""
-    path = config or os.environ.get(CONFIGURATION_VARIABLE)
-    if path:
-        try:
-            settings = read_configuration(path).settings
-        except BadConfiguration as trouble:
-            give_up(trouble)
-        return products_of(settings), tenants_of(settings)
-    return _named_in(file)
+def _table(file: str, config: str | None) -> LevelTable:
+    request_classes, tenants = _names(file, config)
+    try:
+        return read_table(file, request_classes, tenants)
+    except LevelTableError as error:
+        give_up(error)
 
 
-def _named_in(file: str) -> tuple[list[RequestClass], list[Tenant]]:
+def _names(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
+    """The request classes and tenants that a table is checked against."""
+    path = config or os.environ.get(CONFIGURATION_VARIABLE)
+    if not path:
+        return _names_in_table(file)
     try:
-        whole = tomllib.loads(Path(file).read_text("utf-8"))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
-        give_up(f"cannot read {file}: {trouble}")
-    return named_in(cut for level in tables_in(whole, "level") for cut in tables_in(level, "cut"))
+        settings = read_configuration(path).settings
+    except BadConfiguration as error:
+        give_up(error)
+    return products_of(settings), tenants_of(settings)
 
 
-def _words(n: int, rung: Rung, products: list[RequestClass], tenants: list[Tenant]) -> list[str]:
-    joined = " and " if rung.needs_all else " or "
-    entry = joined.join(f"{bound.fact} >= {bound.value:g}" for bound in rung.entry)
-    leave = " and ".join(f"{bound.fact} <= {bound.value:g}" for bound in rung.exit)
+def _names_in_table(file: str) -> tuple[list[RequestClass], list[Tenant]]:
+    try:
+        values = tomllib.loads(Path(file).read_text("utf-8"))
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        give_up(f"cannot read {file}: {error}")
+    return named_in(cut for level in tables_in(values, "level") for cut in tables_in(level, "cut"))
+
+
+def _description(
+    number: int, level: Level, request_classes: list[RequestClass], tenants: list[Tenant]
+) -> list[str]:
+    joiner = " and " if level.needs_all else " or "
+    entry = joiner.join(f"{threshold.fact} >= {threshold.value:g}" for threshold in level.entry)
+    leave = " and ".join(f"{threshold.fact} <= {threshold.value:g}" for threshold in level.exit)
     lines = [
-        f"{n}. {rung.name}",
-        f"   in    {entry}, in the mean of {rung.entry_ms / 1000:g} s",
-        f"   out   {leave}, over {rung.exit_ms / 1000:g} s, after {rung.stay_ms / 1000:g} s at least",
-        f"   trial after {rung.trial_ms / 1000:g} s with all calm but what is asked for",
+        f"{number}. {level.name}",
+        f"   in    {entry}, in the mean of {level.entry_ms / 1000:g} s",
+        f"   out   {leave}, over {level.exit_ms / 1000:g} s, after {level.min_stay_ms / 1000:g} s at least",
+        f"   trial after {level.trial_ms / 1000:g} s with all calm but what is asked for",
     ]
-    for product, trims in zip(products, rung.relief.trims, strict=True):
-        for trim in trims:
-            what = f"admits {trim.share:.0%}" if trim.cut is RestrictionKind.SHARE else _DOES[trim.cut]
-            whose = ", ".join(tenants[t].name for t in sorted(trim.tenants)) if trim.tenants else ""
-            only = [f"of {whose}"] if whose else []
-            only += [f"below rank {trim.rank:g}"] if trim.rank <= 1.0 else []
-            lines.append(f"   {product.name}: {what}" + (f" ({', '.join(only)})" if only else ""))
-    held = "is answered at once" if rung.relief.answers_held else "is kept and runs"
-    lines.append(
-        f"   what is held when it starts {held}; callers are "
-        + ("asked to stay away" if rung.relief.keeps_away else "not asked to stay away")
-    )
+    service = level.service_level
+    for request_class, restrictions in zip(request_classes, service.trims, strict=True):
+        for restriction in restrictions:
+            lines.append(f"   {request_class.name}: {_restriction_text(restriction, tenants)}")
+    queued = "is answered at once" if service.answers_held else "is kept and runs"
+    retry = "asked to stay away" if service.keeps_away else "not asked to stay away"
+    lines.append(f"   what is held when it starts {queued}; callers are {retry}")
     return lines
+
+
+def _restriction_text(restriction: Restriction, tenants: list[Tenant]) -> str:
+    if restriction.cut is RestrictionKind.SHARE:
+        effect = f"admits {restriction.share:.0%}"
+    else:
+        effect = RESTRICTION_TEXTS[restriction.cut]
+    limits = []
+    if restriction.tenants:
+        limits.append("of " + ", ".join(tenants[index].name for index in sorted(restriction.tenants)))
+    if restriction.rank <= 1.0:
+        limits.append(f"below rank {restriction.rank:g}")
+    return f"{effect} ({', '.join(limits)})" if limits else effect
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -34,7 +34,7 @@
 from otterrudder.fleet.policy import BadPolicy, Own, own_of, parse
 from otterrudder.fleet.queue import QueueRefused, leave_queue, place
 from otterrudder.fleet.records import Change, Queued, Settled, View, digest_of
-from otterrudder.levels.table import FACTS
+from otterrudder.levels.facts import FACTS
 
 
 @click.group()
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -82,7 +82,7 @@
         give_up(trouble)
     click.echo(
         f"{configuration.name}: the configuration is good: {len(configuration.settings['classes'])} products"
-        + (f", {len(table.rungs)} levels" if table else "")
+        + (f", {len(table.levels)} levels" if table else "")
         + (f", {len(groups.groups)} VRRP groups" if groups else "")
         + (f", of the fleet {of.name}" if of else "")
     )
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -14,7 +14,7 @@
 from otterrudder.admission.factory import below_of, limits_of, products_of, tenants_of
 from otterrudder.admission.interface import Limits, RequestClass, Tenant
 from otterrudder.files import convert
-from otterrudder.levels.table import BadTable, Table, build
+from otterrudder.levels import LevelTable, LevelTableError, build_table
 
 VERSION = 1  # of the form
 
@@ -34,7 +34,7 @@
 class Content:
     """What a policy says, ready for a server; what it does not name is as in the server's configuration."""
 
-    levels: Table | None
+    levels: LevelTable | None
     products: list[RequestClass]
     tenants: list[Tenant]
     limits: Limits
@@ -107,8 +107,8 @@
     for name in told.tenants.keys() - {tenant.name for tenant in tenants}:
         raise BadPolicy(f"tenants.{name}: no tenant is named so")
     try:
-        levels = None if told.levels is None else build(told.levels, products, tenants)
-    except BadTable as trouble:
+        levels = None if told.levels is None else build_table(told.levels, products, tenants)
+    except LevelTableError as trouble:
         raise BadPolicy(f"levels.{trouble}") from None
     return Content(levels, valued, shared, _limited(told, own))
 
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -17,8 +17,8 @@
 from otterrudder.lab.site import Site
 from otterrudder.lab.streams import Streams
 from otterrudder.lab.troubles import Notice, Timeline, Trouble
-from otterrudder.levels import Bound, Damping, Ladder, Rung, Table
-from otterrudder.levels.selector import FULL
+from otterrudder.levels import Damping, Level, LevelSelector, LevelTable, Threshold
+from otterrudder.levels.selector import FULL_SERVICE
 
 SWEEP_MS = 1000.0  # ms between looks of the checker for what is overdue
 AFTER_MS = 12_000.0  # ms played past the last arrival: longer than any expiry, so that nothing is left open
@@ -46,19 +46,19 @@
     series: dict[str, list[float]] = field(default_factory=dict)
 
 
-class Bare(Ladder):
+class Bare(LevelSelector):
     """A baseline: the same levels on bare thresholds, in at or above, out below; no stays, no damping."""
 
-    def __init__(self, rungs: tuple[Rung, ...], damping: Damping, **more: Any) -> None:
+    def __init__(self, levels: tuple[Level, ...], damping: Damping, **more: Any) -> None:
         bare = (
-            replace(rung, entry_ms=BARE_MS, exit_ms=BARE_MS, stay_ms=1.0, trial_ms=1.0, exit=rung.entry)
-            for rung in rungs
+            replace(level, entry_ms=BARE_MS, exit_ms=BARE_MS, min_stay_ms=1.0, trial_ms=1.0, exit=level.entry)
+            for level in levels
         )
         super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **more)
 
-    def _is_calm(self, bound: Bound, now: float) -> bool:
-        window = self._windows.of(bound.fact, BARE_MS)
-        return window.full(now) and window.mean() < bound.value
+    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+        window = self._windows.get(threshold.fact, BARE_MS)
+        return window.is_full(now) and window.mean() < threshold.value
 
 
 class Day:
@@ -67,10 +67,10 @@
         site: Site,
         load: list[Part],
         troubles: list[Trouble],
-        levels: Table | None,
+        levels: LevelTable | None,
         seed: int,
         length_s: float,
-        kind: type[Ladder] = Ladder,
+        kind: type[LevelSelector] = LevelSelector,
     ) -> None:
         streams, self.length_ms = Streams(seed), length_s * 1000
         self.site, self.levels = site, levels
@@ -152,7 +152,7 @@
 
     def _sweep(self) -> None:
         self.checker.sweep(self.engine.now)
-        names = [rung.name for rung in self.levels.rungs] if self.levels else []
+        names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.levels.name if server.is_up and server.core.levels else ""
             self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
@@ -191,7 +191,7 @@
     def _of_levels(self, length_s: float) -> dict[str, float]:
         if not self.levels:
             return dict(moves_per_min=0.0, stay_breaks=0.0, level_mean=0.0)
-        stays = {rung.name: rung.stay_ms / 1000 for rung in self.levels.rungs}
+        stays = {level.name: level.min_stay_ms / 1000 for level in self.levels.levels}
         breaks = 0
         for moves in self._by_server():
             mine = [move for move in moves if move.why != "table"]
@@ -220,13 +220,14 @@
         not."""
         ends = [mine[-1] if mine else None for mine in self._by_server()]
         return max(
-            0.0 if end is None else end.at_s if end.entered == FULL else self.length_ms / 1000 for end in ends
+            0.0 if end is None else end.at_s if end.entered == FULL_SERVICE else self.length_ms / 1000
+            for end in ends
         )
 
     def _home_spread(self) -> float:
         """s between the first and the last of the servers that came back to full service for good; 0 for
         none."""
-        times = [mine[-1].at_s for mine in self._by_server() if mine and mine[-1].entered == FULL]
+        times = [mine[-1].at_s for mine in self._by_server() if mine and mine[-1].entered == FULL_SERVICE]
         return max(times, default=0.0) - min(times, default=0.0)
 
     def _of_sessions(self, length_s: float) -> dict[str, float]:
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -25,7 +25,7 @@
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, Site, convert, site_of
 from otterrudder.lab.troubles import Trouble
-from otterrudder.levels import BadTable, Table, read
+from otterrudder.levels import LevelTable, LevelTableError, read_table
 
 LENGTH_MOST_S = 4 * 3600.0  # s of a day
 QUICK_SEEDS = 2  # seeds of a quick run
@@ -101,7 +101,7 @@
     site: Site
     load: list[Part]
     troubles: list[Trouble]
-    levels: Table | None
+    levels: LevelTable | None
     bare: bool
     module: tuple[tuple[str, float], ...]
     length_s: float
@@ -197,12 +197,12 @@
             )
 
 
-def _levels(folder: Path, variant: VariantPart, site: Site) -> Table | None:
+def _levels(folder: Path, variant: VariantPart, site: Site) -> LevelTable | None:
     if not variant.levels:
         return None
     try:
-        return read(folder / variant.levels, site.products, site.tenants)
-    except BadTable as trouble:
+        return read_table(folder / variant.levels, site.products, site.tenants)
+    except LevelTableError as trouble:
         raise BadInput(f"variant {variant.name}: {trouble}") from None
 
 
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -10,7 +10,7 @@
 from otterrudder.lab.claims import Verdict, judge
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
-from otterrudder.levels import Ladder
+from otterrudder.levels import LevelSelector
 
 Progress = Callable[[int, int, Run, Result], None]
 
@@ -32,7 +32,7 @@
 
 def play(run: Run) -> Result:
     """One day; the same for the same run on every machine."""
-    kind = Bare if run.bare else Ladder
+    kind = Bare if run.bare else LevelSelector
     before = {name: getattr(controller, name) for name, _ in run.module}
     try:
         for name, value in run.module:
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -15,7 +15,7 @@
 from otterrudder.lab.cores import Cores, Job
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.site import Site
-from otterrudder.levels import Ladder, LevelController, Table
+from otterrudder.levels import LevelController, LevelSelector, LevelTable
 from otterrudder.net.core import DISPATCHER, GATEWAYS, RECORDS, RUNTIME, Core
 
 UNIX = 1.7e12  # ms: the Unix time of the day's start
@@ -61,8 +61,8 @@
         *,
         seed: int,
         lives: "Iterator[int]",
-        levels: Table | None,
-        kind: type[Ladder],
+        levels: LevelTable | None,
+        kind: type[LevelSelector],
         logged: Logged,
     ) -> None:
         self.number, self.site, self.engine, self.below, self.checker = number, site, engine, below, checker
--- a/otterrudder/levels/__init__.py
+++ b/otterrudder/levels/__init__.py
@@ -1,24 +1,28 @@
-"""Reduced service in named levels: a ladder that says which level is in force, by facts it is handed.
+"""Levels of reduced service: which named level is in force, selected from facts about the server.
 
-`table` reads the operators' TOML file into rungs, `ladder` moves between them, `controller` is what a server
-holds: the ladder, its mode (enforced or shadow) and the words for the log. None of them does I/O on its own,
-knows a clock or draws chance; the decision module alone enforces a level (`AdmissionController.reduce`)."""
+`table` and `level_parser` read the operators' TOML file (`schema`: its keys, `facts`: what a condition may
+name), `selector` moves between the levels, `controller` is what a server holds: the selector, its mode
+(enforced or shadow) and the fields of the log lines. Nothing here does I/O of its own (but `read_table`), has
+a clock or uses randomness. The admission controller enforces a level
+(`AdmissionController.set_service_level`)."""
 
 from otterrudder.levels.controller import LevelController, LevelUpdate
-from otterrudder.levels.selector import Bound, Damping, Ladder, Move, Reason, Rung
-from otterrudder.levels.table import BadTable, Table, parse, read
+from otterrudder.levels.errors import LevelTableError
+from otterrudder.levels.selector import Damping, Level, LevelSelector, Reason, Threshold, Transition
+from otterrudder.levels.table import LevelTable, build_table, parse_table, read_table
 
 __all__ = [
-    "BadTable",
-    "Bound",
     "Damping",
-    "Ladder",
+    "Level",
     "LevelController",
+    "LevelSelector",
+    "LevelTable",
+    "LevelTableError",
     "LevelUpdate",
-    "Move",
     "Reason",
-    "Rung",
-    "Table",
-    "parse",
-    "read",
+    "Threshold",
+    "Transition",
+    "build_table",
+    "parse_table",
+    "read_table",
 ]
--- a/otterrudder/levels/controller.py
+++ b/otterrudder/levels/controller.py
@@ -1,69 +1,83 @@
-"""What a server holds of its levels: the ladder, whether it is enforced or only watched, and the words for
-the log.
+"""The level controller of one server: the level selector, its mode, and the fields of the log lines.
 
-The core owns it and hands it the facts of each tick; what comes back is what the module is to be told and
-what the operators are. A shadow ladder climbs as it would and the module is never told a level: it only goes
-on counting what is asked for."""
+The request core owns it and calls it once a tick. A `LevelUpdate` carries the service level for the admission
+controller and the log line for operators. In shadow mode the selector runs as usual, but the admission
+controller stays at full service: transitions are only logged."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
 from otterrudder.admission.interface import ServiceLevel
-from otterrudder.levels.selector import FULL, Ladder, Move
-from otterrudder.levels.table import Table
+from otterrudder.levels.selector import FULL_SERVICE, LevelSelector, Transition
+from otterrudder.levels.table import LevelTable
 
 
 @dataclass(frozen=True, slots=True)
 class LevelUpdate:
-    """What a tick brought: the level the module is to be told, if it changes, and a line for the log."""
+    """The result of a tick: the service level to set, if it changes, and a line for the log."""
 
-    relief: ServiceLevel | None
+    service_level: ServiceLevel | None
     text: str
     facts: dict[str, object]
 
 
 class LevelController:
-    """One server's ladder and its mode: hears the facts of each tick, answers with what follows from them."""
+    """One server's level selector and its mode, enforced or shadow."""
 
-    def __init__(self, table: Table, spread: float, kind: type[Ladder] = Ladder) -> None:
-        """`spread`: 0 to 1, this instance's own, see Ladder; `kind`: a baseline's, in the lab."""
-        self._ladder = kind(table.rungs, table.damping, spread=spread, start=table.start)
+    def __init__(
+        self, table: LevelTable, spread: float, selector_class: type[LevelSelector] = LevelSelector
+    ) -> None:
+        """`spread`: 0 to 1, this instance's own, see LevelSelector; `selector_class`: for baselines of the
+        lab."""
+        self._selector = selector_class(table.levels, table.damping, spread=spread, start=table.start)
         self.is_shadow = table.is_shadow
 
     @property
-    def relief(self) -> ServiceLevel:
-        """What is to be enforced now; full service in shadow."""
-        return ServiceLevel(FULL) if self.is_shadow else self._ladder.relief
+    def service_level(self) -> ServiceLevel:
+        """What the admission controller has to enforce now; full service in shadow mode."""
+        return ServiceLevel(FULL_SERVICE) if self.is_shadow else self._selector.service_level
 
     @property
     def name(self) -> str:
-        return self._ladder.name
+        """The name of the level in force, also in shadow mode."""
+        return self._selector.name
 
     def step(self, now: float, facts: Mapping[str, float]) -> LevelUpdate | None:
-        """The tick at `now` ms, with what is known then."""
-        return self._update(self._ladder.step(now, facts), now)
+        """Plays the tick at `now` ms with the facts that are known then."""
+        return self._update(self._selector.step(now, facts))
 
-    def take(self, table: Table, now: float) -> LevelUpdate:
-        """Another table; what is in force stays as far as the table has it."""
+    def replace_table(self, table: LevelTable, now: float) -> LevelUpdate:
+        """Takes another table; the level in force stays where the new table has it."""
         self.is_shadow = table.is_shadow
-        update = self._update(self._ladder.replace(table.rungs, table.damping, now), now)
+        update = self._update(self._selector.replace_levels(table.levels, table.damping, now))
         if update is None:
             update = LevelUpdate(None, "levels taken", dict(service=self.name, shadow=self.is_shadow))
-        return replace(update, relief=self.relief)  # told in any case: the mode may have changed
+        return replace(update, service_level=self.service_level)  # always set: the mode may have changed
 
     def log_fields(self, now: float) -> dict[str, object]:
-        """For the line on how the server does."""
-        told: dict[str, object] = dict(service=self.name, service_s=round(self._ladder.stayed(now) / 1000, 1))
-        return told | (dict(service_shadow=True) if self.is_shadow else {})
+        """Fields for the server's periodic log line."""
+        seconds = round(self._selector.time_in_level(now) / 1000, 1)
+        fields: dict[str, object] = dict(service=self.name, service_s=seconds)
+        if self.is_shadow:
+            fields["service_shadow"] = True
+        return fields
 
-    def _update(self, move: Move | None, now: float) -> LevelUpdate | None:
-        if move is None:
+    def _update(self, transition: Transition | None) -> LevelUpdate | None:
+        if transition is None:
             return None
-        told: dict[str, object] = dict(left=move.left, entered=move.entered, why=move.reason.value)
-        for reading in move.readings:
-            told[reading.fact] = round(reading.value, 3)
-            told[f"{reading.fact}_bound"] = reading.bound
-        told |= dict(least_stay_s=round(move.stay_ms / 1000, 1), damped=round(move.damped, 2))
-        told |= dict(shadow=True) if self.is_shadow else {}
-        text = "less service" if move.up else "more service"
-        return LevelUpdate(None if self.is_shadow else move.relief, text, told)
+        text = "less service" if transition.is_reduction else "more service"
+        service_level = None if self.is_shadow else transition.service_level
+        return LevelUpdate(service_level, text, self._transition_fields(transition))
+
+    def _transition_fields(self, transition: Transition) -> dict[str, object]:
+        fields: dict[str, object] = dict(
+            left=transition.previous, entered=transition.entered, why=transition.reason.value
+        )
+        for reading in transition.readings:
+            fields[reading.fact] = round(reading.value, 3)
+            fields[f"{reading.fact}_bound"] = reading.threshold
+        fields["least_stay_s"] = round(transition.min_stay_ms / 1000, 1)
+        fields["damped"] = round(transition.damping_factor, 2)
+        if self.is_shadow:
+            fields["shadow"] = True
+        return fields
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -1,44 +1,47 @@
-"""Which level of reduced service is in force: a ladder climbed one rung at a time by facts handed in.
+"""Selects the level of reduced service that is in force, one step at a time, from facts about the server.
 
-A server calls `step` once a tick with what it knows. Full service is rung 0. What is promised:
+The level controller calls `step` once a tick. Position 0 is full service; the levels follow, mildest first.
+Guarantees:
 
-- One step a call at most, up or down; never a step within the least stay of the rung that is left, nor back
-  up to the lowest rung within its own.
-- In on a mean over the entry's window; out only when the exit's whole window was calm, a longer one.
-- A rung entered again soon after it was left is damped: it stays and must be calm longer, up to a bound.
-- A fact that is not known, or was not long enough, neither gets in nor out.
-- Every rung has a way out. Where all is calm but what is asked for (which may be the same callers coming
-  again unmarked), it is left on trial after a stated time, and the damping keeps trials rare.
+- At most one step per call, and none within the minimum stay of the level that is left. Full service goes
+  back to the lowest level only after that level's minimum stay.
+- A level is entered on the mean over its entry window. It is left only when the whole, longer exit window was
+  calm.
+- A level that is entered again soon after it was left is damped: its stay and its calm period grow, up to a
+  maximum factor.
+- A fact that is unknown, or that has not been known for a full window, causes no step.
+- Every level can be left. When all facts but the demand are calm (the demand may be the same callers retrying
+  without a mark), the level is left on trial after a stated time; damping keeps trials rare.
 
-Times are ms on the caller's clock. No I/O, clock or chance of its own: `spread` (0 to 1) is the instance's
-own, so that a fleet does not leave in step."""
+Times are ms on the caller's clock. There is no I/O, clock or randomness here: `spread` (0 to 1) differs from
+instance to instance, so that a fleet does not leave a level all at once."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
 from otterrudder.admission.interface import ServiceLevel
-from otterrudder.levels.window import Window
+from otterrudder.levels.window import SlidingWindow
 
-# facts of what is asked for, not of how it goes: a trial passes over them
-ASKED = frozenset({"demand", "retries"})
-# share by which the latest of a fleet stays longer than the first: some ticks apart at least
-SPREAD_MOST = 0.5
-FULL = "full"  # the name of full service
+FULL_SERVICE = "full"  # the name of full service, in tables and log lines
+# Facts of what callers ask for, not of how the server copes: a trial ignores them.
+DEMAND_FACTS = frozenset({"demand", "retries"})
+MAX_SPREAD = 0.5  # share by which the latest instance of a fleet stays longer than the first
+MAX_COUNTED_RETURNS = 64  # exponent of the damping: keeps the power finite
 
 
 class Reason(Enum):
-    """What moved the ladder."""
+    """Why the level changed."""
 
-    ENTRY = "entry"  # the next rung's conditions to enter
-    EXIT = "exit"  # this rung's conditions to leave
-    TRIAL = "trial"  # all is calm but what is asked for, for long enough to try
-    TABLE = "table"  # another table
+    ENTRY = "entry"  # the entry conditions of the next level are met
+    EXIT = "exit"  # the exit conditions of this level are met
+    TRIAL = "trial"  # all but the demand has been calm for long enough to try
+    TABLE = "table"  # the table of levels was replaced
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
-    """A fact and its threshold: met at or above to enter, at or below to leave."""
+class Threshold:
+    """A fact and its limit: reached at or above it to enter, at or below it to leave."""
 
     fact: str
     value: float
@@ -46,241 +49,294 @@
 
 @dataclass(frozen=True, slots=True)
 class Damping:
-    """How a rung holds longer each time that it is entered soon after it was left."""
+    """How a level holds longer each time it is entered soon after it was left."""
 
-    times: float = 2.0  # factor on stay and calm for each return
-    most: float = 8.0  # the largest factor
-    # a return later than this after leaving counts for nothing; each one forgets one
-    forget_ms: float = 120_000.0
+    factor: float = 2.0  # on the stay and the calm period, for each return
+    max_factor: float = 8.0
+    forget_ms: float = 120_000.0  # a later return does not count; each such span forgets one return
 
 
 @dataclass(frozen=True, slots=True)
-class Rung:
-    """A level: when it is entered and left, and what the module is told while it is in force."""
+class Level:
+    """When a level is entered and left, and the service it sets while it is in force."""
 
     name: str
-    entry: tuple[Bound, ...]
+    entry: tuple[Threshold, ...]
     entry_ms: float
-    exit: tuple[Bound, ...]
+    exit: tuple[Threshold, ...]
     exit_ms: float
-    stay_ms: float
+    min_stay_ms: float
     trial_ms: float
-    relief: ServiceLevel
-    needs_all: bool = False  # of its entry conditions; else any one is enough
+    service_level: ServiceLevel
+    needs_all: bool = False  # whether all entry thresholds must be reached; else any one is enough
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A fact as it stood when it moved the ladder."""
+    """The mean of a fact beside its threshold at the time of a transition."""
 
     fact: str
     value: float
-    bound: float
+    threshold: float
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
-    """One step, with what caused it."""
+class Transition:
+    """One change of the level in force, and its cause."""
 
-    at: float
-    left: str
+    at: float  # ms
+    previous: str
     entered: str
     reason: Reason
     readings: tuple[Reading, ...]
-    stay_ms: float  # the least stay now, damping included
-    damped: float  # the factor in it
-    relief: ServiceLevel
-    up: bool  # to less service
+    min_stay_ms: float  # damping included
+    damping_factor: float
+    service_level: ServiceLevel
+    is_reduction: bool  # to less service
 
 
 @dataclass(slots=True)
 class _History:
-    """What is remembered of a rung while it is not in force."""
+    """What is remembered of a level while it is not in force."""
 
-    returns: int = 0  # entered again soon after it was left, so often of late
+    returns: int = 0  # recent entries soon after the level was left
     left_at: float | None = None
 
 
 @dataclass(slots=True)
 class _Stay:
-    """The present stay on a rung."""
+    """The present stay on a level."""
 
-    since: float | None = None  # None until the first step: a ladder is made before its clock is known
+    since: float | None = None  # None until the first step: the clock is not known before
     calm_since: float | None = None
     trial_since: float | None = None
     factor: float = 1.0
 
 
 @dataclass(slots=True)
-class _Windows:
-    """One window for each fact and span that any rung asks for."""
-
-    by_span: dict[tuple[str, float], Window] = field(default_factory=dict)
+class FactWindows:
+    """A sliding window for each fact and span that a level names."""
+
+    by_span: dict[tuple[str, float], SlidingWindow] = field(default_factory=dict)
+
+    @classmethod
+    def of_levels(cls, levels: Iterable[Level]) -> "FactWindows":
+        """Empty windows for all entry and exit conditions of `levels`."""
+        windows = cls()
+        for level in levels:
+            windows._require(level.entry, level.entry_ms)
+            windows._require(level.exit, level.exit_ms)
+        return windows
 
-    def of(self, fact: str, span_ms: float) -> Window:
+    def get(self, fact: str, span_ms: float) -> SlidingWindow:
+        """The window of a fact and span that a level names."""
         return self.by_span[fact, span_ms]
 
-    def want(self, facts: Iterable[str], span_ms: float) -> None:
-        for fact in facts:
-            self.by_span.setdefault((fact, span_ms), Window(span_ms))
-
     def add(self, now: float, facts: Mapping[str, float]) -> None:
+        """Adds the facts of one tick. A fact that is missing or NaN loses its history."""
         for (fact, _), window in self.by_span.items():
             value = facts.get(fact)
-            # unknown, or no number: what was known of it is too old to go by
             if value is None or value != value:
                 window.clear()
             else:
                 window.add(now, value)
 
+    def _require(self, thresholds: Iterable[Threshold], span_ms: float) -> None:
+        for threshold in thresholds:
+            self.by_span.setdefault((threshold.fact, span_ms), SlidingWindow(span_ms))
+
+
+class LevelSelector:
+    """The state machine over full service and the levels of one table."""
 
-class Ladder:
     def __init__(
-        self, rungs: tuple[Rung, ...], damping: Damping, *, spread: float = 0.0, start: str = FULL
+        self, levels: tuple[Level, ...], damping: Damping, *, spread: float = 0.0, start: str = FULL_SERVICE
     ) -> None:
-        """`rungs`: mildest first, at least one. `start`: the name of the rung that a fresh process begins
-        on."""
-        self.rungs, self.damping, self.spread = rungs, damping, spread
-        self.position = [FULL, *(rung.name for rung in rungs)].index(start)
-        self._stay = _Stay(factor=1.0 + SPREAD_MOST * spread)
-        self._history = {rung.name: _History() for rung in rungs}
-        self._windows = self._windows_of(rungs)
+        """`levels`: mildest first, at least one; `start`: the name of the level of a fresh process."""
+        self.levels = levels
+        self.damping = damping
+        self.spread = spread
+        self.position = [FULL_SERVICE, *(level.name for level in levels)].index(start)
+        self._stay = _Stay(factor=1.0 + MAX_SPREAD * spread)
+        self._history = {level.name: _History() for level in levels}
+        self._windows = FactWindows.of_levels(levels)
 
     @property
     def name(self) -> str:
-        return self.rungs[self.position - 1].name if self.position else FULL
+        """The name of the level in force."""
+        return self._level.name if self.position else FULL_SERVICE
 
     @property
-    def relief(self) -> ServiceLevel:
-        """What the module is to be told now; full service trims nothing."""
+    def service_level(self) -> ServiceLevel:
+        """What the admission controller has to enforce now; full service restricts nothing."""
         if not self.position:
-            return ServiceLevel(FULL)
-        rung = self.rungs[self.position - 1]
-        return replace(rung.relief, stay_ms=rung.stay_ms * self._stay.factor)
+            return ServiceLevel(FULL_SERVICE)
+        return replace(self._level.service_level, stay_ms=self._level.min_stay_ms * self._stay.factor)
 
-    def stayed(self, now: float) -> float:
-        """ms on the present rung."""
+    def time_in_level(self, now: float) -> float:
+        """How long the level in force has lasted, in ms."""
         return now - self._stay.since if self._stay.since is not None else 0.0
 
-    def step(self, now: float, facts: Mapping[str, float]) -> Move | None:
-        """The move that `facts` at `now` call for, if any. A fact left out is not known."""
+    def step(self, now: float, facts: Mapping[str, float]) -> Transition | None:
+        """The transition that `facts` at `now` cause, if any. A fact that is left out is not known."""
         if self._stay.since is None:
             self._stay.since = now
         self._windows.add(now, facts)
-        self._note_calm(now)
-        if readings := self._wants_up(now):
-            return self._go(now, self.position + 1, Reason.ENTRY, readings)
-        if self.position:
-            if readings := self._may_leave(now, self._stay.calm_since, self._rung.stay_ms, asked=True):
-                return self._go(now, self.position - 1, Reason.EXIT, readings)
-            if readings := self._may_leave(now, self._stay.trial_since, self._rung.trial_ms, asked=False):
-                return self._go(now, self.position - 1, Reason.TRIAL, readings)
+        self._update_calm(now)
+        if readings := self._entry_readings(now):
+            return self._change_to(self.position + 1, now, Reason.ENTRY, readings)
+        if not self.position:
+            return None
+        if readings := self._exit_readings(now):
+            return self._change_to(self.position - 1, now, Reason.EXIT, readings)
+        if readings := self._trial_readings(now):
+            return self._change_to(self.position - 1, now, Reason.TRIAL, readings)
         return None
 
-    def replace(self, rungs: tuple[Rung, ...], damping: Damping, now: float) -> Move | None:
-        """Another table while a level may be in force: the rung of the same name stays, its stay goes on;
-        where there is none, the one at its height (or the highest) takes its place. Windows start anew: what
-        was seen was seen by other measures. The move is None if what is in force is the same to the
-        letter."""
-        left, before = self.name, self.relief
-        names = [rung.name for rung in rungs]
-        kept = left in names
-        self.position = names.index(left) + 1 if kept else min(self.position, len(rungs))
+    def replace_levels(self, levels: tuple[Level, ...], damping: Damping, now: float) -> Transition | None:
+        """Takes the levels of another table, also while one is in force.
+
+        A level of the same name stays in force and its stay goes on. Without one, the level at the same
+        position (or the highest) takes its place. The windows start empty. Returns None when the service
+        level in force is equal to the one before."""
+        previous = self.name
+        previous_service = self.service_level
+        names = [level.name for level in levels]
+        is_kept = previous in names
+        self.position = names.index(previous) + 1 if is_kept else min(self.position, len(levels))
         self._history = {name: self._history.get(name, _History()) for name in names}
-        self._windows = self._windows_of(rungs)
-        self.rungs, self.damping = rungs, damping
-        self._stay.calm_since = self._stay.trial_since = None
-        if not kept:
-            self._stay.since, self._stay.factor = now, self._factor(self.name)
-        if self.relief == before:
+        self._windows = FactWindows.of_levels(levels)
+        self.levels = levels
+        self.damping = damping
+        self._stay.calm_since = None
+        self._stay.trial_since = None
+        if not is_kept:
+            self._stay.since = now
+            self._stay.factor = self._stay_factor(self.name)
+        if self.service_level == previous_service:
             return None
-        return self._move(now, left, Reason.TABLE, (), up=False)
+        return self._transition(now, previous, Reason.TABLE, (), is_reduction=False)
 
     @property
-    def _rung(self) -> Rung:
-        return self.rungs[self.position - 1]
-
-    @staticmethod
-    def _windows_of(rungs: tuple[Rung, ...]) -> _Windows:
-        windows = _Windows()
-        for rung in rungs:
-            windows.want((bound.fact for bound in rung.entry), rung.entry_ms)
-            windows.want((bound.fact for bound in rung.exit), rung.exit_ms)
-        return windows
+    def _level(self) -> Level:
+        return self.levels[self.position - 1]
 
-    def _wants_up(self, now: float) -> tuple[Reading, ...]:
-        """The readings by which the next rung is to be entered; empty if it is not. What was seen before the
-        last step is not held against the rung that answered it: the window must have passed since."""
-        if self.position == len(self.rungs):
+    def _entry_readings(self, now: float) -> tuple[Reading, ...]:
+        """The readings that call for the next level; empty if it is not to be entered.
+
+        A whole entry window must have passed since the last transition: earlier samples led to that one."""
+        if self.position == len(self.levels):
             return ()
-        rung = self.rungs[self.position]
-        stay = rung.stay_ms if self._history[rung.name].left_at is not None else 0.0
-        stay = self._rung.stay_ms if self.position else stay  # undamped: damping is for the way out
-        if self.stayed(now) < max(rung.entry_ms, stay):
+        level = self.levels[self.position]
+        if self.time_in_level(now) < max(level.entry_ms, self._stay_before_entry(level)):
             return ()
-        met = []
-        for bound in rung.entry:
-            window = self._windows.of(bound.fact, rung.entry_ms)
-            if window.full(now) and window.mean() >= bound.value:
-                met.append(Reading(bound.fact, window.mean(), bound.value))
-        enough = len(met) == len(rung.entry) if rung.needs_all else bool(met)
-        return tuple(met) if enough else ()
-
-    def _note_calm(self, now: float) -> None:
-        """Since when the whole window of the exit has been calm, with and without what is asked for."""
+        reached = []
+        for threshold in level.entry:
+            window = self._windows.get(threshold.fact, level.entry_ms)
+            if window.is_full(now) and window.mean() >= threshold.value:
+                reached.append(Reading(threshold.fact, window.mean(), threshold.value))
+        is_enough = len(reached) == len(level.entry) if level.needs_all else bool(reached)
+        return tuple(reached) if is_enough else ()
+
+    def _stay_before_entry(self, level: Level) -> float:
+        """How long the present level has to last before `level` is entered; damping only delays exits."""
+        if self.position:
+            return self._level.min_stay_ms
+        return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
+
+    def _update_calm(self, now: float) -> None:
+        """Notes since when the whole exit window has been calm, with and without the demand."""
         stay = self._stay
-        if not self.position or self.stayed(now) < self._rung.exit_ms:
-            stay.calm_since = stay.trial_since = None
+        if not self.position or self.time_in_level(now) < self._level.exit_ms:
+            stay.calm_since = None
+            stay.trial_since = None
             return
-        loud = [bound for bound in self._rung.exit if not self._is_calm(bound, now)]
-        if loud:
+        exceeded = [threshold for threshold in self._level.exit if not self._is_calm(threshold, now)]
+        if exceeded:
             stay.calm_since = None
         elif stay.calm_since is None:
             stay.calm_since = now
-        if any(bound.fact not in ASKED for bound in loud):
+        if any(threshold.fact not in DEMAND_FACTS for threshold in exceeded):
             stay.trial_since = None
         elif stay.trial_since is None:
             stay.trial_since = now
 
-    def _is_calm(self, bound: Bound, now: float) -> bool:
-        """The mean of the window is under the exit, and no part of it reached back up to the entry."""
-        window = self._windows.of(bound.fact, self._rung.exit_ms)
-        if not window.full(now) or window.mean() > bound.value:
+    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+        """Whether the window's mean is within the exit threshold and no bucket reached the entry's."""
+        window = self._windows.get(threshold.fact, self._level.exit_ms)
+        if not window.is_full(now) or window.mean() > threshold.value:
             return False
-        entries = [entry.value for entry in self._rung.entry if entry.fact == bound.fact]
-        return not entries or window.worst() < min(entries)
+        entries = [entry.value for entry in self._level.entry if entry.fact == threshold.fact]
+        return not entries or window.max_bucket_mean() < min(entries)
+
+    def _exit_readings(self, now: float) -> tuple[Reading, ...]:
+        if not self._may_leave(now, self._stay.calm_since, self._level.min_stay_ms):
+            return ()
+        return self._readings(self._level.exit)
 
-    def _may_leave(self, now: float, since: float | None, stay_ms: float, asked: bool) -> tuple[Reading, ...]:
-        factor, rung = self._stay.factor, self._rung
-        longer = (factor - 1.0) * rung.exit_ms  # the window itself has been calm at `since`
-        if since is None or now - since < longer or self.stayed(now) < max(stay_ms, rung.stay_ms) * factor:
+    def _trial_readings(self, now: float) -> tuple[Reading, ...]:
+        if not self._may_leave(now, self._stay.trial_since, self._level.trial_ms):
             return ()
+        return self._readings(
+            threshold for threshold in self._level.exit if threshold.fact not in DEMAND_FACTS
+        )
+
+    def _may_leave(self, now: float, calm_since: float | None, stay_ms: float) -> bool:
+        """Whether the damped calm period and the damped minimum stay have passed."""
+        factor = self._stay.factor
+        extra_calm_ms = (factor - 1.0) * self._level.exit_ms  # one window was already calm at `calm_since`
+        if calm_since is None or now - calm_since < extra_calm_ms:
+            return False
+        return self.time_in_level(now) >= max(stay_ms, self._level.min_stay_ms) * factor
+
+    def _readings(self, thresholds: Iterable[Threshold]) -> tuple[Reading, ...]:
+        """The means over the exit window."""
+        span_ms = self._level.exit_ms
         return tuple(
-            Reading(bound.fact, self._windows.of(bound.fact, rung.exit_ms).mean(), bound.value)
-            for bound in rung.exit
-            if asked or bound.fact not in ASKED
+            Reading(threshold.fact, self._windows.get(threshold.fact, span_ms).mean(), threshold.value)
+            for threshold in thresholds
         )
 
-    def _go(self, now: float, position: int, reason: Reason, readings: tuple[Reading, ...]) -> Move:
-        left, up = self.name, position > self.position
-        if not up:
-            self._history[left].left_at = now
+    def _change_to(
+        self, position: int, now: float, reason: Reason, readings: tuple[Reading, ...]
+    ) -> Transition:
+        previous = self.name
+        is_reduction = position > self.position
+        if not is_reduction:
+            self._history[previous].left_at = now
         self.position = position
-        if up:
-            history = self._history[self.name]
-            if history.left_at is not None:
-                gone = int((now - history.left_at) / self.damping.forget_ms)
-                history.returns = max(history.returns - gone, 0) if gone else history.returns + 1
-        self._stay = _Stay(since=now, factor=self._factor(self.name))
-        return self._move(now, left, reason, readings, up)
-
-    def _factor(self, name: str) -> float:
+        if is_reduction:
+            self._count_return(self._history[self.name], now)
+        self._stay = _Stay(since=now, factor=self._stay_factor(self.name))
+        return self._transition(now, previous, reason, readings, is_reduction)
+
+    def _count_return(self, history: _History, now: float) -> None:
+        """Counts an early return to a level; a late one forgets a return for each `forget_ms`."""
+        if history.left_at is None:
+            return
+        spans_away = int((now - history.left_at) / self.damping.forget_ms)
+        history.returns = max(history.returns - spans_away, 0) if spans_away else history.returns + 1
+
+    def _stay_factor(self, name: str) -> float:
+        """The factor on stay and calm of a level: its damping and this instance's spread."""
         if name not in self._history:
             return 1.0
-        spread = 1.0 + SPREAD_MOST * self.spread
-        damped: float = min(self.damping.times ** min(self._history[name].returns, 64), self.damping.most)
-        return damped * spread
-
-    def _move(self, now: float, left: str, reason: Reason, readings: tuple[Reading, ...], up: bool) -> Move:
-        relief = self.relief
-        return Move(now, left, self.name, reason, readings, relief.stay_ms, self._stay.factor, relief, up)
+        returns = min(self._history[name].returns, MAX_COUNTED_RETURNS)
+        damping: float = min(self.damping.factor**returns, self.damping.max_factor)
+        return damping * (1.0 + MAX_SPREAD * self.spread)
+
+    def _transition(
+        self, now: float, previous: str, reason: Reason, readings: tuple[Reading, ...], is_reduction: bool
+    ) -> Transition:
+        service_level = self.service_level
+        return Transition(
+            now,
+            previous,
+            self.name,
+            reason,
+            readings,
+            service_level.stay_ms,
+            self._stay.factor,
+            service_level,
+            is_reduction,
+        )
--- a/otterrudder/levels/window.py
+++ b/otterrudder/levels/window.py
@@ -1,62 +1,63 @@
-"""What a fact was like over the last so many ms, in constant memory: a ring of buckets, each with sum and
-count.
+"""A sliding window over one fact in constant memory: a ring of buckets, each with a sum and a count.
 
-The ladder asks it for the mean (to get in) and for the worst bucket (to get out). A window that has not been
-filled says so: no history is neither load nor calm."""
+The level selector enters a level on the window's mean and leaves it on the mean and the highest bucket. A
+window that has not been filled yet says so: missing history means neither load nor calm."""
 
-# of a window: its length is exact to a sixteenth, and a sample costs the same however long it is
-BUCKETS = 16
-FILLED = 12  # buckets that must hold a sample before a window counts: a stalled process skips some
+import math
 
+BUCKETS = 16  # of a window: a sample costs the same however long the window is
+MIN_FILLED_BUCKETS = 12  # that must hold a sample before a window counts: a stalled process skips some
 
-class Window:
-    """Samples of one fact over `span_ms`, at any times that don't go back."""
 
-    __slots__ = ("_at", "_counts", "_first", "_sums", "_width", "span_ms")
+class SlidingWindow:
+    """Samples of one fact over the last `span_ms`; times must not go back."""
+
+    __slots__ = ("_bucket", "_bucket_ms", "_counts", "_first_ms", "_sums", "span_ms")
 
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
-        self._width = span_ms / BUCKETS
+        self._bucket_ms = span_ms / BUCKETS
         self.clear()
 
     def clear(self) -> None:
+        """Drops all samples."""
         self._sums = [0.0] * BUCKETS
         self._counts = [0] * BUCKETS
-        self._at = -1  # number of the newest bucket since time 0
-        self._first = float("inf")  # ms: the oldest sample since it was cleared
+        self._bucket = -1  # number of the newest bucket, counted from time 0
+        self._first_ms = math.inf  # the oldest sample since the window was cleared
 
     def add(self, now: float, value: float) -> None:
-        """A sample at `now` ms."""
+        """Adds a sample taken at `now` ms."""
         self._advance(now)
-        self._first = min(self._first, now)
-        n = self._at % BUCKETS
-        self._sums[n] += value
-        self._counts[n] += 1
-
-    def full(self, now: float) -> bool:
-        """Whether it has seen its whole span, but for a few gaps."""
-        if now - self._first < self.span_ms:
+        self._first_ms = min(self._first_ms, now)
+        index = self._bucket % BUCKETS
+        self._sums[index] += value
+        self._counts[index] += 1
+
+    def is_full(self, now: float) -> bool:
+        """Whether the window has samples from its whole span, apart from a few gaps."""
+        if now - self._first_ms < self.span_ms:
             return False
         self._advance(now)
-        return sum(count > 0 for count in self._counts) >= FILLED
+        return sum(count > 0 for count in self._counts) >= MIN_FILLED_BUCKETS
 
     def mean(self) -> float:
-        """The mean of all samples held; 0 without any."""
+        """The mean of all samples in the window; 0 without any."""
         return sum(self._sums) / max(sum(self._counts), 1)
 
-    def worst(self) -> float:
-        """The highest mean of a bucket; 0 without any."""
-        held = zip(self._sums, self._counts, strict=True)
-        return max((total / count for total, count in held if count), default=0.0)
+    def max_bucket_mean(self) -> float:
+        """The highest mean of any bucket; 0 without samples."""
+        buckets = zip(self._sums, self._counts, strict=True)
+        return max((total / count for total, count in buckets if count), default=0.0)
 
     def _advance(self, now: float) -> None:
-        """Empties the buckets between the newest and the one that `now` falls in."""
-        at = int(now / self._width)
-        if at <= self._at:
+        """Empties the buckets between the newest one and the one of `now`."""
+        bucket = int(now / self._bucket_ms)
+        if bucket <= self._bucket:
             return
-        for skipped in range(max(self._at + 1, at - BUCKETS + 1), at + 1):
+        for skipped in range(max(self._bucket + 1, bucket - BUCKETS + 1), bucket + 1):
             self._sums[skipped % BUCKETS] = 0.0
             self._counts[skipped % BUCKETS] = 0
-        if self._at < 0 or at - self._at >= BUCKETS:  # silent for longer than it remembers
-            self._first = float("inf")
-        self._at = at
+        if self._bucket < 0 or bucket - self._bucket >= BUCKETS:  # the gap is longer than the window
+            self._first_ms = math.inf
+        self._bucket = bucket
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -36,7 +36,7 @@
 )
 
 if TYPE_CHECKING:  # a server without levels does not carry them
-    from otterrudder.levels import LevelController, LevelUpdate, Table
+    from otterrudder.levels import LevelController, LevelTable, LevelUpdate
 
 RUNTIME, RECORDS, GATEWAYS, DISPATCHER = "runtime", "records", "gateways", "dispatcher"
 Outgoing = tuple[Any, ...]  # (address, word, ...), in the forms above
@@ -348,15 +348,15 @@
                 del facts["busy"]
             self._tell_level(self.levels.step(self.now, facts))
 
-    def take_levels(self, table: "Table") -> None:
+    def take_levels(self, table: "LevelTable") -> None:
         """Another table of levels, also while one is in force."""
         if self.levels and not self.retiring:
-            self._tell_level(self.levels.take(table, self.now))
+            self._tell_level(self.levels.replace_table(table, self.now))
 
     def take_policy(
         self,
-        table: "Table | None",
-        make: "Callable[[Table], LevelController]",
+        table: "LevelTable | None",
+        make: "Callable[[LevelTable], LevelController]",
         products: list[RequestClass],
         tenants: list[Tenant],
         limits: Limits,
@@ -381,12 +381,12 @@
     def _enforce(self) -> None:
         if self.controller and not self.retiring:
             self.controller.set_service_level(
-                self.aside if self.is_aside else self.levels.relief if self.levels else None
+                self.aside if self.is_aside else self.levels.service_level if self.levels else None
             )
 
     def _tell_level(self, update: "LevelUpdate | None") -> None:
-        if update and update.relief and self.controller and not self.is_aside:
-            self.controller.set_service_level(update.relief)
+        if update and update.service_level and self.controller and not self.is_aside:
+            self.controller.set_service_level(update.service_level)
         if update:
             self.out.append((DISPATCHER, "log", update.text, update.facts))
 
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -39,7 +39,7 @@
     from otterrudder.fleet.agent import Agent
     from otterrudder.fleet.cell.agent import CellAgent
     from otterrudder.fleet.configuration import Fleet
-    from otterrudder.levels import Table
+    from otterrudder.levels import LevelTable
     from otterrudder.net.control import Control
     from otterrudder.vrrp.gate import Order
     from otterrudder.vrrp.group import Groups
@@ -65,15 +65,15 @@
         names = (CONFIGURATION_VARIABLE, LEVELS_VARIABLE, VRRP_VARIABLE, FLEET_VARIABLE)
         return cls(*(os.environ.get(name) or None for name in names))
 
-    def read_levels(self, settings: dict[str, Any]) -> "Table | None":
+    def read_levels(self, settings: dict[str, Any]) -> "LevelTable | None":
         """The table of levels, None where there is no file; BadConfiguration says what is wrong with it."""
         if not self.levels:
             return None
         from otterrudder import levels
 
         try:
-            return levels.read(self.levels, products_of(settings), tenants_of(settings))
-        except levels.BadTable as trouble:
+            return levels.read_table(self.levels, products_of(settings), tenants_of(settings))
+        except levels.LevelTableError as trouble:
             raise BadConfiguration(str(trouble)) from None
 
     def read_fleet(self) -> "Fleet | None":
@@ -131,7 +131,7 @@
 async def _serve(
     configuration: Configuration,
     files: Files,
-    levels: "Table | None",
+    levels: "LevelTable | None",
     groups: "Groups | None",
     fleet: "Fleet | None",
 ) -> None:
@@ -143,7 +143,7 @@
 async def _live(
     configuration: Configuration,
     files: Files,
-    levels: "Table | None",
+    levels: "LevelTable | None",
     groups: "Groups | None",
     fleet: "Fleet | None",
     signals: AsyncIterator[signal.Signals],
@@ -172,7 +172,7 @@
     agent = _agent(fleet, configuration, dispatcher, spread) if fleet else None
     log.info("listening", address=configuration.listen, pid=os.getpid())
     if levels and level_controller:
-        names = [rung.name for rung in levels.rungs]
+        names = [level.name for level in levels.levels]
         log.info("levels", service=level_controller.name, shadow=level_controller.is_shadow, of=names)
     gc.collect()
     gc.freeze()  # what lives as long as the process is not looked through again and again
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -14,14 +14,14 @@
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, site_of
 from otterrudder.lab.troubles import Trouble
-from otterrudder.levels import read
+from otterrudder.levels import read_table
 from otterrudder.net import core
 from otterrudder.net.core import Core
 
 from helpers import ROOT  # isort: skip
 
 SITE = site_of(load_toml(ROOT / "experiments/sites/intake.toml", BadInput), "intake.toml")
-TABLE = read(ROOT / "deploy/levels.toml", SITE.products, SITE.tenants)
+TABLE = read_table(ROOT / "deploy/levels.toml", SITE.products, SITE.tenants)
 HARD = [Part(shape="constant", at=1.0), Part(shape="step", at=0.5, from_s=10, to_s=30)]
 RELEASE = [Trouble(kind="release", at_s=8, for_s=1, gap_s=9)]
 ALL = [
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -9,7 +9,7 @@
 from helpers import ROOT
 
 from otterrudder.admission.interface import Idempotency, RequestClass, RestrictionKind, Tenant
-from otterrudder.levels import BadTable, LevelController, parse, read
+from otterrudder.levels import LevelController, LevelTableError, parse_table, read_table
 from otterrudder.net.core import Core
 
 PRODUCTS = [
@@ -35,19 +35,20 @@
 
 
 def test_the_example_is_good_and_says_what_it_cuts() -> None:
-    told = read(ROOT / "deploy/levels.toml", PRODUCTS, TENANTS)
-    assert [rung.name for rung in told.rungs] == ["checks-when-free", "lookups-when-free", "submits-only"]
-    first, second, third = (rung.relief.trims for rung in told.rungs)
+    parsed = read_table(ROOT / "deploy/levels.toml", PRODUCTS, TENANTS)
+    names = [level.name for level in parsed.levels]
+    assert names == ["checks-when-free", "lookups-when-free", "submits-only"]
+    first, second, third = (level.service_level.trims for level in parsed.levels)
     assert (first[0], first[1][0].cut, first[2]) == ((), RestrictionKind.SPARE, ())
     assert (second[0][0].cut, second[1][0].cut) == (RestrictionKind.SPARE, RestrictionKind.DECLINE) and third[
         0
     ][0].cut is RestrictionKind.DECLINE
-    assert not third[2] and told.rungs[0].stay_ms == 8000.0 and not told.is_shadow
+    assert not third[2] and parsed.levels[0].min_stay_ms == 8000.0 and not parsed.is_shadow
 
 
 def test_the_strongest_cut_that_fits_comes_first() -> None:
     cuts = SHARE + ', { do = "decline", products = ["addr-lookup"], rank_below = 0.3, tenants = ["south"] }'
-    trims = parse(table(cuts), PRODUCTS, TENANTS).rungs[0].relief.trims[0]
+    trims = parse_table(table(cuts), PRODUCTS, TENANTS).levels[0].service_level.trims[0]
     assert [(trim.cut, trim.rank, trim.tenants) for trim in trims] == [
         (RestrictionKind.DECLINE, 0.3, frozenset({1})),
         (RestrictionKind.SHARE, float("inf"), None),
@@ -110,8 +111,8 @@
     ],
 )
 def test_a_bad_table_is_named_by_its_key(text: str, says: str) -> None:
-    with pytest.raises(BadTable) as raised:
-        parse(text, PRODUCTS, TENANTS)
+    with pytest.raises(LevelTableError) as raised:
+        parse_table(text, PRODUCTS, TENANTS)
     assert says in str(raised.value) and "\n" not in str(raised.value)
 
 
@@ -142,7 +143,7 @@
 def test_the_core_tells_the_module_and_the_log_and_a_drain_freezes_the_ladder(mode: str) -> None:
     text = table(SHARE, NONE, top=f'version = 1\nmode = "{mode}"\n')
     module = Module()
-    core = Core(lambda *_: module, PRODUCTS, [], LevelController(parse(text, PRODUCTS, TENANTS), 0.0))
+    core = Core(lambda *_: module, PRODUCTS, [], LevelController(parse_table(text, PRODUCTS, TENANTS), 0.0))
     core.begin(True, 0.0)
     logged, now = [], 0.0
 
@@ -162,17 +163,17 @@
     text, facts = logged[0]
     assert text == "less service" and facts["pressure_bound"] == 0.2 and facts["why"] == "entry"
     assert facts["pressure"] > 0.2 and facts.get("shadow", False) == (mode == "shadow")
-    core.take_levels(parse(table(SHARE), PRODUCTS, TENANTS))
+    core.take_levels(parse_table(table(SHARE), PRODUCTS, TENANTS))
     rings(1)
     assert module.told[-1] == "l1" and logged[-1][1]["why"] == "table"
     shadow = 'version = 1\nmode = "shadow"\n'
-    core.take_levels(parse(table(SHARE, top=shadow), PRODUCTS, TENANTS))
+    core.take_levels(parse_table(table(SHARE, top=shadow), PRODUCTS, TENANTS))
     assert module.told[-1] == "full"  # a shadow enforces nothing, whatever was in force
     core.retire(5000.0)
     module.known |= {"pressure": 0.0, "demand": 0.0}
     before = list(module.told)
     rings(60)
-    core.take_levels(parse(GOOD, PRODUCTS, TENANTS))
+    core.take_levels(parse_table(GOOD, PRODUCTS, TENANTS))
     assert module.told == before
 
 
