--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -5,7 +5,7 @@
     [[variant]]  name = "levels"  levels = "../deploy/levels.toml"  bare = false  [variant.site] ...
     [[case]]     name = "sine"  length_s = 600  variants = [...]  [case.grid] period_s = [20, 60]
     [[case.load]] ... [[claim]]    text = "..."  cases = "sine*"  figure = "moves_per_min"  variant =
-    "levels"  at_most = 1.0 [[chart]]    kind = "fault_timeline" | "lines" ...
+    "levels"  at_most = 1.0 [[chart]]    kind = "timeline" | "lines" ...
 
 A text "$name" in a case's load, fault or site stands for the grid's value. A claim with `over` is of the
 difference to that variant, paired by seed. Everything is checked before anything is played."""
@@ -25,7 +25,7 @@
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, Site, convert, site_of
-from otterrudder.levels import BadTable, Table, read
+from otterrudder.levels import LevelTable, LevelTableError, read_table
 
 LENGTH_MOST_S = 4 * 3600.0  # s of a day
 QUICK_SEEDS = 2  # seeds of a quick run
@@ -101,7 +101,7 @@
     site: Site
     load: list[Part]
     faults: list[Fault]
-    levels: Table | None
+    levels: LevelTable | None
     bare: bool
     module: tuple[tuple[str, float], ...]
     length_s: float
@@ -197,12 +197,12 @@
             )
 
 
-def _levels(folder: Path, variant: VariantPart, site: Site) -> Table | None:
+def _levels(folder: Path, variant: VariantPart, site: Site) -> LevelTable | None:
     if not variant.levels:
         return None
     try:
-        return read(folder / variant.levels, site.products, site.tenants)
-    except BadTable as error:
+        return read_table(folder / variant.levels, site.products, site.tenants)
+    except LevelTableError as error:
         raise BadInput(f"variant {variant.name}: {error}") from None
 
 
