--- a/otterrudder/lab/checker.py
+++ b/otterrudder/lab/checker.py
@@ -1,129 +1,140 @@
-"""A ledger of the four rules, kept from what crossed between gateways, servers and runtimes, never from the
-server.
+"""An independent checker of the four rules: its history is kept from what crossed between gateways, servers
+and runtimes, and it never asks a server.
 
-Each entry is one try on one server's life. A rule that is broken is written down with its time, server and
-try; the run goes on, and a run with any entry counts as failed."""
+Each entry is one attempt at one incarnation of a server. A broken rule is written down with its time, server
+and attempt; the run goes on, and a run with any violation counts as failed."""
 
+import math
 from collections import Counter
 from dataclasses import dataclass
 
-# ms after its due time by which an answer must have come: half of it is the module's own tick
-SLACK_MS = 80.0
-BROKEN_MOST = 50  # entries kept in words; past that they are only counted
+ANSWER_SLACK_MS = 80.0  # after the deadline, until which an answer must have come: twice the module's tick
+RETENTION_MS = 60_000.0  # after the deadline, until which an answered attempt is remembered
+MAX_DESCRIBED = 50  # violations kept in words; past that they are only counted
 
 
 @dataclass(slots=True)
 class Entry:
-    """A try that a server has read."""
+    """An attempt that a server has read."""
 
-    life: int  # of the server: one for each start of its process
-    recv: float
-    due: float
-    mark: int  # 0: inquiry-like
-    answered: str = ""
-    left: bool = False
-    started: int = 0
+    incarnation: int  # of the server: one for each start of its process
+    received_at: float
+    deadline: float
+    effect: int  # the request whose effect must happen once at most; 0: it is safe to repeat
+    answer: str = ""
+    is_disconnected: bool = False
+    starts: int = 0
 
 
 class Checker:
+    """The history of a day, with the rules held against it."""
+
     def __init__(self) -> None:
         self.open: dict[int, Entry] = {}
         self.broken: list[str] = []
         self.counts: Counter[str] = Counter()
-        self._retired: dict[int, tuple[float, float]] = {}  # by life: last arrival that may run, the stop
-        self._ran: dict[tuple[int, int], float] = {}  # life and mark: until when it may not run again
         self.lost_with_server = 0
-
-    def _break(self, rule: str, what: str) -> None:
-        self.counts[rule] += 1
-        if len(self.broken) < BROKEN_MOST:
-            self.broken.append(f"{rule}: {what}")
+        # by incarnation that drains: the last arrival that may run
+        self._last_arrivals: dict[int, float] = {}
+        self._blocked_until: dict[tuple[int, int], float] = {}  # by incarnation and effect that has happened
 
     @property
     def broken_count(self) -> int:
+        """Violations of all rules."""
         return sum(count for rule, count in self.counts.items() if rule.startswith("rule"))
 
-    def read(self, now: float, number: int, life: int, recv: float, due: float, mark: int) -> None:
-        # One that was read past its due time could not be answered by then: it is owed an answer at once.
-        self.counts["read late"] += now > due
-        self.open[number] = Entry(life, recv, max(due, now), mark)
+    def received(
+        self, now: float, number: int, incarnation: int, received_at: float, deadline: float, effect: int
+    ) -> None:
+        """A server has read an attempt. One that is read past its deadline is owed an answer at once."""
+        self.counts["read late"] += now > deadline
+        self.open[number] = Entry(incarnation, received_at, max(deadline, now), effect)
 
-    def thawed(self, now: float, life: int) -> None:
-        """Its process stood still: what fell due meanwhile is owed now, as nothing could be sent before."""
+    def resumed(self, now: float, incarnation: int) -> None:
+        """Its process was frozen: what fell due meanwhile is owed now, as nothing could be sent before."""
         for entry in self.open.values():
-            if entry.life == life:
-                entry.due = max(entry.due, now)
+            if entry.incarnation == incarnation:
+                entry.deadline = max(entry.deadline, now)
 
-    def left(self, number: int) -> None:
+    def disconnected(self, number: int) -> None:
+        """The caller waits no more: no answer is owed."""
         if entry := self.open.get(number):
-            entry.left = True
+            entry.is_disconnected = True
 
-    def started(self, now: float, number: int, window_ms: float) -> None:
+    def started(self, now: float, number: int, retention_ms: float) -> None:
+        """A server has started to run an attempt."""
         entry = self.open.get(number)
         if entry is None:
-            self._break("rule 2", f"at {now:.0f} ms a try that is not open, {number}, was started")
+            self._record("rule 2", f"at {now:.0f} ms a try that is not open, {number}, was started")
             return
-        entry.started += 1
-        last, _ = self._retired.get(entry.life, (float("inf"), 0.0))
-        if entry.recv > last:
-            self._break("rule 3", f"at {now:.0f} ms {number} ran, {entry.recv - last:.0f} ms past the grace")
-        if not entry.mark:
+        entry.starts += 1
+        excess_ms = entry.received_at - self._last_arrivals.get(entry.incarnation, math.inf)
+        if excess_ms > 0:
+            self._record("rule 3", f"at {now:.0f} ms {number} ran, {excess_ms:.0f} ms past the grace")
+        if not entry.effect:
             return
-        key = (entry.life, entry.mark)
-        if entry.started > 1 or self._ran.get(key, -1.0) > now:
-            self._break("rule 2", f"at {now:.0f} ms the effect of {number} happened twice")
-        self._ran[key] = now + window_ms
+        if entry.starts > 1 or self._has_run(now, entry):
+            self._record("rule 2", f"at {now:.0f} ms the effect of {number} happened twice")
+        self._blocked_until[entry.incarnation, entry.effect] = now + retention_ms
 
-    def answered(self, now: float, number: int, how: str) -> None:
+    def answered(self, now: float, number: int, answer: str) -> None:
+        """A server has answered an attempt."""
         entry = self.open.get(number)
         if entry is None:
-            self._break("rule 1", f"at {now:.0f} ms {number} was answered ({how}) and is not open")
+            self._record("rule 1", f"at {now:.0f} ms {number} was answered ({answer}) and is not open")
             return
-        if entry.answered:
-            self._break("rule 1", f"at {now:.0f} ms {number} was answered {how} after {entry.answered}")
-        if now > entry.due + SLACK_MS and not entry.left:
-            self._break("rule 1", f"{number} was answered {now - entry.due:.0f} ms after its due time")
-        if (
-            how == "declined"
-            and entry.mark
-            and (entry.started or self._ran.get((entry.life, entry.mark), -1.0) > now)
-        ):
-            self._break("rule 2", f"at {now:.0f} ms {number} was declined, and it had run")
-        entry.answered = how
-
-    def sweep(self, now: float) -> None:
-        """Now and then: what is overdue, and what is over is forgotten."""
+        if entry.answer:
+            self._record("rule 1", f"at {now:.0f} ms {number} was answered {answer} after {entry.answer}")
+        if now > entry.deadline + ANSWER_SLACK_MS and not entry.is_disconnected:
+            late_ms = now - entry.deadline
+            self._record("rule 1", f"{number} was answered {late_ms:.0f} ms after its due time")
+        if answer == "declined" and entry.effect and (entry.starts or self._has_run(now, entry)):
+            self._record("rule 2", f"at {now:.0f} ms {number} was declined, and it had run")
+        entry.answer = answer
+
+    def check_overdue(self, now: float) -> None:
+        """Finds attempts without an answer, and drops what is over; to be called now and then."""
         for number, entry in list(self.open.items()):
-            if not entry.answered and not entry.left and now > entry.due + SLACK_MS:
-                self._break("rule 1", f"{number} has no answer {now - entry.due:.0f} ms after its due time")
-                entry.answered = "never"
-            if (entry.answered or entry.left) and now > entry.due + 60_000.0:
+            if not entry.answer and not entry.is_disconnected and now > entry.deadline + ANSWER_SLACK_MS:
+                late_ms = now - entry.deadline
+                self._record("rule 1", f"{number} has no answer {late_ms:.0f} ms after its due time")
+                entry.answer = "never"
+            if (entry.answer or entry.is_disconnected) and now > entry.deadline + RETENTION_MS:
                 del self.open[number]
-        for key in [key for key, until in self._ran.items() if until < now]:
-            del self._ran[key]
+        for key in [key for key, until in self._blocked_until.items() if until < now]:
+            del self._blocked_until[key]
 
-    def retired(self, life: int, last_arrival: float, stop: float) -> None:
-        self._retired[life] = (last_arrival, stop)
+    def shutdown_began(self, incarnation: int, last_arrival: float) -> None:
+        """A server drains: what arrives after this may not run."""
+        self._last_arrivals[incarnation] = last_arrival
 
-    def stopped(self, now: float, life: int) -> None:
+    def stopped(self, incarnation: int) -> None:
         """A drained server's process ends: all that it read must have its answer."""
         for number, entry in self.open.items():
-            if entry.life == life and not entry.answered and not entry.left:
-                self._break("rule 3", f"{number} had no answer when its server was stopped")
-        self._forget(life)
-
-    def killed(self, life: int) -> None:
-        """A process is killed from outside: what it held is no longer its duty."""
-        self.lost_with_server += sum(e.life == life and not e.answered for e in self.open.values())
-        self._forget(life)
-
-    def fell(self, now: float, life: int, why: str) -> None:
-        self._break("rule 4", f"at {now:.0f} ms a server fell over: {why}")
-        self._forget(life)
-
-    def end(self, now: float) -> None:
-        self.sweep(now)
+            if entry.incarnation == incarnation and not entry.answer and not entry.is_disconnected:
+                self._record("rule 3", f"{number} had no answer when its server was stopped")
+        self._forget(incarnation)
+
+    def killed(self, incarnation: int) -> None:
+        """A process is killed from outside: no answer is owed to what it held."""
+        self.lost_with_server += sum(
+            entry.incarnation == incarnation and not entry.answer for entry in self.open.values()
+        )
+        self._forget(incarnation)
+
+    def crashed(self, now: float, incarnation: int, why: str) -> None:
+        """A process ended by itself."""
+        self._record("rule 4", f"at {now:.0f} ms a server fell over: {why}")
+        self._forget(incarnation)
+
+    def _has_run(self, now: float, entry: Entry) -> bool:
+        return self._blocked_until.get((entry.incarnation, entry.effect), -1.0) > now
+
+    def _record(self, rule: str, what: str) -> None:
+        self.counts[rule] += 1
+        if len(self.broken) < MAX_DESCRIBED:
+            self.broken.append(f"{rule}: {what}")
 
-    def _forget(self, life: int) -> None:
-        for number in [number for number, entry in self.open.items() if entry.life == life]:
+    def _forget(self, incarnation: int) -> None:
+        for number in [n for n, entry in self.open.items() if entry.incarnation == incarnation]:
             del self.open[number]
--- a/otterrudder/lab/claims.py
+++ b/otterrudder/lab/claims.py
@@ -6,8 +6,8 @@
 
 from otterrudder.lab.plan import ClaimPart, Run, matches
 
-# The 97.5% quantile of Student's t by degrees of freedom from 1; past the last it is taken for normal.
-T = (
+# The 97.5% quantiles of Student's t by degrees of freedom from 1; past the last it is taken for normal.
+T_QUANTILES = (
     12.706,
     4.303,
     3.182,
@@ -40,6 +40,8 @@
     2.042,
 )
 
+NORMAL_QUANTILE = 1.96
+
 
 @dataclass(frozen=True, slots=True)
 class Group:
@@ -47,32 +49,36 @@
 
     name: str
     mean: float
-    half: float  # of the 95% interval, 0 for a single value
+    half_width: float  # of the 95% interval, 0 for a single value
     holds: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
+    """Whether a claim holds, group by group."""
+
     claim: ClaimPart
     groups: list[Group]
 
     @property
     def holds(self) -> bool:
+        """Whether it holds in every group, and there is one."""
         return bool(self.groups) and all(group.holds for group in self.groups)
 
     @property
     def worst(self) -> Group | None:
         """The group that says most: the first that does not hold, else the one nearest to its bound."""
         failed = [group for group in self.groups if not group.holds]
-        return (failed or sorted(self.groups, key=self._room))[0] if self.groups else None
+        return (failed or sorted(self.groups, key=self._margin))[0] if self.groups else None
 
-    def _room(self, group: Group) -> float:
+    def _margin(self, group: Group) -> float:
+        """How far the group is from the nearest bound."""
         claim = self.claim
-        rooms = [group.mean - bound for bound in (claim.at_least,) if bound is not None]
-        rooms += [bound - group.mean for bound in (claim.at_most,) if bound is not None]
-        rooms += [group.mean - group.half - bound for bound in (claim.above,) if bound is not None]
-        rooms += [bound - abs(group.mean) for bound in (claim.within,) if bound is not None]
-        return min(rooms)
+        margins = [group.mean - bound for bound in (claim.at_least,) if bound is not None]
+        margins += [bound - group.mean for bound in (claim.at_most,) if bound is not None]
+        margins += [group.mean - group.half_width - bound for bound in (claim.above,) if bound is not None]
+        margins += [bound - abs(group.mean) for bound in (claim.within,) if bound is not None]
+        return min(margins)
 
 
 def interval(values: Sequence[float]) -> tuple[float, float]:
@@ -82,35 +88,38 @@
     if n < 2:
         return mean, math.inf
     spread = math.sqrt(math.fsum((value - mean) ** 2 for value in values) / (n - 1))
-    return mean, (T[n - 2] if n - 2 < len(T) else 1.96) * spread / math.sqrt(n)
+    quantile = T_QUANTILES[n - 2] if n - 2 < len(T_QUANTILES) else NORMAL_QUANTILE
+    return mean, quantile * spread / math.sqrt(n)
 
 
-def judge(claim: ClaimPart, figures: Sequence[tuple[Run, dict[str, float]]]) -> Verdict:
-    """The verdict on a claim from all runs' figures. With no run that it is of it does not hold."""
-    mine = [(run, told) for run, told in figures if matches(claim.cases, run) and claim.figure in told]
+def evaluate(claim: ClaimPart, figures: Sequence[tuple[Run, dict[str, float]]]) -> Verdict:
+    """The verdict on a claim from all runs' figures; without a run that it is about it does not hold."""
+    relevant = [(run, found) for run, found in figures if matches(claim.cases, run) and claim.figure in found]
     values: dict[str, list[float]] = {}
-    others = {(run.case, run.seed): told[claim.figure] for run, told in mine if run.variant == claim.over}
-    for run, told in mine:
+    baseline = {
+        (run.case, run.seed): found[claim.figure] for run, found in relevant if run.variant == claim.over
+    }
+    for run, found in relevant:
         if run.variant != claim.variant:
             continue
-        value = told[claim.figure]
+        value = found[claim.figure]
         if claim.over:
-            if (run.case, run.seed) not in others:
+            if (run.case, run.seed) not in baseline:
                 continue
-            value -= others[run.case, run.seed]
+            value -= baseline[run.case, run.seed]
         name = {"run": f"{run.case} seed {run.seed}", "case": run.case, "all": "all"}[claim.by]
         values.setdefault(name, []).append(value)
-    return Verdict(claim, [_group(claim, name, found) for name, found in values.items()])
+    return Verdict(claim, [_group(claim, name, group_values) for name, group_values in values.items()])
 
 
 def _group(claim: ClaimPart, name: str, values: list[float]) -> Group:
-    mean, half = interval(values)
+    mean, half_width = interval(values)
     holds = all(
         (
             claim.at_least is None or mean >= claim.at_least,
             claim.at_most is None or mean <= claim.at_most,
-            claim.above is None or mean - half > claim.above,
+            claim.above is None or mean - half_width > claim.above,
             claim.within is None or abs(mean) <= claim.within,
         )
     )
-    return Group(name, mean, half if len(values) > 1 else 0.0, holds)
+    return Group(name, mean, half_width if len(values) > 1 else 0.0, holds)
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -135,7 +135,7 @@
         self._come()
         self._sweep()
         self.engine.run(self.length_ms + AFTER_MS)
-        self.checker.end(self.engine.now)
+        self.checker.check_overdue(self.engine.now)
         return self._result()
 
     def _come(self) -> None:
@@ -151,7 +151,7 @@
         self._come()
 
     def _sweep(self) -> None:
-        self.checker.sweep(self.engine.now)
+        self.checker.check_overdue(self.engine.now)
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.levels.name if server.is_up and server.core.levels else ""
--- a/otterrudder/lab/report.py
+++ b/otterrudder/lab/report.py
@@ -70,7 +70,7 @@
                 over=v.claim.over,
                 holds=v.holds,
                 groups=[
-                    dict(name=g.name, mean=round(g.mean, 5), half=round(g.half, 5), holds=g.holds)
+                    dict(name=g.name, mean=round(g.mean, 5), half=round(g.half_width, 5), holds=g.holds)
                     for g in v.groups
                 ],
             )
@@ -120,7 +120,7 @@
 
 
 def shown(group: Group) -> str:
-    return f"{group.mean:.3f}" + (f" ± {group.half:.3f}" if group.half else "")
+    return f"{group.mean:.3f}" + (f" ± {group.half_width:.3f}" if group.half_width else "")
 
 
 def table(outcome: Outcome) -> list[str]:
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from otterrudder.admission import controller
-from otterrudder.lab.claims import Verdict, judge
+from otterrudder.lab.claims import Verdict, evaluate
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
 from otterrudder.levels import LevelSelector
@@ -57,7 +57,7 @@
         for run, result in results
         for what in result.broken
     ]
-    verdicts = [judge(claim, figures) for claim in experiment.claims]
+    verdicts = [evaluate(claim, figures) for claim in experiment.claims]
     return Outcome(experiment, results, verdicts, broken, time.monotonic() - began)
 
 
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -166,7 +166,7 @@
         spec = self.products[ask.product]
         referenced = spec.effect is Idempotency.IDEMPOTENT
         self.tries[call] = attempt
-        self.checker.read(
+        self.checker.received(
             self.engine.now,
             attempt.number,
             self.life,
@@ -193,7 +193,7 @@
 
     def left(self, attempt: Attempt) -> None:
         """Its caller has gone away."""
-        self.checker.left(attempt.number)
+        self.checker.disconnected(attempt.number)
         self.post_arrival(self.core.left, f"{attempt.number:016x}")
 
     # The runtime and what lies below it.
@@ -247,13 +247,13 @@
             s = self.site.server
             self.is_draining = True
             now = self.engine.now
-            self.checker.retired(self.life, now + s.grace_ms, now + s.stop_ms)
+            self.checker.shutdown_began(self.life, now + s.grace_ms)
             self.post(self.core.retire, s.stop_ms)
             self.engine.after(s.stop_ms, self._stopped, self.life)
 
     def _stopped(self, life: int) -> None:
         if life == self.life and self.is_up:
-            self.checker.stopped(self.engine.now, self.life)
+            self.checker.stopped(self.life)
             self._gone()
 
     def kill(self) -> None:
@@ -275,7 +275,7 @@
         self.is_frozen = on
         self.cores.set_factor(0.0 if on else 1.0)
         if not on:
-            self.checker.thawed(self.engine.now, self.life)
+            self.checker.resumed(self.engine.now, self.life)
             self.is_planned = False
             self._plan()
 
@@ -296,5 +296,5 @@
         self.crowd_peak = max(self.crowd_peak, crowd)
         why = "memory" if used > self.memory_most else "a crowd on its cores" if crowd > 1 else ""
         if why:
-            self.checker.fell(self.engine.now, self.life, why)
+            self.checker.crashed(self.engine.now, self.life, why)
             self._gone()
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from otterrudder.admission.interface import Outcome
-from otterrudder.lab.claims import interval, judge
+from otterrudder.lab.claims import evaluate, interval
 from otterrudder.lab.cores import Cores
 from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
@@ -135,7 +135,7 @@
 
     def holds(**how: object) -> bool:
         told = dict(text="t", cases="evening", figure="value", variant="levels") | how
-        return judge(ClaimPart(**told), figures).holds
+        return evaluate(ClaimPart(**told), figures).holds
 
     assert holds(over="none", above=0.0) and not holds(over="none", above=0.1)
     assert holds(over="none", within=0.16) and not holds(over="none", within=0.14)
