--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -16,9 +16,9 @@
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
 from otterrudder.net import control
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.group import BadGroups, parse_groups
+from otterrudder.vrrp.authentication import KEY_LEAST, MODE_MOST, SIZE, TRAILER
+from otterrudder.vrrp.configuration import BadGroups, parse_groups
 from otterrudder.vrrp.packet import BadPacket
-from otterrudder.vrrp.seal import KEY_LEAST, MODE_MOST, SIZE, TRAILER
 
 KEYS_KEPT = 2  # keys in a file after `keygen --add`: the one that signs and the one before
 
--- a/otterrudder/lab/search.py
+++ b/otterrudder/lab/search.py
@@ -1,5 +1,5 @@
-"""A search of VRRP's states: every order of events to a stated depth, over `machine.py` and `gate.py` as
-they are.
+"""A search of VRRP's states: every order of events to a stated depth, over `state_machine.py` and
+`admission_gate.py` as they are.
 
 A world is a few routers of one group, what is in flight between them, and the time. From each world that was
 reached every event is tried: a message delivered (in any order), lost or sent twice, the next timer, a
@@ -19,8 +19,8 @@
 from ipaddress import IPv4Address
 
 from otterrudder.admission.interface import RequestScope
-from otterrudder.vrrp.gate import Door, Gate, HoldDown
-from otterrudder.vrrp.machine import Action, Became, Machine, Send, State, Timer
+from otterrudder.vrrp.admission_gate import Door, Gate, HoldDown
+from otterrudder.vrrp.state_machine import Action, Became, Machine, Send, State, Timer
 
 INTERVAL_MS = 1000.0  # of the adverts, in all worlds
 IN_FLIGHT_MOST = 3  # messages: more of the same say nothing new
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -41,9 +41,9 @@
     from otterrudder.fleet.configuration import Fleet
     from otterrudder.levels import LevelTable
     from otterrudder.net.control import Control
-    from otterrudder.vrrp.gate import Order
-    from otterrudder.vrrp.group import Groups
-    from otterrudder.vrrp.speaker import Speaker
+    from otterrudder.vrrp.admission_gate import Order
+    from otterrudder.vrrp.configuration import Groups
+    from otterrudder.vrrp.router import Speaker
 
 RESULTS_SHARE = 0.4  # share of this process's memory that references with their results may take
 RESULT_BYTES = 5 * 1024  # bytes of a reference: the longest result, its mark and what both hang on
@@ -97,7 +97,7 @@
         wrong."""
         if not self.vrrp:
             return None
-        from otterrudder.vrrp.group import BadGroups, read_groups
+        from otterrudder.vrrp.configuration import BadGroups, read_groups
 
         try:
             return read_groups(self.vrrp, products_of(settings), tenants_of(settings))
@@ -250,7 +250,7 @@
 ) -> "Speaker":
     """VRRP's actor, its socket taken: what it orders goes to the core by the dispatcher, ahead of what
     arrives."""
-    from otterrudder.vrrp.speaker import Speaker
+    from otterrudder.vrrp.router import Speaker
 
     def order(told: "Order") -> None:
         dispatcher.post(dispatcher.core.serve_part, told.part, told.is_up, told.left_ms)
--- a/otterrudder/vrrp/gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -6,9 +6,10 @@
     draining   was open and is a backup now: answers what it has read until the hand-over's end
     retired    the process itself leaves: nothing brings it back
 
-The table of moves is below, and the docs' is made from it (`python -m otterrudder.vrrp.gate`). A hold-down
-grows each time that a group is master again within `forget_ms` of having been left, so a node that flaps
-stays out rather than admits for a second; it is the module that answers, at once, what comes meanwhile."""
+The table of moves is below, and the docs' is made from it (`python -m otterrudder.vrrp.admission_gate`). A
+hold-down grows each time that a group is master again within `forget_ms` of having been left, so a node
+that flaps stays out rather than admits for a second; it is the module that answers, at once, what comes
+meanwhile."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,7 +17,7 @@
 import msgspec
 
 from otterrudder.admission.interface import RequestScope
-from otterrudder.vrrp.machine import State
+from otterrudder.vrrp.state_machine import State
 
 
 class Door(Enum):
--- a/otterrudder/vrrp/group.py
+++ b/otterrudder/vrrp/configuration.py
@@ -11,10 +11,10 @@
 
 from otterrudder.admission.interface import RequestClass, RequestScope, Tenant
 from otterrudder.files import convert, load_toml
-from otterrudder.vrrp.gate import HoldDown
+from otterrudder.vrrp.admission_gate import HoldDown
+from otterrudder.vrrp.authentication import BadKeys, Keys, read_keys
 from otterrudder.vrrp.packet import ADDRESSES_MOST, CENTISECOND_MS, INTERVAL_MOST, Address
-from otterrudder.vrrp.seal import BadKeys, Keys, read_keys
-from otterrudder.vrrp.track import FACTS, Weight
+from otterrudder.vrrp.tracking import FACTS, Weight
 
 VERSION = 1  # of the form
 GROUPS_MOST = 32  # in a process: each has a timer and a door
--- a/otterrudder/vrrp/speaker.py
+++ b/otterrudder/vrrp/router.py
@@ -24,12 +24,12 @@
 from otterrudder import clock
 from otterrudder.log import log
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.gate import Door, Gate, Order
-from otterrudder.vrrp.group import Group, Groups, Peer
-from otterrudder.vrrp.machine import Action, Became, Machine, Send, State, Timer
+from otterrudder.vrrp.admission_gate import Door, Gate, Order
+from otterrudder.vrrp.authentication import SIZE, Keys, Seal
+from otterrudder.vrrp.configuration import Group, Groups, Peer
 from otterrudder.vrrp.packet import BadPacket, Flaw
-from otterrudder.vrrp.seal import SIZE, Keys, Seal
-from otterrudder.vrrp.track import Track
+from otterrudder.vrrp.state_machine import Action, Became, Machine, Send, State, Timer
+from otterrudder.vrrp.tracking import Track
 
 IP_RECVTTL = 12  # Linux's number; the standard library has no name for it
 DATAGRAM_MOST = 2048  # bytes: the largest advert with its trailer is under 400
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -164,16 +164,16 @@
     ],
 )
 def test_an_import_is_found_in_each_form(text: str, imported: str, for_types: bool) -> None:
-    texts = {"otterrudder.vrrp.gate": text, "otterrudder.net": "", "otterrudder.net.core": ""}
-    assert Import("otterrudder.vrrp.gate", imported, for_types) in imports_of(texts)
+    texts = {"otterrudder.vrrp.admission_gate": text, "otterrudder.net": "", "otterrudder.net.core": ""}
+    assert Import("otterrudder.vrrp.admission_gate", imported, for_types) in imports_of(texts)
 
 
 @pytest.mark.parametrize(
     ("importer", "imported", "upward"),
     [
-        ("otterrudder.vrrp.gate", "otterrudder.net.core", True),
-        ("otterrudder.vrrp.gate", "otterrudder.levels.table", True),  # beside it
-        ("otterrudder.net.core", "otterrudder.vrrp.gate", False),
+        ("otterrudder.vrrp.admission_gate", "otterrudder.net.core", True),
+        ("otterrudder.vrrp.admission_gate", "otterrudder.levels.table", True),  # beside it
+        ("otterrudder.net.core", "otterrudder.vrrp.admission_gate", False),
         ("otterrudder.net.core", "otterrudder.net.serve", False),  # of one package: the circles are looked at
         ("otterrudder.lab.processes.double", "otterrudder.cli.serve", True),
     ],
--- a/tests/vrrp/test_pure.py
+++ b/tests/vrrp/test_decisions.py
@@ -11,12 +11,12 @@
 
 from otterrudder.admission.interface import Idempotency, RequestClass, RequestScope
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.gate import Door, Gate, HoldDown, Order
-from otterrudder.vrrp.group import BadGroups, read_groups
-from otterrudder.vrrp.machine import Became, Machine, Send, State, Timer
+from otterrudder.vrrp.admission_gate import Door, Gate, HoldDown, Order
+from otterrudder.vrrp.authentication import SIZE, WINDOW, BadKeys, Key, Keys, Seal, read_keys
+from otterrudder.vrrp.configuration import BadGroups, read_groups
 from otterrudder.vrrp.packet import Advert, BadPacket, Flaw
-from otterrudder.vrrp.seal import SIZE, WINDOW, BadKeys, Key, Keys, Seal, read_keys
-from otterrudder.vrrp.track import Track, Weight
+from otterrudder.vrrp.state_machine import Became, Machine, Send, State, Timer
+from otterrudder.vrrp.tracking import Track, Weight
 
 A, B, GROUP = ip_address("192.0.2.1"), ip_address("192.0.2.2"), ip_address("224.0.0.18")
 V4 = st.ip_addresses(v=4)
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -18,7 +18,7 @@
 
 from otterrudder.net import control
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.seal import SIZE, Seal, read_keys
+from otterrudder.vrrp.authentication import SIZE, Seal, read_keys
 
 MINE, ITS, VIRTUAL, GROUP = map(ip_address, ("192.0.2.12", "192.0.2.11", "192.0.2.1", "224.0.0.18"))
 INTERVAL_MS = 100
--- a/tests/vrrp/test_search.py
+++ b/tests/vrrp/test_search.py
@@ -5,9 +5,9 @@
 import pytest
 
 from otterrudder.lab.search import machine_of, search
-from otterrudder.vrrp import gate
-from otterrudder.vrrp.gate import Door, Event, Gate
-from otterrudder.vrrp.machine import Action, Machine, Timer
+from otterrudder.vrrp import admission_gate
+from otterrudder.vrrp.admission_gate import Door, Event, Gate
+from otterrudder.vrrp.state_machine import Action, Machine, Timer
 
 
 @pytest.mark.parametrize(("priorities", "depth"), [((200, 100), 12), ((100, 100), 11), ((200, 150, 100), 6)])
@@ -86,12 +86,12 @@
     ],
 )
 def test_a_fault_in_the_gate_is_found(monkeypatch, move, leads, says) -> None:
-    monkeypatch.setitem(gate.MOVES, move, leads)
+    monkeypatch.setitem(admission_gate.MOVES, move, leads)
     found = search((200, 100), 9, worlds_most=60_000)
     assert found.broken and says in found.broken.what
 
 
 def test_each_door_has_a_move_for_each_event_and_the_docs_show_them() -> None:
-    assert set(gate.MOVES) == {(door, event) for door in Door for event in Event}
-    assert all(gate.MOVES[Door.RETIRED, event] is Door.RETIRED for event in Event)
-    assert gate.table().count("\n") == 6 and isinstance(Gate, type)
+    assert set(admission_gate.MOVES) == {(door, event) for door in Door for event in Event}
+    assert all(admission_gate.MOVES[Door.RETIRED, event] is Door.RETIRED for event in Event)
+    assert admission_gate.table().count("\n") == 6 and isinstance(Gate, type)
