--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -1,12 +1,14 @@
-"""vrrp: what the groups of a running server do, and the tools round its files."""
+"""`otterrudder vrrp`: the groups of a running server, and tools for VRRP files, keys and messages."""
 
 import json
 import os
 import secrets
 import sys
 import tomllib
+from dataclasses import dataclass
 from ipaddress import ip_address
 from pathlib import Path
+from typing import Any
 
 import click
 
@@ -16,143 +18,203 @@
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
 from otterrudder.net import control
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.authentication import KEY_LEAST, MODE_MOST, SIZE, TRAILER
-from otterrudder.vrrp.configuration import BadGroups, parse_groups
-from otterrudder.vrrp.packet import BadPacket
+from otterrudder.vrrp.authentication import TRAILER_FIELDS, TRAILER_SIZE
+from otterrudder.vrrp.configuration_reader import VrrpConfigurationError, parse_configuration
+from otterrudder.vrrp.keys import MAX_KEY_FILE_MODE, MIN_KEY_BYTES
+from otterrudder.vrrp.packet import PacketError
 
-KEYS_KEPT = 2  # keys in a file after `keygen --add`: the one that signs and the one before
+MAX_KEYS_KEPT = 2  # in a file after `keygen --add`: the one that signs and the new one
+MAX_KEY_NUMBER = 255
+
+
+@dataclass(frozen=True, slots=True)
+class NumberedSecret:
+    """A key as it stands in a key file."""
+
+    number: int
+    secret: str  # hex
+
+
+@dataclass(slots=True)
+class KeyFileContent:
+    """What `keygen` reads, changes and writes."""
+
+    signing_number: int
+    keys: list[NumberedSecret]
+
+    @property
+    def numbers(self) -> list[int]:
+        """The numbers of all keys."""
+        return [key.number for key in self.keys]
+
+    def add_key(self) -> None:
+        """Adds a new key; of the others the signing one is kept."""
+        number = max(self.numbers, default=0) % MAX_KEY_NUMBER + 1
+        signing = [key for key in self.keys if key.number == self.signing_number][-1:]
+        new = NumberedSecret(number, secrets.token_hex(MIN_KEY_BYTES))
+        self.keys = [*signing, new][-MAX_KEYS_KEPT:]
+
+    def text(self) -> str:
+        """The file's text."""
+        sections = (f'\n[[key]]\nnumber = {key.number}\nsecret = "{key.secret}"\n' for key in self.keys)
+        return f"signs = {self.signing_number}\n" + "".join(sections)
 
 
 @click.group()
 def vrrp() -> None:
-    """VRRP: what a running server's groups do, and the tools round their files."""
+    """VRRP: the groups of a running server, and tools for their files."""
 
 
 @vrrp.command()
 @click.argument("name", required=False)
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for scripts.")
 def show(name: str | None, as_json: bool) -> None:
-    """Groups, states, timers and counters of the server NAME (else NODE_NAME) on this machine."""
+    """Show groups, states, timers and counters of the server NAME (default NODE_NAME) on this machine."""
     name = name or os.environ.get("NODE_NAME")
     if not name:
-        give_up("say the server's name, or set NODE_NAME")
+        give_up("name the server, or set NODE_NAME")
     try:
-        told = control.ask(name, "vrrp")
-    except (OSError, ValueError) as trouble:
-        give_up(f"no server answers at {control.path_of(name)}: {trouble}")
-    if "error" in told:
-        give_up(str(told["error"]))
+        answer = control.ask(name, "vrrp")
+    except (OSError, ValueError) as error:
+        give_up(f"no server answers at {control.path_of(name)}: {error}")
+    if "error" in answer:
+        give_up(str(answer["error"]))
+    groups = answer["vrrp"]
     if as_json:
-        click.echo(json.dumps(told["vrrp"], indent=1))
+        click.echo(json.dumps(groups, indent=1))
         return
-    groups = told["vrrp"]
     assert isinstance(groups, list)
     for group in groups:
-        lowered = f", lowered by {', '.join(group['lowered_by'])}" if group["lowered_by"] else ""
-        click.echo(
-            f"{group['group']} (vrid {group['vrid']}): {group['state']}, door {group['door']}, priority "
-            f"{group['priority']} of {group['base']}{lowered}"
-        )
-        click.echo(
-            f"  interval {group['interval_ms']:g} ms, timer in {group['timer_ms']} ms, "
-            f"returns {group['returns']}"
-        )
-        click.echo("  " + ", ".join(f"{what} {count}" for what, count in sorted(group["counts"].items())))
+        for line in _group_lines(group):
+            click.echo(line)
+
+
+def _group_lines(group: dict[str, Any]) -> list[str]:
+    lowered = f", lowered by {', '.join(group['lowered_by'])}" if group["lowered_by"] else ""
+    return [
+        f"{group['group']} (vrid {group['vrid']}): {group['state']}, door {group['door']}, priority "
+        f"{group['priority']} of {group['base']}{lowered}",
+        f"  interval {group['interval_ms']:g} ms, timer in {group['timer_ms']} ms, "
+        f"returns {group['returns']}",
+        "  " + ", ".join(f"{name} {count}" for name, count in sorted(group["counts"].items())),
+    ]
 
 
 @vrrp.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Say what is wrong with FILE and its keys, if anything. Products are checked where NODE_CONFIG is
-    set."""
+    """Check FILE and its key file; products and tenants too if NODE_CONFIG is set."""
     try:
-        told = tomllib.loads(file.read_text("utf-8"))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
-        give_up(f"cannot read {file}: {trouble}")
+        values = tomllib.loads(file.read_text("utf-8"))
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        give_up(f"cannot read {file}: {error}")
     try:
-        groups = parse_groups(told, file, *_known(told))
-    except (BadGroups, BadConfiguration) as trouble:
-        give_up(trouble)
+        configuration = parse_configuration(values, file, *_names(values))
+    except (VrrpConfigurationError, BadConfiguration) as error:
+        give_up(error)
+    keys = configuration.keys
     click.echo(
-        f"{file}: good: {len(groups.groups)} groups, keys {sorted(groups.keys.by_number)}, "
-        f"{groups.keys.signs} signs"
+        f"{file}: good: {len(configuration.groups)} groups, keys {sorted(keys.by_number)}, "
+        f"{keys.signing_number} signs"
     )
 
 
-def _known(told: dict[str, object]) -> tuple[list[RequestClass], list[Tenant]]:
+def _names(values: dict[str, Any]) -> tuple[list[RequestClass], list[Tenant]]:
+    """The request classes and tenants that the file is checked against."""
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
         return products_of(settings), tenants_of(settings)
-    return named_in(tables_in(told, "group"))
+    return named_in(tables_in(values, "group"))
 
 
 @vrrp.command()
 @click.argument("data")
 @click.option("--source", default="0.0.0.0", help="The sender's address, for the checksum.")
-@click.option("--destination", default="224.0.0.18", help="And the one it was sent to.")
+@click.option("--destination", default="224.0.0.18", help="The destination address, for the checksum.")
 def decode(data: str, source: str, destination: str) -> None:
-    """Say in words what an advert says: DATA in hex, sealed or not ('-': bytes of standard input)."""
-    raw = sys.stdin.buffer.read() if data == "-" else _hex(data)
-    try:
-        ends: list[packet.Address] = [ip_address(end) for end in (source, destination)]
-    except ValueError as trouble:
-        give_up(trouble)
-    size = 4 if ends[0].version == 4 else 16
-    plain = packet.LEAST + raw[3] * size if len(raw) >= packet.LEAST else len(raw)
-    trailer = raw[plain:]
+    """Decode an advertisement: DATA in hex, with or without its trailer ('-': bytes from standard input)."""
+    message = sys.stdin.buffer.read() if data == "-" else _parse_hex(data)
+    source_address = _parse_address(source)
+    destination_address = _parse_address(destination)
+    size = _advertisement_size(message, source_address)
     try:
-        advert = packet.decode(raw[:plain], ends[0], ends[1])
-    except BadPacket as bad:
-        give_up(f"dropped: {bad}")
+        advertisement = packet.decode(message[:size], source_address, destination_address)
+    except PacketError as error:
+        give_up(f"dropped: {error}")
     click.echo(
-        f"vrid {advert.vrid}, priority {advert.priority}, interval {advert.interval_ms:g} ms, "
-        f"addresses {', '.join(map(str, advert.addresses))}"
+        f"vrid {advertisement.vrid}, priority {advertisement.priority}, "
+        f"interval {advertisement.interval_ms:g} ms, "
+        f"addresses {', '.join(map(str, advertisement.addresses))}"
     )
-    if len(trailer) == SIZE:
-        number, epoch, counter = TRAILER.unpack_from(trailer)
-        click.echo(
-            f"sealed with key {number}, life {epoch}, message {counter} (the seal is not checked here)"
-        )
-    elif trailer:
-        click.echo(f"{len(trailer)} bytes behind it are no seal")
+    if len(message) > size:
+        click.echo(_trailer_line(message[size:]))
 
 
-def _hex(text: str) -> bytes:
+def _advertisement_size(message: bytes, source: packet.Address) -> int:
+    """The bytes ahead of the trailer, by the count of addresses in the header."""
+    if len(message) < packet.HEADER_SIZE:
+        return len(message)
+    address_size = packet.IPV4_SIZE if source.version == 4 else packet.IPV6_SIZE
+    return packet.HEADER_SIZE + message[3] * address_size
+
+
+def _trailer_line(trailer: bytes) -> str:
+    if len(trailer) != TRAILER_SIZE:
+        return f"{len(trailer)} bytes behind it are no authentication trailer"
+    number, incarnation, counter = TRAILER_FIELDS.unpack_from(trailer)
+    return (
+        f"signed with key {number}, incarnation {incarnation}, message {counter} "
+        "(the MAC is not checked here)"
+    )
+
+
+def _parse_hex(text: str) -> bytes:
     try:
         return bytes.fromhex(text)
     except ValueError:
         give_up("DATA is not hex")
 
 
+def _parse_address(text: str) -> packet.Address:
+    try:
+        return ip_address(text)
+    except ValueError as error:
+        give_up(error)
+
+
 @vrrp.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--add", is_flag=True, help="Add a key to FILE that does not sign yet.")
 @click.option("--sign", type=int, metavar="NUMBER", help="Let this key of FILE sign from now on.")
 def keygen(file: Path, add: bool, sign: int | None) -> None:
     """Write a new key FILE, mode 0600; --add and --sign are the two steps of a key change (docs/vrrp.md)."""
-    keys: list[tuple[int, str]] = []
-    signs = 1
-    if add or sign is not None:
-        try:
-            told = tomllib.loads(file.read_text("utf-8"))
-            keys, signs = [(key["number"], key["secret"]) for key in told["key"]], told["signs"]
-        except (OSError, ValueError, KeyError, TypeError):
-            give_up(f"{file}: no key file")
-    elif file.exists():
+    is_change = add or sign is not None
+    if not is_change and file.exists():
         give_up(f"{file} is there already: --add adds a key to it")
-    if add or not keys:
-        number = max((number for number, _ in keys), default=0) % 255 + 1
-        kept = [key for key in keys if key[0] == signs][-1:]
-        keys = [*kept, (number, secrets.token_hex(KEY_LEAST))][-KEYS_KEPT:]
+    content = _read_key_file(file) if is_change else KeyFileContent(1, [])
+    if add or not content.keys:
+        content.add_key()
     if sign is not None:
-        if sign not in [number for number, _ in keys]:
+        if sign not in content.numbers:
             give_up(f"{file}: there is no key {sign}")
-        signs = sign
-    text = f"signs = {signs}\n" + "".join(
-        f'\n[[key]]\nnumber = {number}\nsecret = "{secret}"\n' for number, secret in keys
-    )
-    beside = file.with_name(file.name + ".new")
-    with open(os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, MODE_MOST), "w") as out:
-        out.write(text)
-    os.replace(beside, file)
-    click.echo(f"{file}: keys {sorted(number for number, _ in keys)}, {signs} signs")
+        content.signing_number = sign
+    _write_key_file(file, content)
+    click.echo(f"{file}: keys {sorted(content.numbers)}, {content.signing_number} signs")
+
+
+def _read_key_file(file: Path) -> KeyFileContent:
+    try:
+        values = tomllib.loads(file.read_text("utf-8"))
+        keys = [NumberedSecret(key["number"], key["secret"]) for key in values["key"]]
+        return KeyFileContent(values["signs"], keys)
+    except (OSError, ValueError, KeyError, TypeError):
+        give_up(f"{file}: no key file")
+
+
+def _write_key_file(file: Path, content: KeyFileContent) -> None:
+    """Replaces the file at once; it is never readable by others."""
+    temporary = file.with_name(file.name + ".new")
+    flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
+    with open(os.open(temporary, flags, MAX_KEY_FILE_MODE), "w") as out:
+        out.write(content.text())
+    os.replace(temporary, file)
--- a/otterrudder/files.py
+++ b/otterrudder/files.py
@@ -1,37 +1,41 @@
-"""Operators' files, whatever they say: TOML read, nested tables converted and merged. Each reader brings the
-error that its callers know."""
+"""Reading operators' files: TOML, conversion of nested tables, and merging. Callers pass an error class."""
 
 import tomllib
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
+Value = TypeVar("Value")
 
-def load_toml(path: Path, trouble: type[Exception]) -> dict[str, Any]:
-    """What the file holds; `trouble` says why not, by its name."""
+
+def load_toml(path: Path, error_class: type[Exception]) -> dict[str, Any]:
+    """The table in a TOML file; `error_class` names the file and the reason."""
     try:
         return tomllib.loads(path.read_text("utf-8"))
-    except (OSError, UnicodeDecodeError) as why:
-        raise trouble(f"cannot read {path}: {why}") from None
-    except tomllib.TOMLDecodeError as why:
-        raise trouble(f"{path.name}: not TOML: {why}") from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise error_class(f"cannot read {path}: {error}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise error_class(f"{path.name}: not TOML: {error}") from None
 
 
-def convert(told: Any, kind: type[Any], where: str, trouble: type[Exception]) -> Any:
-    """`told` as `kind`; `trouble` names the place behind `where`, never a value."""
+def convert(values: Any, type_: type[Value], place: str, error_class: type[Exception]) -> Value:
+    """`values` as a `type_`; `error_class` names the key below `place`, never a value."""
     try:
-        return msgspec.convert(told, kind)
-    except msgspec.ValidationError as why:
-        what, _, at = str(why).partition(" - at `$")
-        raise trouble(f"{where}{at.rstrip('`')}: {what}") from None
+        return msgspec.convert(values, type_)
+    except msgspec.ValidationError as error:
+        message, _, path = str(error).partition(" - at `$")
+        raise error_class(f"{place}{path.rstrip('`')}: {message}") from None
 
 
 def merged(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    """`base` with what `change` says, table by table; neither is changed."""
-    whole = dict(base)
+    """A copy of `base` with the values of `change`; tables in both are merged."""
+    result = dict(base)
     for key, value in change.items():
-        inner = base.get(key)
-        whole[key] = merged(inner, value) if isinstance(inner, dict) and isinstance(value, dict) else value
-    return whole
+        original = base.get(key)
+        if isinstance(original, dict) and isinstance(value, dict):
+            result[key] = merged(original, value)
+        else:
+            result[key] = value
+    return result
--- a/otterrudder/lab/search.py
+++ b/otterrudder/lab/search.py
@@ -19,18 +19,18 @@
 from ipaddress import IPv4Address
 
 from otterrudder.admission.interface import RequestScope
-from otterrudder.vrrp.admission_gate import Door, Gate, HoldDown
-from otterrudder.vrrp.state_machine import Action, Became, Machine, Send, State, Timer
+from otterrudder.vrrp.admission_gate import AdmissionGate, GateState, HoldDown
+from otterrudder.vrrp.state_machine import Action, SendAdvertisement, State, StateChange, StateMachine, Timer
 
 INTERVAL_MS = 1000.0  # of the adverts, in all worlds
 IN_FLIGHT_MOST = 3  # messages: more of the same say nothing new
 # intervals within which a world left in peace must have settled: two take-overs and a hold-down
 SETTLE_TIMES = 12.0
-HELD = HoldDown(first_ms=500.0, most_ms=2000.0, forget_ms=4000.0)
+HELD = HoldDown(first_ms=500.0, max_ms=2000.0, forget_ms=4000.0)
 STEPS_MOST = 2000  # of a world left in peace: adverts of some routers for the time above are some tens
 NET_MS = 1.0  # of a message, once the world is left in peace
 
-Maker = Callable[[int, int], Machine]  # from a router's number and priority
+Maker = Callable[[int, int], StateMachine]  # from a router's number and priority
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +42,8 @@
 
 @dataclass(slots=True)
 class Router:
-    machine: Machine
-    gate: Gate
+    machine: StateMachine
+    gate: AdmissionGate
     timer: Timer = field(default_factory=lambda: Timer(math.inf, 0))
     is_up: bool = True
 
@@ -51,15 +51,15 @@
         if not self.is_up:
             return ()
         m, g = self.machine, self.gate
-        free = max(_shift(g._free_at, now) or 0.0, 0.0)
+        free = max(_shift(g._held_until, now) or 0.0, 0.0)
         return (
             m.state,
             m.priority,
             m.interval,
             _shift(self.timer.at, now),
-            _shift(m.delay_until, now),
-            g.door,
-            _shift(g.due, now),
+            _shift(m.preempt_delay_until, now),
+            g.state,
+            _shift(g.deadline, now),
             g.returns,
             _shift(g._left_at, now),
             free,
@@ -96,8 +96,8 @@
     broken: Broken | None
 
 
-def machine_of(number: int, priority: int, preempts: bool = True) -> Machine:
-    return Machine(IPv4Address(f"192.0.2.{number + 1}"), priority, INTERVAL_MS, preempts=preempts)
+def machine_of(number: int, priority: int, preempts: bool = True) -> StateMachine:
+    return StateMachine(IPv4Address(f"192.0.2.{number + 1}"), priority, INTERVAL_MS, preempts=preempts)
 
 
 def search(
@@ -105,7 +105,7 @@
     depth: int,
     make: Maker = machine_of,
     worlds_most: int = 2_000_000,
-    gate: type[Gate] = Gate,
+    gate: type[AdmissionGate] = AdmissionGate,
 ) -> Found:
     """Every order of events to `depth`, breadth first, or the first world that breaks a rule."""
     first = World([_fresh(n, priority, make, gate) for n, priority in enumerate(priorities)])
@@ -127,11 +127,13 @@
     return Found(len(seen), depth, None)
 
 
-def _fresh(n: int, priority: int, make: Maker, gate: type[Gate]) -> Router:
+def _fresh(n: int, priority: int, make: Maker, gate: type[AdmissionGate]) -> Router:
     return Router(make(n, priority), gate(RequestScope(), 1500.0, HELD))
 
 
-def _following(world: World, priorities: tuple[int, ...], make: Maker, gate: type[Gate]) -> Iterator[World]:
+def _following(
+    world: World, priorities: tuple[int, ...], make: Maker, gate: type[AdmissionGate]
+) -> Iterator[World]:
     for at, message in enumerate(world.flight):
         rest = world.flight[:at] + world.flight[at + 1 :]
         if message in world.flight[:at]:
@@ -157,14 +159,14 @@
     return World(routers, flight, world.now, (*world.trail, event))
 
 
-def _clone(machine: Machine) -> Machine:
+def _clone(machine: StateMachine) -> StateMachine:
     twin = object.__new__(type(machine))
-    for name in Machine.__slots__:
+    for name in StateMachine.__slots__:
         setattr(twin, name, getattr(machine, name))
     return twin
 
 
-def _clone_gate(gate: Gate) -> Gate:
+def _clone_gate(gate: AdmissionGate) -> AdmissionGate:
     twin = object.__new__(type(gate))
     twin.__dict__.update(gate.__dict__)
     return twin
@@ -172,16 +174,16 @@
 
 def _next(world: World) -> tuple[float, int]:
     """The next time that anything is due, and whose."""
-    times = [(min(r.timer.at, r.gate.due), n) for n, r in enumerate(world.routers) if r.is_up]
+    times = [(min(r.timer.at, r.gate.deadline), n) for n, r in enumerate(world.routers) if r.is_up]
     return min(times, default=(math.inf, 0))
 
 
 def _timed(world: World, at: float, n: int) -> World:
     world.now = max(world.now, at)
     router = world.routers[n]
-    router.gate.play(world.now)
+    router.gate.handle_time(world.now)
     if router.timer.at <= world.now:
-        _carry_out(world, n, router.machine.due(world.now, router.timer.number))
+        _carry_out(world, n, router.machine.handle_timer(world.now, router.timer.number))
     return world
 
 
@@ -189,7 +191,7 @@
     router = world.routers[message.to]
     if router.is_up:
         sender = world.routers[message.sender].machine.address
-        heard = router.machine.hear(world.now, message.priority, INTERVAL_MS, sender)
+        heard = router.machine.handle_advertisement(world.now, message.priority, INTERVAL_MS, sender)
         _carry_out(world, message.to, heard)
     return world
 
@@ -197,20 +199,20 @@
 def _carry_out(world: World, n: int, actions: list[Action]) -> None:
     router = world.routers[n]
     for action in actions:
-        if isinstance(action, Send):
+        if isinstance(action, SendAdvertisement):
             others = (Message(to, action.priority, n) for to in range(len(world.routers)) if to != n)
             world.flight = (*world.flight, *others)[-IN_FLIGHT_MOST:]  # the oldest are lost: that is allowed
         elif isinstance(action, Timer):
             router.timer = action
-        elif isinstance(action, Became) and action.state is not State.INITIALIZE:
-            router.gate.became(world.now, action.state)
+        elif isinstance(action, StateChange) and action.state is not State.INITIALIZE:
+            router.gate.handle_state(world.now, action.state)
 
 
 def _check(world: World, priorities: tuple[int, ...]) -> str:
     for n, router in enumerate(world.routers):
         if not router.is_up:
             continue
-        if router.gate.door is Door.OPEN and router.machine.state is not State.MASTER:
+        if router.gate.state is GateState.OPEN and router.machine.state is not State.MASTER:
             return f"{n} admits and is no master"
         if router.machine.state is not State.INITIALIZE and router.timer.at == math.inf:
             return f"{n} waits for nothing"
@@ -242,5 +244,5 @@
     preempts = all(world.routers[n].machine.preempts for n in up)
     if len(masters) != 1 or preempts and priorities[masters[0]] != most:
         return f"in peace the masters are {masters}, and one of priority {most} should be"
-    doors = [n for n in up if world.routers[n].gate.door is Door.OPEN]
+    doors = [n for n in up if world.routers[n].gate.state is GateState.OPEN]
     return "" if doors == masters else f"in peace the open doors are {doors}, the master {masters}"
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -41,9 +41,9 @@
     from otterrudder.fleet.configuration import Fleet
     from otterrudder.levels import LevelTable
     from otterrudder.net.control import Control
-    from otterrudder.vrrp.admission_gate import Order
-    from otterrudder.vrrp.configuration import Groups
-    from otterrudder.vrrp.router import Speaker
+    from otterrudder.vrrp.admission_gate import SetAdmission
+    from otterrudder.vrrp.configuration import VrrpConfiguration
+    from otterrudder.vrrp.router import VrrpRouter
 
 RESULTS_SHARE = 0.4  # share of this process's memory that references with their results may take
 RESULT_BYTES = 5 * 1024  # bytes of a reference: the longest result, its mark and what both hang on
@@ -92,16 +92,17 @@
             raise BadConfiguration(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
         return fleet
 
-    def read_vrrp(self, settings: dict[str, Any]) -> "Groups | None":
+    def read_vrrp(self, settings: dict[str, Any]) -> "VrrpConfiguration | None":
         """The VRRP groups with their keys, None where there is no file; BadConfiguration says what is
         wrong."""
         if not self.vrrp:
             return None
-        from otterrudder.vrrp.configuration import BadGroups, read_groups
+        from otterrudder.vrrp.configuration_reader import VrrpConfigurationError
+        from otterrudder.vrrp.configuration_reader import read_configuration as read_vrrp_configuration
 
         try:
-            return read_groups(self.vrrp, products_of(settings), tenants_of(settings))
-        except BadGroups as trouble:
+            return read_vrrp_configuration(self.vrrp, products_of(settings), tenants_of(settings))
+        except VrrpConfigurationError as trouble:
             raise BadConfiguration(str(trouble)) from None
 
 
@@ -132,7 +133,7 @@
     configuration: Configuration,
     files: Files,
     levels: "LevelTable | None",
-    groups: "Groups | None",
+    groups: "VrrpConfiguration | None",
     fleet: "Fleet | None",
 ) -> None:
     heard = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -144,7 +145,7 @@
     configuration: Configuration,
     files: Files,
     levels: "LevelTable | None",
-    groups: "Groups | None",
+    groups: "VrrpConfiguration | None",
     fleet: "Fleet | None",
     signals: AsyncIterator[signal.Signals],
 ) -> None:
@@ -180,7 +181,7 @@
         for actor in (dispatcher, runtime, records, registry):
             group.start_soon(actor.run)
         if speaker:
-            speaker.begin()
+            speaker.start()
             group.start_soon(speaker.run)
         if agent:
             group.start_soon(agent.run)
@@ -233,27 +234,31 @@
     return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
 
 
-def _control(name: str, speaker: "Speaker | None", agent: "Agent | CellAgent | None") -> "Control":
+def _control(name: str, speaker: "VrrpRouter | None", agent: "Agent | CellAgent | None") -> "Control":
     """The operators' local socket, which answers for the parts that are there."""
     from otterrudder.net.control import Control
 
     answers: dict[str, Callable[[], object]] = {}
     if speaker:
-        answers["vrrp"] = speaker.shown
+        answers["vrrp"] = speaker.status
     if agent:
         answers["fleet"] = agent.shown
     return Control(name, answers)
 
 
 def _speaker(
-    groups: "Groups", dispatcher: Dispatcher, runtime: Runtime, records: Records, registry: Registry
-) -> "Speaker":
+    groups: "VrrpConfiguration",
+    dispatcher: Dispatcher,
+    runtime: Runtime,
+    records: Records,
+    registry: Registry,
+) -> "VrrpRouter":
     """VRRP's actor, its socket taken: what it orders goes to the core by the dispatcher, ahead of what
     arrives."""
-    from otterrudder.vrrp.router import Speaker
+    from otterrudder.vrrp.router import VrrpRouter
 
-    def order(told: "Order") -> None:
-        dispatcher.post(dispatcher.core.serve_part, told.part, told.is_up, told.left_ms)
+    def order(told: "SetAdmission") -> None:
+        dispatcher.post(dispatcher.core.serve_part, told.scope, told.is_admitted, told.drain_ms)
 
     def facts() -> dict[str, bool]:
         core = dispatcher.core
@@ -268,11 +273,11 @@
     def changed() -> None:
         registry.draining = dispatcher.core.retiring or not speaker.is_serving
 
-    speaker = Speaker(groups, int(clock.unix()), order, facts)
-    speaker.changed = changed
+    speaker = VrrpRouter(groups, int(clock.unix()), order, facts)
+    speaker.on_change = changed
     speaker.bind()
     registry.draining = True
-    dispatcher.before_turn.append(speaker.pulse)
+    dispatcher.before_turn.append(speaker.poll)
     return speaker
 
 
@@ -324,7 +329,7 @@
     runtime: Runtime,
     records: Records,
     registry: Registry,
-    speaker: "Speaker | None",
+    speaker: "VrrpRouter | None",
 ) -> None:
     async for number in _signals_and_early_sighup(signals):
         if number == signal.SIGHUP:
@@ -337,7 +342,7 @@
                 log.exception("reload failed")
             continue
         if speaker:  # priority 0 first, so that another takes over while this one drains
-            speaker.retire()
+            speaker.begin_shutdown()
         registry.draining = True
         dispatcher.post(dispatcher.core.retire, configuration.stop_ms)
 
@@ -379,12 +384,12 @@
     )
 
 
-def _reload_keys(configuration: Configuration, files: Files, speaker: "Speaker") -> None:
+def _reload_keys(configuration: Configuration, files: Files, speaker: "VrrpRouter") -> None:
     """Other keys for VRRP; groups are settled at the start."""
     try:
         if groups := files.read_vrrp(configuration.settings):
-            speaker.take_keys(groups.keys)
-            log.info("vrrp keys taken", keys=sorted(groups.keys.by_number), signs=groups.keys.signs)
+            speaker.replace_keys(groups.keys)
+            log.info("vrrp keys taken", keys=sorted(groups.keys.by_number), signs=groups.keys.signing_number)
     except BadConfiguration as trouble:
         log.error("vrrp keys not taken", why=str(trouble))
 
--- a/otterrudder/vrrp/__init__.py
+++ b/otterrudder/vrrp/__init__.py
@@ -1,9 +1,9 @@
 """VRRP awareness: admit only as master. The state machine of RFC 9568 (VRRPv3), carried over UDP.
 
-`packet` and `seal` turn bytes into adverts and back, `machine` is the state machine of one group, `track`
-lowers a priority by facts, `gate` says what a state means for service, `group` reads the operators' TOML
-file: all pure. `speaker` is the actor with the sockets. Off where no file is named; the module alone carries
-out what the gate says (`AdmissionController.step_down`, `AdmissionController.step_up`).
+Pure: `packet` and `authentication` (bytes to advertisements and back), `state_machine` (one virtual router),
+`tracking` (facts that lower a priority), `admission_gate` (what a state means for admission). Files:
+`configuration` and its reader, `keys`. `instance` holds the parts of one group, `router` is the actor with
+the socket (`datagrams`). Off unless a file is named. The admission controller carries out the gate's commands
+(`AdmissionController.drain`, `AdmissionController.resume`).
 
-The RFC's Active Router is what operators call the master; code and pages here say master, and Backup as the
-RFC does."""
+What the RFC calls the Active Router is the master here, as operators say."""
--- a/otterrudder/vrrp/admission_gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -1,16 +1,17 @@
-"""From the state of a group to service: what the module is told, and when. Pure.
+"""The admission gate of a group: from its VRRP state to what the admission controller serves. Pure.
 
-    closed     a backup: its part is not admitted
-    open       a master: it is
-    held       a master that came back soon after it went: not yet admitted, it waits its hold-down out
-    draining   was open and is a backup now: answers what it has read until the hand-over's end
-    retired    the process itself leaves: nothing brings it back
+    closed     a backup: its requests are not admitted
+    open       a master: its requests are admitted
+    held       a master again soon after it left: not admitted until the hold-down has passed
+    draining   a backup that was open: answers what it has read, until the hand-over time ends
+    retired    the process shuts down: nothing opens the gate again
 
-The table of moves is below, and the docs' is made from it (`python -m otterrudder.vrrp.admission_gate`). A
-hold-down grows each time that a group is master again within `forget_ms` of having been left, so a node
-that flaps stays out rather than admits for a second; it is the module that answers, at once, what comes
-meanwhile."""
+`TRANSITIONS` is the whole table; the one in the docs is printed from it
+(`python -m otterrudder.vrrp.admission_gate`). The hold-down grows each time that the group is master again
+within `forget_ms` of leaving, so that a flapping node stays out. The admission controller rejects at once
+what arrives meanwhile."""
 
+import math
 from dataclasses import dataclass
 from enum import Enum
 
@@ -19,8 +20,12 @@
 from otterrudder.admission.interface import RequestScope
 from otterrudder.vrrp.state_machine import State
 
+MAX_DOUBLINGS = 32  # of the hold-down: keeps the power finite
+
+
+class GateState(Enum):
+    """The states of the gate."""
 
-class Door(Enum):
     CLOSED = "closed"
     OPEN = "open"
     HELD = "held"
@@ -28,119 +33,131 @@
     RETIRED = "retired"
 
 
-class Event(Enum):
+class GateEvent(Enum):
+    """What changes the state of the gate."""
+
     MASTER = "became master"
     BACKUP = "became backup"
-    DUE = "its time is up"
-    RETIRE = "SIGTERM"
+    DEADLINE = "its time is up"
+    SHUTDOWN = "SIGTERM"
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What the module is to be told: the part is served from now on, or left with so long to answer."""
+class SetAdmission:
+    """A command for the admission controller: serve the scope from now on, or drain it within `drain_ms`."""
 
-    part: RequestScope
-    is_up: bool
-    left_ms: float = 0.0
+    scope: RequestScope
+    is_admitted: bool
+    drain_ms: float = 0.0
 
 
 class HoldDown(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long one that flaps stays out; read from the operators' file as it is."""
+    """How long a flapping master is not admitted: `[hold_down]` of the configuration file."""
 
     first_ms: float = 1000.0  # at the first return within forget_ms; doubled at each further one
-    most_ms: float = 60_000.0
-    forget_ms: float = 30_000.0  # a return later than this after leaving is none; each such time forgets one
-
-
-# What an event does to a door: where it leads. MASTER leads to HELD instead while a hold-down runs.
-MOVES: dict[tuple[Door, Event], Door] = {
-    (Door.CLOSED, Event.MASTER): Door.OPEN,
-    (Door.CLOSED, Event.BACKUP): Door.CLOSED,
-    (Door.CLOSED, Event.DUE): Door.CLOSED,
-    (Door.OPEN, Event.MASTER): Door.OPEN,
-    (Door.OPEN, Event.BACKUP): Door.DRAINING,
-    (Door.OPEN, Event.DUE): Door.OPEN,
-    (Door.HELD, Event.MASTER): Door.HELD,
-    (Door.HELD, Event.BACKUP): Door.CLOSED,
-    (Door.HELD, Event.DUE): Door.OPEN,
-    (Door.DRAINING, Event.MASTER): Door.OPEN,
-    (Door.DRAINING, Event.BACKUP): Door.DRAINING,
-    (Door.DRAINING, Event.DUE): Door.CLOSED,
+    max_ms: float = msgspec.field(default=60_000.0, name="most_ms")
+    forget_ms: float = 30_000.0  # a later return does not count; each such span forgets one
+
+
+# MASTER leads to HELD instead of OPEN while a hold-down runs.
+TRANSITIONS: dict[tuple[GateState, GateEvent], GateState] = {
+    (GateState.CLOSED, GateEvent.MASTER): GateState.OPEN,
+    (GateState.CLOSED, GateEvent.BACKUP): GateState.CLOSED,
+    (GateState.CLOSED, GateEvent.DEADLINE): GateState.CLOSED,
+    (GateState.OPEN, GateEvent.MASTER): GateState.OPEN,
+    (GateState.OPEN, GateEvent.BACKUP): GateState.DRAINING,
+    (GateState.OPEN, GateEvent.DEADLINE): GateState.OPEN,
+    (GateState.HELD, GateEvent.MASTER): GateState.HELD,
+    (GateState.HELD, GateEvent.BACKUP): GateState.CLOSED,
+    (GateState.HELD, GateEvent.DEADLINE): GateState.OPEN,
+    (GateState.DRAINING, GateEvent.MASTER): GateState.OPEN,
+    (GateState.DRAINING, GateEvent.BACKUP): GateState.DRAINING,
+    (GateState.DRAINING, GateEvent.DEADLINE): GateState.CLOSED,
 }
-MOVES |= {(door, Event.RETIRE): Door.RETIRED for door in Door}
-MOVES |= {(Door.RETIRED, event): Door.RETIRED for event in Event}
+TRANSITIONS |= {(state, GateEvent.SHUTDOWN): GateState.RETIRED for state in GateState}
+TRANSITIONS |= {(GateState.RETIRED, event): GateState.RETIRED for event in GateEvent}
 
 
-class Gate:
-    """One group's door. It starts closed, and says so itself with its first order (`begin`)."""
+class AdmissionGate:
+    """The gate of one group. It starts closed; `initial_commands` says so to a new admission controller."""
 
-    def __init__(self, part: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
-        self.part, self.hand_over, self.hold_down = part, hand_over_ms, hold_down
-        self.door = Door.CLOSED
-        self.due = float("inf")  # when its time is up, for a held or draining one
-        self.returns = 0  # master again soon after leaving, so often of late
+    def __init__(self, scope: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
+        self.scope = scope
+        self.hand_over_ms = hand_over_ms
+        self.hold_down = hold_down
+        self.state = GateState.CLOSED
+        self.deadline = math.inf  # of a held or draining gate
+        self.returns = 0  # recent returns to mastership soon after leaving it
         self._left_at: float | None = None
-        self._free_at = 0.0  # until when a hold-down runs
-
-    def begin(self) -> list[Order]:
-        """What a module that has just come up is told: an open door needs no word."""
-        return [] if self.door is Door.OPEN else [Order(self.part, False)]
-
-    def became(self, now: float, state: State) -> list[Order]:
-        """The machine is in this state from now on."""
-        return self._play(now, Event.MASTER if state is State.MASTER else Event.BACKUP)
-
-    def play(self, now: float) -> list[Order]:
-        """What is due by now."""
-        return self._play(now, Event.DUE) if now >= self.due else []
-
-    def retire(self, now: float) -> list[Order]:
-        """The process leaves: the module's own drain answers, so nothing is ordered any more."""
-        return self._play(now, Event.RETIRE)
-
-    def _play(self, now: float, event: Event) -> list[Order]:
-        before, door = self.door, MOVES[self.door, event]
-        if event is Event.MASTER and door is Door.OPEN and before is not Door.OPEN:
-            self._note_return(now)
-            door = Door.HELD if now < self._free_at else door
-        if door is before:
+        self._held_until = 0.0
+
+    def initial_commands(self) -> list[SetAdmission]:
+        """Commands for an admission controller that starts now; it admits by itself."""
+        return [] if self.state is GateState.OPEN else [SetAdmission(self.scope, False)]
+
+    def handle_state(self, now: float, state: State) -> list[SetAdmission]:
+        """The state machine has become master, or is not (or no longer) master."""
+        return self._handle(now, GateEvent.MASTER if state is State.MASTER else GateEvent.BACKUP)
+
+    def handle_time(self, now: float) -> list[SetAdmission]:
+        """Plays the deadline if it has passed."""
+        return self._handle(now, GateEvent.DEADLINE) if now >= self.deadline else []
+
+    def begin_shutdown(self, now: float) -> list[SetAdmission]:
+        """The process shuts down: its own drain answers, so there are no more commands."""
+        return self._handle(now, GateEvent.SHUTDOWN)
+
+    def _handle(self, now: float, event: GateEvent) -> list[SetAdmission]:
+        previous = self.state
+        state = TRANSITIONS[previous, event]
+        if event is GateEvent.MASTER and state is GateState.OPEN and previous is not GateState.OPEN:
+            self._count_return(now)
+            state = GateState.HELD if now < self._held_until else state
+        if state is previous:
             return []
-        if event is Event.BACKUP and before in (Door.OPEN, Door.HELD):
+        if event is GateEvent.BACKUP and previous in (GateState.OPEN, GateState.HELD):
             self._left_at = now
-        self.door = door
-        self.due = {Door.HELD: self._free_at, Door.DRAINING: now + self.hand_over}.get(door, float("inf"))
-        return self._orders(before, door)
-
-    def _orders(self, before: Door, door: Door) -> list[Order]:
-        if door is Door.OPEN:
-            return [Order(self.part, True)]
-        if before is Door.OPEN and door is Door.DRAINING:
-            return [Order(self.part, False, self.hand_over)]
-        # held, closed and draining are left already, and a retired one is the module's own drain's
+        self.state = state
+        self.deadline = self._deadline_of(state, now)
+        return self._commands(previous, state)
+
+    def _deadline_of(self, state: GateState, now: float) -> float:
+        if state is GateState.HELD:
+            return self._held_until
+        if state is GateState.DRAINING:
+            return now + self.hand_over_ms
+        return math.inf
+
+    def _commands(self, previous: GateState, state: GateState) -> list[SetAdmission]:
+        """Held and closed are drained already, and a retired gate leaves it to the process's own drain."""
+        if state is GateState.OPEN:
+            return [SetAdmission(self.scope, True)]
+        if previous is GateState.OPEN and state is GateState.DRAINING:
+            return [SetAdmission(self.scope, False, self.hand_over_ms)]
         return []
 
-    def _note_return(self, now: float) -> None:
-        """Counts a return to mastership, and how long it is held for."""
+    def _count_return(self, now: float) -> None:
+        """Counts an early return to mastership and starts its hold-down; a late one forgets returns."""
         if self._left_at is None:
             return
-        gone = now - self._left_at
-        if gone < self.hold_down.forget_ms:
-            self.returns += 1
-            span = self.hold_down.first_ms * 2.0 ** min(self.returns - 1, 32)
-            self._free_at = now + min(span, self.hold_down.most_ms)
-        else:
-            self.returns = max(self.returns - int(gone / self.hold_down.forget_ms), 0)
-
-
-def table() -> str:
-    """The moves as a Markdown table, for the docs."""
-    lines = ["| door | " + " | ".join(event.value for event in Event) + " |"]
-    lines.append("| --- |" + " --- |" * len(Event))
-    for door in Door:
-        moves = (MOVES[door, event].value for event in Event)
-        lines.append(f"| {door.value} | " + " | ".join(moves) + " |")
+        away_ms = now - self._left_at
+        if away_ms >= self.hold_down.forget_ms:
+            self.returns = max(self.returns - int(away_ms / self.hold_down.forget_ms), 0)
+            return
+        self.returns += 1
+        span_ms = self.hold_down.first_ms * 2.0 ** min(self.returns - 1, MAX_DOUBLINGS)
+        self._held_until = now + min(span_ms, self.hold_down.max_ms)
+
+
+def transition_table() -> str:
+    """The transitions as a Markdown table, for the docs."""
+    lines = ["| gate | " + " | ".join(event.value for event in GateEvent) + " |"]
+    lines.append("| --- |" + " --- |" * len(GateEvent))
+    for state in GateState:
+        targets = (TRANSITIONS[state, event].value for event in GateEvent)
+        lines.append(f"| {state.value} | " + " | ".join(targets) + " |")
     return "\n".join(lines)
 
 
 if __name__ == "__main__":
-    print(table())
+    print(transition_table())
--- a/otterrudder/vrrp/packet.py
+++ b/otterrudder/vrrp/packet.py
@@ -1,29 +1,33 @@
-"""VRRPv3 advertisements: bytes to values and back, with every check that RFC 9568 asks of a receiver
-(section 7.1).
+"""VRRPv3 advertisements: bytes to values and back, with the receiver's checks of RFC 9568, section 7.1.
 
-Over UDP the real source and destination of a message are hidden, so the pseudo-header of the checksum is
-made of the addresses that the group states for them. Times on the wire are centiseconds; here they are ms."""
+VRRP is carried over UDP here, which hides the source and destination of the IP header. The checksum's
+pseudo-header is made of the addresses that the group configures instead. The unit of time on the wire is the
+centisecond; values here are in ms."""
 
 import struct
 from dataclasses import dataclass
 from enum import Enum
 from ipaddress import IPv4Address, IPv6Address
 
-VERSION, ADVERTISEMENT = 3, 1  # of the RFC: the only ones there are
-PROTOCOL = 112  # VRRP's number, in the pseudo-header
-HOP_LIMIT = 255  # a message that was routed has a lower one
-CENTISECOND_MS = 10.0  # ms of the unit on the wire
-INTERVAL_MOST = 0xFFF  # centiseconds: the field has 12 bits
-ADDRESSES_MOST = 20  # in an advert; the field allows 255, which no group here needs
-LEAST = 8  # bytes ahead of the addresses
-LEAVING, OWNER = 0, 255  # priorities with a meaning: the master goes; it owns the addresses
+VERSION = 3  # VRRPv3
+ADVERTISEMENT_TYPE = 1  # the only type that the RFC defines
+PROTOCOL = 112  # VRRP's IP protocol number, for the pseudo-header
+HOP_LIMIT = 255  # as sent; a message that was routed arrives with a lower one
+CENTISECOND_MS = 10.0
+MAX_INTERVAL_CS = 0xFFF  # centiseconds: the field has 12 bits
+MAX_ADDRESSES = 20  # in an advertisement; the field allows 255
+HEADER_SIZE = 8  # bytes ahead of the addresses
+IPV4_SIZE = 4  # bytes of an address
+IPV6_SIZE = 16
+STOP_PRIORITY = 0  # the master leaves the group
+OWNER_PRIORITY = 255  # the router owns the addresses
 
 Address = IPv4Address | IPv6Address
-_HEAD = struct.Struct(">BBBBHH")
+_HEADER = struct.Struct(">BBBBHH")
 
 
-class Flaw(Enum):
-    """Why a message is dropped; each is counted by itself."""
+class DropReason(Enum):
+    """Why a message is dropped; each reason has its own counter, named by its value."""
 
     SHORT = "too short"
     VERSION = "another version"
@@ -35,96 +39,118 @@
     ADDRESSES = "other addresses"
     INTERVAL = "another interval"
     OWN = "heard back"
-    SEAL = "seal"
+    AUTHENTICATION = "seal"
     REPLAY = "replayed"
     SENDER = "unknown sender"
 
 
-class BadPacket(Exception):
-    """A message that is dropped; `flaw` says why."""
+class PacketError(Exception):
+    """A message that has to be dropped, with the reason."""
 
-    def __init__(self, flaw: Flaw) -> None:
-        super().__init__(flaw.value)
-        self.flaw = flaw
+    def __init__(self, reason: DropReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
-class Advert:
-    """What an advertisement says."""
+class Advertisement:
+    """The fields of an advertisement."""
 
     vrid: int  # 1 to 255
     priority: int  # 0 to 255
-    interval_ms: float  # of the sender's adverts; whole centiseconds on the wire
+    interval_ms: float  # between the sender's advertisements; whole centiseconds on the wire
     addresses: tuple[Address, ...]  # all of one family, at least one
 
 
 def checksum(data: bytes) -> int:
-    """The 16-bit one's complement of the one's complement sum (RFC 1071)."""
+    """The internet checksum (RFC 1071): the one's complement of the one's complement sum of 16-bit words."""
     if len(data) % 2:
         data += b"\0"
-    # Summed as one number: its remainder by 0xFFFF is the end-around sum, with no loop over the bytes.
+    # The remainder by 0xFFFF is the sum with end-around carry, without a loop over the words.
     total = int.from_bytes(data) % 0xFFFF
     return 0xFFFF - total if total or not any(data) else 0
 
 
 def pseudo_header(source: Address, destination: Address, length: int) -> bytes:
-    """Of RFC 793 for IPv4 and RFC 8200 for IPv6, as the message would be carried in IP."""
-    ends = source.packed + destination.packed
+    """The pseudo-header of RFC 793 for IPv4 and of RFC 8200 for IPv6."""
+    addresses = source.packed + destination.packed
     if source.version == 4:
-        return ends + struct.pack(">BBH", 0, PROTOCOL, length)
-    return ends + struct.pack(">I3xB", length, PROTOCOL)
-
-
-def encode(advert: Advert, source: Address, destination: Address) -> bytes:
-    """The message that `source` sends to `destination`; ValueError for what the fields can't hold."""
-    centiseconds = round(advert.interval_ms / CENTISECOND_MS)
-    if not 1 <= centiseconds <= INTERVAL_MOST:
-        raise ValueError(f"an interval of {advert.interval_ms:g} ms does not fit 1 to {INTERVAL_MOST} cs")
-    if not 1 <= advert.vrid <= 255 or not 0 <= advert.priority <= 255:
+        return addresses + struct.pack(">BBH", 0, PROTOCOL, length)
+    return addresses + struct.pack(">I3xB", length, PROTOCOL)
+
+
+def encode(advertisement: Advertisement, source: Address, destination: Address) -> bytes:
+    """The message that `source` sends to `destination`; ValueError for values that do not fit the fields."""
+    interval_cs = round(advertisement.interval_ms / CENTISECOND_MS)
+    _check_encodable(advertisement, interval_cs, source, destination)
+    addresses = b"".join(address.packed for address in advertisement.addresses)
+    fields = (
+        VERSION << 4 | ADVERTISEMENT_TYPE,
+        advertisement.vrid,
+        advertisement.priority,
+        len(advertisement.addresses),
+        interval_cs,
+    )
+    unsummed = _HEADER.pack(*fields, 0) + addresses
+    total = checksum(pseudo_header(source, destination, len(unsummed)) + unsummed)
+    return _HEADER.pack(*fields, total) + addresses
+
+
+def _check_encodable(
+    advertisement: Advertisement, interval_cs: int, source: Address, destination: Address
+) -> None:
+    addresses = advertisement.addresses
+    if not 1 <= interval_cs <= MAX_INTERVAL_CS:
+        raise ValueError(
+            f"an interval of {advertisement.interval_ms:g} ms does not fit 1 to {MAX_INTERVAL_CS} cs"
+        )
+    if not 1 <= advertisement.vrid <= 255 or not 0 <= advertisement.priority <= 255:
         raise ValueError("the group's number is from 1 to 255, a priority from 0 to 255")
-    if not 1 <= len(advert.addresses) <= ADDRESSES_MOST:
-        raise ValueError(f"from 1 to {ADDRESSES_MOST} addresses, not {len(advert.addresses)}")
-    if len({address.version for address in (*advert.addresses, source, destination)}) > 1:
+    if not 1 <= len(addresses) <= MAX_ADDRESSES:
+        raise ValueError(f"from 1 to {MAX_ADDRESSES} addresses, not {len(addresses)}")
+    if len({address.version for address in (*addresses, source, destination)}) > 1:
         raise ValueError("addresses of both families in one group")
-    tail = b"".join(address.packed for address in advert.addresses)
-    first = VERSION << 4 | ADVERTISEMENT
-    fields = (first, advert.vrid, advert.priority, len(advert.addresses), centiseconds)
-    blank = _HEAD.pack(*fields, 0) + tail
-    return _HEAD.pack(*fields, checksum(pseudo_header(source, destination, len(blank)) + blank)) + tail
 
 
-def decode(data: bytes, source: Address, destination: Address, hops: int | None = HOP_LIMIT) -> Advert:
-    """The advert in a message, or BadPacket. `hops`: the hop limit that it arrived with; None: not told.
+def decode(data: bytes, source: Address, destination: Address, hops: int | None = HOP_LIMIT) -> Advertisement:
+    """The advertisement in a message, or PacketError. `hops`: the hop limit it arrived with; None: unknown.
 
-    In the RFC's order: hop limit, version, type, length, checksum. What hangs on the group is for
-    `accept`."""
+    Checks in the RFC's order: hop limit, version, type, length, checksum. `check_group` has the checks that
+    depend on the group."""
     if hops is not None and hops != HOP_LIMIT:
-        raise BadPacket(Flaw.HOPS)
-    if len(data) < LEAST:
-        raise BadPacket(Flaw.SHORT)
-    first, vrid, priority, count, interval, _ = _HEAD.unpack_from(data)
-    if first >> 4 != VERSION:
-        raise BadPacket(Flaw.VERSION)
-    if first & 0xF != ADVERTISEMENT:
-        raise BadPacket(Flaw.TYPE)
-    size = 4 if source.version == 4 else 16
-    if not 1 <= count <= ADDRESSES_MOST or len(data) != LEAST + count * size:
-        raise BadPacket(Flaw.LENGTH)
+        raise PacketError(DropReason.HOPS)
+    if len(data) < HEADER_SIZE:
+        raise PacketError(DropReason.SHORT)
+    version_type, vrid, priority, count, interval, _ = _HEADER.unpack_from(data)
+    if version_type >> 4 != VERSION:
+        raise PacketError(DropReason.VERSION)
+    if version_type & 0xF != ADVERTISEMENT_TYPE:
+        raise PacketError(DropReason.TYPE)
+    address_size = IPV4_SIZE if source.version == 4 else IPV6_SIZE
+    if not 1 <= count <= MAX_ADDRESSES or len(data) != HEADER_SIZE + count * address_size:
+        raise PacketError(DropReason.LENGTH)
     if checksum(pseudo_header(source, destination, len(data)) + data):
-        raise BadPacket(Flaw.CHECKSUM)
-    kind: type[Address] = IPv4Address if size == 4 else IPv6Address
-    addresses = tuple(kind(data[at : at + size]) for at in range(LEAST, len(data), size))
-    return Advert(vrid, priority, (interval & INTERVAL_MOST) * CENTISECOND_MS, addresses)
-
-
-def accept(
-    advert: Advert, vrid: int, addresses: frozenset[Address], interval_ms: float, learns_interval: bool
+        raise PacketError(DropReason.CHECKSUM)
+    address_class: type[Address] = IPv4Address if source.version == 4 else IPv6Address
+    addresses = tuple(
+        address_class(data[start : start + address_size])
+        for start in range(HEADER_SIZE, len(data), address_size)
+    )
+    return Advertisement(vrid, priority, (interval & MAX_INTERVAL_CS) * CENTISECOND_MS, addresses)
+
+
+def check_group(
+    advertisement: Advertisement,
+    vrid: int,
+    addresses: frozenset[Address],
+    interval_ms: float,
+    learns_interval: bool,
 ) -> None:
-    """The checks of a group on an advert; BadPacket says which failed. A priority of 0 names no interval to
-    go by."""
-    if advert.vrid != vrid or not advert.vrid:
-        raise BadPacket(Flaw.VRID)
-    if frozenset(advert.addresses) != addresses:
-        raise BadPacket(Flaw.ADDRESSES)
-    if advert.interval_ms <= 0 or not learns_interval and advert.interval_ms != interval_ms:
-        raise BadPacket(Flaw.INTERVAL)
+    """The checks that depend on the group's configuration; PacketError says which one failed."""
+    if advertisement.vrid != vrid or not advertisement.vrid:
+        raise PacketError(DropReason.VRID)
+    if frozenset(advertisement.addresses) != addresses:
+        raise PacketError(DropReason.ADDRESSES)
+    is_other_interval = not learns_interval and advertisement.interval_ms != interval_ms
+    if advertisement.interval_ms <= 0 or is_other_interval:
+        raise PacketError(DropReason.INTERVAL)
--- a/otterrudder/vrrp/tracking.py
+++ b/otterrudder/vrrp/tracking.py
@@ -1,24 +1,22 @@
-"""What lowers a group's priority: facts about this server, each with its weight, slow to count and slower to
-forget.
+"""Tracked objects: facts about this server that lower a group's priority while they are bad. Pure.
 
-A fact that flaps must not make mastership flap: it counts once it has been bad for `fall_ms` without a
-break, and no longer once it has been good for `rise_ms` without a break; each time that it counts again
-within `forget_ms` of going, `rise_ms` doubles, up to `RISE_MOST` times. Pure: facts and the time come in, a
-priority goes out."""
+A fact that flaps must not make mastership flap. It counts once it has been bad for `fall_ms` without a break,
+and stops counting once it has been good for `rise_ms` without a break. Each time that it counts again within
+`forget_ms` of stopping, `rise_ms` doubles, up to a maximum factor."""
 
 from collections.abc import Iterable, Mapping
 
 import msgspec
 
-RISE_MOST = 16.0  # the largest factor on `rise_ms`
-LEAST = 1  # the lowest priority that still takes part: 0 says that the master goes
-OWNER = 255  # an owner's is not lowered (RFC 9568, section 5.2.4)
-# The facts there are: what the server that asks may tell.
-FACTS = frozenset({"runtime", "records", "late", "level", "unhealthy"})
+from otterrudder.vrrp.packet import OWNER_PRIORITY
 
+MAX_RISE_FACTOR = 16.0
+MIN_PRIORITY = 1  # that still takes part in the election
+FACTS = frozenset({"runtime", "records", "late", "level", "unhealthy"})  # that a server can report
 
-class Weight(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """By how much a bad fact lowers the priority; read from the operators' file as it is."""
+
+class TrackedObject(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A fact and by how much it lowers the priority: `[[group.track]]` of the configuration file."""
 
     fact: str
     lowers: int
@@ -27,52 +25,59 @@
     forget_ms: float = 60_000.0
 
 
-class _Fact:
-    __slots__ = ("counts", "gone_at", "rise", "since", "weight")
+class _FactState:
+    """Whether a tracked object counts, with its delays."""
+
+    __slots__ = ("counts", "differs_since", "rise_factor", "stopped_at", "tracked")
 
-    def __init__(self, weight: Weight) -> None:
-        self.weight = weight
+    def __init__(self, tracked: TrackedObject) -> None:
+        self.tracked = tracked
         self.counts = False
-        self.since: float | None = None  # when it began to differ from what counts
-        self.gone_at: float | None = None
-        self.rise = 1.0  # factor on rise_ms
+        self.differs_since: float | None = None  # since when the fact differs from `counts`
+        self.stopped_at: float | None = None
+        self.rise_factor = 1.0
 
     def step(self, now: float, is_bad: bool | None) -> None:
-        if is_bad is None or is_bad == self.counts:  # not known: what counts stays as it is
-            self.since = None
+        """Plays one reading; None: unknown, nothing changes."""
+        if is_bad is None or is_bad == self.counts:
+            self.differs_since = None
             return
-        if self.since is None:
-            self.since = now
-        weight = self.weight
-        if now - self.since < (weight.fall_ms if is_bad else weight.rise_ms * self.rise):
+        if self.differs_since is None:
+            self.differs_since = now
+        delay = self.tracked.fall_ms if is_bad else self.tracked.rise_ms * self.rise_factor
+        if now - self.differs_since < delay:
             return
-        self.counts, self.since = is_bad, None
+        self.counts = is_bad
+        self.differs_since = None
         if not is_bad:
-            self.gone_at = now
-        elif self.gone_at is not None:
-            soon = now - self.gone_at < weight.forget_ms
-            self.rise = min(self.rise * 2, RISE_MOST) if soon else 1.0
+            self.stopped_at = now
+        elif self.stopped_at is not None:
+            is_early = now - self.stopped_at < self.tracked.forget_ms
+            self.rise_factor = min(self.rise_factor * 2, MAX_RISE_FACTOR) if is_early else 1.0
+
 
+class PriorityTracker:
+    """The priority of a group: its base, lowered by the tracked objects that count."""
 
-class Track:
-    def __init__(self, priority: int, weights: Iterable[Weight]) -> None:
-        """`priority`: of the group with nothing wrong."""
-        self.base = priority
-        self._facts = {weight.fact: _Fact(weight) for weight in weights}
+    def __init__(self, base_priority: int, tracked: Iterable[TrackedObject]) -> None:
+        self.base_priority = base_priority
+        self._states = {item.fact: _FactState(item) for item in tracked}
 
     def step(self, now: float, facts: Mapping[str, bool]) -> int:
-        """The priority at `now` ms. `facts`: whether each is bad; one left out is not known."""
-        for name, fact in self._facts.items():
-            fact.step(now, facts.get(name))
+        """The priority at `now` ms. `facts`: whether each is bad; one that is left out is unknown."""
+        for fact, state in self._states.items():
+            state.step(now, facts.get(fact))
         return self.priority
 
     @property
     def priority(self) -> int:
-        if self.base == OWNER:
-            return OWNER
-        return max(self.base - sum(f.weight.lowers for f in self._facts.values() if f.counts), LEAST)
+        """The priority now; an owner's is never lowered (RFC 9568, section 5.2.4)."""
+        if self.base_priority == OWNER_PRIORITY:
+            return OWNER_PRIORITY
+        lowered_by = sum(state.tracked.lowers for state in self._states.values() if state.counts)
+        return max(self.base_priority - lowered_by, MIN_PRIORITY)
 
     @property
-    def counting(self) -> list[str]:
-        """The facts that lower it now."""
-        return [name for name, fact in self._facts.items() if fact.counts]
+    def counting_facts(self) -> list[str]:
+        """The facts that lower the priority now."""
+        return [fact for fact, state in self._states.items() if state.counts]
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -1,4 +1,4 @@
-"""The program as operators start it, with a scripted VRRP speaker and a gateway's connection: it admits only
+"""The program as operators start it, with a scripted VRRP peer and a gateway's connection: it admits only
 as master."""
 
 import json
@@ -18,7 +18,8 @@
 
 from otterrudder.net import control
 from otterrudder.vrrp import packet
-from otterrudder.vrrp.authentication import SIZE, Seal, read_keys
+from otterrudder.vrrp.authentication import TRAILER_SIZE, Authenticator
+from otterrudder.vrrp.keys import read_keys
 
 MINE, ITS, VIRTUAL, GROUP = map(ip_address, ("192.0.2.12", "192.0.2.11", "192.0.2.1", "224.0.0.18"))
 INTERVAL_MS = 100
@@ -42,45 +43,45 @@
 """
 
 
-class Speaker:
-    """A peer that advertises as it is told to, and keeps what it heard."""
+class ScriptedPeer:
+    """A peer that advertises on request, and reads what it receives."""
 
     def __init__(self, keys: Path) -> None:
-        self.seal = Seal(read_keys(keys), int(time.time() * 1000))
+        self.authenticator = Authenticator(read_keys(keys), int(time.time() * 1000))
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 255)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.settimeout(WAIT_S)
         self.port = self.sock.getsockname()[1]
-        self.to = 0
-        self.speaking = threading.Event()
-        self.over = threading.Event()
+        self.target_port = 0
+        self.is_advertising = threading.Event()
+        self.is_stopped = threading.Event()
         self.priority = 200
         self.thread = threading.Thread(target=self._advertise, daemon=True)
 
-    def say(self, priority: int, interval_ms: float = INTERVAL_MS) -> bytes:
-        advert = packet.Advert(7, priority, interval_ms, (VIRTUAL,))
-        data = self.seal.close(packet.encode(advert, MINE, GROUP), str(MINE))
-        self.sock.sendto(data, ("127.0.0.1", self.to))
+    def advertise(self, priority: int, interval_ms: float = INTERVAL_MS) -> bytes:
+        advert = packet.Advertisement(7, priority, interval_ms, (VIRTUAL,))
+        data = self.authenticator.sign(packet.encode(advert, MINE, GROUP), str(MINE))
+        self.sock.sendto(data, ("127.0.0.1", self.target_port))
         return data
 
     def _advertise(self) -> None:
-        while not self.over.wait(INTERVAL_MS / 4000):
-            if self.speaking.is_set():
-                self.say(self.priority)
+        while not self.is_stopped.wait(INTERVAL_MS / 4000):
+            if self.is_advertising.is_set():
+                self.advertise(self.priority)
 
-    def hear(self) -> packet.Advert:
+    def receive(self) -> packet.Advertisement:
         data = self.sock.recv(2048)
-        return packet.decode(data[:-SIZE], ITS, GROUP)
+        return packet.decode(data[:-TRAILER_SIZE], ITS, GROUP)
 
     def close(self) -> None:
-        self.over.set()
+        self.is_stopped.set()
         self.thread.join(WAIT_S)
         self.sock.close()
 
 
 @pytest.fixture
-def pair(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Server, Speaker]]:
+def pair(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Server, ScriptedPeer]]:
     keys = tmp_path / "keys.toml"
     subprocess.run(
         [sys.executable, "-m", "otterrudder", "vrrp", "keygen", str(keys)],
@@ -88,17 +89,17 @@
         check=True,
         capture_output=True,
     )
-    speaker = Speaker(keys)
+    peer = ScriptedPeer(keys)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
-        speaker.to = free.getsockname()[1]
-    (tmp_path / "vrrp.toml").write_text(FILE.format(port=speaker.to, peer=speaker.port))
+        peer.target_port = free.getsockname()[1]
+    (tmp_path / "vrrp.toml").write_text(FILE.format(port=peer.target_port, peer=peer.port))
     monkeypatch.setenv("OTTERRUDDER_VRRP", str(tmp_path / "vrrp.toml"))
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    speaker.thread.start()
+    peer.thread.start()
     with Server(tmp_path) as server:
-        yield server, speaker
-    speaker.close()
+        yield server, peer
+    peer.close()
 
 
 def becomes(server: Server, runtime: Runtime, state: str, times: int) -> None:
@@ -115,37 +116,37 @@
         runtime.idle(1)
 
 
-def asked(gateway: Gateway, n: int, product: str = "look") -> int:
+def send_request(gateway: Gateway, n: int, product: str = "look") -> int:
     return gateway.request(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
 
 
-def test_it_admits_only_as_master_and_hands_over_what_it_read(pair: tuple[Server, Speaker]) -> None:
-    server, speaker = pair
-    speaker.speaking.set()
+def test_it_admits_only_as_master_and_hands_over_what_it_read(pair: tuple[Server, ScriptedPeer]) -> None:
+    server, peer = pair
+    peer.is_advertising.set()
     runtime, gateway = server.up()
     check = gateway.ask("check")
     assert gateway.answer()["result"]["pass"] is False  # a backup is not to be chosen
-    rpc = asked(gateway, 1)
+    rpc = send_request(gateway, 1)
     error = gateway.answer()
     assert error["id"] == rpc != check and error["error"]["code"] == -32014
     assert "stop" not in error["error"]["data"] and error["error"]["data"]["pushback"] > 0
-    speaker.speaking.clear()
+    peer.is_advertising.clear()
     becomes(server, runtime, "master", 1)
     opens(server, runtime, 1)
-    assert speaker.hear().priority == 150
-    rpc = asked(gateway, 2, "pay")
+    assert peer.receive().priority == 150
+    rpc = send_request(gateway, 2, "pay")
     assert runtime.expect("start", f"{2:016x}", "pay")
-    speaker.speaking.set()  # a better one: it steps down with a request in hand
+    peer.is_advertising.set()  # a better one: it steps down with a request in hand
     becomes(server, runtime, "backup", 2)
     time.sleep(0.6)  # past the grace of 400 ms
-    declined = asked(gateway, 3)
+    declined = send_request(gateway, 3)
     assert gateway.answer()["id"] == declined  # at once, while 2 still runs
     runtime.ends(f"{2:016x}", b"paid")
     answer = gateway.answer()
     assert answer["id"] == rpc and "result" in answer
     repeat = gateway.request(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
     assert gateway.answer()["id"] == repeat  # a backup keeps its references; this one came past the grace
-    speaker.speaking.clear()
+    peer.is_advertising.clear()
     opens(server, runtime, 2)
     again = gateway.request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
     answer = gateway.answer()  # known across both: from the first run, nothing starts
@@ -155,35 +156,35 @@
     assert control.path_of("n3").stat().st_mode & 0o777 == 0o600
 
 
-def test_sigterm_says_priority_0_first_and_drains(pair: tuple[Server, Speaker]) -> None:
-    server, speaker = pair
+def test_sigterm_says_priority_0_first_and_drains(pair: tuple[Server, ScriptedPeer]) -> None:
+    server, peer = pair
     runtime, gateway = server.up()
     opens(server, runtime, 1)
-    asked(gateway, 1)
+    send_request(gateway, 1)
     runtime.expect("start", f"{1:016x}")
     server.process.send_signal(signal.SIGTERM)
-    while speaker.hear().priority:
+    while peer.receive().priority:
         pass
     runtime.ends(f"{1:016x}")
     assert gateway.answer()["result"]
     assert server.ends() == 0 and not control.path_of("n3").exists()
 
 
-def test_forced_transitions_leave_each_request_one_answer(pair: tuple[Server, Speaker]) -> None:
-    server, speaker = pair
+def test_forced_transitions_leave_each_request_one_answer(pair: tuple[Server, ScriptedPeer]) -> None:
+    server, peer = pair
     runtime, gateway = server.up()
     opens(server, runtime, 1)
     count, rpcs = 0, []
     for turn in range(1, TURNS + 1):
         for _ in range(4):  # some arrive as the mastership goes
             count += 1
-            rpcs.append(asked(gateway, count, "pay" if count % 2 else "look"))
-        speaker.speaking.set()
+            rpcs.append(send_request(gateway, count, "pay" if count % 2 else "look"))
+        peer.is_advertising.set()
         time.sleep(0.04 * (turn % 5))  # within an advert or two: before, as and after it steps down
         count += 1
-        rpcs.append(asked(gateway, count))
+        rpcs.append(send_request(gateway, count))
         if turn % 2:  # promoted in the midst of its drain, or only once all is answered
-            speaker.speaking.clear()
+            peer.is_advertising.clear()
         answers = 0
         while answers < 5:
             words, _ = _either(server, runtime, gateway)
@@ -191,7 +192,7 @@
                 runtime.ends(words[1])
             else:
                 answers += 1
-        speaker.speaking.clear()
+        peer.is_advertising.clear()
         ends = time.monotonic() + WAIT_S
         while control.ask("n3", "vrrp")["vrrp"][0]["door"] != "open":
             assert time.monotonic() < ends
@@ -229,15 +230,15 @@
             return words, runtime.body(int(words[-1]))
 
 
-def test_what_is_not_sealed_changes_nothing_and_keys_change_by_sighup(
-    pair: tuple[Server, Speaker], tmp_path: Path
+def test_what_is_not_authenticated_changes_nothing_and_keys_change_by_sighup(
+    pair: tuple[Server, ScriptedPeer], tmp_path: Path
 ) -> None:
-    server, speaker = pair
+    server, peer = pair
     runtime, _ = server.up()
     opens(server, runtime, 1)
-    genuine = speaker.say(1)
+    genuine = peer.advertise(1)
     for data in (b"", b"x" * 40, genuine, genuine[:-1] + bytes([genuine[-1] ^ 1])):
-        speaker.sock.sendto(data, ("127.0.0.1", speaker.to))
+        peer.sock.sendto(data, ("127.0.0.1", peer.target_port))
     keys = tmp_path / "keys.toml"
     for words in (["--add"], ["--sign", "2"]):
         subprocess.run(
@@ -250,10 +251,10 @@
         server.process.send_signal(signal.SIGHUP)
         while server.log.read_text().count("vrrp keys taken") == before:
             runtime.idle(1)
-    speaker.seal.keys = read_keys(keys)
-    heard = control.ask("n3", "vrrp")["vrrp"][0]["counts"]
-    assert heard["replayed"] == 1 and heard["seal"] == 1 and heard["heard"] == 1
-    speaker.speaking.set()
+    peer.authenticator.keys = read_keys(keys)
+    counts = control.ask("n3", "vrrp")["vrrp"][0]["counts"]
+    assert counts["replayed"] == 1 and counts["seal"] == 1 and counts["heard"] == 1
+    peer.is_advertising.set()
     becomes(server, runtime, "backup", 2)
     secret = keys.read_text().split('"')[1]
     assert secret not in server.log.read_text() and "Traceback" not in server.log.read_text()
--- a/tests/vrrp/test_search.py
+++ b/tests/vrrp/test_search.py
@@ -6,8 +6,8 @@
 
 from otterrudder.lab.search import machine_of, search
 from otterrudder.vrrp import admission_gate
-from otterrudder.vrrp.admission_gate import Door, Event, Gate
-from otterrudder.vrrp.state_machine import Action, Machine, Timer
+from otterrudder.vrrp.admission_gate import AdmissionGate, GateEvent, GateState
+from otterrudder.vrrp.state_machine import Action, StateMachine, Timer
 
 
 @pytest.mark.parametrize(("priorities", "depth"), [((200, 100), 12), ((100, 100), 11), ((200, 150, 100), 6)])
@@ -21,34 +21,38 @@
     assert search((200, 100), 7, lambda n, p: machine_of(n, p, preempts=False)).broken is None
 
 
-class Deaf(Machine):
+class Deaf(StateMachine):
     """Does not step down for a better master."""
 
-    def _hear_as_master(self, now, priority, interval_ms, sender) -> list[Action]:
+    def _handle_as_master(self, now, priority, interval_ms, sender) -> list[Action]:
         return []
 
 
-class Tied(Machine):
+class Tied(StateMachine):
     """Breaks no tie."""
 
-    def _hear_as_master(self, now, priority, interval_ms, sender) -> list[Action]:
+    def _handle_as_master(self, now, priority, interval_ms, sender) -> list[Action]:
         tied = priority == self.priority
-        return [] if tied else super()._hear_as_master(now, priority, interval_ms, sender)
+        return [] if tied else super()._handle_as_master(now, priority, interval_ms, sender)
 
 
-class Patient(Machine):
+class Patient(StateMachine):
     """Waits for ever once a master has left."""
 
-    def _hear_as_backup(self, now, priority, interval_ms) -> list[Action]:
-        return [self._arm(math.inf)] if priority == 0 else super()._hear_as_backup(now, priority, interval_ms)
+    def _handle_as_backup(self, now, priority, interval_ms) -> list[Action]:
+        return (
+            [self._set_timer(math.inf)]
+            if priority == 0
+            else super()._handle_as_backup(now, priority, interval_ms)
+        )
 
 
-class Shy(Machine):
-    """As a backup obeys whoever speaks."""
+class Shy(StateMachine):
+    """As a backup obeys any master."""
 
-    def _hear_as_backup(self, now, priority, interval_ms) -> list[Action]:
+    def _handle_as_backup(self, now, priority, interval_ms) -> list[Action]:
         self.interval = interval_ms
-        return [self._arm(now + self.down_interval)]
+        return [self._set_timer(now + self.master_down_interval)]
 
 
 @pytest.mark.parametrize(
@@ -60,11 +64,11 @@
     ],
 )
 def test_a_fault_in_the_machine_is_found(
-    fault: type[Machine], priorities: tuple[int, ...], says: str
+    fault: type[StateMachine], priorities: tuple[int, ...], says: str
 ) -> None:
-    def make(n: int, priority: int) -> Machine:
+    def make(n: int, priority: int) -> StateMachine:
         twin = machine_of(n, priority)
-        return fault(twin.address, twin.priority, twin.base_interval)
+        return fault(twin.address, twin.priority, twin.own_interval)
 
     found = search(priorities, 8, make)
     assert found.broken and says in found.broken.what and found.broken.trail
@@ -73,25 +77,27 @@
 def test_a_master_that_leaves_and_is_waited_for_is_found() -> None:
     machine = Patient(machine_of(0, 100).address, 100, 1000.0)
     machine.start(0.0)
-    told = machine.hear(10.0, 0, 1000.0, machine_of(1, 200).address)
-    assert told == [Timer(math.inf, machine.number)]  # what the search calls waiting for nothing
+    actions = machine.handle_advertisement(10.0, 0, 1000.0, machine_of(1, 200).address)
+    assert actions == [Timer(math.inf, machine.timer_number)]  # what the search calls waiting for nothing
 
 
 @pytest.mark.parametrize(
     ("move", "leads", "says"),
     [
-        ((Door.OPEN, Event.BACKUP), Door.OPEN, "the open doors are"),
-        ((Door.HELD, Event.DUE), Door.HELD, "in peace"),
-        ((Door.DRAINING, Event.DUE), Door.OPEN, "the open doors are"),
+        ((GateState.OPEN, GateEvent.BACKUP), GateState.OPEN, "the open doors are"),
+        ((GateState.HELD, GateEvent.DEADLINE), GateState.HELD, "in peace"),
+        ((GateState.DRAINING, GateEvent.DEADLINE), GateState.OPEN, "the open doors are"),
     ],
 )
 def test_a_fault_in_the_gate_is_found(monkeypatch, move, leads, says) -> None:
-    monkeypatch.setitem(admission_gate.MOVES, move, leads)
+    monkeypatch.setitem(admission_gate.TRANSITIONS, move, leads)
     found = search((200, 100), 9, worlds_most=60_000)
     assert found.broken and says in found.broken.what
 
 
-def test_each_door_has_a_move_for_each_event_and_the_docs_show_them() -> None:
-    assert set(admission_gate.MOVES) == {(door, event) for door in Door for event in Event}
-    assert all(admission_gate.MOVES[Door.RETIRED, event] is Door.RETIRED for event in Event)
-    assert admission_gate.table().count("\n") == 6 and isinstance(Gate, type)
+def test_each_gate_state_has_a_transition_for_each_event_and_the_docs_show_them() -> None:
+    assert set(admission_gate.TRANSITIONS) == {(state, event) for state in GateState for event in GateEvent}
+    assert all(
+        admission_gate.TRANSITIONS[GateState.RETIRED, event] is GateState.RETIRED for event in GateEvent
+    )
+    assert admission_gate.transition_table().count("\n") == 6 and isinstance(AdmissionGate, type)
