--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -1,4 +1,4 @@
-"""What the groups of commands share: how a bad input ends one."""
+"""What the command groups share: how bad input ends a command, and names taken from an unchecked file."""
 
 import sys
 from collections.abc import Iterable
@@ -8,30 +8,35 @@
 
 from otterrudder.admission.interface import Idempotency, RequestClass, Tenant
 
-BAD_INPUT = 2  # the exit code for input that can't be used; 1 is for a result that is not what was wanted
+BAD_INPUT = 2  # exit code for unusable input; 1 is for a result other than the expected one
 
 
-def give_up(why: object) -> NoReturn:
-    """One line on standard error, and the end."""
-    click.echo(f"otterrudder: {why}", err=True)
+def give_up(reason: object) -> NoReturn:
+    """Prints one line on standard error and exits with BAD_INPUT."""
+    click.echo(f"otterrudder: {reason}", err=True)
     sys.exit(BAD_INPUT)
 
 
-def tables_in(told: object, key: str) -> list[dict[str, object]]:
-    """The tables that an unchecked table lists under a key."""
-    listed = told.get(key) if isinstance(told, dict) else None
-    return [part for part in listed if isinstance(part, dict)] if isinstance(listed, list) else []
+def tables_in(values: object, key: str) -> list[dict[str, object]]:
+    """The array of tables under a key of an unchecked table; what is no table is left out."""
+    items = values.get(key) if isinstance(values, dict) else None
+    return [item for item in items if isinstance(item, dict)] if isinstance(items, list) else []
 
 
-def named_in(parts: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
-    """Without a configuration every name that a file's own tables use is taken for good."""
-    found: dict[str, set[str]] = {"products": set(), "tenants": set()}
-    for part in parts:
-        for key, names in found.items():
-            told = part.get(key)
-            names |= {name for name in told if isinstance(name, str)} if isinstance(told, list) else set()
-    products = [
+def named_in(tables: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
+    """The request classes and tenants that a file's own tables name, for a check without a configuration."""
+    class_names: set[str] = set()
+    tenant_names: set[str] = set()
+    for table in tables:
+        class_names |= _strings_under(table, "products")
+        tenant_names |= _strings_under(table, "tenants")
+    request_classes = [
         RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, calls=True, omit_value=1.0)
-        for name in sorted(found["products"])
+        for name in sorted(class_names)
     ]
-    return products, [Tenant(name, 1.0) for name in sorted(found["tenants"])]
+    return request_classes, [Tenant(name, 1.0) for name in sorted(tenant_names)]
+
+
+def _strings_under(table: dict[str, object], key: str) -> set[str]:
+    items = table.get(key)
+    return {item for item in items if isinstance(item, str)} if isinstance(items, list) else set()
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -11,7 +11,7 @@
 from otterrudder.durable import Busy
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.configuration import BadFleet, Fleet, read_fleet
-from otterrudder.log import log, set_up
+from otterrudder.log import configure_logging, log
 from otterrudder.net import control
 
 FILE = click.option(
@@ -35,7 +35,7 @@
     from otterrudder.fleet.cell.service import TooFewDescriptors
     from otterrudder.net import relay as process
 
-    set_up(process.control_name(role))
+    configure_logging(process.control_name(role))
     try:
         process.run(fleet, role)
     except (Busy, TooFewDescriptors) as trouble:
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -60,7 +60,7 @@
 def serve(levels: str | None, vrrp: str | None, fleet: str | None) -> None:
     """Serve until SIGTERM, then drain and end. SIGHUP takes new addresses and levels from their files."""
     configuration, path = named_configuration()
-    log.set_up(configuration.name)
+    log.configure_logging(configuration.name)
     try:
         sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
     except BadConfiguration as trouble:
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -89,7 +89,7 @@
     fleet = read_fleet(file)
     if not fleet.relay:
         raise ValueError(f"{file}: relay: the file has no such table")
-    log.set_up(relay.control_name(fleet.relay))
+    log.configure_logging(relay.control_name(fleet.relay))
     relay.run(fleet, fleet.relay)
 
 
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -164,7 +164,7 @@
     """The server's program, by what the environment says."""
     files = serve.Files.from_environment()
     configuration = read_configuration(files.configuration)
-    log.set_up(configuration.name)
+    log.configure_logging(configuration.name)
     sys.exit(serve.run(configuration, files))
 
 
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -24,7 +24,7 @@
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.configuration import Fleet, read_fleet
 from otterrudder.fleet.policy import Content, Own, own_of
-from otterrudder.log import set_up
+from otterrudder.log import configure_logging
 
 COUNT_MOST = 500  # servers of one process
 START_SPACING_S = 0.01  # s between the starts of two servers
@@ -136,7 +136,7 @@
 
 async def _main(words: Sequence[str]) -> None:
     told = _parsed(words)
-    set_up("hollow")
+    configure_logging("hollow")
     lines = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
--- a/otterrudder/log.py
+++ b/otterrudder/log.py
@@ -1,4 +1,4 @@
-"""structlog on standard error: a line for what an operator acts on, and never a wait for whoever reads it."""
+"""Logging by structlog to standard error, in logfmt; writing a line never blocks."""
 
 import os
 import select
@@ -6,36 +6,46 @@
 
 import structlog
 
-LINE_MOST = 2000  # bytes of a line: below PIPE_BUF, so a pipe that polls writable takes it whole
-PER_SECOND = 50  # lines; past that they are counted, or one bad day fills the disk of whoever keeps them
+MAX_LINE_BYTES = 2000  # below PIPE_BUF: a pipe that polls writable takes the line whole
+MAX_LINES_PER_SECOND = 50  # the rest is dropped and counted
 
 
-class _Sink:
+class _NonBlockingSink:
+    """Writes lines to a file descriptor; what it would block on is dropped, and counted in the next line."""
+
     def __init__(self, fd: int = 2) -> None:
-        self.fd, self.poll = fd, select.poll()
+        self.fd = fd
+        self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
-        self.second, self.lines, self.lost = 0, 0, 0
+        self.second = 0
+        self.lines = 0  # in this second
+        self.lost = 0
 
     def msg(self, line: str) -> None:
+        """Writes one line, or counts it as lost."""
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.lines = second, 0
+            self.second = second
+            self.lines = 0
         self.lines += 1
-        # A full pipe would block the whole server: a log line is worth less than that.
-        if self.lines > PER_SECOND or not any(how & select.POLLOUT for _, how in self.poll.poll(0)):
+        if self.lines > MAX_LINES_PER_SECOND or not self._is_writable():
             self.lost += 1
             return
         if self.lost:
-            line, self.lost = f"{line} lines_lost={self.lost}", 0
+            line = f"{line} lines_lost={self.lost}"
+            self.lost = 0
         try:
-            os.write(self.fd, line.encode("utf-8", "replace")[:LINE_MOST] + b"\n")
+            os.write(self.fd, line.encode("utf-8", "replace")[:MAX_LINE_BYTES] + b"\n")
         except OSError:
             self.lost += 1
 
     debug = info = warning = error = critical = msg
 
+    def _is_writable(self) -> bool:
+        return any(events & select.POLLOUT for _, events in self.poll.poll(0))
+
 
-def set_up(name: str) -> None:
+def configure_logging(server_name: str) -> None:
     """Configures structlog for this process; every line carries the server's name."""
     structlog.configure(
         processors=[
@@ -45,10 +55,10 @@
             structlog.processors.format_exc_info,
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
-        logger_factory=lambda *_: _Sink(),
+        logger_factory=lambda *_: _NonBlockingSink(),
         cache_logger_on_first_use=True,
     )
-    structlog.contextvars.bind_contextvars(server=name)
+    structlog.contextvars.bind_contextvars(server=server_name)
 
 
 log = structlog.get_logger()
