--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -10,7 +10,7 @@
 from otterrudder.admission.factory import products_of, tenants_of
 from otterrudder.admission.interface import RequestClass, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.levels import BadTable, Ladder, Rung, Table, read
 from otterrudder.levels.table import FACTS
 
@@ -118,7 +118,7 @@
     if path:
         try:
             settings = read_configuration(path).settings
-        except BadConfiguration as trouble:
+        except ConfigurationError as trouble:
             give_up(trouble)
         return products_of(settings), tenants_of(settings)
     return _named_in(file)
--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -9,7 +9,7 @@
 import click
 
 from otterrudder.cli.common import give_up
-from otterrudder.configuration import BadConfiguration, check_configuration, decode_file
+from otterrudder.configuration import ConfigurationError, check_configuration, decode_file
 from otterrudder.files import merged
 
 ABSENT = object()  # not even null stands there
@@ -85,7 +85,7 @@
             give_up(f"{shape}: an object of settings is wanted")
         settings, restated, left = migrate_settings(told["settings"], known)
         new = check_configuration(told | {"settings": settings}, f"{old}, migrated")
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
     if not new.records:
         left.append("records: the old file names no address; the shared dependency's has to be added")
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -29,7 +29,7 @@
     in_words,
     with_store,
 )
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.fleet.change import Refused, fate, withdraw
 from otterrudder.fleet.policy import BadPolicy, Own, own_of, parse
 from otterrudder.fleet.queue import QueueRefused, leave_queue, place
@@ -295,5 +295,5 @@
             ]
             own = Own(*named_in(named))
         parse(text, own)
-    except (BadPolicy, BadConfiguration, ValueError) as trouble:
+    except (BadPolicy, ConfigurationError, ValueError) as trouble:
         give_up(f"{path.name}: {trouble}")
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -12,7 +12,7 @@
     FLEET_VARIABLE,
     LEVELS_VARIABLE,
     VRRP_VARIABLE,
-    BadConfiguration,
+    ConfigurationError,
     Configuration,
     read_configuration,
 )
@@ -49,7 +49,7 @@
     path = os.environ.get(CONFIGURATION_VARIABLE)
     try:
         return read_configuration(path), path
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
 
 
@@ -63,7 +63,7 @@
     log.set_up(configuration.name)
     try:
         sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
 
 
@@ -78,7 +78,7 @@
         files = server.Files(path, levels, vrrp, fleet)
         table, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
         of = files.read_fleet()
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
     click.echo(
         f"{configuration.name}: the configuration is good: {len(configuration.settings['classes'])} products"
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -13,7 +13,7 @@
 from otterrudder.admission.factory import products_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.net import control
 from otterrudder.vrrp import packet
 from otterrudder.vrrp.group import BadGroups, parse_groups
@@ -71,7 +71,7 @@
         give_up(f"cannot read {file}: {trouble}")
     try:
         groups = parse_groups(told, file, *_known(told))
-    except (BadGroups, BadConfiguration) as trouble:
+    except (BadGroups, ConfigurationError) as trouble:
         give_up(trouble)
     click.echo(
         f"{file}: good: {len(groups.groups)} groups, keys {sorted(groups.keys.by_number)}, "
--- a/otterrudder/configuration.py
+++ b/otterrudder/configuration.py
@@ -20,7 +20,7 @@
 _NotBelow0 = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class BadConfiguration(Exception):
+class ConfigurationError(Exception):
     """What is wrong, in one line."""
 
 
@@ -125,20 +125,20 @@
 
 
 def read_configuration(path: str | None) -> Configuration:
-    """The whole configuration; BadConfiguration names the file and the field."""
+    """The whole configuration; ConfigurationError names the file and the field."""
     if not path:
-        raise BadConfiguration(f"{CONFIGURATION_VARIABLE} is not set: it names the configuration file")
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE} is not set: it names the configuration file")
     return check_configuration(decode_file(path), path)
 
 
 def decode_file(path: str) -> Any:
-    """What a JSON file holds; BadConfiguration names it."""
+    """What a JSON file holds; ConfigurationError names it."""
     try:
         return msgspec.json.decode(Path(path).read_bytes())
     except OSError as trouble:
-        raise BadConfiguration(f"cannot read the configuration: {trouble}") from None
+        raise ConfigurationError(f"cannot read the configuration: {trouble}") from None
     except (ValueError, RecursionError) as trouble:
-        raise BadConfiguration(f"the configuration {path} is not JSON: {trouble}") from None
+        raise ConfigurationError(f"the configuration {path} is not JSON: {trouble}") from None
 
 
 def check_configuration(told: Any, path: str) -> Configuration:
@@ -152,11 +152,11 @@
     except msgspec.ValidationError as trouble:
         what, _, at = str(trouble).partition(" - at `$.")
         where = at.rstrip("`")
-        raise BadConfiguration(f"the configuration {path}: {f'{where}: ' if where else ''}{what}") from None
+        raise ConfigurationError(f"the configuration {path}: {f'{where}: ' if where else ''}{what}") from None
     except (TypeError, ValueError, AttributeError, LookupError, ArithmeticError) as trouble:
-        raise BadConfiguration(f"the configuration {path}: settings: {trouble}") from None
-    except BadConfiguration as trouble:
-        raise BadConfiguration(f"the configuration {path}: {trouble}") from None
+        raise ConfigurationError(f"the configuration {path}: settings: {trouble}") from None
+    except ConfigurationError as trouble:
+        raise ConfigurationError(f"the configuration {path}: {trouble}") from None
     return Configuration(
         name=checked.name,
         listen=checked.listen,
@@ -175,5 +175,5 @@
     """Host and port of `host:port`; `name`: the field it stands in."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise BadConfiguration(f"{name}: {text!r} is no address and port")
+        raise ConfigurationError(f"{name}: {text!r} is no address and port")
     return host, int(port)
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterrudder.configuration import BadConfiguration, address
+from otterrudder.configuration import ConfigurationError, address
 from otterrudder.fleet.cell.relay import SESSIONS_MOST
 from otterrudder.fleet.records import NAME_MOST, Absent
 
@@ -69,7 +69,7 @@
     for relay in relays:
         try:
             _, port = address(relay, key)
-        except BadConfiguration as trouble:
+        except ConfigurationError as trouble:
             raise BadRelay(str(trouble)) from None
         if not port:
             raise BadRelay(f"{key}: {relay!r}: the others need a port to find it by")
--- a/otterrudder/fleet/configuration.py
+++ b/otterrudder/fleet/configuration.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from otterrudder.configuration import BadConfiguration, address
+from otterrudder.configuration import ConfigurationError, address
 from otterrudder.files import convert, load_toml
 from otterrudder.fleet.cell.configuration import (
     SERVER_LEASE_MS,
@@ -152,7 +152,7 @@
     beside = path.parent
     try:
         stores = tuple(address(text, "store") for text in told.store)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         raise BadFleet(f"{path.name}: {trouble}") from None
     return Fleet(
         told.fleet,
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -22,7 +22,7 @@
     LEVELS_VARIABLE,
     MOVABLE,
     VRRP_VARIABLE,
-    BadConfiguration,
+    ConfigurationError,
     Configuration,
     address,
     read_configuration,
@@ -66,7 +66,7 @@
         return cls(*(os.environ.get(name) or None for name in names))
 
     def read_levels(self, settings: dict[str, Any]) -> "Table | None":
-        """The table of levels, None where there is no file; BadConfiguration says what is wrong with it."""
+        """The table of levels, None where there is no file; ConfigurationError says what is wrong with it."""
         if not self.levels:
             return None
         from otterrudder import levels
@@ -74,26 +74,28 @@
         try:
             return levels.read(self.levels, products_of(settings), tenants_of(settings))
         except levels.BadTable as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            raise ConfigurationError(str(trouble)) from None
 
     def read_fleet(self) -> "Fleet | None":
-        """The fleet this server is of, None where there is no file; BadConfiguration says what is wrong."""
+        """The fleet this server is of, None where there is no file; ConfigurationError says what is wrong."""
         if not self.fleet:
             return None
         if self.levels:
-            raise BadConfiguration(f"--levels {self.levels}: in a fleet the table of levels is the policy's")
+            raise ConfigurationError(
+                f"--levels {self.levels}: in a fleet the table of levels is the policy's"
+            )
         from otterrudder.fleet.configuration import BadFleet, read_fleet
 
         try:
             fleet = read_fleet(self.fleet)
         except BadFleet as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            raise ConfigurationError(str(trouble)) from None
         if fleet.relay:
-            raise BadConfiguration(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
+            raise ConfigurationError(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
         return fleet
 
     def read_vrrp(self, settings: dict[str, Any]) -> "Groups | None":
-        """The VRRP groups with their keys, None where there is no file; BadConfiguration says what is
+        """The VRRP groups with their keys, None where there is no file; ConfigurationError says what is
         wrong."""
         if not self.vrrp:
             return None
@@ -102,7 +104,7 @@
         try:
             return read_groups(self.vrrp, products_of(settings), tenants_of(settings))
         except BadGroups as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            raise ConfigurationError(str(trouble)) from None
 
 
 def unsupported_settings(settings: dict[str, Any]) -> list[str]:
@@ -116,7 +118,7 @@
 
 
 def run(configuration: Configuration, files: Files) -> int:
-    """Serves until the drain is over or SIGTERM comes before the runtime is up. BadConfiguration comes
+    """Serves until the drain is over or SIGTERM comes before the runtime is up. ConfigurationError comes
     before that."""
     levels, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
     fleet = files.read_fleet()
@@ -280,7 +282,7 @@
     fleet: "Fleet", configuration: Configuration, dispatcher: Dispatcher, spread: float
 ) -> "Agent | CellAgent":
     """The fleet's actor: what it orders goes to the core by the dispatcher, ahead of what arrives.
-    BadConfiguration: the folder is another process's, or a file of keys can't be read."""
+    ConfigurationError: the folder is another process's, or a file of keys can't be read."""
     from otterrudder.durable import Busy
     from otterrudder.fleet.assembly import make_agent
     from otterrudder.fleet.policy import Content, own_of
@@ -307,7 +309,7 @@
     try:
         agent = make_agent(fleet, configuration.name, own, apply, stand_aside, facts)
     except (Busy, OSError) as trouble:
-        raise BadConfiguration(f"fleet: {trouble}") from None
+        raise ConfigurationError(f"fleet: {trouble}") from None
     dispatcher.before_turn.append(agent.pulse)
     return agent
 
@@ -355,7 +357,7 @@
     """Takes new addresses from the configuration file; one that is no good leaves the old in force."""
     try:
         new = read_configuration(files.configuration)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         log.error("configuration not taken", why=str(trouble))
         return configuration
     before, after = configuration.document, new.document
@@ -385,7 +387,7 @@
         if groups := files.read_vrrp(configuration.settings):
             speaker.take_keys(groups.keys)
             log.info("vrrp keys taken", keys=sorted(groups.keys.by_number), signs=groups.keys.signs)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         log.error("vrrp keys not taken", why=str(trouble))
 
 
@@ -394,5 +396,5 @@
     try:
         if table := files.read_levels(configuration.settings):
             dispatcher.post(dispatcher.core.take_levels, table)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         log.error("levels not taken", why=str(trouble))
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -19,7 +19,7 @@
 from otterrudder import clock
 from otterrudder.admission.interface import Tenant
 from otterrudder.cli.fleet import fleet as fleet_command
-from otterrudder.configuration import BadConfiguration
+from otterrudder.configuration import ConfigurationError
 from otterrudder.fleet.agent import open_folder
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.cell.kind import kind_of
@@ -516,5 +516,5 @@
     ):
         found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
         assert found.exit_code == 2 and says in found.output, found.output
-    with pytest.raises(BadConfiguration, match="this file is a relay's"):
+    with pytest.raises(ConfigurationError, match="this file is a relay's"):
         Files(None, fleet=str(example)).read_fleet()
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -11,7 +11,7 @@
 
 from otterrudder.admission.factory import create_controller
 from otterrudder.cli.migrate import migrate_settings
-from otterrudder.configuration import BadConfiguration, read_configuration
+from otterrudder.configuration import ConfigurationError, read_configuration
 
 OLD = {
     "classes": [
@@ -90,7 +90,7 @@
 def test_a_bad_setting_is_named_with_its_file(tmp_path: Path, place: str, value: object, named: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIGURATION | {"settings": settings_with(place, value)}))
-    with pytest.raises(BadConfiguration) as trouble:
+    with pytest.raises(ConfigurationError) as trouble:
         read_configuration(str(path))
     assert str(path) in str(trouble.value) and named in str(trouble.value)
 
