--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -12,8 +12,8 @@
     FLEET_VARIABLE,
     LEVELS_VARIABLE,
     VRRP_VARIABLE,
-    ConfigurationError,
     Configuration,
+    ConfigurationError,
     read_configuration,
 )
 from otterrudder.net import serve as server
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -22,8 +22,8 @@
     LEVELS_VARIABLE,
     MOVABLE,
     VRRP_VARIABLE,
-    ConfigurationError,
     Configuration,
+    ConfigurationError,
     address,
     read_configuration,
 )
