--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -67,7 +67,7 @@
     assert fleet.rules == Rules() and fleet.timeout_ms == 500.0
     assert fleet.folder == ROOT / "deploy/fleet-state"
     content = parse((ROOT / "deploy/policy.toml").read_text(), Own(PRODUCTS, []))
-    assert content.levels and [rung.name for rung in content.levels.rungs] == ["checks-when-free"]
+    assert content.levels and [level.name for level in content.levels.levels] == ["checks-when-free"]
     assert parse("version = 1", Own(PRODUCTS, [])).levels is None
 
 
