--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -12,8 +12,8 @@
     FLEET_VARIABLE,
     LEVELS_VARIABLE,
     VRRP_VARIABLE,
-    BadConfiguration,
     Configuration,
+    ConfigurationError,
     read_configuration,
 )
 from otterrudder.net import serve as server
@@ -49,7 +49,7 @@
     path = os.environ.get(CONFIGURATION_VARIABLE)
     try:
         return read_configuration(path), path
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
 
 
@@ -63,7 +63,7 @@
     log.configure_logging(configuration.name)
     try:
         sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
 
 
@@ -78,7 +78,7 @@
         files = server.Files(path, levels, vrrp, fleet)
         table, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
         of = files.read_fleet()
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         give_up(trouble)
     click.echo(
         f"{configuration.name}: the configuration is good: {len(configuration.settings['classes'])} products"
