--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -27,7 +27,9 @@
     own."""
     for n in range(first, first + requests):
         controller.advance_to(n * 2.0)
-        controller.handle_arrival(n, n % products, tenant=n % tenants, key=n, kb=20.0, left_ms=2000.0)
+        controller.handle_arrival(
+            n, n % products, tenant=n % tenants, key=n, size_kb=20.0, time_left_ms=2000.0
+        )
         controller.take_commands()
         controller.handle_finished(n, Outcome.OK)
         controller.take_commands()
@@ -77,7 +79,7 @@
     def held() -> AdmissionController:
         controller = controller_of(settings)
         for n in range(1, sessions + 1):  # at one moment, so that none lapses
-            controller.handle_arrival(n, n % 10, tenant=n % 10, key=n, kb=20.0, left_ms=2000.0)
+            controller.handle_arrival(n, n % 10, tenant=n % 10, key=n, size_kb=20.0, time_left_ms=2000.0)
             controller.handle_finished(n, Outcome.OK)
             controller.take_commands()
         controller.advance_to(5_000.0)  # what was due for each request is over
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -17,7 +17,7 @@
 )
 from benchmarks.capacity.measure import MB, PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.policy import own_of
 from otterrudder.fleet.policy import parse as parse_policy
@@ -33,7 +33,7 @@
 
 def _table(products: int, tenants: int) -> Table:
     settings = settings_of(products, tenants)
-    return parse_levels(levels_text(products), products_of(settings), tenants_of(settings))
+    return parse_levels(levels_text(products), request_classes_of(settings), tenants_of(settings))
 
 
 def _levels_of(name: str, sizes: tuple[int, ...], target: int) -> list[Slope]:
@@ -42,7 +42,7 @@
     for n in sizes:
         products, tenants = (n, FEW) if name == "products" else (FEW, n)
         settings, text = settings_of(products, tenants), levels_text(products)
-        read = partial(parse_levels, text, products_of(settings), tenants_of(settings))
+        read = partial(parse_levels, text, request_classes_of(settings), tenants_of(settings))
         seconds.append(cpu_s(read, 2))
         kept.append(memory_of(read).kept_mb)
     series = Series("levels", f"{name}, with {FEW} of the other", sizes, target)
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -148,37 +148,49 @@
     def arrive(self, request: Request) -> bool:
         now = self.controller.now
         request.ran = (
-            request.earlier != 0 and request.effectful
+            request.earlier_attempt_id != 0 and request.effectful
         )  # until Repeats knows better: it may not be declined
         if request.due <= now + LEAST_MS:
             return self.controller.refuse(request)
         for part, last_arrival, stop in self.shut.values():
-            if part.fits(request) and (now >= stop or request.arrived > last_arrival - TICK_MS):
+            if part.includes(request) and (now >= stop or request.arrived > last_arrival - TICK_MS):
                 return self.controller.refuse(request, gone=True)
         self.controller.agenda.at(request.due, lambda: self.controller.refuse(request))
         return True
 
-    def times(self, request: Request, left_ms: float) -> None:
+    def times(self, request: Request, time_left_ms: float) -> None:
         """A marked later try has used up time: about what requests wait here, for other servers are alike."""
-        wait = left_ms + self.controller.now - request.arrived if left_ms else request.spec.expiry_ms
-        spent = RETRY_WAITS * self.controller.signals.waits * request.spec.sla_ms if request.retry else 0.0
+        wait = (
+            time_left_ms + self.controller.now - request.arrived
+            if time_left_ms
+            else request.request_class.deadline_ms
+        )
+        spent = (
+            RETRY_WAITS * self.controller.signals.waits * request.request_class.latency_objective_ms
+            if request.is_retry
+            else 0.0
+        )
         request.due = (
             request.arrived + wait
         )  # not earlier: where tries are short, many runs end in the last moments
-        request.in_time = min(request.arrived + request.spec.sla_ms - spent, request.due)
+        request.in_time = min(
+            request.arrived + request.request_class.latency_objective_ms - spent, request.due
+        )
 
     def is_shut(self) -> bool:
         return any(part.is_all for part, _, _ in self.shut.values())
 
-    def step_down(self, part: RequestScope, left_ms: float, key: object) -> None:
-        stop = self.controller.now + max(left_ms - STOP_EARLY_MS, 0.0)
+    def step_down(self, part: RequestScope, time_left_ms: float, key: object) -> None:
+        stop = self.controller.now + max(time_left_ms - STOP_EARLY_MS, 0.0)
         self.shut[key] = (part, self.controller.now + self.grace, stop)
         self.controller.agenda.at(stop, lambda: self._hand_over(key))
 
     def _hand_over(self, key: object) -> None:
         part, _, stop = self.shut.get(key, (RequestScope(), 0.0, math.inf))
         if self.controller.now >= stop:  # else it was taken back, or begun anew
-            for request in [request for request in self.controller.requests.values() if part.fits(request)]:
+            for request in [
+                request for request in self.controller.requests.values() if part.includes(request)
+            ]:
                 self.controller.refuse(request, gone=True)
             if key == RETIRED:
                 self.controller.commands.append(CloseConnections())
@@ -187,14 +199,18 @@
 class Repeats(Stage):
     """The ref table: no effect twice. A referenced request is kept on arrival, or its repeat looks new."""
 
-    def __init__(self, controller: "AdmissionController", ref_kb: float, tick_ms: float) -> None:
-        self.controller, self.ref_kb, self.tick = controller, ref_kb, tick_ms
+    def __init__(
+        self, controller: "AdmissionController", idempotency_entry_kb: float, tick_ms: float
+    ) -> None:
+        self.controller, self.idempotency_entry_kb, self.tick = controller, idempotency_entry_kb, tick_ms
         self.refs: dict[int, Request] = {}
         self.unrun: tuple[set[int], set[int]] = (set(), set())  # ended before they ran, this ring and last
 
     def arrive(self, request: Request) -> bool:
-        first = self.refs.get(request.earlier)
-        request.ran &= first.ran if first else not any(request.earlier in ids for ids in self.unrun)
+        first = self.refs.get(request.earlier_attempt_id)
+        request.ran &= (
+            first.ran if first else not any(request.earlier_attempt_id in ids for ids in self.unrun)
+        )
         if not request.ran and not first:
             return True
         if not request.ran:
@@ -207,9 +223,11 @@
         return False
 
     def keep(self, request: Request) -> None:
-        span = max(request.arrived + request.spec.window_ms - self.controller.now + self.tick, self.tick)
-        self.refs[request.ident] = request
-        self.controller.commands.append(RetainKey(request.ident, span))
+        span = max(
+            request.arrived + request.request_class.retention_ms - self.controller.now + self.tick, self.tick
+        )
+        self.refs[request.request_id] = request
+        self.controller.commands.append(RetainKey(request.request_id, span))
         self.controller.agenda.at(self.controller.now + span + self.tick, lambda: self._lapse(request))
 
     def _lapse(self, request: Request) -> None:
@@ -220,7 +238,7 @@
         ):  # its record may not go before it
             self.controller.agenda.at(self.controller.now + TICK_MS, lambda: self._lapse(request))
         else:
-            self.refs.pop(request.ident, None)
+            self.refs.pop(request.request_id, None)
 
     def started(self, request: Request) -> None:
         for follower in request.followers:
@@ -232,52 +250,56 @@
     def back(self, request: Request) -> None:
         if request.ran or not request.referenced:
             return
-        self.unrun[0].add(request.ident)
+        self.unrun[0].add(request.request_id)
         heirs, request.followers = [f for f in request.followers if not f.answered], []
-        held = self.refs.pop(request.ident, None)
-        if heirs:  # the earlier try went before it ran: the next takes its place and its entry
+        held = self.refs.pop(request.request_id, None)
+        if heirs:  # the earlier attempt went before it ran: the next takes its place and its entry
             heirs[0].followers, heirs[0].place = heirs[1:], RequestState.QUEUED
             self.controller.forward(heirs[0], after=self)
         elif held:
-            self.controller.commands.append(EvictKey(request.ident))
+            self.controller.commands.append(EvictKey(request.request_id))
 
 
 class Memory(Stage):
     """Held + run factor x in hand + kept refs, by our own count. Guards: no death for want of memory."""
 
     def __init__(
-        self, controller: "AdmissionController", memory_kb: float, run_factor: float, refs_most: float
+        self,
+        controller: "AdmissionController",
+        memory_kb: float,
+        run_factor: float,
+        max_idempotency_entries: float,
     ) -> None:
-        self.controller, self.factor, self.repeats, self.refs_most = (
+        self.controller, self.factor, self.repeats, self.max_idempotency_entries = (
             controller,
             run_factor,
             controller.repeats,
-            refs_most,
+            max_idempotency_entries,
         )
         self.read_room, self.run_room = memory_kb * MEMORY_READ, memory_kb * MEMORY_RUN
         self.txns_kb = 0.0
 
     @property
     def used(self) -> float:
-        return self.txns_kb + len(self.repeats.refs) * self.repeats.ref_kb
+        return self.txns_kb + len(self.repeats.refs) * self.repeats.idempotency_entry_kb
 
     def arrive(self, request: Request) -> bool:
         keeps = request.referenced
-        full = keeps and len(self.repeats.refs) >= self.refs_most  # its results lie elsewhere
-        if full or self.used + self.repeats.ref_kb * keeps > self.read_room:
+        full = keeps and len(self.repeats.refs) >= self.max_idempotency_entries  # its results lie elsewhere
+        if full or self.used + self.repeats.idempotency_entry_kb * keeps > self.read_room:
             return self.controller.refuse(request, room=False)
         if keeps:
             self.repeats.keep(request)
         return True
 
     def fits(self, request: Request) -> bool:
-        return self.used + request.kb * (self.factor - 1) <= self.run_room
+        return self.used + request.size_kb * (self.factor - 1) <= self.run_room
 
     def run(self, request: Request) -> None:
-        self.txns_kb += request.kb * (self.factor - 1)
+        self.txns_kb += request.size_kb * (self.factor - 1)
 
     def freed(self, request: Request) -> None:
-        self.txns_kb -= request.kb * (
+        self.txns_kb -= request.size_kb * (
             1 if request.place in (RequestState.QUEUED, RequestState.FOLLOWING) else self.factor
         )
 
@@ -315,14 +337,18 @@
 
     def worth(self, request: Request) -> float:
         """What it may be expected to earn: within a share is what is served up to it, whoever comes first."""
-        known = request.tenant < len(self.tenants) and self.tenants[request.tenant].per_ms
+        known = request.tenant < len(self.tenants) and self.tenants[request.tenant].quota_per_ms
         is_over = known and self._left(request.tenant) < 1
-        return request.spec.value * (self.controller.limits.over_value if is_over else 1.0)
+        return request.request_class.priority_weight * (
+            self.controller.limits.over_quota_weight_factor if is_over else 1.0
+        )
 
     def _left(self, tenant: int) -> float:
         since, left = self.left[tenant]
-        per_ms = self.tenants[tenant].per_ms * SHARE_SLACK
-        return min(left + (self.controller.now - since) * per_ms, max(per_ms * SHARE_MS, SHARE_LEAST))
+        quota_per_ms = self.tenants[tenant].quota_per_ms * SHARE_SLACK
+        return min(
+            left + (self.controller.now - since) * quota_per_ms, max(quota_per_ms * SHARE_MS, SHARE_LEAST)
+        )
 
     def started(self, request: Request) -> None:
         if request.tenant < len(self.tenants):
@@ -330,7 +356,9 @@
 
     def back(self, request: Request) -> None:
         if request.settled and request.key:
-            self.table[request.key] = self.controller.now + SESSION_SLA_TIMES * request.spec.sla_ms
+            self.table[request.key] = (
+                self.controller.now + SESSION_SLA_TIMES * request.request_class.latency_objective_ms
+            )
             self.table.move_to_end(request.key)
         while self.table and (
             len(self.table) > SESSION_ROOM or next(iter(self.table.values())) <= self.controller.now
@@ -339,8 +367,8 @@
 
 
 class Levels(Stage):
-    """Reduced service: while a level is in force, what it trims is declined ahead of the holds, or loses its
-    call. What has run, or whose earlier try has, never gets here (Repeats). SBOC orders all that passes."""
+    """Reduced service: while a level is in force, what it restricts is declined ahead of the holds, or loses
+    its call. What has run, or whose earlier try has, never gets here (Repeats). SBOC orders the rest."""
 
     def __init__(self, controller: "AdmissionController") -> None:
         self.controller = controller
@@ -352,14 +380,14 @@
 
     def take(self, relief: ServiceLevel | None) -> None:
         self.relief, self.due = relief, 0.0
-        self.until = self.controller.now + relief.stay_ms if relief else 0.0
+        self.until = self.controller.now + relief.min_duration_ms if relief else 0.0
         holds = self.controller.holds
-        for request in [*holds.new, *holds.old] if relief and relief.answers_held else ():
+        for request in [*holds.new, *holds.old] if relief and relief.rejects_queued else ():
             trim = self._trim(request)
             if (
                 request.queued
                 and trim
-                and trim.cut is not RestrictionKind.SHARE
+                and trim.kind is not RestrictionKind.SHARE
                 and self._cuts(request, trim)
             ):
                 self._refuse(request)
@@ -368,18 +396,18 @@
         if not self.relief:
             return True
         # Further tries ask for no new work. What the level turns away counts, or shedding would read as calm.
-        self.asked += 0.0 if request.retry else self.controller.slots.expect(request)[0]
+        self.asked += 0.0 if request.is_retry else self.controller.slots.expect(request)[0]
         trim = self._trim(request)
         return not (trim and self._cuts(request, trim)) or self._refuse(request)
 
     def omits(self, request: Request) -> bool:
-        trim = self._trim(request) if self.relief and request.spec.omit_value else None
-        return trim is not None and trim.cut is RestrictionKind.OMIT
+        trim = self._trim(request) if self.relief and request.request_class.skip_weight_factor else None
+        return trim is not None and trim.kind is RestrictionKind.OMIT
 
     def is_known(self) -> bool:
-        """Whether the work asked for is: of a product that is trimmed and never ran nobody knows its work."""
-        trims = self.relief.trims if self.relief else ()
-        return all(self.controller.slots.seen[n] for n, trimmed in enumerate(trims) if trimmed)
+        """Whether the work asked for is: of a class that is trimmed and never ran nobody knows its work."""
+        restrictions = self.relief.restrictions if self.relief else ()
+        return all(self.controller.slots.seen[n] for n, trimmed in enumerate(restrictions) if trimmed)
 
     def turn(self) -> None:
         span = self.controller.now - self.counted
@@ -389,26 +417,32 @@
         self.asked, self.counted = 0.0, self.controller.now
 
     def _trim(self, request: Request) -> Restriction | None:
-        """The strongest that fits; a level states them so, by product."""
-        fits = (t for t in self.relief.trims[request.product] if t.fits(request)) if self.relief.trims else ()
-        return next(iter(fits), None)
+        """The strongest that fits; a level states them so, by class."""
+        fitting = (
+            (t for t in self.relief.restrictions[request.class_index] if t.includes(request))
+            if self.relief.restrictions
+            else ()
+        )
+        return next(iter(fitting), None)
 
     def _cuts(self, request: Request, trim: Restriction) -> bool:
         if (
-            trim.cut is RestrictionKind.SHARE
+            trim.kind is RestrictionKind.SHARE
         ):  # by count, not by chance: the share is exact, and no burst of luck gets in
-            self.due += trim.share
+            self.due += trim.admitted_share
             self.due -= (passes := self.due >= 1.0)
             return not passes
-        if trim.cut is RestrictionKind.SPARE:
+        if trim.kind is RestrictionKind.SPARE:
             return not self.controller.holds.is_free(request)
         return (
-            trim.cut is RestrictionKind.DECLINE or trim.cut is RestrictionKind.ESTABLISHED and not request.old
+            trim.kind is RestrictionKind.DECLINE
+            or trim.kind is RestrictionKind.ESTABLISHED
+            and not request.old
         )
 
     def _refuse(self, request: Request) -> bool:
-        away = max(self.until - self.controller.now, STAY_AWAY_MS) if self.relief.keeps_away else 0.0
-        return self.controller.refuse(request, away_ms=away, gone=self.relief.elsewhere)
+        away = max(self.until - self.controller.now, STAY_AWAY_MS) if self.relief.sends_retry_after else 0.0
+        return self.controller.refuse(request, away_ms=away, gone=self.relief.served_elsewhere)
 
 
 class Holds(Stage):
@@ -428,7 +462,7 @@
         self.refill()
         request.cost, whole = self.slots.expect(request)
         if self._hopeless(request, whole):
-            self.controller.signals.hear(request, self.slots.away[request.product])
+            self.controller.signals.hear(request, self.slots.away[request.class_index])
             return self.controller.refuse(request, room=False)
         if self.is_free(request):
             self.controller.signals.hear(request, 0.0)
@@ -461,7 +495,11 @@
 
     def _may_start(self, request: Request) -> bool:
         # What needs a call while others wait for leave to call would be run to be thrown away.
-        stuck = request.spec.calls and self.calls.queue and not request.spec.omit_value
+        stuck = (
+            request.request_class.may_call
+            and self.calls.queue
+            and not request.request_class.skip_weight_factor
+        )
         return not stuck and self.slots.may_start(request)
 
     def _hopeless(self, request: Request, whole: float) -> bool:
@@ -495,7 +533,7 @@
         controller: "AdmissionController",
         memory: Memory,
         repeats: Repeats,
-        products: list[RequestClass],
+        request_classes: list[RequestClass],
         cores: int,
         crowd_per_core: float,
         cold_ms: float,
@@ -507,11 +545,11 @@
         self.born, self.limit = born, float(cores)
         self.running = self.in_hand = 0  # on the cores; those and all out on calls
         self.busy = 0.0  # share of the cores in use, as the server last told
-        self.seen = [0] * len(products)
-        self.low: list[float] = [math.inf] * len(products)
-        self.mean: list[float] = [0.0] * len(products)  # ms on the cores
-        self.away: list[float] = [0.0] * len(products)  # ms off the cores
-        self.pace = 1.0  # recent latency over the mean, all products together: a slowdown shows in it first
+        self.seen = [0] * len(request_classes)
+        self.low: list[float] = [math.inf] * len(request_classes)
+        self.mean: list[float] = [0.0] * len(request_classes)  # ms on the cores
+        self.away: list[float] = [0.0] * len(request_classes)  # ms off the cores
+        self.pace = 1.0  # recent latency over the mean, all classes together: a slowdown shows in it first
         self.stretch = 1.0  # recent latency over the lowest
         self.given_up = 0.0  # share of recent runs that were of no use: they ended without settling in time
 
@@ -535,18 +573,22 @@
 
     def expect(self, request: Request) -> tuple[float, float]:
         """Expected ms on the cores, and in all."""
-        cost = self.mean[request.product] * self.pace or 1.0
-        return cost, cost + self.away[request.product]
+        cost = self.mean[request.class_index] * self.pace or 1.0
+        return cost, cost + self.away[request.class_index]
 
     def arrive(self, request: Request) -> bool:
         request.place, request.ran, request.started = RequestState.RUNNING, True, self.controller.now
         self.running += 1
         self.in_hand += 1
         self.memory.run(request)
-        self.controller.commands.append(StartRequest(request.ident))
+        self.controller.commands.append(StartRequest(request.request_id))
         self.repeats.started(request)
         self.controller.sessions.started(request)
-        if self.controller.may_stop and not request.effectful and not request.spec.late_value:
+        if (
+            self.controller.can_stop_requests
+            and not request.effectful
+            and not request.request_class.late_weight_factor
+        ):
             self.controller.agenda.at(request.in_time, lambda: self._give_up(request))
         return True
 
@@ -576,11 +618,11 @@
             (not request.settled or self.controller.now > request.in_time) - self.given_up
         )
         spent = self.controller.now - request.started - request.away
-        if request.settled or spent > self.mean[request.product]:
+        if request.settled or spent > self.mean[request.class_index]:
             self._learn(request, spent)
 
     def _learn(self, request: Request, spent: float) -> None:
-        n, took = request.product, max(spent, LEAST_MS)
+        n, took = request.class_index, max(spent, LEAST_MS)
         self.seen[n] += 1
         gain = max(MEAN_GAIN, 1 / self.seen[n])
         self.pace += PACE_GAIN * (min(took / (self.mean[n] or took), PACE_MOST) - self.pace)
@@ -616,13 +658,19 @@
         self.queue: deque[Request] = deque()  # waiting for leave to call
 
     def _count(self, by: int) -> None:
-        beyond, span = self.out - self.controller.limits.calls, self.controller.now - self.counted
+        beyond, span = (
+            self.out - self.controller.limits.downstream_call_quota,
+            self.controller.now - self.counted,
+        )
         self.debt = max(self.debt + beyond * span, 0.0)
         self.counted, self.out = self.controller.now, self.out + by
 
     def _allowed(self) -> bool:
         self._count(0)
-        due, share = self.controller.now >= self.called + self.gap, self.controller.limits.calls
+        due, share = (
+            self.controller.now >= self.called + self.gap,
+            self.controller.limits.downstream_call_quota,
+        )
         return due and (not self.shared or self.out + 1 <= max(share, 1) and self.debt <= share * self.room)
 
     def want(self, request: Request) -> None:
@@ -634,16 +682,16 @@
         for request in waiting:  # one that has to wait does not keep those behind it from going on without
             needed = request.place is RequestState.CALLING and not request.answered
             allowed = self._allowed() and not self.controller.levels.omits(request)
-            if needed and not allowed and not request.spec.omit_value:
+            if needed and not allowed and not request.request_class.skip_weight_factor:
                 self.queue.append(request)
             elif needed and not allowed:
-                self.controller.commands.append(SkipCall(request.ident))
+                self.controller.commands.append(SkipCall(request.request_id))
                 self.controller.slots.on_cores(request)
             elif needed:
                 request.tries, request.calling, self.called = request.tries + 1, True, self.controller.now
                 self._count(1)
                 self.controller.commands.append(
-                    CallDownstream(request.ident, max(request.due - self.controller.now, 1.0))
+                    CallDownstream(request.request_id, max(request.due - self.controller.now, 1.0))
                 )
 
     def _hang_up(self, request: Request, linger_ms: float) -> None:
@@ -668,13 +716,13 @@
             self.failed += outcome is not Outcome.FULL  # a tier that is merely full is not broken
             if self.failed == BREAK_AFTER and outcome is not Outcome.FULL:
                 self.gap = BREAK_MS * (
-                    1 + self.controller.chance(request.ident) / 2
+                    1 + self.controller.chance(request.request_id) / 2
                 )  # no two servers in step
                 self.controller.commands.append(LogMessage("calls below stop: too many failures in a row"))
             if request.effectful and not outcome.never_ran:
                 self.controller.void(request)
             elif not request.answered:
-                pause = CALL_PAUSE_MS * request.tries * (0.5 + self.controller.chance(request.ident))
+                pause = CALL_PAUSE_MS * request.tries * (0.5 + self.controller.chance(request.request_id))
                 self.controller.agenda.at(self.controller.now + pause, lambda: self.want(request))
         self.pump()
 
@@ -697,12 +745,12 @@
         If this server is itself slow, cold or going, others may have room. If it is full at its usual speed,
         the others are full as well, for callers spread their load: a further try would only cost a read."""
         if gone or self.controller.expiry.is_shut():
-            return False, self.controller.limits.stay_away_ms
+            return False, self.controller.limits.max_retry_after_ms
         alone = self.controller.slots.warmth() < 1.0 or self.controller.slots.pace > SLOW_PACE
         crowded = retry or self.retries > RETRIES_MOST
         if away_ms is None:  # else a level is in force, and knows how long it lasts at the least
             away_ms = math.inf if self.retries > STORM else STAY_AWAY_MS
-        return room and not alone or crowded, min(away_ms, self.controller.limits.stay_away_ms)
+        return room and not alone or crowded, min(away_ms, self.controller.limits.max_retry_after_ms)
 
     def arrived(self, retry: bool) -> None:
         # Where later tries are not marked, what is declined stands in: most of it comes back somewhere.
@@ -718,7 +766,10 @@
 
     def hear(self, request: Request, wait_ms: float) -> None:
         # Time spent unread counts: a server that reads late is short of cores, whatever its holds say.
-        part = min((self.controller.now - request.arrived + wait_ms) / request.spec.sla_ms, 1.0)
+        part = min(
+            (self.controller.now - request.arrived + wait_ms) / request.request_class.latency_objective_ms,
+            1.0,
+        )
         self.waits += GAIN * (part - self.waits)
 
     def renew(self) -> None:
@@ -754,15 +805,15 @@
         *,
         instance: int,
         seed: int,
-        products: list[RequestClass],
+        request_classes: list[RequestClass],
         tenants: list[Tenant],
         cores: int,
         callers: int,
         memory_kb: float,
         run_factor: float,
-        ref_kb: float,
+        idempotency_entry_kb: float,
         crowd_per_core: float,
-        fresh: bool,
+        is_cold_start: bool,
         cold_from: float,
         cold_ms: float,
         drain_grace_ms: float,
@@ -770,33 +821,38 @@
         say: str,
         limits: Limits,
         idle_max_ms: float,
-        may_stop: bool,
+        can_stop_requests: bool,
         below: str,
         calls_span_ms: float,
         linger_ms: float,
-        up_ms: float = 0.0,
-        refs_most: float = math.inf,
+        uptime_ms: float = 0.0,
+        max_idempotency_entries: float = math.inf,
         marks_retry: bool = True,
     ) -> None:
-        self.now, self.instance, self.products, self.may_stop = now, instance, products, may_stop
+        self.now, self.instance, self.request_classes, self.can_stop_requests = (
+            now,
+            instance,
+            request_classes,
+            can_stop_requests,
+        )
         self.limits = limits
         self.counter, self.commands = seed, list[Command]()
         self.requests: dict[int, Request] = {}  # everything in the hold, on the cores or at a call
         self.agenda = Agenda()
         self.expiry = Expiry(self, drain_grace_ms)
-        self.repeats = Repeats(self, ref_kb, tick_ms)
-        self.memory = Memory(self, memory_kb, run_factor, refs_most)
+        self.repeats = Repeats(self, idempotency_entry_kb, tick_ms)
+        self.memory = Memory(self, memory_kb, run_factor, max_idempotency_entries)
         self.sessions = Sessions(self, tenants)
         self.slots = Slots(
             self,
             self.memory,
             self.repeats,
-            products,
+            request_classes,
             cores,
             crowd_per_core,
             cold_ms,
             cold_from,
-            now - up_ms if fresh else -math.inf,
+            now - uptime_ms if is_cold_start else -math.inf,
         )
         self.calls = Calls(self, below, calls_span_ms, linger_ms)
         self.holds = Holds(self, self.sessions, self.slots, self.calls)
@@ -805,6 +861,21 @@
         self.chain += [self.holds, self.slots, self.calls]
         self.signals = Signals(self, say, callers, idle_max_ms, marks_retry)
 
+    @property
+    def in_flight_count(self) -> int:
+        """Requests that run or are out on downstream calls."""
+        return self.slots.in_hand
+
+    @property
+    def running_count(self) -> int:
+        """Requests on the cores."""
+        return self.slots.running
+
+    @property
+    def queued_count(self) -> int:
+        """Requests that wait for admission."""
+        return self.sessions.held
+
     def advance_to(self, now: float) -> None:
         self.now = now
         self.agenda.play(now)
@@ -820,28 +891,35 @@
 
     def handle_arrival(
         self,
-        ident: int,
-        product: int,
+        request_id: int,
+        class_index: int,
         *,
         tenant: int = 0,
         key: int = 0,
-        kb: float = 0.0,
+        size_kb: float = 0.0,
         age_ms: float = 0.0,
-        left_ms: float = 0.0,
-        earlier: int = 0,
-        retry: bool = False,
-        rank: float = 1.0,
+        time_left_ms: float = 0.0,
+        earlier_attempt_id: int = 0,
+        is_retry: bool = False,
+        criticality: float = 1.0,
     ) -> None:
-        request = self.requests[ident] = Request(ident, product, self.products[product], self.now, age_ms)
-        request.tenant, request.key, request.kb, request.earlier = tenant, key, kb, earlier
-        request.retry, request.rank = retry, rank
-        self.memory.txns_kb += request.kb
-        self.signals.arrived(retry)
-        self.expiry.times(request, left_ms)
+        request = self.requests[request_id] = Request(
+            request_id, class_index, self.request_classes[class_index], self.now, age_ms
+        )
+        request.tenant, request.key, request.size_kb, request.earlier_attempt_id = (
+            tenant,
+            key,
+            size_kb,
+            earlier_attempt_id,
+        )
+        request.is_retry, request.criticality = is_retry, criticality
+        self.memory.txns_kb += request.size_kb
+        self.signals.arrived(is_retry)
+        self.expiry.times(request, time_left_ms)
         self.forward(request)
 
-    def handle_finished(self, ident: int, outcome: Outcome) -> None:
-        if request := self.requests.get(ident):
+    def handle_finished(self, request_id: int, outcome: Outcome) -> None:
+        if request := self.requests.get(request_id):
             request.settled = outcome is Outcome.OK
             request.ran &= (
                 outcome is not Outcome.NEVER_STARTED
@@ -851,33 +929,35 @@
             self._end(request, finished=True)
             self._free(request)
 
-    def handle_call_needed(self, ident: int) -> None:
-        if (request := self.requests.get(ident)) and request.place is RequestState.RUNNING:
+    def handle_call_needed(self, request_id: int) -> None:
+        if (request := self.requests.get(request_id)) and request.place is RequestState.RUNNING:
             self.slots.off_cores(request)
             self.calls.want(request)
             self.holds.refill()
 
-    def handle_call_ended(self, ident: int, outcome: Outcome) -> None:
-        if (request := self.requests.get(ident)) and request.place is RequestState.CALLING:
+    def handle_call_ended(self, request_id: int, outcome: Outcome) -> None:
+        if (request := self.requests.get(request_id)) and request.place is RequestState.CALLING:
             self.calls.ended(request, outcome)
 
-    def handle_disconnect(self, ident: int) -> None:
-        if request := self.requests.get(ident):
+    def handle_disconnect(self, request_id: int) -> None:
+        if request := self.requests.get(request_id):
             self._end(request)
 
-    def begin_graceful_shutdown(self, left_ms: float) -> None:
-        log = f"draining: {len(self.requests)} in hand, {left_ms:.0f} ms to the stop"
+    def begin_graceful_shutdown(self, time_left_ms: float) -> None:
+        log = f"draining: {len(self.requests)} in hand, {time_left_ms:.0f} ms to the stop"
         self.commands += [SetHealth(False), LogMessage(log)]
-        self.expiry.step_down(RequestScope(), left_ms, RETIRED)
+        self.expiry.step_down(RequestScope(), time_left_ms, RETIRED)
 
     def set_service_level(self, relief: ServiceLevel | None) -> None:
         """The level of reduced service in force from now on; None: there are no levels."""
         self.levels.take(relief)
 
-    def update_policy(self, products: list[RequestClass], tenants: list[Tenant], limits: Limits) -> None:
+    def update_policy(
+        self, request_classes: list[RequestClass], tenants: list[Tenant], limits: Limits
+    ) -> None:
         """What requests that come from now on are worth, shares and limits; what is in hand keeps its
         worth."""
-        self.products, self.sessions.tenants, self.limits = products, tenants, limits
+        self.request_classes, self.sessions.tenants, self.limits = request_classes, tenants, limits
 
     def load_report(self) -> dict[str, float]:
         """What a ladder of levels goes by. With nothing in hand there is no run to be slow or late."""
@@ -898,9 +978,9 @@
             del told["demand"]
         return told
 
-    def drain(self, part: RequestScope, left_ms: float) -> None:
-        """Another serves this part now: a drain with a way back. All read of it is answered in left_ms."""
-        self.expiry.step_down(part, left_ms, part)
+    def drain(self, part: RequestScope, time_left_ms: float) -> None:
+        """Another serves this part now: a drain with a way back. All read of it is answered in time."""
+        self.expiry.step_down(part, time_left_ms, part)
         self.commands.append(SetHealth(not self.expiry.is_shut()))
 
     def resume(self, part: RequestScope) -> None:
@@ -918,9 +998,9 @@
         self.signals.renew()
         self.commands.append(ScheduleTick(TICK_MS))
 
-    def chance(self, ident: int) -> float:
+    def chance(self, request_id: int) -> float:
         self.counter += 1
-        return zlib.crc32(f"{self.instance}/{ident}/{self.counter}".encode()) / 2**32
+        return zlib.crc32(f"{self.instance}/{request_id}/{self.counter}".encode()) / 2**32
 
     def forward(self, request: Request, after: Stage | None = None) -> None:
         for stage in self.chain[self.chain.index(after) + 1 if after else 0 :]:
@@ -928,7 +1008,7 @@
                 return
 
     def _free(self, request: Request) -> None:
-        if self.requests.pop(request.ident, None):
+        if self.requests.pop(request.request_id, None):
             for stage in reversed(self.chain):
                 stage.freed(request)
             request.place = RequestState.FINISHED
@@ -945,8 +1025,8 @@
             return
         if request.place not in (RequestState.RUNNING, RequestState.CALLING):
             self._free(request)
-        elif self.may_stop and request.place is RequestState.RUNNING and not request.effectful:
-            self.commands.append(StopRequest(request.ident))
+        elif self.can_stop_requests and request.place is RequestState.RUNNING and not request.effectful:
+            self.commands.append(StopRequest(request.request_id))
 
     def refuse(
         self, request: Request, room: bool = True, away_ms: float | None = None, gone: bool = False
@@ -957,18 +1037,18 @@
         if not request.answered:
             self.signals.shed += SHED_GAIN
             self.commands.append(
-                RejectRequest(request.ident, *self.signals.advice(room, request.retry, away_ms, gone))
+                RejectRequest(request.request_id, *self.signals.advice(room, request.is_retry, away_ms, gone))
             )
             self._end(request)
         return False
 
     def void(self, request: Request) -> bool:
         if not request.answered:
-            self.commands.append(FailRequest(request.ident))
+            self.commands.append(FailRequest(request.request_id))
             self._end(request)
         return False
 
     def reuse(self, request: Request) -> None:
         request.place = RequestState.REPLAYING
         self.memory.run(request)
-        self.commands.append(ReplayResponse(request.ident))
+        self.commands.append(ReplayResponse(request.request_id))
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -18,20 +18,20 @@
     return (default_us if value is None else value) / 1000
 
 
-def products_of(settings: Mapping[str, Any]) -> list[RequestClass]:
+def request_classes_of(settings: Mapping[str, Any]) -> list[RequestClass]:
     info = settings.get("familyInfo") or {}
     calls, omits = info.get("classCalls") or [], info.get("classSkipWorth") or []
     return [
         RequestClass(
             name=c.get("name") or str(n),
-            effect=_EFFECTS.get(c.get("effect", ""), Idempotency.NON_IDEMPOTENT),
-            value=c.get("worth") or 0.0,
-            sla_ms=_ms(c, "promiseUs", c.get("hardLimitUs") or 1e6),
-            expiry_ms=_ms(c, "hardLimitUs", 1e6),
-            window_ms=_ms(c, "windowUs"),
-            late_value=c.get("lateWorth") or 0.0,
-            calls=bool(calls[n]) if n < len(calls) else False,
-            omit_value=(omits[n] or 0.0) if n < len(omits) else 0.0,
+            idempotency=_EFFECTS.get(c.get("effect", ""), Idempotency.NON_IDEMPOTENT),
+            priority_weight=c.get("worth") or 0.0,
+            latency_objective_ms=_ms(c, "promiseUs", c.get("hardLimitUs") or 1e6),
+            deadline_ms=_ms(c, "hardLimitUs", 1e6),
+            retention_ms=_ms(c, "windowUs"),
+            late_weight_factor=c.get("lateWorth") or 0.0,
+            may_call=bool(calls[n]) if n < len(calls) else False,
+            skip_weight_factor=(omits[n] or 0.0) if n < len(omits) else 0.0,
         )
         for n, c in enumerate(settings.get("classes") or [])
     ]
@@ -54,12 +54,12 @@
     )
 
 
-def below_of(settings: Mapping[str, Any]) -> str:
+def downstream_kind_of(settings: Mapping[str, Any]) -> str:
     """What lies below: "shared", one service for all servers; "tier"; "": nothing."""
     return _BELOW.get((settings.get("familyInfo") or {}).get("below", ""), "")
 
 
-def can_stop(settings: Mapping[str, Any]) -> bool:
+def can_stop_requests(settings: Mapping[str, Any]) -> bool:
     """Whether running work can be stopped: a stop of an answered request ends it where work is paused as
     well."""
     return (settings.get("familyInfo") or {}).get("stopMode") in ("drop", "pause")
@@ -76,15 +76,15 @@
     """`told`: what this start knows better than the settings, by the AdmissionController's own names."""
     info, rules = settings.get("familyInfo") or {}, settings.get("rules") or {}
     facts: dict[str, Any] = dict(
-        products=products_of(settings),
+        request_classes=request_classes_of(settings),
         tenants=tenants_of(settings),
         cores=info.get("cores") or 1,
         callers=info.get("callers") or 1,
         memory_kb=info.get("memoryKb") or 0.0,
         run_factor=info.get("runFactor") or 1.0,
-        ref_kb=info.get("keyKb") or 0.0,
+        idempotency_entry_kb=info.get("keyKb") or 0.0,
         crowd_per_core=rules.get("fallMultiple") or 1.0,
-        fresh=bool(info.get("freshStart")),
+        is_cold_start=bool(info.get("freshStart")),
         cold_from=rules.get("coldFrom") or 0.0,
         cold_ms=_ms(rules, "coldUs"),
         drain_grace_ms=_ms(rules, "drainGraceUs"),
@@ -92,8 +92,8 @@
         say=_SAY.get(info.get("say", ""), ""),
         limits=limits_of(settings),
         idle_max_ms=_ms(info, "callerIdleUs"),
-        may_stop=can_stop(settings),
-        below=below_of(settings),
+        can_stop_requests=can_stop_requests(settings),
+        below=downstream_kind_of(settings),
         calls_span_ms=_ms(info, "depWindowUs"),
         linger_ms=_ms(info, "lingerUs"),
         marks_retry=(settings.get("clients") or {}).get("marksRetry") is not False,
--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -31,7 +31,7 @@
             told = part.get(key)
             names |= {name for name in told if isinstance(name, str)} if isinstance(told, list) else set()
     products = [
-        RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, calls=True, omit_value=1.0)
+        RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, may_call=True, skip_weight_factor=1.0)
         for name in sorted(found["products"])
     ]
     return products, [Tenant(name, 1.0) for name in sorted(found["tenants"])]
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -7,7 +7,7 @@
 
 import click
 
-from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
@@ -120,7 +120,7 @@
             settings = read_configuration(path).settings
         except BadConfiguration as trouble:
             give_up(trouble)
-        return products_of(settings), tenants_of(settings)
+        return request_classes_of(settings), tenants_of(settings)
     return _named_in(file)
 
 
@@ -142,16 +142,20 @@
         f"   out   {leave}, over {rung.exit_ms / 1000:g} s, after {rung.stay_ms / 1000:g} s at least",
         f"   trial after {rung.trial_ms / 1000:g} s with all calm but what is asked for",
     ]
-    for product, trims in zip(products, rung.relief.trims, strict=True):
+    for product, trims in zip(products, rung.relief.restrictions, strict=True):
         for trim in trims:
-            what = f"admits {trim.share:.0%}" if trim.cut is RestrictionKind.SHARE else _DOES[trim.cut]
+            what = (
+                f"admits {trim.admitted_share:.0%}"
+                if trim.kind is RestrictionKind.SHARE
+                else _DOES[trim.kind]
+            )
             whose = ", ".join(tenants[t].name for t in sorted(trim.tenants)) if trim.tenants else ""
             only = [f"of {whose}"] if whose else []
-            only += [f"below rank {trim.rank:g}"] if trim.rank <= 1.0 else []
+            only += [f"below rank {trim.criticality_below:g}"] if trim.criticality_below <= 1.0 else []
             lines.append(f"   {product.name}: {what}" + (f" ({', '.join(only)})" if only else ""))
-    held = "is answered at once" if rung.relief.answers_held else "is kept and runs"
+    held = "is answered at once" if rung.relief.rejects_queued else "is kept and runs"
     lines.append(
         f"   what is held when it starts {held}; callers are "
-        + ("asked to stay away" if rung.relief.keeps_away else "not asked to stay away")
+        + ("asked to stay away" if rung.relief.sends_retry_after else "not asked to stay away")
     )
     return lines
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -10,7 +10,7 @@
 
 import click
 
-from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
@@ -82,7 +82,7 @@
 def _known(told: dict[str, object]) -> tuple[list[RequestClass], list[Tenant]]:
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
-        return products_of(settings), tenants_of(settings)
+        return request_classes_of(settings), tenants_of(settings)
     return named_in(tables_in(told, "group"))
 
 
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -50,12 +50,12 @@
                 product,
                 tenant=tenant,
                 key=key,
-                kb=kb,
+                size_kb=kb,
                 age_ms=age / 1000,
-                left_ms=left / 1000,
-                earlier=earlier,
-                retry=bool(flags & 2),
-                rank=rank,
+                time_left_ms=left / 1000,
+                earlier_attempt_id=earlier,
+                is_retry=bool(flags & 2),
+                criticality=rank,
             )
         elif code == frames.FINISHED:
             controller.handle_finished(f[0], frames.OUTCOMES.get(f[1], Outcome.ERROR))
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from otterrudder.admission.factory import below_of, limits_of, products_of, tenants_of
+from otterrudder.admission.factory import downstream_kind_of, limits_of, request_classes_of, tenants_of
 from otterrudder.admission.interface import Limits, RequestClass, Tenant
 from otterrudder.files import convert
 from otterrudder.levels.table import BadTable, Table, build
@@ -55,11 +55,11 @@
 def own_of(settings: dict[str, Any]) -> Own:
     """Of the settings in a server's configuration."""
     return Own(
-        products_of(settings),
+        request_classes_of(settings),
         tenants_of(settings),
         max(settings.get("servers") or 1, 1),
         limits_of(settings),
-        below_of(settings) == "shared",
+        downstream_kind_of(settings) == "shared",
     )
 
 
@@ -115,10 +115,12 @@
 
 def _valued(product: RequestClass, told: _Product | None) -> RequestClass:
     if told and told.value is not None:
-        product = replace(product, value=_within(told.value, VALUE_MOST, f"products.{product.name}.value"))
+        product = replace(
+            product, priority_weight=_within(told.value, VALUE_MOST, f"products.{product.name}.value")
+        )
     if told and told.late_value is not None:
         late_value = _within(told.late_value, 1.0, f"products.{product.name}.late_value")
-        product = replace(product, late_value=late_value)
+        product = replace(product, late_weight_factor=late_value)
     return product
 
 
@@ -127,25 +129,28 @@
     if told is None:
         return tenant
     per_s = _within(told.per_s, PER_S_MOST, f"tenants.{tenant.name}.per_s")
-    return replace(tenant, per_ms=per_s / 1000 / servers)
+    return replace(tenant, quota_per_ms=per_s / 1000 / servers)
 
 
 def _limited(told: _Policy, own: Own) -> Limits:
     """Limits are one server's, budgets the fleet's: each server has an even part."""
-    limits = own.limits or Limits(stay_away_ms=STAY_AWAY_MOST_MS)
+    limits = own.limits or Limits(max_retry_after_ms=STAY_AWAY_MOST_MS)
     found = limits
     if (away := told.limits.stay_away_ms) is not None:
-        if _within(away, STAY_AWAY_MOST_MS, "limits.stay_away_ms") > limits.stay_away_ms:
+        if _within(away, STAY_AWAY_MOST_MS, "limits.stay_away_ms") > limits.max_retry_after_ms:
             raise BadPolicy(
-                f"limits.stay_away_ms: {away:g} is more than callers honour here, " f"{limits.stay_away_ms:g}"
+                f"limits.stay_away_ms: {away:g} is more than callers honour here, "
+                f"{limits.max_retry_after_ms:g}"
             )
-        found = replace(found, stay_away_ms=away)
+        found = replace(found, max_retry_after_ms=away)
     if (share := told.limits.over_share_value) is not None:
-        found = replace(found, over_value=_within(share, 1.0, "limits.over_share_value"))
+        found = replace(found, over_quota_weight_factor=_within(share, 1.0, "limits.over_share_value"))
     if (calls := told.budgets.calls) is not None:
         if not own.shares_below:
             raise BadPolicy("budgets.calls: here no service lies below that all servers share")
-        found = replace(found, calls=_within(calls, CALLS_MOST, "budgets.calls") / own.servers)
+        found = replace(
+            found, downstream_call_quota=_within(calls, CALLS_MOST, "budgets.calls") / own.servers
+        )
     return found
 
 
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -249,7 +249,7 @@
 
     def _series(self) -> dict[str, list[float]]:
         """By second: demand, value asked for and settled in time, the mean and the highest level."""
-        worth = np.array([p.value for p in self.ledger.products])
+        worth = np.array([p.priority_weight for p in self.ledger.products])
         asked, in_time = (self.ledger.table(name) for name in ("asked", "in_time"))
         length = int(self.length_ms / 1000)
         heights = np.array([row[:length] + [0.0] * (length - len(row)) for row in self.heights])
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -94,12 +94,12 @@
 
     def _try(self, ask: Ask, been: tuple[int, ...], since: float) -> None:
         spec = self.products[ask.product]
-        left = since + spec.expiry_ms - self.engine.now
+        left = since + spec.deadline_ms - self.engine.now
         server = self._choose(ask, been) if left > 1.0 and len(been) < self.part.tries else None
         if server is None:
             self._end(ask, DECLINED if been else UNREACHED)
             return
-        now, wait = self.engine.now, min(left, spec.expiry_ms * self.part.try_share)
+        now, wait = self.engine.now, min(left, spec.deadline_ms * self.part.try_share)
         attempt = Try(
             self, ask, self.numbers(), server, now + self.part.net_ms, wait, bool(been) and self.part.marks
         )
@@ -155,7 +155,7 @@
     def _again(self, ask: Ask, been: tuple[int, ...], since: float) -> None:
         """After a failure only what may run twice goes elsewhere: servers share nothing, and know no other's
         marks."""
-        if self.products[ask.product].window_ms or len(been) >= self.part.tries:
+        if self.products[ask.product].retention_ms or len(been) >= self.part.tries:
             self._end(ask, VOIDED)
         else:
             self.engine.after(WALK_MS, self._try, ask, been, since)
--- a/otterrudder/lab/ledger.py
+++ b/otterrudder/lab/ledger.py
@@ -55,7 +55,7 @@
         spec = self.products[product]
         if how == SETTLED:
             self.times.append(now - at)
-            if now - at <= spec.sla_ms:
+            if now - at <= spec.latency_objective_ms:
                 self._second(at).in_time[product] += 1
             else:
                 how = LATE
@@ -69,8 +69,8 @@
     def value(self, from_s: int = 0, to_s: int | None = None) -> float:
         """Value settled within the SLA time (late settles at their late share) over the value asked for."""
         asked, in_time, late = (self.table(n)[from_s:to_s].sum(0) for n in ("asked", "in_time", "late"))
-        worth = np.array([p.value for p in self.products])
-        kept = np.array([p.late_value for p in self.products])
+        worth = np.array([p.priority_weight for p in self.products])
+        kept = np.array([p.late_weight_factor for p in self.products])
         whole = float((asked * worth).sum())
         return float((in_time * worth + late * worth * kept).sum()) / whole if whole else 1.0
 
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -164,7 +164,7 @@
             return
         ask, call = attempt.ask, f"{attempt.number:016x}"
         spec = self.products[ask.product]
-        referenced = spec.effect is Idempotency.IDEMPOTENT
+        referenced = spec.idempotency is Idempotency.IDEMPOTENT
         self.tries[call] = attempt
         self.checker.read(
             self.engine.now,
@@ -172,7 +172,7 @@
             self.life,
             attempt.at,
             attempt.at + attempt.wait,
-            0 if spec.effect is Idempotency.SAFE else ask.number,
+            0 if spec.idempotency is Idempotency.SAFE else ask.number,
         )
         self.post_arrival(
             self.core.arrive,
@@ -203,7 +203,7 @@
             call = rest[0]
             attempt = self.tries[call]
             self.checker.started(
-                self.engine.now, attempt.number, self.products[attempt.ask.product].window_ms
+                self.engine.now, attempt.number, self.products[attempt.ask.product].retention_ms
             )
             ask = attempt.ask
             run = self.runs[call] = Run(ask.work / (ask.calls + 1), ask.calls)
--- a/otterrudder/levels/ladder.py
+++ b/otterrudder/levels/ladder.py
@@ -156,7 +156,7 @@
         if not self.position:
             return ServiceLevel(FULL)
         rung = self.rungs[self.position - 1]
-        return replace(rung.relief, stay_ms=rung.stay_ms * self._stay.factor)
+        return replace(rung.relief, min_duration_ms=rung.stay_ms * self._stay.factor)
 
     def stayed(self, now: float) -> float:
         """ms on the present rung."""
@@ -283,4 +283,6 @@
 
     def _move(self, now: float, left: str, reason: Reason, readings: tuple[Reading, ...], up: bool) -> Move:
         relief = self.relief
-        return Move(now, left, self.name, reason, readings, relief.stay_ms, self._stay.factor, relief, up)
+        return Move(
+            now, left, self.name, reason, readings, relief.min_duration_ms, self._stay.factor, relief, up
+        )
--- a/otterrudder/levels/table.py
+++ b/otterrudder/levels/table.py
@@ -224,13 +224,15 @@
         """How much is cut of what one tenant sends of a product at a rank: the kind, then the share not let
         in."""
         for _, trim in self._strongest_first(self.trims[product]):
-            if rank < trim.rank and (trim.tenants is None or tenant in trim.tenants):
+            if rank < trim.criticality_below and (trim.tenants is None or tenant in trim.tenants):
                 return _strength(trim)
         return 0, 0.0
 
     def _cells(self, product: int, lower: "_Maker") -> Iterator[tuple[int, float, str]]:
         """Every tenant and rank at which the two levels may differ, with words for it."""
-        ranks = {trim.rank for maker in (self, lower) for _, trim in maker.trims[product]} | {math.inf}
+        ranks = {trim.criticality_below for maker in (self, lower) for _, trim in maker.trims[product]} | {
+            math.inf
+        }
         for tenant in range(max(len(self.tenants), 1)):
             for rank in sorted(ranks):
                 shown = f" of {self.tenants[tenant].name}" if self.tenants else ""
@@ -275,15 +277,15 @@
             tenants = frozenset(_numbers(told.tenants, [t.name for t in self.tenants], f"{where}.tenants"))
         for product in _numbers(told.products, [p.name for p in self.products], f"{where}.products"):
             spec = self.products[product]
-            if cut is RestrictionKind.OMIT and not (spec.calls and spec.omit_value):
+            if cut is RestrictionKind.OMIT and not (spec.may_call and spec.skip_weight_factor):
                 raise BadTable(f"{where}.products: {spec.name} has no call that may be omitted")
-            if spec.effect is not Idempotency.SAFE and cut is RestrictionKind.OMIT:
+            if spec.idempotency is not Idempotency.SAFE and cut is RestrictionKind.OMIT:
                 raise BadTable(f"{where}.products: {spec.name} has an effect: its call is not omitted")
             self.trims[product].append((n, Restriction(cut, share, rank, tenants)))
 
 
 def _strength(trim: Restriction) -> tuple[int, float]:
-    return _STRENGTH[trim.cut], 1.0 - trim.share
+    return _STRENGTH[trim.kind], 1.0 - trim.admitted_share
 
 
 def _as_bounds(facts: Mapping[str, float]) -> tuple[Bound, ...]:
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -119,7 +119,7 @@
         self.is_aside = False  # it does not know which policy is in force, and admits nothing
         self.values: tuple[list[RequestClass], list[Tenant], Limits] | None = None  # as a policy has them
         self.aside = ServiceLevel(
-            "aside", ((Restriction(RestrictionKind.DECLINE),),) * len(products), elsewhere=True
+            "aside", ((Restriction(RestrictionKind.DECLINE),),) * len(products), served_elsewhere=True
         )
         self.create_controller, self.products, self.gauges = create_controller, products, gauges
         self.names = {product.name: n for n, product in enumerate(products)}
@@ -196,7 +196,7 @@
             self.out.append((peer, "declined", rpc, False, 0.0, self.load))
             return
         spec = self.products[product]
-        mark, known, digest = dedupe if spec.effect is Idempotency.IDEMPOTENT else "", None, b""
+        mark, known, digest = dedupe if spec.idempotency is Idempotency.IDEMPOTENT else "", None, b""
         if mark:
             digest = request_digest(product, body)
             known = self.references.get(mark) or self.fresh.get(mark)
@@ -215,12 +215,12 @@
             product,
             tenant=tenant,
             key=key,
-            kb=kb,
+            size_kb=kb,
             age_ms=age,
-            left_ms=left,
-            earlier=known.holder if known else 0,
-            retry=retry,
-            rank=rank,
+            time_left_ms=left,
+            earlier_attempt_id=known.holder if known else 0,
+            is_retry=retry,
+            criticality=rank,
         )
 
     def left(self, call: str) -> None:
@@ -394,11 +394,10 @@
         """What the module counts beside what is known here, for the log: they must agree."""
         if not self.controller:
             return {}
-        slots = self.controller.slots
         return dict(
-            in_hand=slots.in_hand,
-            running=slots.running,
-            held=self.controller.sessions.held,
+            in_hand=self.controller.in_flight_count,
+            running=self.controller.running_count,
+            held=self.controller.queued_count,
             runs=sum(request.started for request in self.requests.values()),
             at_calls=sum(request.wants is not None for request in self.requests.values()),
             on_cores=self.told_cores,
@@ -508,7 +507,7 @@
         elif known.holder != request.number:
             known.holder, known.over, known.result = request.number, False, None
         # A try of the window may wait unread for as long as its caller does, and no longer.
-        known.until = self.now + span_ms + self.products[request.product].expiry_ms
+        known.until = self.now + span_ms + self.products[request.product].deadline_ms
 
     def _forget(self, request: PendingRequest) -> None:
         known = self.references.get(request.mark)
@@ -580,12 +579,12 @@
         if known.until > self.now:
             heapq.heappush(self.lapses, (known.until, mark))
         elif holder := self.requests.get(known.holder):  # not before its run
-            heapq.heappush(self.lapses, (self.now + self.products[holder.product].expiry_ms, mark))
+            heapq.heappush(self.lapses, (self.now + self.products[holder.product].deadline_ms, mark))
         else:
             del self.references[mark]
 
     def _effectful(self, request: PendingRequest) -> bool:
-        return self.products[request.product].effect is not Idempotency.SAFE
+        return self.products[request.product].idempotency is not Idempotency.SAFE
 
 
 _REQUEST_COMMANDS: dict[type[Command], Callable[..., None]] = {
--- a/otterrudder/net/gateways.py
+++ b/otterrudder/net/gateways.py
@@ -131,7 +131,7 @@
                     params,
                     self.gateways.tenants,
                     clock.unix(),
-                    core.products[product].effect is Idempotency.IDEMPOTENT,
+                    core.products[product].idempotency is Idempotency.IDEMPOTENT,
                 )
             except ValueError as trouble:
                 self._reject(rpc, jsonrpc.PARAMS, str(trouble))
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -14,7 +14,13 @@
 
 from otterrudder import clock
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.factory import can_stop, create_controller, gauge_names, products_of, tenants_of
+from otterrudder.admission.factory import (
+    can_stop_requests,
+    create_controller,
+    gauge_names,
+    request_classes_of,
+    tenants_of,
+)
 from otterrudder.admission.interface import Idempotency, RequestClass
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
@@ -72,7 +78,7 @@
         from otterrudder import levels
 
         try:
-            return levels.read(self.levels, products_of(settings), tenants_of(settings))
+            return levels.read(self.levels, request_classes_of(settings), tenants_of(settings))
         except levels.BadTable as trouble:
             raise BadConfiguration(str(trouble)) from None
 
@@ -100,7 +106,7 @@
         from otterrudder.vrrp.group import BadGroups, read_groups
 
         try:
-            return read_groups(self.vrrp, products_of(settings), tenants_of(settings))
+            return read_groups(self.vrrp, request_classes_of(settings), tenants_of(settings))
         except BadGroups as trouble:
             raise BadConfiguration(str(trouble)) from None
 
@@ -109,8 +115,8 @@
     """What the settings allow and the runtime's protocol has no word for: a line that is no command ends the
     link, so the server keeps it off."""
     why = "the runtime's protocol has no word for it, so it is kept off"
-    omits = any(product.omit_value for product in products_of(settings))
-    return [f"familyInfo.stopMode: work can't be stopped here: {why}"] * can_stop(settings) + [
+    omits = any(product.skip_weight_factor for product in request_classes_of(settings))
+    return [f"familyInfo.stopMode: work can't be stopped here: {why}"] * can_stop_requests(settings) + [
         f"familyInfo.classSkipWorth: no call is left out here: {why}"
     ] * omits
 
@@ -196,7 +202,7 @@
 
 def _served_products(settings: dict[str, Any]) -> list[RequestClass]:
     """The products as they can be served here, see `unsupported_settings`."""
-    return [replace(product, omit_value=0.0) for product in products_of(settings)]
+    return [replace(product, skip_weight_factor=0.0) for product in request_classes_of(settings)]
 
 
 def _controller_factory(
@@ -205,8 +211,8 @@
     """What makes the AdmissionController once the runtime has said how it stands: by the time, warmth and ms
     up."""
     # A reference outlives its window by an expiry, see core.py.
-    kept = [p for p in products if p.effect is Idempotency.IDEMPOTENT]
-    stays = [1 + p.expiry_ms / (p.window_ms or p.expiry_ms) for p in kept]
+    kept = [p for p in products if p.idempotency is Idempotency.IDEMPOTENT]
+    stays = [1 + p.deadline_ms / (p.retention_ms or p.deadline_ms) for p in kept]
     refs_most = configuration.limits.memory_mb * 1e6 * RESULTS_SHARE / RESULT_BYTES / max(stays, default=1.0)
 
     def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
@@ -215,12 +221,12 @@
             configuration.settings.get("me") or 0,
             configuration.seed,
             configuration.settings,
-            fresh=not warm,
-            up_ms=up_ms,
-            products=products,
-            may_stop=False,
-            ref_kb=0.0,  # results lie here, not in the runtime's memory
-            refs_most=refs_most,
+            is_cold_start=not warm,
+            uptime_ms=up_ms,
+            request_classes=products,
+            can_stop_requests=False,
+            idempotency_entry_kb=0.0,  # results lie here, not in the runtime's memory
+            max_idempotency_entries=refs_most,
         )
 
     return make
--- a/otterrudder/vrrp/group.py
+++ b/otterrudder/vrrp/group.py
@@ -215,7 +215,7 @@
             if (group.vrid, group.address.version) == (other.vrid, other.address.version):
                 raise BadGroups(f"{where}: group[{n}].vrid: {group.vrid} is group[{k}]'s")
             mine, its = group.part, other.part
-            if _meet(mine.products, its.products) and _meet(mine.tenants, its.tenants):
+            if _meet(mine.request_classes, its.request_classes) and _meet(mine.tenants, its.tenants):
                 why = f"serves what group[{k}] serves: tell products or tenants apart"
                 raise BadGroups(f"{where}: group[{n}]: {why}")
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -95,8 +95,8 @@
         "version = 1\n[products.form-check]\nvalue = 7\n[tenants.north]\nper_s = 400",
         Own(PRODUCTS, [Tenant("north", 0.5), Tenant("south", 0.5, 0.02)], servers=4),
     )
-    assert [product.value for product in told.products] == [1.0, 7.0, 1.0]
-    assert [tenant.per_ms for tenant in told.tenants] == [0.1, 0.02]
+    assert [product.priority_weight for product in told.products] == [1.0, 7.0, 1.0]
+    assert [tenant.quota_per_ms for tenant in told.tenants] == [0.1, 0.02]
     told = parse(
         "version = 1\n[limits]\nstay_away_ms = 300\n[budgets]\ncalls = 24",
         Own(PRODUCTS, [], 8, Limits(500.0, 1.0, 0.1)),
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -7,13 +7,13 @@
 
 from helpers import SETTINGS, Server
 
-from otterrudder.admission.factory import create_controller, gauge_names, products_of, tenants_of
+from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of, tenants_of
 from otterrudder.admission.interface import Limits, Outcome
 from otterrudder.fleet.policy import Own, parse
 from otterrudder.levels import LevelController
 from otterrudder.net.core import Core
 
-PRODUCTS, TENANTS = products_of(SETTINGS), tenants_of(SETTINGS)
+PRODUCTS, TENANTS = request_classes_of(SETTINGS), tenants_of(SETTINGS)
 CUTS_LOOK = """version = 1
 [levels]
 version = 1
@@ -34,7 +34,14 @@
     def __init__(self) -> None:
         def make(now: float, warm: bool, up_ms: float):
             return create_controller(
-                now, 1, 7, SETTINGS, fresh=not warm, up_ms=up_ms, products=PRODUCTS, ref_kb=0.0
+                now,
+                1,
+                7,
+                SETTINGS,
+                is_cold_start=not warm,
+                uptime_ms=up_ms,
+                request_classes=PRODUCTS,
+                idempotency_entry_kb=0.0,
             )
 
         self.core, self.now, self.rpc = Core(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
@@ -102,7 +109,7 @@
     played.core.stand_aside(False)
     assert words(played.ask(0))[0][0] == "declined"
     assert ("runtime", "start") in words(played.ask(1, "n" * 32))
-    assert played.core.controller.products[1].value == 50.0
+    assert played.core.controller.request_classes[1].priority_weight == 50.0
 
 
 def test_a_level_that_moves_while_aside_opens_nothing() -> None:
@@ -126,9 +133,9 @@
     before = next(iter(played.core.controller.requests.values()))
     played.policy(CUTS_LOOK)
     played.ask(1, "n" * 32)
-    assert before.spec == PRODUCTS[1]
-    assert [request.spec for request in played.core.controller.requests.values()][-1] == replace(
-        PRODUCTS[1], value=50.0
+    assert before.request_class == PRODUCTS[1]
+    assert [request.request_class for request in played.core.controller.requests.values()][-1] == replace(
+        PRODUCTS[1], priority_weight=50.0
     )
 
 
@@ -143,7 +150,7 @@
     (declined,) = words(played.ask(0))
     assert declined[0] == "declined" and declined[2] <= 120.0  # as long as callers are asked to keep away
     played.policy("version = 1")
-    assert controller.limits.over_value == before.over_value
+    assert controller.limits.over_quota_weight_factor == before.over_quota_weight_factor
 
 
 def test_a_server_without_a_fleet_imports_nothing_of_it() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -68,6 +68,16 @@
     commands.CloseConnections: "close",
 }
 
+# `handle_arrival`'s parameters by a scenario's words.
+PARAMETERS = {
+    "age": "age_ms",
+    "earlier": "earlier_attempt_id",
+    "kb": "size_kb",
+    "left": "time_left_ms",
+    "rank": "criticality",
+    "retry": "is_retry",
+}
+
 
 class Play:
     def __init__(self) -> None:
@@ -91,14 +101,31 @@
     def start(self, now: float) -> AdmissionController:
         t = self.told
         controller = AdmissionController(
-            now, instance=1, seed=1, products=self.products, tenants=self.tenants, cores=int(t["cores"]),
-            callers=int(t["callers"]), memory_kb=t["memory"], run_factor=t["factor"], ref_kb=t["ref"],
-            crowd_per_core=t["crowd"], fresh=bool(t["fresh"]), cold_from=t["cold_from"], cold_ms=t["cold"],
-            drain_grace_ms=t["grace"], tick_ms=t["tick"], say=t["say"],
-            limits=Limits(t["away"], t["share"], t["over"]), idle_max_ms=t["idle"],
-            may_stop=bool(t["stop"]), below=t["below"], calls_span_ms=t["span"], linger_ms=t["linger"],
+            now,
+            instance=1,
+            seed=1,
+            request_classes=self.products,
+            tenants=self.tenants,
+            cores=int(t["cores"]),
+            callers=int(t["callers"]),
+            memory_kb=t["memory"],
+            run_factor=t["factor"],
+            idempotency_entry_kb=t["ref"],
+            crowd_per_core=t["crowd"],
+            is_cold_start=bool(t["fresh"]),
+            cold_from=t["cold_from"],
+            cold_ms=t["cold"],
+            drain_grace_ms=t["grace"],
+            tick_ms=t["tick"],
+            say=t["say"],
+            limits=Limits(t["away"], t["share"], t["over"]),
+            idle_max_ms=t["idle"],
+            can_stop_requests=bool(t["stop"]),
+            below=t["below"],
+            calls_span_ms=t["span"],
+            linger_ms=t["linger"],
             marks_retry=bool(t["marks"]),
-        )  # fmt: skip
+        )
         controller.start()
         self.take(now, controller.take_commands())
         return controller
@@ -124,9 +151,9 @@
             more = {k: v if k == "earlier" else float(v) for k, v in (w.split("=") for w in rest[1:])}
             kinds = {"key": int, "tenant": int, "retry": bool}
             more = {k: kinds.get(k, type(v))(v) for k, v in more.items()}
-            more = {k + "_ms" if k in ("left", "age") else k: v for k, v in more.items()}
+            more = {PARAMETERS.get(k, k): v for k, v in more.items()}
             number = [p.name for p in self.products].index(rest[0])
-            controller.handle_arrival(ident, number, **{"kb": 10.0, **more})
+            controller.handle_arrival(ident, number, **{"size_kb": 10.0, **more})
             return
         if verb == "reduce":
             controller.set_service_level(self.relief(rest))
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -14,8 +14,10 @@
 
 PRODUCTS = [
     RequestClass("addr-lookup", Idempotency.SAFE, 1, 1200, 2900),
-    RequestClass("form-check", Idempotency.SAFE, 2, 2700, 6500, calls=True, omit_value=0.5),
-    RequestClass("form-submit", Idempotency.IDEMPOTENT, 5, 2000, 4700, 14214, calls=True, omit_value=0.5),
+    RequestClass("form-check", Idempotency.SAFE, 2, 2700, 6500, may_call=True, skip_weight_factor=0.5),
+    RequestClass(
+        "form-submit", Idempotency.IDEMPOTENT, 5, 2000, 4700, 14214, may_call=True, skip_weight_factor=0.5
+    ),
 ]
 TENANTS = [Tenant("north", 0.6), Tenant("south", 0.4)]
 LEVEL = """
@@ -37,18 +39,19 @@
 def test_the_example_is_good_and_says_what_it_cuts() -> None:
     told = read(ROOT / "deploy/levels.toml", PRODUCTS, TENANTS)
     assert [rung.name for rung in told.rungs] == ["checks-when-free", "lookups-when-free", "submits-only"]
-    first, second, third = (rung.relief.trims for rung in told.rungs)
-    assert (first[0], first[1][0].cut, first[2]) == ((), RestrictionKind.SPARE, ())
-    assert (second[0][0].cut, second[1][0].cut) == (RestrictionKind.SPARE, RestrictionKind.DECLINE) and third[
-        0
-    ][0].cut is RestrictionKind.DECLINE
+    first, second, third = (rung.relief.restrictions for rung in told.rungs)
+    assert (first[0], first[1][0].kind, first[2]) == ((), RestrictionKind.SPARE, ())
+    assert (second[0][0].kind, second[1][0].kind) == (
+        RestrictionKind.SPARE,
+        RestrictionKind.DECLINE,
+    ) and third[0][0].kind is RestrictionKind.DECLINE
     assert not third[2] and told.rungs[0].stay_ms == 8000.0 and not told.is_shadow
 
 
 def test_the_strongest_cut_that_fits_comes_first() -> None:
     cuts = SHARE + ', { do = "decline", products = ["addr-lookup"], rank_below = 0.3, tenants = ["south"] }'
-    trims = parse(table(cuts), PRODUCTS, TENANTS).rungs[0].relief.trims[0]
-    assert [(trim.cut, trim.rank, trim.tenants) for trim in trims] == [
+    trims = parse(table(cuts), PRODUCTS, TENANTS).rungs[0].relief.restrictions[0]
+    assert [(trim.kind, trim.criticality_below, trim.tenants) for trim in trims] == [
         (RestrictionKind.DECLINE, 0.3, frozenset({1})),
         (RestrictionKind.SHARE, float("inf"), None),
     ]
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -35,7 +35,7 @@
 
     for n, controller in enumerate(controllers):
         for ident in range(1, WAITING + 1):
-            controller.handle_arrival(ident, 0, left_ms=16_000.0)
+            controller.handle_arrival(ident, 0, time_left_ms=16_000.0)
         take(n, 0.0, controller)
     while due and due[0][0] < BACK_MS + 4000.0:
         now, n, ident, what = heapq.heappop(due)
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -23,7 +23,7 @@
 from helpers import SETTINGS, Gateway, Server, listener
 
 from otterrudder import clock
-from otterrudder.admission.factory import create_controller, gauge_names, products_of
+from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, gateways, records, serve
 from otterrudder.net.dispatcher import Dispatcher
@@ -52,8 +52,8 @@
     def __init__(self, group: anyio.abc.TaskGroup, sockets_most: int = 256) -> None:
         self.group, self.runtime = group, Sent()
         the_core = core.Core(
-            lambda now, warm, up: create_controller(now, 1, 1, SETTINGS, fresh=False),
-            products_of(SETTINGS),
+            lambda now, warm, up: create_controller(now, 1, 1, SETTINGS, is_cold_start=False),
+            request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
         self.dispatcher = Dispatcher(the_core)
@@ -434,7 +434,7 @@
     async def play(rig: Inside) -> None:
         the_core = core.Core(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            products_of(SETTINGS),
+            request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
         rig.dispatcher.core = rig.gateways.dispatcher.core = the_core
@@ -459,7 +459,7 @@
     async def play(rig: Inside) -> None:
         the_core = core.Core(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            products_of(SETTINGS),
+            request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
         rig.dispatcher.core = rig.gateways.dispatcher.core = the_core
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import SETTINGS
 
-from otterrudder.admission.factory import create_controller, gauge_names, products_of
+from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import core, jsonrpc, lines
 from otterrudder.net.dispatcher import Dispatcher
@@ -111,7 +111,7 @@
     def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
         self.core = core.Core(
             lambda now, warm, up: create_controller(now, 1, 1, settings, **told),
-            products_of(settings),
+            request_classes_of(settings),
             gauge_names(settings),
         )
         self.now, self.answers, self.sent = 1000.0, {}, []
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_whatever_comes_each_txn_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
     """Random days: repeats, late and lost replies, links that break, callers that leave, a drain."""
-    chance, bench = random.Random(seed), Bench(refs_most=40)
+    chance, bench = random.Random(seed), Bench(max_idempotency_entries=40)
     the_core, running, at_calls, out_below, gone, effects = bench.core, {}, set(), set(), set(), {}
     for n in range(1, 900):
         out = bench.arrive(
@@ -382,7 +382,7 @@
         "hardLimitUs": expiry * 1e3,
         "promiseUs": expiry * 0.7e3,
     }
-    bench = Bench(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, refs_most=30)
+    bench = Bench(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
     chance, marks, written, ran, running = random.Random(seed), {}, {}, {}, {}
     for n in range(1, 1500):
         mark, age = f"m{chance.randrange(25)}", chance.choice([0.0, 0.0, 5.0, 0.9 * expiry])
