--- /dev/null
+++ b/otterrudder/levels/selector.py
@@ -0,0 +1,342 @@
+"""Selects the level of reduced service that is in force, one step at a time, from facts about the server.
+
+The level controller calls `step` once a tick. Position 0 is full service; the levels follow, mildest first.
+Guarantees:
+
+- At most one step per call, and none within the minimum stay of the level that is left. Full service goes
+  back to the lowest level only after that level's minimum stay.
+- A level is entered on the mean over its entry window. It is left only when the whole, longer exit window was
+  calm.
+- A level that is entered again soon after it was left is damped: its stay and its calm period grow, up to a
+  maximum factor.
+- A fact that is unknown, or that has not been known for a full window, causes no step.
+- Every level can be left. When all facts but the demand are calm (the demand may be the same callers retrying
+  without a mark), the level is left on trial after a stated time; damping keeps trials rare.
+
+Times are ms on the caller's clock. There is no I/O, clock or randomness here: `spread` (0 to 1) differs from
+instance to instance, so that a fleet does not leave a level all at once."""
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field, replace
+from enum import Enum
+
+from otterrudder.admission.interface import ServiceLevel
+from otterrudder.levels.window import SlidingWindow
+
+FULL_SERVICE = "full"  # the name of full service, in tables and log lines
+# Facts of what callers ask for, not of how the server copes: a trial ignores them.
+DEMAND_FACTS = frozenset({"demand", "retries"})
+MAX_SPREAD = 0.5  # share by which the latest instance of a fleet stays longer than the first
+MAX_COUNTED_RETURNS = 64  # exponent of the damping: keeps the power finite
+
+
+class Reason(Enum):
+    """Why the level changed."""
+
+    ENTRY = "entry"  # the entry conditions of the next level are met
+    EXIT = "exit"  # the exit conditions of this level are met
+    TRIAL = "trial"  # all but the demand has been calm for long enough to try
+    TABLE = "table"  # the table of levels was replaced
+
+
+@dataclass(frozen=True, slots=True)
+class Threshold:
+    """A fact and its limit: reached at or above it to enter, at or below it to leave."""
+
+    fact: str
+    value: float
+
+
+@dataclass(frozen=True, slots=True)
+class Damping:
+    """How a level holds longer each time it is entered soon after it was left."""
+
+    factor: float = 2.0  # on the stay and the calm period, for each return
+    max_factor: float = 8.0
+    forget_ms: float = 120_000.0  # a later return does not count; each such span forgets one return
+
+
+@dataclass(frozen=True, slots=True)
+class Level:
+    """When a level is entered and left, and the service it sets while it is in force."""
+
+    name: str
+    entry: tuple[Threshold, ...]
+    entry_ms: float
+    exit: tuple[Threshold, ...]
+    exit_ms: float
+    min_stay_ms: float
+    trial_ms: float
+    service_level: ServiceLevel
+    needs_all: bool = False  # whether all entry thresholds must be reached; else any one is enough
+
+
+@dataclass(frozen=True, slots=True)
+class Reading:
+    """The mean of a fact beside its threshold at the time of a transition."""
+
+    fact: str
+    value: float
+    threshold: float
+
+
+@dataclass(frozen=True, slots=True)
+class Transition:
+    """One change of the level in force, and its cause."""
+
+    at: float  # ms
+    previous: str
+    entered: str
+    reason: Reason
+    readings: tuple[Reading, ...]
+    min_stay_ms: float  # damping included
+    damping_factor: float
+    service_level: ServiceLevel
+    is_reduction: bool  # to less service
+
+
+@dataclass(slots=True)
+class _History:
+    """What is remembered of a level while it is not in force."""
+
+    returns: int = 0  # recent entries soon after the level was left
+    left_at: float | None = None
+
+
+@dataclass(slots=True)
+class _Stay:
+    """The present stay on a level."""
+
+    since: float | None = None  # None until the first step: the clock is not known before
+    calm_since: float | None = None
+    trial_since: float | None = None
+    factor: float = 1.0
+
+
+@dataclass(slots=True)
+class FactWindows:
+    """A sliding window for each fact and span that a level names."""
+
+    by_span: dict[tuple[str, float], SlidingWindow] = field(default_factory=dict)
+
+    @classmethod
+    def of_levels(cls, levels: Iterable[Level]) -> "FactWindows":
+        """Empty windows for all entry and exit conditions of `levels`."""
+        windows = cls()
+        for level in levels:
+            windows._require(level.entry, level.entry_ms)
+            windows._require(level.exit, level.exit_ms)
+        return windows
+
+    def get(self, fact: str, span_ms: float) -> SlidingWindow:
+        """The window of a fact and span that a level names."""
+        return self.by_span[fact, span_ms]
+
+    def add(self, now: float, facts: Mapping[str, float]) -> None:
+        """Adds the facts of one tick. A fact that is missing or NaN loses its history."""
+        for (fact, _), window in self.by_span.items():
+            value = facts.get(fact)
+            if value is None or value != value:
+                window.clear()
+            else:
+                window.add(now, value)
+
+    def _require(self, thresholds: Iterable[Threshold], span_ms: float) -> None:
+        for threshold in thresholds:
+            self.by_span.setdefault((threshold.fact, span_ms), SlidingWindow(span_ms))
+
+
+class LevelSelector:
+    """The state machine over full service and the levels of one table."""
+
+    def __init__(
+        self, levels: tuple[Level, ...], damping: Damping, *, spread: float = 0.0, start: str = FULL_SERVICE
+    ) -> None:
+        """`levels`: mildest first, at least one; `start`: the name of the level of a fresh process."""
+        self.levels = levels
+        self.damping = damping
+        self.spread = spread
+        self.position = [FULL_SERVICE, *(level.name for level in levels)].index(start)
+        self._stay = _Stay(factor=1.0 + MAX_SPREAD * spread)
+        self._history = {level.name: _History() for level in levels}
+        self._windows = FactWindows.of_levels(levels)
+
+    @property
+    def name(self) -> str:
+        """The name of the level in force."""
+        return self._level.name if self.position else FULL_SERVICE
+
+    @property
+    def service_level(self) -> ServiceLevel:
+        """What the admission controller has to enforce now; full service restricts nothing."""
+        if not self.position:
+            return ServiceLevel(FULL_SERVICE)
+        return replace(self._level.service_level, min_duration_ms=self._level.min_stay_ms * self._stay.factor)
+
+    def time_in_level(self, now: float) -> float:
+        """How long the level in force has lasted, in ms."""
+        return now - self._stay.since if self._stay.since is not None else 0.0
+
+    def step(self, now: float, facts: Mapping[str, float]) -> Transition | None:
+        """The transition that `facts` at `now` cause, if any. A fact that is left out is not known."""
+        if self._stay.since is None:
+            self._stay.since = now
+        self._windows.add(now, facts)
+        self._update_calm(now)
+        if readings := self._entry_readings(now):
+            return self._change_to(self.position + 1, now, Reason.ENTRY, readings)
+        if not self.position:
+            return None
+        if readings := self._exit_readings(now):
+            return self._change_to(self.position - 1, now, Reason.EXIT, readings)
+        if readings := self._trial_readings(now):
+            return self._change_to(self.position - 1, now, Reason.TRIAL, readings)
+        return None
+
+    def replace_levels(self, levels: tuple[Level, ...], damping: Damping, now: float) -> Transition | None:
+        """Takes the levels of another table, also while one is in force.
+
+        A level of the same name stays in force and its stay goes on. Without one, the level at the same
+        position (or the highest) takes its place. The windows start empty. Returns None when the service
+        level in force is equal to the one before."""
+        previous = self.name
+        previous_service = self.service_level
+        names = [level.name for level in levels]
+        is_kept = previous in names
+        self.position = names.index(previous) + 1 if is_kept else min(self.position, len(levels))
+        self._history = {name: self._history.get(name, _History()) for name in names}
+        self._windows = FactWindows.of_levels(levels)
+        self.levels = levels
+        self.damping = damping
+        self._stay.calm_since = None
+        self._stay.trial_since = None
+        if not is_kept:
+            self._stay.since = now
+            self._stay.factor = self._stay_factor(self.name)
+        if self.service_level == previous_service:
+            return None
+        return self._transition(now, previous, Reason.TABLE, (), is_reduction=False)
+
+    @property
+    def _level(self) -> Level:
+        return self.levels[self.position - 1]
+
+    def _entry_readings(self, now: float) -> tuple[Reading, ...]:
+        """The readings that call for the next level; empty if it is not to be entered.
+
+        A whole entry window must have passed since the last transition: earlier samples led to that one."""
+        if self.position == len(self.levels):
+            return ()
+        level = self.levels[self.position]
+        if self.time_in_level(now) < max(level.entry_ms, self._stay_before_entry(level)):
+            return ()
+        reached = []
+        for threshold in level.entry:
+            window = self._windows.get(threshold.fact, level.entry_ms)
+            if window.is_full(now) and window.mean() >= threshold.value:
+                reached.append(Reading(threshold.fact, window.mean(), threshold.value))
+        is_enough = len(reached) == len(level.entry) if level.needs_all else bool(reached)
+        return tuple(reached) if is_enough else ()
+
+    def _stay_before_entry(self, level: Level) -> float:
+        """How long the present level has to last before `level` is entered; damping only delays exits."""
+        if self.position:
+            return self._level.min_stay_ms
+        return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
+
+    def _update_calm(self, now: float) -> None:
+        """Notes since when the whole exit window has been calm, with and without the demand."""
+        stay = self._stay
+        if not self.position or self.time_in_level(now) < self._level.exit_ms:
+            stay.calm_since = None
+            stay.trial_since = None
+            return
+        exceeded = [threshold for threshold in self._level.exit if not self._is_calm(threshold, now)]
+        if exceeded:
+            stay.calm_since = None
+        elif stay.calm_since is None:
+            stay.calm_since = now
+        if any(threshold.fact not in DEMAND_FACTS for threshold in exceeded):
+            stay.trial_since = None
+        elif stay.trial_since is None:
+            stay.trial_since = now
+
+    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+        """Whether the window's mean is within the exit threshold and no bucket reached the entry's."""
+        window = self._windows.get(threshold.fact, self._level.exit_ms)
+        if not window.is_full(now) or window.mean() > threshold.value:
+            return False
+        entries = [entry.value for entry in self._level.entry if entry.fact == threshold.fact]
+        return not entries or window.max_bucket_mean() < min(entries)
+
+    def _exit_readings(self, now: float) -> tuple[Reading, ...]:
+        if not self._may_leave(now, self._stay.calm_since, self._level.min_stay_ms):
+            return ()
+        return self._readings(self._level.exit)
+
+    def _trial_readings(self, now: float) -> tuple[Reading, ...]:
+        if not self._may_leave(now, self._stay.trial_since, self._level.trial_ms):
+            return ()
+        return self._readings(
+            threshold for threshold in self._level.exit if threshold.fact not in DEMAND_FACTS
+        )
+
+    def _may_leave(self, now: float, calm_since: float | None, stay_ms: float) -> bool:
+        """Whether the damped calm period and the damped minimum stay have passed."""
+        factor = self._stay.factor
+        extra_calm_ms = (factor - 1.0) * self._level.exit_ms  # one window was already calm at `calm_since`
+        if calm_since is None or now - calm_since < extra_calm_ms:
+            return False
+        return self.time_in_level(now) >= max(stay_ms, self._level.min_stay_ms) * factor
+
+    def _readings(self, thresholds: Iterable[Threshold]) -> tuple[Reading, ...]:
+        """The means over the exit window."""
+        span_ms = self._level.exit_ms
+        return tuple(
+            Reading(threshold.fact, self._windows.get(threshold.fact, span_ms).mean(), threshold.value)
+            for threshold in thresholds
+        )
+
+    def _change_to(
+        self, position: int, now: float, reason: Reason, readings: tuple[Reading, ...]
+    ) -> Transition:
+        previous = self.name
+        is_reduction = position > self.position
+        if not is_reduction:
+            self._history[previous].left_at = now
+        self.position = position
+        if is_reduction:
+            self._count_return(self._history[self.name], now)
+        self._stay = _Stay(since=now, factor=self._stay_factor(self.name))
+        return self._transition(now, previous, reason, readings, is_reduction)
+
+    def _count_return(self, history: _History, now: float) -> None:
+        """Counts an early return to a level; a late one forgets a return for each `forget_ms`."""
+        if history.left_at is None:
+            return
+        spans_away = int((now - history.left_at) / self.damping.forget_ms)
+        history.returns = max(history.returns - spans_away, 0) if spans_away else history.returns + 1
+
+    def _stay_factor(self, name: str) -> float:
+        """The factor on stay and calm of a level: its damping and this instance's spread."""
+        if name not in self._history:
+            return 1.0
+        returns = min(self._history[name].returns, MAX_COUNTED_RETURNS)
+        damping: float = min(self.damping.factor**returns, self.damping.max_factor)
+        return damping * (1.0 + MAX_SPREAD * self.spread)
+
+    def _transition(
+        self, now: float, previous: str, reason: Reason, readings: tuple[Reading, ...], is_reduction: bool
+    ) -> Transition:
+        service_level = self.service_level
+        return Transition(
+            now,
+            previous,
+            self.name,
+            reason,
+            readings,
+            service_level.min_duration_ms,
+            self._stay.factor,
+            service_level,
+            is_reduction,
+        )
