--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -31,7 +31,7 @@
         class_names |= _strings_under(table, "products")
         tenant_names |= _strings_under(table, "tenants")
     request_classes = [
-        RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, calls=True, omit_value=1.0)
+        RequestClass(name, Idempotency.SAFE, 1.0, 1000.0, 1000.0, may_call=True, skip_weight_factor=1.0)
         for name in sorted(class_names)
     ]
     return request_classes, [Tenant(name, 1.0) for name in sorted(tenant_names)]
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -9,7 +9,7 @@
 
 import click
 
-from otterrudder.admission.factory import products_of, tenants_of
+from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Restriction, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
@@ -157,7 +157,7 @@
         settings = read_configuration(path).settings
     except ConfigurationError as error:
         give_up(error)
-    return products_of(settings), tenants_of(settings)
+    return request_classes_of(settings), tenants_of(settings)
 
 
 def _names_in_table(file: str) -> tuple[list[RequestClass], list[Tenant]]:
@@ -181,23 +181,23 @@
         f"   trial after {level.trial_ms / 1000:g} s with all calm but what is asked for",
     ]
     service = level.service_level
-    for request_class, restrictions in zip(request_classes, service.trims, strict=True):
+    for request_class, restrictions in zip(request_classes, service.restrictions, strict=True):
         for restriction in restrictions:
             lines.append(f"   {request_class.name}: {_restriction_text(restriction, tenants)}")
-    queued = "is answered at once" if service.answers_held else "is kept and runs"
-    retry = "asked to stay away" if service.keeps_away else "not asked to stay away"
+    queued = "is answered at once" if service.rejects_queued else "is kept and runs"
+    retry = "asked to stay away" if service.sends_retry_after else "not asked to stay away"
     lines.append(f"   what is held when it starts {queued}; callers are {retry}")
     return lines
 
 
 def _restriction_text(restriction: Restriction, tenants: list[Tenant]) -> str:
-    if restriction.cut is RestrictionKind.SHARE:
-        effect = f"admits {restriction.share:.0%}"
+    if restriction.kind is RestrictionKind.SHARE:
+        effect = f"admits {restriction.admitted_share:.0%}"
     else:
-        effect = RESTRICTION_TEXTS[restriction.cut]
+        effect = RESTRICTION_TEXTS[restriction.kind]
     limits = []
     if restriction.tenants:
         limits.append("of " + ", ".join(tenants[index].name for index in sorted(restriction.tenants)))
-    if restriction.rank <= 1.0:
-        limits.append(f"below rank {restriction.rank:g}")
+    if restriction.criticality_below <= 1.0:
+        limits.append(f"below rank {restriction.criticality_below:g}")
     return f"{effect} ({', '.join(limits)})" if limits else effect
--- a/otterrudder/fleet/cell/fingerprint.py
+++ b/otterrudder/fleet/cell/fingerprint.py
@@ -37,24 +37,24 @@
 def _request_class_fields(request_class: RequestClass) -> dict[str, Any]:
     return {
         "name": request_class.name,
-        "effect": request_class.effect,
-        "value": request_class.value,
-        "sla_ms": request_class.sla_ms,
-        "expiry_ms": request_class.expiry_ms,
-        "window_ms": request_class.window_ms,
-        "late_value": request_class.late_value,
-        "calls": request_class.calls,
-        "omit_value": request_class.omit_value,
+        "effect": request_class.idempotency,
+        "value": request_class.priority_weight,
+        "sla_ms": request_class.latency_objective_ms,
+        "expiry_ms": request_class.deadline_ms,
+        "window_ms": request_class.retention_ms,
+        "late_value": request_class.late_weight_factor,
+        "calls": request_class.may_call,
+        "omit_value": request_class.skip_weight_factor,
     }
 
 
 def _tenant_fields(tenant: Tenant) -> dict[str, Any]:
-    return {"name": tenant.name, "share": tenant.share, "per_ms": tenant.per_ms}
+    return {"name": tenant.name, "share": tenant.quota, "per_ms": tenant.quota_per_ms}
 
 
 def _limits_fields(limits: Limits) -> dict[str, Any]:
     return {
-        "stay_away_ms": limits.stay_away_ms,
-        "calls": limits.calls,
-        "over_value": limits.over_value,
+        "stay_away_ms": limits.max_retry_after_ms,
+        "calls": limits.downstream_call_quota,
+        "over_value": limits.over_quota_weight_factor,
     }
--- a/otterrudder/levels/level_parser.py
+++ b/otterrudder/levels/level_parser.py
@@ -189,11 +189,11 @@
             return indexes
         for index in indexes:
             request_class = self.request_classes[index]
-            if not (request_class.calls and request_class.omit_value):
+            if not (request_class.may_call and request_class.skip_weight_factor):
                 raise LevelTableError(
                     f"{place}.products: {request_class.name} has no call that may be omitted"
                 )
-            if request_class.effect is not Idempotency.SAFE:
+            if request_class.idempotency is not Idempotency.SAFE:
                 raise LevelTableError(
                     f"{place}.products: {request_class.name} has an effect: its call is not omitted"
                 )
@@ -203,14 +203,18 @@
         """How much is restricted of the case's requests; see `_severity_of`."""
         for restriction in self.restrictions[class_index]:
             is_of_tenant = restriction.tenants is None or case.tenant in restriction.tenants
-            if case.rank < restriction.rank and is_of_tenant:
+            if case.rank < restriction.criticality_below and is_of_tenant:
                 return _severity_of(restriction)
         return 0, 0.0
 
     def _cases(self, class_index: int, lower: "LevelParser") -> Iterator[_Case]:
         """Every tenant and rank at which the two levels may differ."""
         parsers = (self, lower)
-        ranks = {restriction.rank for parser in parsers for restriction in parser.restrictions[class_index]}
+        ranks = {
+            restriction.criticality_below
+            for parser in parsers
+            for restriction in parser.restrictions[class_index]
+        }
         for tenant in range(max(len(self.tenants), 1)):
             for rank in sorted(ranks | {math.inf}):
                 text = f" of {self.tenants[tenant].name}" if self.tenants else ""
@@ -220,7 +224,7 @@
 
 def _severity_of(restriction: Restriction) -> tuple[int, float]:
     """The kind's severity, then the share that is not admitted."""
-    return _SEVERITY[restriction.cut], 1.0 - restriction.share
+    return _SEVERITY[restriction.kind], 1.0 - restriction.admitted_share
 
 
 def _take_span(values: dict[str, Any], place: str) -> float:
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -171,7 +171,7 @@
         """What the admission controller has to enforce now; full service restricts nothing."""
         if not self.position:
             return ServiceLevel(FULL_SERVICE)
-        return replace(self._level.service_level, stay_ms=self._level.min_stay_ms * self._stay.factor)
+        return replace(self._level.service_level, min_duration_ms=self._level.min_stay_ms * self._stay.factor)
 
     def time_in_level(self, now: float) -> float:
         """How long the level in force has lasted, in ms."""
@@ -335,7 +335,7 @@
             self.name,
             reason,
             readings,
-            service_level.stay_ms,
+            service_level.min_duration_ms,
             self._stay.factor,
             service_level,
             is_reduction,
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -278,7 +278,7 @@
 
 
 def _scopes_overlap(one: RequestScope, other: RequestScope) -> bool:
-    return _overlap(one.products, other.products) and _overlap(one.tenants, other.tenants)
+    return _overlap(one.request_classes, other.request_classes) and _overlap(one.tenants, other.tenants)
 
 
 def _overlap(one: frozenset[int] | None, other: frozenset[int] | None) -> bool:
