--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -20,8 +20,8 @@
 from otterrudder.fleet.orders import Orders
 from otterrudder.fleet.records import Live
 from otterrudder.net import control
-from otterrudder.vrrp.group import read_groups
-from otterrudder.vrrp.speaker import Speaker
+from otterrudder.vrrp.configuration_reader import read_configuration
+from otterrudder.vrrp.router import VrrpRouter
 
 ORDERS = Orders(lambda text: None, lambda is_aside: None)
 FLEET = 'version = 1\nfleet = "f"\nstore = ["127.0.0.1:1"]\nbound_ms = 3000\n'
@@ -88,7 +88,7 @@
     keys = folder / "keys.toml"
     keys.write_text(KEYS)
     keys.chmod(0o600)
-    return Speaker(read_groups(path, [], []), 1, lambda order: None, dict).shown()
+    return VrrpRouter(read_configuration(path, [], []), 1, lambda command: None, dict).status()
 
 
 def member(folder: Path) -> object:
