--- a/otterrudder/lab/processes/cell_experiment.py
+++ b/otterrudder/lab/processes/cell_experiment.py
@@ -284,7 +284,7 @@
         len(run.asides),
         played.dealt,
         played.missed,
-        f"{figures['requests']:.0f}",
+        f"{figures['txns']:.0f}",
         f"{figures['aside_share']:.1%}",
         spread(list(run.switches.values())),
         spread(run.calm_switches),
--- a/otterrudder/lab/processes/demo.py
+++ b/otterrudder/lab/processes/demo.py
@@ -39,7 +39,7 @@
         played = anyio.run(_play, Path(folder), say)
     figures = played.verdict.figures
     say(
-        f"{figures['requests']:.0f} txns, {figures['settled']:.0f} settled; under a wrong version "
+        f"{figures['txns']:.0f} txns, {figures['settled']:.0f} settled; under a wrong version "
         f"{figures['wrong_version']:.0f}; servers that went by another policy {played.odd}"
     )
     for breach in played.verdict.breaches:
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -188,7 +188,7 @@
             f"{figures['aside_share']:.1%}",
             played.dealt,
             played.missed,
-            f"{figures['requests']:.0f}",
+            f"{figures['txns']:.0f}",
         ]
         rows.append("| " + " | ".join(map(str, of)) + " |")
     return "\n".join(rows)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -14,10 +14,11 @@
 import msgspec
 import pytest
 
-from otterrudder.lab.processes.experiment import perform_one, read, shrink
-from otterrudder.lab.processes.ledger import Verdict, judge
+from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table
+from otterrudder.lab.processes.ledger import InForce, Verdict, judge
 from otterrudder.lab.processes.plan import DECK, Fault, Played, Round, conclude, draw
 from otterrudder.lab.processes.rig import ROOT, Rig
+from otterrudder.lab.processes.standins import Wire
 
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/fleet-policy.toml")
 CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
@@ -243,3 +244,11 @@
     rig.send_signal(signal.SIGHUP)
     assert rig.wait(20.0) != 0
     assert servers() == 0
+
+
+def test_the_table_has_a_row_for_each_run() -> None:
+    """The figures' names are those of earlier results: `txns` for the requests."""
+    played = Played(judge(Wire(), [InForce(0, "", float("-inf"), float("-inf"))], 1000.0, {}))
+    run = Run("wait", 7, False, played, [], [], [], 3)
+    head, _, row = table([run]).splitlines()
+    assert head.endswith("| txns |") and row.startswith("| wait | 7 | 0 |") and row.endswith("| 0 |")
