--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -1,8 +1,9 @@
-"""migrate: a configuration file of the old shape made into one of the new."""
+"""`otterrudder migrate`: writes a configuration of the old deployment's shape in the new one's."""
 
 import copy
 import json
 import os
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -12,105 +13,175 @@
 from otterrudder.configuration import BadConfiguration, check_configuration, decode_file
 from otterrudder.files import merged
 
-ABSENT = object()  # not even null stands there
-# What the new shape states in another way: the place in the settings, the value there, and why.
-RESTATED: tuple[tuple[str, object, str], ...] = (
-    ("familyInfo.below", "common", "every server calls one shared dependency, at the address `records`"),
-    ("familyInfo.stopMode", "pause", "work is paused and taken up again; it keeps its memory"),
-    ("familyInfo.say", "silent", "callers heed no free value"),
-    ("familyInfo.passesDeadline", True, "a txn says how long its caller waits"),
-    ("clients.marksRetry", False, "later tries carry no mark: what is declined stands in for them"),
-    ("report.source", "pull", "callers ask for the load"),
+ABSENT = object()  # no value, not even null
+
+
+@dataclass(frozen=True, slots=True)
+class Restatement:
+    """A setting that the new shape states in another way."""
+
+    path: str  # dotted, in the settings
+    value: object
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorSetting:
+    """A setting that only the operators of the new deployment know."""
+
+    path: str
+    reason: str  # and what applies until it is stated
+
+
+RESTATEMENTS = (
+    Restatement(
+        "familyInfo.below",
+        "common",
+        "every server calls one shared dependency, at the address `records`",
+    ),
+    Restatement("familyInfo.stopMode", "pause", "work is paused and taken up again; it keeps its memory"),
+    Restatement("familyInfo.say", "silent", "callers heed no free value"),
+    Restatement("familyInfo.passesDeadline", True, "a request says how long its caller waits"),
+    Restatement(
+        "clients.marksRetry", False, "retries carry no mark: the rejected requests stand in for them"
+    ),
+    Restatement("report.source", "pull", "callers ask for the load"),
 )
-# What only the new deployment's operators know: the place, and what happens until it is stated.
-UNKNOWN: tuple[tuple[str, str], ...] = (
-    ("familyInfo.callsOut", "this server's share of the shared dependency; unstated, one call at a time"),
-    ("servers", "the servers that share the tenants' allowances; the old figure stands until it is stated"),
-    ("familyInfo.callers", "how many gateways come; the old figure stands until it is stated"),
+OPERATOR_SETTINGS = (
+    OperatorSetting(
+        "familyInfo.callsOut",
+        "this server's share of the shared dependency; unstated, one call at a time",
+    ),
+    OperatorSetting(
+        "servers",
+        "the servers that share the tenants' allowances; the old figure stands until it is stated",
+    ),
+    OperatorSetting("familyInfo.callers", "how many gateways come; the old figure stands until it is stated"),
 )
 
 
-def migrate_settings(
-    old: dict[str, Any], shape: dict[str, Any]
-) -> tuple[dict[str, Any], list[str], list[str]]:
-    """The settings of the new shape, what was restated and what could not be carried over. `shape`: what the
-    operator states of the new deployment; it goes before everything else."""
-    new, restated, left = copy.deepcopy(old), [], []
-    for n, product in enumerate(new.get("classes") or []):
-        if product.get("effect") == "keyed":
-            product["effect"] = "unsafe"
-            restated.append(f'classes[{n}].effect: "keyed" -> "unsafe": a repeat carries no mark here')
-            if product.pop("windowUs", None):
-                left.append(f"classes[{n}].windowUs: a once-only txn has no window; no answer is reused")
-    for place, value, why in RESTATED:
-        before = _at(new, place, None)
-        if _at(shape, place, ABSENT) is ABSENT and before != value:
-            restated.append(f"{place}: {json.dumps(before)} -> {json.dumps(value)}: {why}")
-            new = _with(new, place, value)
-    if new.get("tier") or len(new.get("tiers") or []) > 1:
-        left.append("tiers: servers of a tier below are not told of here; only the one tier is kept")
-        new["tiers"], new["tier"] = (new.get("tiers") or [])[:1], 0
-    left += [f"{place}: {why}" for place, why in UNKNOWN if _at(shape, place, ABSENT) is ABSENT]
-    return merged(_with(new, "familyInfo.callsOut", 0.0), shape), restated, left
-
-
-def _at(settings: object, place: str, absent: object) -> object:
-    """What stands at a place of nested tables."""
-    for step in place.split("."):
-        settings = settings.get(step, absent) if isinstance(settings, dict) else absent
+@dataclass(slots=True)
+class Migration:
+    """The settings of the new shape, with lines on what was restated and what could not be carried over."""
+
+    settings: dict[str, Any]
+    restated: list[str] = field(default_factory=list)
+    not_carried_over: list[str] = field(default_factory=list)
+
+
+def migrate_settings(old: dict[str, Any], stated: dict[str, Any]) -> Migration:
+    """Migrates the settings. `stated`: the operators' settings for the new deployment, which win."""
+    migration = Migration(copy.deepcopy(old))
+    _migrate_classes(migration)
+    _restate(migration, stated)
+    _drop_other_tiers(migration)
+    for setting in OPERATOR_SETTINGS:
+        if _get(stated, setting.path, ABSENT) is ABSENT:
+            migration.not_carried_over.append(f"{setting.path}: {setting.reason}")
+    settings = _with_value(migration.settings, "familyInfo.callsOut", 0.0)
+    migration.settings = merged(settings, stated)
+    return migration
+
+
+def _migrate_classes(migration: Migration) -> None:
+    for index, request_class in enumerate(migration.settings.get("classes") or []):
+        if request_class.get("effect") != "keyed":
+            continue
+        request_class["effect"] = "unsafe"
+        migration.restated.append(
+            f'classes[{index}].effect: "keyed" -> "unsafe": a repeat carries no idempotency key here'
+        )
+        if request_class.pop("windowUs", None):
+            migration.not_carried_over.append(
+                f"classes[{index}].windowUs: without a key there is no retention; no response is replayed"
+            )
+
+
+def _restate(migration: Migration, stated: dict[str, Any]) -> None:
+    for item in RESTATEMENTS:
+        before = _get(migration.settings, item.path, None)
+        if before == item.value or _get(stated, item.path, ABSENT) is not ABSENT:
+            continue
+        change = f"{json.dumps(before)} -> {json.dumps(item.value)}"
+        migration.restated.append(f"{item.path}: {change}: {item.reason}")
+        migration.settings = _with_value(migration.settings, item.path, item.value)
+
+
+def _drop_other_tiers(migration: Migration) -> None:
+    settings = migration.settings
+    tiers = settings.get("tiers") or []
+    if not settings.get("tier") and len(tiers) <= 1:
+        return
+    migration.not_carried_over.append(
+        "tiers: servers of a downstream tier are unknown here; only the one tier is kept"
+    )
+    settings["tiers"] = tiers[:1]
+    settings["tier"] = 0
+
+
+def _get(settings: object, path: str, absent: object) -> object:
+    """The value at a dotted path of nested tables, or `absent`."""
+    for key in path.split("."):
+        settings = settings.get(key, absent) if isinstance(settings, dict) else absent
     return settings
 
 
-def _with(settings: dict[str, Any], place: str, value: object) -> dict[str, Any]:
-    """The settings with this value at a place of nested tables."""
+def _with_value(settings: dict[str, Any], path: str, value: object) -> dict[str, Any]:
+    """A copy of the settings with `value` at a dotted path of nested tables."""
     change: Any = value
-    for step in reversed(place.split(".")):
-        change = {step: change}
+    for key in reversed(path.split(".")):
+        change = {key: change}
     return merged(settings, change)
 
 
 @click.command()
 @click.argument("old", type=click.Path())
-@click.option("--out", metavar="FILE", help="Where to write the new file; it may not exist yet.")
+@click.option("--out", metavar="FILE", help="Where to write the new file; it must not exist yet.")
 @click.option("--shape", metavar="FILE", help="JSON object of settings known of the new deployment.")
-@click.option("--dry-run", is_flag=True, help="Say what would be done and write nothing.")
+@click.option("--dry-run", is_flag=True, help="Print what would be done and write nothing.")
 def migrate(old: str, out: str | None, shape: str | None, dry_run: bool) -> None:
-    """Write the new shape's counterpart of configuration OLD, and list what could not be carried over."""
+    """Write configuration OLD in the new shape, and list what could not be carried over."""
     if not out and not dry_run:
         give_up("migrate: name the new file with --out, or ask for --dry-run")
     try:
-        told = check_configuration(decode_file(old), old).document
-        known = decode_file(shape) if shape else {}
-        if not isinstance(known, dict):
+        document = check_configuration(decode_file(old), old).document
+        stated = decode_file(shape) if shape else {}
+        if not isinstance(stated, dict):
             give_up(f"{shape}: an object of settings is wanted")
-        settings, restated, left = migrate_settings(told["settings"], known)
-        new = check_configuration(told | {"settings": settings}, f"{old}, migrated")
-    except BadConfiguration as trouble:
-        give_up(trouble)
+        migration = migrate_settings(document["settings"], stated)
+        new = check_configuration(document | {"settings": migration.settings}, f"{old}, migrated")
+    except BadConfiguration as error:
+        give_up(error)
     if not new.records:
-        left.append("records: the old file names no address; the shared dependency's has to be added")
-    for title, lines in (("restated", restated), ("not carried over", left)):
-        click.echo(f"{title}: {len(lines)}")
-        for line in lines:
-            click.echo(f"  {line}")
+        migration.not_carried_over.append(
+            "records: the old file names no address; the shared dependency's has to be added"
+        )
+    _print_lines("restated", migration.restated)
+    _print_lines("not carried over", migration.not_carried_over)
     if dry_run or not out:
         click.echo("nothing was written")
         return
     try:
-        _write(Path(out), json.dumps(new.document, indent=1) + "\n")
-    except OSError as trouble:
-        give_up(f"cannot write {out}: {trouble.strerror}")
+        _write_new_file(Path(out), json.dumps(new.document, indent=1) + "\n")
+    except OSError as error:
+        give_up(f"cannot write {out}: {error.strerror}")
     click.echo(f"written: {out}")
 
 
-def _write(path: Path, text: str) -> None:
-    """Whole or not at all, and never over a file that is there."""
-    part = path.with_name(path.name + ".part")
+def _print_lines(title: str, lines: list[str]) -> None:
+    click.echo(f"{title}: {len(lines)}")
+    for line in lines:
+        click.echo(f"  {line}")
+
+
+def _write_new_file(path: Path, text: str) -> None:
+    """Writes the file whole or not at all, and never over an existing one."""
+    temporary = path.with_name(path.name + ".part")
     try:
-        with part.open("x") as file:
+        with temporary.open("x") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.link(part, path)
+        os.link(temporary, path)
     finally:
-        part.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -1,4 +1,4 @@
-"""serve and check: the server and its configuration."""
+"""`otterrudder serve` and `otterrudder check`: the server, and its configuration."""
 
 import os
 import sys
@@ -18,7 +18,7 @@
 )
 from otterrudder.net import serve as server
 
-LEVELS = click.option(
+LEVELS_OPTION = click.option(
     "--levels",
     "levels",
     envvar=LEVELS_VARIABLE,
@@ -26,7 +26,7 @@
     help="TOML table of levels of reduced service (or OTTERRUDDER_LEVELS). Absent: off.",
 )
 
-VRRP = click.option(
+VRRP_OPTION = click.option(
     "--vrrp",
     "vrrp",
     envvar=VRRP_VARIABLE,
@@ -35,56 +35,60 @@
 )
 
 
-FLEET = click.option(
+FLEET_OPTION = click.option(
     "--fleet",
     "fleet",
     envvar=FLEET_VARIABLE,
     metavar="FILE",
-    help="TOML file of the fleet that this server is of (or OTTERRUDDER_FLEET). Absent: off.",
+    help="TOML file of the fleet that this server belongs to (or OTTERRUDDER_FLEET). Absent: off.",
 )
 
 
-def named_configuration() -> tuple[Configuration, str | None]:
-    """The configuration that NODE_CONFIG names, and its path; ends the process if it is no good."""
+def _read_named_configuration() -> tuple[Configuration, str | None]:
+    """The configuration that NODE_CONFIG names, and its path; exits if it is unusable."""
     path = os.environ.get(CONFIGURATION_VARIABLE)
     try:
         return read_configuration(path), path
-    except BadConfiguration as trouble:
-        give_up(trouble)
+    except BadConfiguration as error:
+        give_up(error)
 
 
 @click.command()
-@LEVELS
-@VRRP
-@FLEET
+@LEVELS_OPTION
+@VRRP_OPTION
+@FLEET_OPTION
 def serve(levels: str | None, vrrp: str | None, fleet: str | None) -> None:
-    """Serve until SIGTERM, then drain and end. SIGHUP takes new addresses and levels from their files."""
-    configuration, path = named_configuration()
+    """Serve until SIGTERM, then drain and exit. SIGHUP takes new addresses and levels from their files."""
+    configuration, path = _read_named_configuration()
     log.configure_logging(configuration.name)
     try:
         sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
-    except BadConfiguration as trouble:
-        give_up(trouble)
+    except BadConfiguration as error:
+        give_up(error)
 
 
 @click.command()
-@LEVELS
-@VRRP
-@FLEET
+@LEVELS_OPTION
+@VRRP_OPTION
+@FLEET_OPTION
 def check(levels: str | None, vrrp: str | None, fleet: str | None) -> None:
-    """Say what is wrong with the configuration (and the other files, if given), if anything."""
-    configuration, path = named_configuration()
+    """Check the configuration, and the other files if given."""
+    configuration, path = _read_named_configuration()
+    settings = configuration.settings
     try:
         files = server.Files(path, levels, vrrp, fleet)
-        table, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
-        of = files.read_fleet()
-    except BadConfiguration as trouble:
-        give_up(trouble)
-    click.echo(
-        f"{configuration.name}: the configuration is good: {len(configuration.settings['classes'])} products"
-        + (f", {len(table.levels)} levels" if table else "")
-        + (f", {len(groups.groups)} VRRP groups" if groups else "")
-        + (f", of the fleet {of.name}" if of else "")
-    )
-    for line in server.unsupported_settings(configuration.settings):
+        table = files.read_levels(settings)
+        vrrp_configuration = files.read_vrrp(settings)
+        fleet_configuration = files.read_fleet()
+    except BadConfiguration as error:
+        give_up(error)
+    parts = [f"{len(settings['classes'])} products"]
+    if table:
+        parts.append(f"{len(table.levels)} levels")
+    if vrrp_configuration:
+        parts.append(f"{len(vrrp_configuration.groups)} VRRP groups")
+    if fleet_configuration:
+        parts.append(f"of the fleet {fleet_configuration.name}")
+    click.echo(f"{configuration.name}: the configuration is good: {', '.join(parts)}")
+    for line in server.unsupported_settings(settings):
         click.echo(f"{configuration.name}: {line}")
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -1,4 +1,4 @@
-"""The move to another shape: what the settings tell the module, what is checked, and the command."""
+"""The move to another shape: the settings for the admission controller, the checks, and the command."""
 
 import copy
 import json
@@ -60,7 +60,7 @@
     return path
 
 
-def test_the_module_is_told_what_the_settings_say() -> None:
+def test_the_admission_controller_gets_what_the_settings_say() -> None:
     controller = create_controller(0.0, 1, 7, OLD)
     assert (controller.may_stop, controller.signals.marks, controller.limits.over_value) == (False, True, 0.1)
     assert controller.sessions.tenants[0].per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
@@ -68,7 +68,7 @@
     assert not create_controller(0.0, 1, 7, settings_with("clients.marksRetry", False)).signals.marks
 
 
-def test_what_is_absent_leaves_the_module_as_it_was() -> None:
+def test_what_is_absent_leaves_the_admission_controller_as_it_was() -> None:
     settings = {"classes": OLD["classes"], "realms": [{"name": "hill-country", "share": 0.6}]}
     controller = create_controller(0.0, 1, 7, settings)
     assert (controller.may_stop, controller.signals.marks) == (False, True)
@@ -90,9 +90,9 @@
 def test_a_bad_setting_is_named_with_its_file(tmp_path: Path, place: str, value: object, named: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIGURATION | {"settings": settings_with(place, value)}))
-    with pytest.raises(BadConfiguration) as trouble:
+    with pytest.raises(BadConfiguration) as raised:
         read_configuration(str(path))
-    assert str(path) in str(trouble.value) and named in str(trouble.value)
+    assert str(path) in str(raised.value) and named in str(raised.value)
 
 
 def test_the_new_file_starts_a_server_of_the_new_shape(tmp_path: Path, old: Path) -> None:
@@ -100,16 +100,16 @@
     before = old.read_bytes()
     done = migrated(str(old), "--out", str(new))
     assert done.returncode == 0, done.stderr
-    told = read_configuration(str(new)).document
-    controller = create_controller(0.0, 1, 7, told["settings"])
+    document = read_configuration(str(new)).document
+    controller = create_controller(0.0, 1, 7, document["settings"])
     assert (
         controller.may_stop
         and controller.calls.shared
         and not controller.signals.marks
         and not controller.signals.kind
     )
-    assert told["settings"]["classes"][1]["effect"] == "unsafe"
-    assert told | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
+    assert document["settings"]["classes"][1]["effect"] == "unsafe"
+    assert document | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
     assert "classes[1].windowUs" in done.stdout and "familyInfo.callsOut" in done.stdout
     assert old.read_bytes() == before
 
@@ -135,9 +135,9 @@
     shape.write_text(json.dumps({"servers": 300, "familyInfo": {"callsOut": 0.4, "say": "min_rank"}}))
     done = migrated(str(old), "--out", str(tmp_path / "new.json"), "--shape", str(shape))
     assert done.returncode == 0 and "familyInfo.callsOut" not in done.stdout
-    told = read_configuration(str(tmp_path / "new.json")).settings
-    info = told["familyInfo"]
-    assert (told["servers"], info["callsOut"], info["say"]) == (300, 0.4, "min_rank")
+    settings = read_configuration(str(tmp_path / "new.json")).settings
+    info = settings["familyInfo"]
+    assert (settings["servers"], info["callsOut"], info["say"]) == (300, 0.4, "min_rank")
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"name": "n"}'])
@@ -156,11 +156,11 @@
 
 
 def test_migrating_twice_restates_nothing_more() -> None:
-    once, restated, _ = migrate_settings(OLD, {})
-    twice, again, _ = migrate_settings(once, {})
-    assert restated and not again and twice == once
+    once = migrate_settings(OLD, {})
+    twice = migrate_settings(once.settings, {})
+    assert once.restated and not twice.restated and twice.settings == once.settings
 
 
 def test_a_table_that_is_null_is_one_that_is_absent() -> None:
-    settings = migrate_settings(OLD | {"report": None, "clients": None}, {})[0]
+    settings = migrate_settings(OLD | {"report": None, "clients": None}, {}).settings
     assert settings["report"] == {"source": "pull"} and settings["clients"] == {"marksRetry": False}
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -668,7 +668,9 @@
 
 def new_shape() -> dict:
     """The stand-ins' settings as the migration makes them."""
-    return migrate_settings(SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}})[0]
+    return migrate_settings(
+        SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}}
+    ).settings
 
 
 def test_a_migrated_server_serves_and_says_only_what_the_runtime_knows(tmp_path: Path) -> None:
