--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -10,7 +10,7 @@
 import click
 
 from otterrudder.cli.common import give_up
-from otterrudder.configuration import BadConfiguration, check_configuration, decode_file
+from otterrudder.configuration import ConfigurationError, check_configuration, decode_file
 from otterrudder.files import merged
 
 ABSENT = object()  # no value, not even null
@@ -150,7 +150,7 @@
             give_up(f"{shape}: an object of settings is wanted")
         migration = migrate_settings(document["settings"], stated)
         new = check_configuration(document | {"settings": migration.settings}, f"{old}, migrated")
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         give_up(error)
     if not new.records:
         migration.not_carried_over.append(
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -12,8 +12,8 @@
     FLEET_VARIABLE,
     LEVELS_VARIABLE,
     VRRP_VARIABLE,
-    BadConfiguration,
     Configuration,
+    ConfigurationError,
     read_configuration,
 )
 from otterrudder.net import serve as server
@@ -49,7 +49,7 @@
     path = os.environ.get(CONFIGURATION_VARIABLE)
     try:
         return read_configuration(path), path
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         give_up(error)
 
 
@@ -63,7 +63,7 @@
     log.configure_logging(configuration.name)
     try:
         sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         give_up(error)
 
 
@@ -80,7 +80,7 @@
         table = files.read_levels(settings)
         vrrp_configuration = files.read_vrrp(settings)
         fleet_configuration = files.read_fleet()
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         give_up(error)
     parts = [f"{len(settings['classes'])} products"]
     if table:
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -15,7 +15,7 @@
 from otterrudder.admission.factory import products_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.net import control
 from otterrudder.vrrp import packet
 from otterrudder.vrrp.authentication import TRAILER_FIELDS, TRAILER_SIZE
@@ -110,7 +110,7 @@
         give_up(f"cannot read {file}: {error}")
     try:
         configuration = parse_configuration(values, file, *_names(values))
-    except (VrrpConfigurationError, BadConfiguration) as error:
+    except (VrrpConfigurationError, ConfigurationError) as error:
         give_up(error)
     keys = configuration.keys
     click.echo(
