--- a/Makefile
+++ b/Makefile
@@ -10,8 +10,9 @@
 	.venv/bin/pip -q install -r requirements-dev.txt
 	touch .venv/dev
 
-test: build  ## scenarios, codecs, core, and the program on sockets
-	$(PY) -m pytest -q
+test: build  ## the pure tests side by side, then those on sockets, with processes or by a clock, one at a time
+	$(PY) -m pytest -q -n auto -m "not exclusive"
+	$(PY) -m pytest -q -m exclusive
 
 lint: build
 	.venv/bin/ruff check .
