--- a/otterrudder/lab/fleet/search.py
+++ b/otterrudder/lab/fleet/search.py
@@ -9,8 +9,8 @@
 from otterrudder.fleet.member import Member
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.explore import Found, Step
-from otterrudder.lab.fleet.faults import Hunt
-from otterrudder.lab.fleet.model import Apart, Stage, Variant, World, following, staged
+from otterrudder.lab.fleet.model import NotConvergedError, Stage, Variant, World, following, staged
+from otterrudder.lab.fleet.mutants import Hunt
 
 # What events are told apart by, in the words of their labels; the first that fits counts.
 KINDS = (
@@ -44,20 +44,20 @@
 def search(
     variant: Variant,
     depth: int,
-    faults_most: int,
-    worlds_most: int = 1_000_000,
+    max_faults: int,
+    max_states: int = 1_000_000,
     stage: Stage = Stage.CALM,
     story: tuple[str, ...] = (),
 ) -> Found:
     """Breadth first from a change that has come so far, and from the end of a story, if one is told."""
 
     def then(world: World) -> Iterator[World]:
-        return following(world, faults_most)
+        return following(world, max_faults)
 
-    return explore.breadth_first(told(staged(variant, stage), story), then, depth, worlds_most)
+    return explore.breadth_first(replay(staged(variant, stage), story), then, depth, max_states)
 
 
-def walk(variant: Variant, seed: int, walks: int, length: int, faults_most: int) -> Found:
+def walk(variant: Variant, seed: int, walks: int, length: int, max_faults: int) -> Found:
     """Long orders, drawn: what lies deeper than any search by breadth gets. Each walk has its own leanings,
     for one that does a little of everything gets to nothing that is rare twice over."""
     count = 0
@@ -65,23 +65,23 @@
         chance = random.Random(f"{seed}/{n}")
         try:
             world = staged(variant, chance.choice(list(Stage)))
-        except Apart as why:
+        except NotConvergedError as why:
             return Found(count, 0, str(why))
-        found = _walk_from(world, chance, length, faults_most)
-        count += found.worlds
-        if found.broken:
-            return Found(count, found.depth, found.broken, found.trail)
+        found = _walk_from(world, chance, length, max_faults)
+        count += found.states
+        if found.violation:
+            return Found(count, found.depth, found.violation, found.trail)
     return Found(count, length)
 
 
-def _walk_from(world: World, chance: random.Random, length: int, faults_most: int) -> Found:
-    spend = chance.randint(1, faults_most)
+def _walk_from(world: World, chance: random.Random, length: int, max_faults: int) -> Found:
+    spend = chance.randint(1, max_faults)
     leanings = {kind: math.exp(chance.uniform(-2.5, 1.5)) for kind in KINDS}
 
     def weight(event: str) -> float:
         return next((leaning for kind, leaning in leanings.items() if kind in event), 1.0)
 
-    return explore.wander(world, lambda world: _steps(world, spend), weight, chance, length)
+    return explore.random_walk(world, lambda world: _steps(world, spend), weight, chance, length)
 
 
 def hunt(what: Hunt, walks: int = 600, member: type[Member] | None = None) -> Found:
@@ -92,10 +92,10 @@
     return walk(variant, 7, walks, 60, 6)
 
 
-def told(world: World, story: tuple[str, ...]) -> World:
+def replay(world: World, story: tuple[str, ...]) -> World:
     """The world that these events lead to."""
-    return explore.told(world, lambda world: _steps(world, len(story)), story)
+    return explore.replay(world, lambda world: _steps(world, len(story)), story)
 
 
-def _steps(world: World, faults_most: int) -> list[Step[World]]:
-    return [Step(then.trail[-1], then) for then in following(world, faults_most)]
+def _steps(world: World, max_faults: int) -> list[Step[World]]:
+    return [Step(then.trail[-1], then) for then in following(world, max_faults)]
--- a/otterrudder/lab/fleet/simulation.py
+++ b/otterrudder/lab/fleet/simulation.py
@@ -13,12 +13,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from otterrudder.fleet.change import Settler, propose
-from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Lease, Outcome, Read, Renew, Request, Save
+from otterrudder.fleet.change import ChangeCoordinator, propose
+from otterrudder.fleet.effects import (
+    Commit,
+    Effect,
+    GrantLease,
+    Lane,
+    Outcome,
+    Read,
+    RenewLease,
+    SaveState,
+    StoreRequest,
+    ValidatePolicy,
+)
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import Keys, Live, PolicyHead, View, decode
-from otterrudder.fleet.state import Record, Rules
-from otterrudder.fleet.store import Done, Put
+from otterrudder.fleet.records import FleetSnapshot, Keys, MemberStatus, PolicyHead, decode
+from otterrudder.fleet.state import MemberState, Rules
+from otterrudder.fleet.store import CommitResult, Put
 from otterrudder.lab.indexed import IndexedKeySpace
 
 KEYS = Keys("f")
@@ -33,7 +44,12 @@
 DEADLINE_MS = 15_000.0
 
 
-COUNTED = {Read: "reads", Commit: "writes", Lease: "writes", Renew: "renewals"}  # a renewal writes no key
+COUNTED = {
+    Read: "reads",
+    Commit: "writes",
+    GrantLease: "writes",
+    RenewLease: "renewals",
+}  # a renewal writes no key
 KINDS = ("kill", "kill", "freeze", "freeze", "cut", "cut", "store", "proposer", "zone")
 
 
@@ -42,9 +58,9 @@
     name: str
     folder: str
     member: Member | None = None
-    settler: Settler | None = None
+    coordinator: ChangeCoordinator | None = None
     life: int = 0
-    disk: Record | None = None
+    disk: MemberState | None = None
     frozen_until: float = -1.0
     cut_until: float = -1.0
     held: list[Callable[[], None]] = field(default_factory=list)  # what comes while it is frozen
@@ -82,7 +98,7 @@
         self.counts: Counter[str] = Counter()
         self.calm_reads = 0
         self.old_ms, self.breaches, self.looks, self.asides = 0.0, 0, 0, 0
-        self.proposer = Settler(KEYS, "proposer", needs_leadership=False)
+        self.proposer = ChangeCoordinator(KEYS, "proposer", requires_leadership=False)
         self.proposer_lives = True
 
     def at(self, when: float, act: Callable[[], None]) -> None:
@@ -131,19 +147,19 @@
     def _boot(self, host: Host) -> None:
         host.life += 1
         host.frozen_until, host.held = -1.0, []
-        epoch = f"{host.name}.{host.life}"
+        incarnation = f"{host.name}.{host.life}"
         host.member = Member(
             self.now,
             KEYS,
             host.name,
-            epoch,
+            incarnation,
             host.folder,
             self.rules,
             lambda text: "",
             record=host.disk,
-            live=Live(epoch),
+            status=MemberStatus(incarnation),
         )
-        host.settler = Settler(KEYS, host.name)
+        host.coordinator = ChangeCoordinator(KEYS, host.name)
         self._turn(host, host.life)
 
     def _kill(self, host: Host, span: float) -> None:
@@ -167,16 +183,16 @@
 
     def _turn(self, host: Host, life: int) -> None:
         """The host's loop goes round once."""
-        if host.life != life or not host.member or not host.settler:
+        if host.life != life or not host.member or not host.coordinator:
             return
         if self.now < host.frozen_until:
             host.held.append(lambda: self._turn(host, life))
             return
         member = host.member
-        effects, settle = member.effects(self.now), host.settler.effects_of(self.now, member)
+        effects, settle = member.effects(self.now), host.coordinator.effects_for(self.now, member)
         for effect in [*effects, settle] if settle else effects:
             self._send(host, life, effect)
-        due = max(min(member.due(), host.settler.due()), self.now + 1.0)
+        due = max(min(member.due(), host.coordinator.due()), self.now + 1.0)
         if due < host.woken or host.woken <= self.now:
             host.woken = due
             if due < END_MS:
@@ -184,10 +200,10 @@
 
     def _send(self, host: Host, life: int, effect: Effect) -> None:
         sent = self.now
-        if isinstance(effect, Judge):
+        if isinstance(effect, ValidatePolicy):
             self.at(sent + self.between(JUDGE_MS), lambda: self._told(host, life, effect, sent, ""))
             return
-        if isinstance(effect, Save):
+        if isinstance(effect, SaveState):
 
             def saved() -> None:
                 host.disk = effect.record if host.life == life else host.disk  # type: ignore[assignment]
@@ -210,29 +226,29 @@
         self.at(sent + there, arrive)
 
     def _told(self, host: Host, life: int, effect: Effect, sent: float, outcome: Outcome) -> None:
-        if host.life != life or not host.member or not host.settler:
+        if host.life != life or not host.member or not host.coordinator:
             return
         if self.now < host.frozen_until:
             host.held.append(lambda: self._told(host, life, effect, sent, outcome))
             return
-        if effect.lane is Lane.SETTLE:
+        if effect.lane is Lane.COORDINATE:
             if isinstance(effect, Commit):
-                host.member.hint()
-            more = host.settler.completed(self.now, effect, outcome)
+                host.member.handle_watch_event()
+            more = host.coordinator.handle_result(self.now, effect, outcome)
             if more:
                 self._send(host, life, more)
         else:
-            host.member.completed(self.now, effect, sent, outcome)
+            host.member.handle_result(self.now, effect, sent, outcome)
             if host.member.known.version == self.version and host.switched == math.inf:
                 host.switched = self.now
         self._turn(host, life)
 
     # The store.
 
-    def _serve(self, effect: Request) -> Outcome:
+    def _serve(self, effect: StoreRequest) -> Outcome:
         self.counts[COUNTED[type(effect)]] += 1
         outcome = self.store.answer(self.now, effect)
-        is_held = isinstance(outcome, Done) and outcome.held
+        is_held = isinstance(outcome, CommitResult) and outcome.succeeded
         if is_held and isinstance(effect, Commit) and any(w.key.startswith(KEYS.head) for w in effect.writes):
             self._note(effect)
             for host in self.hosts:
@@ -243,7 +259,7 @@
 
     def _hint(self, host: Host) -> None:
         if host.member:
-            host.member.hint()
+            host.member.handle_watch_event()
             self._turn(host, host.life)
 
     def _note(self, commit: Commit) -> None:
@@ -259,7 +275,7 @@
         if self.now < self.store_away_until:
             self.at(self.store_away_until + LOOK_MS, self._propose)
             return
-        view = View(KEYS, self.store.read([KEYS.head]))
+        view = FleetSnapshot(KEYS, self.store.read([KEYS.head]))
         commit = propose(view, "A", "policy A", "lab", "", 0.0, DEADLINE_MS)
         self._serve(commit)
         self.at(self.now + 50.0, self._settle)
@@ -269,14 +285,14 @@
         if not self.proposer_lives:
             return
         if self.now >= self.store_away_until:
-            view = View(KEYS, self.store.read([KEYS.change]))
+            view = FleetSnapshot(KEYS, self.store.read([KEYS.change]))
             if not view.change:
                 return
             effect = self.proposer.effects(self.now, view.change.id, False, False, 0, 0)
             if effect:
-                commit = self.proposer.completed(self.now, effect, self._serve(effect))
+                commit = self.proposer.handle_result(self.now, effect, self._serve(effect))
                 if commit:
-                    self.proposer.completed(self.now, commit, self._serve(commit))
+                    self.proposer.handle_result(self.now, commit, self._serve(commit))
         self.at(self.now + 100.0, self._settle)
 
     # The books.
@@ -300,7 +316,7 @@
 
     def _result(self) -> Result:
         up = [host.member for host in self.hosts if host.member and self.now >= host.frozen_until]
-        opened = View(KEYS, self.store.read([KEYS.change])).change
+        opened = FleetSnapshot(KEYS, self.store.read([KEYS.change])).change
         agreed = not opened and all(member.admits(self.now) == self.version for member in up)
         switched = [host.switched for host in self.hosts if host.member and host.switched < math.inf]
         last = max(switched, default=0.0) - self.committed_at if self.version else 0.0
--- a/otterrudder/lab/indexed.py
+++ b/otterrudder/lab/indexed.py
@@ -4,7 +4,7 @@
 import heapq
 from collections.abc import Sequence
 
-from otterrudder.fleet.store import Leased, Put, Snapshot
+from otterrudder.fleet.store import LeaseResult, Put, Snapshot
 from otterrudder.lab.keyspace import KeySpace
 
 
@@ -46,7 +46,7 @@
                 self._delete(key)
         return True
 
-    def grant(self, now: float, span_ms: float) -> Leased:
+    def grant(self, now: float, span_ms: float) -> LeaseResult:
         leased = super().grant(now, span_ms)
         heapq.heappush(self._ends, (now + span_ms, leased.lease))
         return leased
--- a/otterrudder/lab/keyspace.py
+++ b/otterrudder/lab/keyspace.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from otterrudder.fleet.effects import Commit, Lease, Read, Request
-from otterrudder.fleet.store import Compare, Delete, Done, Entry, Leased, Put, Snapshot, Write
+from otterrudder.fleet.effects import Commit, GrantLease, Read, StoreRequest
+from otterrudder.fleet.store import CommitResult, Compare, Delete, Entry, LeaseResult, Put, Snapshot, Write
 
-HISTORY_MOST = 4096  # events kept for watches; past that the oldest are compacted away
+MAX_HISTORY_EVENTS = 4096  # events kept for watches; past that the oldest are compacted away
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,13 +75,13 @@
 
     def holds(self, compare: Compare) -> bool:
         entry = self.keys.get(compare.key)
-        return (getattr(entry, compare.what) if entry else 0) == compare.equals
+        return (getattr(entry, compare.attribute) if entry else 0) == compare.equals
 
-    def commit(self, compares: Sequence[Compare], writes: Sequence[Write]) -> Done:
+    def commit(self, compares: Sequence[Compare], writes: Sequence[Write]) -> CommitResult:
         if not all(map(self.holds, compares)):
-            return Done(False, self.revision, self.cluster)
+            return CommitResult(False, self.revision, self.cluster)
         if any(isinstance(write, Put) and write.lease and write.lease not in self.leases for write in writes):
-            return Done(False, self.revision, self.cluster)  # etcd: the lease is not found
+            return CommitResult(False, self.revision, self.cluster)  # etcd: the lease is not found
         self.revision += 1
         self.writes += 1
         for write in writes:
@@ -90,28 +90,28 @@
             else:
                 for key in list(self._named(write)):
                     self._delete(key)
-        return Done(True, self.revision, self.cluster)
+        return CommitResult(True, self.revision, self.cluster)
 
-    def grant(self, now: float, span_ms: float) -> Leased:
+    def grant(self, now: float, span_ms: float) -> LeaseResult:
         self.granted += 1
         self.leases[self.granted] = (span_ms, now + span_ms)
-        return Leased(self.granted, self.revision, self.cluster)
+        return LeaseResult(self.granted, self.revision, self.cluster)
 
-    def renew(self, now: float, lease: int) -> Leased:
+    def renew(self, now: float, lease: int) -> LeaseResult:
         if lease not in self.leases:
-            return Leased(0, self.revision, self.cluster)
+            return LeaseResult(0, self.revision, self.cluster)
         span_ms = self.leases[lease][0]
         self.leases[lease] = (span_ms, now + span_ms)
-        return Leased(lease, self.revision, self.cluster)
+        return LeaseResult(lease, self.revision, self.cluster)
 
-    def answer(self, now: float, effect: Request) -> Snapshot | Done | Leased:
+    def answer(self, now: float, effect: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
         """What a member asks of the store, at that time."""
         self.lapse(now)
         if isinstance(effect, Read):
             return self.read(effect.names)
         if isinstance(effect, Commit):
             return self.commit(effect.compares, effect.writes)
-        if isinstance(effect, Lease):
+        if isinstance(effect, GrantLease):
             return self.grant(now, effect.span_ms)
         return self.renew(now, effect.lease)
 
@@ -128,7 +128,7 @@
         return [event for event in self.history[first:] if event.key.startswith(prefix)]
 
     def _named(self, write: Delete) -> Iterator[str]:
-        if write.whole_prefix:
+        if write.is_prefix:
             return iter(sorted(key for key in self.keys if key.startswith(write.key)))
         return iter([write.key] if write.key in self.keys else [])
 
@@ -147,5 +147,5 @@
         if not self.keeps_history:
             return
         self.history.append(Event(self.revision, key, entry))
-        if len(self.history) > HISTORY_MOST:
-            self.compact(self.history[HISTORY_MOST // 4].revision)
+        if len(self.history) > MAX_HISTORY_EVENTS:
+            self.compact(self.history[MAX_HISTORY_EVENTS // 4].revision)
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -16,7 +16,7 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.processes.double import serve_as_told
 from otterrudder.net import relay
 
@@ -24,9 +24,13 @@
 class IgnoresLeaseEnd(Participant):
     """Admits by what it last heard, for as long as it hears nothing."""
 
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing in (Standing.LAPSED, Standing.BEHIND) else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        admission_status = super().admission_status(now)
+        return (
+            AdmissionStatus.SERVING
+            if admission_status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
+            else admission_status
+        )
 
 
 class GrantsPastAuthority(Relay):
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -16,8 +16,8 @@
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet import agent
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.state import Standing
-from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
+from otterrudder.fleet.state import AdmissionStatus
+from otterrudder.lab.fleet.mutants import AnyPolicy, NeverAside, SleepsThrough
 from otterrudder.net import core, registry, serve
 
 EACH = 6  # requests, of which one is spoilt
@@ -35,9 +35,13 @@
 class ServesAtOnce(Member):
     """Admits from its start by what its folder says, whatever was changed while it was down."""
 
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing in (Standing.STARTING, Standing.JOINING) else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        admission_status = super().admission_status(now)
+        return (
+            AdmissionStatus.SERVING
+            if admission_status in (AdmissionStatus.STARTING, AdmissionStatus.REGISTERING)
+            else admission_status
+        )
 
 
 def _loses() -> None:
--- a/otterrudder/lab/processes/rig.py
+++ b/otterrudder/lab/processes/rig.py
@@ -24,9 +24,9 @@
 from otterrudder.clock import monotonic as clock
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.points import NAMED
-from otterrudder.fleet.records import Keys, View, digest_of
-from otterrudder.fleet.store import StoreAway
+from otterrudder.fleet.failpoints import NAMED
+from otterrudder.fleet.records import FleetSnapshot, Keys, digest_of
+from otterrudder.fleet.store import StoreUnavailableError
 from otterrudder.lab.processes.counters import StoreReport
 from otterrudder.lab.processes.etcd import CLUSTER
 from otterrudder.lab.processes.ledger import DRAIN_MS, Drain, InForce, Listed
@@ -294,8 +294,10 @@
             while True:
                 await anyio.sleep(LOOK_S)
                 began = clock()
-                with contextlib.suppress(StoreAway):
-                    view = View(keys, await client.read([keys.policy, keys.change, keys.votes], 1000.0))
+                with contextlib.suppress(StoreUnavailableError):
+                    view = FleetSnapshot(
+                        keys, await client.read([keys.policy, keys.change, keys.votes], 1000.0)
+                    )
                     if view.snapshot.cluster != CLUSTER:  # what another engine is told is not the fleet's
                         continue
                     head = view.policy
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -23,7 +23,7 @@
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.configuration import Fleet, read_fleet
-from otterrudder.fleet.policy import Content, Own, own_of
+from otterrudder.fleet.policy import Content, LocalConfiguration, local_configuration_of
 from otterrudder.log import set_up
 
 COUNT_MOST = 500  # servers of one process
@@ -54,7 +54,7 @@
 class HollowServer:
     """A server's coordination alone. `pulse` stands for the turn of a server's event loop."""
 
-    def __init__(self, fleet: Fleet, name: str, own: Own) -> None:
+    def __init__(self, fleet: Fleet, name: str, own: LocalConfiguration) -> None:
         self.name = name
         self._admits = False
         self._version = 0
@@ -64,7 +64,7 @@
     def pulse(self, now: float) -> Switched | None:
         """What has changed since the last one."""
         self.agent.pulse(now)
-        policy = self.agent.order_sender.taken
+        policy = self.agent.control_sender.taken
         present = (policy.version if policy else 0, self._admits)
         if present == self._told:
             return None
@@ -118,9 +118,9 @@
 
 def _make_servers(told: argparse.Namespace) -> list[HollowServer]:
     fleet = read_fleet(told.fleet)
-    own = own_of(read_configuration(told.configuration).settings)
+    own = local_configuration_of(read_configuration(told.configuration).settings)
     names = [f"{told.prefix}{number}" for number in range(told.first, told.first + told.count)]
-    return [HollowServer(replace(fleet, folder=told.folder / name), name, own) for name in names]
+    return [HollowServer(replace(fleet, state_directory=told.folder / name), name, own) for name in names]
 
 
 def _parsed(words: Sequence[str]) -> argparse.Namespace:
--- a/otterrudder/lab/scale/ledger.py
+++ b/otterrudder/lab/scale/ledger.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from otterrudder.fleet.effects import Commit
-from otterrudder.fleet.records import Change, Keys, PolicyHead, Queued, Settled, decode
+from otterrudder.fleet.records import Change, FinishedChange, Keys, PolicyHead, QueuedChange, decode
 from otterrudder.fleet.store import Put
 
 BREACHES_KEPT = 5  # that are told in words
@@ -67,8 +67,8 @@
                 opened = self._change(decode(write.value, Change).id)
                 opened.opened_at = min(opened.opened_at, now)
             elif write.key.startswith(self.keys.queue):
-                self._change(decode(write.value, Queued).id).queued_at = now
-            elif write.key == self.keys.settled and commit.what == "abort":
+                self._change(decode(write.value, QueuedChange).id).queued_at = now
+            elif write.key == self.keys.finished and commit.purpose == "abort":
                 self._aborted(now, write.value)
 
     def _change(self, ident: str) -> Asked:
@@ -90,9 +90,9 @@
                 self.granted_until[version] = 0.0
 
     def _aborted(self, now: float, value: bytes) -> None:
-        end = msgspec.json.decode(value, type=list[Settled])[-1]
+        end = msgspec.json.decode(value, type=list[FinishedChange])[-1]
         self._change(end.id).ended_at = now
-        self.aborted.append(f"{end.id}: {end.why}")
+        self.aborted.append(f"{end.id}: {end.reason}")
 
     # What relays granted.
 
--- a/otterrudder/lab/scale/play.py
+++ b/otterrudder/lab/scale/play.py
@@ -176,10 +176,10 @@
     calm_s, load_s = (begin.at_ms - calm.at_ms) / 1000.0, (end.at_ms - begin.at_ms) / 1000.0
     figures = {}
     for name in ("reads", "writes", "renewals"):
-        standing = (begin.store.get(name, 0) - calm.store.get(name, 0)) / calm_s
-        more = end.store.get(name, 0) - begin.store.get(name, 0) - standing * load_s
+        admission_status = (begin.store.get(name, 0) - calm.store.get(name, 0)) / calm_s
+        more = end.store.get(name, 0) - begin.store.get(name, 0) - admission_status * load_s
         figures[f"{name}_a_change"] = more / changes
-        figures[f"{name}_calm_per_s"] = standing
+        figures[f"{name}_calm_per_s"] = admission_status
     figures["watch_events_a_change"] = (end.hints - begin.hints) / changes
     return figures
 
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from otterrudder.clock import monotonic
-from otterrudder.fleet.change import propose, whole
+from otterrudder.fleet.change import coordination_keys, propose
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.records import Absent, Keys, View
+from otterrudder.fleet.records import Absent, FleetSnapshot, Keys
 from otterrudder.lab.processes.counters import StoreReport
 from otterrudder.lab.processes.link import free_port
 from otterrudder.lab.processes.rig import levels_text
@@ -149,18 +149,18 @@
         self.keys = Keys(self._fleet.name)
 
     async def propose(self, text: str, ident: str = "") -> Proposed:
-        """StoreAway; NotInTime: another change is open. `ident`: the change's, from which settlers draw when
-        they come forward; else a new one."""
+        """StoreUnavailableError; NotInTime: another change is open. `ident`: the change's, from which
+        coordinators draw when they come forward; else a new one."""
         client = Client(self._fleet)
         try:
-            view = View(self.keys, await client.read(whole(self.keys), TIMEOUT_MS))
+            view = FleetSnapshot(self.keys, await client.read(coordination_keys(self.keys), TIMEOUT_MS))
             commit = propose(view, ident or secrets.token_hex(8), text, "lab", "", 0.0, DEADLINE_MS)
             sent_ms = monotonic()
             done = await client.commit(commit.compares, commit.writes, TIMEOUT_MS)
         finally:
             with anyio.CancelScope(shield=True):
                 await client.close()
-        if not done.held:
+        if not done.succeeded:
             raise NotInTime("another change is open")
         return Proposed(view.policy.version + 1 if view.policy else 1, sent_ms)
 
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -3,10 +3,10 @@
 import random
 from dataclasses import dataclass
 
-from otterrudder.fleet.effects import Commit, Read, Request
-from otterrudder.fleet.queue import QueueRefused, enqueue, place
-from otterrudder.fleet.records import Keys, Queued, View
-from otterrudder.fleet.store import Done, Snapshot
+from otterrudder.fleet.effects import Commit, Read, StoreRequest
+from otterrudder.fleet.queue import QueueRejectedError, enqueue, queue_position
+from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange
+from otterrudder.fleet.store import CommitResult, Snapshot
 from otterrudder.lab.scale.events import EventQueue, Handler
 from otterrudder.lab.scale.ledger import Ledger
 from otterrudder.lab.scale.network import Network
@@ -70,22 +70,24 @@
 
     def _queue_it(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, Snapshot)
-        entry = Queued(proposal.ident, author="an operator", note=NOTE, deadline_ms=DEADLINE_MS)
+        entry = QueuedChange(proposal.ident, author="an operator", note=NOTE, deadline_ms=DEADLINE_MS)
         try:
-            commit = enqueue(View(self._keys, outcome), entry, f"text of {proposal.ident}")
-        except QueueRefused:
+            commit = enqueue(FleetSnapshot(self._keys, outcome), entry, f"text of {proposal.ident}")
+        except QueueRejectedError:
             self.refused += 1
             return
         self._send(proposal, commit, self._queued)
 
     def _queued(self, proposal: Proposal, outcome: object) -> None:
-        assert isinstance(outcome, Done)
-        if outcome.held:
+        assert isinstance(outcome, CommitResult)
+        if outcome.succeeded:
             self._send(proposal, Read((self._keys.change, self._keys.queue)), self._placed)
 
     def _placed(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, Snapshot)
-        self._ledger.changes[proposal.ident].place = place(View(self._keys, outcome), proposal.ident)
+        self._ledger.changes[proposal.ident].place = queue_position(
+            FleetSnapshot(self._keys, outcome), proposal.ident
+        )
 
     def _send(self, proposal: Proposal, request: Read | Commit, then: Handler) -> None:
         now = self._events.now
@@ -98,7 +100,7 @@
     def _again(self, proposal: Proposal, argument: tuple[Read | Commit, Handler]) -> None:
         self._send(proposal, *argument)
 
-    def _at_store(self, proposal: Proposal, argument: tuple[Request, Handler]) -> None:
+    def _at_store(self, proposal: Proposal, argument: tuple[StoreRequest, Handler]) -> None:
         request, then = argument
         outcome = self._store.answer(self._events.now, request)
         due = self._events.now + self._store.answer_ms(proposal.region)
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -17,7 +17,7 @@
     RelayLimits,
     SendToServer,
 )
-from otterrudder.fleet.effects import Commit, Lease, Outcome, Read, Renew, Request
+from otterrudder.fleet.effects import Commit, GrantLease, Outcome, Read, RenewLease, StoreRequest
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
 from otterrudder.lab.scale.hosts import RelayHost, Stream
@@ -36,7 +36,7 @@
     """A request to the store that is under way."""
 
     life: int
-    effect: Request
+    effect: StoreRequest
     sent: float
     outcome: Outcome = None
 
@@ -92,10 +92,10 @@
         self._step(host)
         self._watch(host)
 
-    def make(self, identity: CellIdentity, epoch: str) -> Relay:
+    def make(self, identity: CellIdentity, incarnation: str) -> Relay:
         """A fresh relay."""
         limits = RelayLimits(span_ms=self.span_ms)
-        return Relay(self._events.now, identity, epoch, self.rules, limits)
+        return Relay(self._events.now, identity, incarnation, self.rules, limits)
 
     def stop(self, host: RelayHost, is_silent: bool) -> None:
         """The process ends: its machine closes the streams, or is gone as well."""
@@ -115,7 +115,7 @@
         relay.leave(self._events.now)
         self._step(host)
         if relay.member.lease and not self._is_store_cut(host):
-            arrives = self._events.now + self.store.arrival_ms(host.zone.region, Renew(0))
+            arrives = self._events.now + self.store.arrival_ms(host.zone.region, RenewLease(0))
             self._events.at(arrives, self._revoke, relay.member.lease)
         self.stop(host, is_silent=False)
 
@@ -178,14 +178,14 @@
         if host.relay:
             host.relay.closed(stream.number)
 
-    def hint(self, host: RelayHost, argument: tuple[int, str]) -> None:
+    def handle_watch_event(self, host: RelayHost, argument: tuple[int, str]) -> None:
         life, prefix = argument
         if not host.relay or host.life != life or prefix not in host.watching or self._is_store_cut(host):
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self.hint, host, argument))
+            host.held.append((self.handle_watch_event, host, argument))
             return
-        host.relay.hint(self._events.now, prefix)
+        host.relay.handle_watch_event(self._events.now, prefix)
         self._step(host)
 
     # The store.
@@ -199,7 +199,7 @@
                 if any(key.startswith(prefix) for key in keys):
                     self.hints += 1
                     due = self._events.now + self.store.watch_ms(host.zone.region)
-                    self._events.at(due, self.hint, host, (host.life, prefix))
+                    self._events.at(due, self.handle_watch_event, host, (host.life, prefix))
 
     def _watch(self, host: RelayHost) -> None:
         """Watches are begun and ended as the relay wants them; one that begins is a hint."""
@@ -212,7 +212,7 @@
         begun, host.watching = wanted - host.watching, wanted
         for prefix in sorted(begun):
             due = self._events.now + 2 * self.store.watch_ms(host.zone.region)
-            self._events.at(due, self.hint, host, (host.life, prefix))
+            self._events.at(due, self.handle_watch_event, host, (host.life, prefix))
 
     def watch_again(self, host: RelayHost) -> None:
         """The store is in reach again: the watches that were cut are begun anew."""
@@ -222,7 +222,7 @@
     def _is_store_cut(self, host: RelayHost) -> bool:
         return self._network.is_cut(host.zone.region, self._store_region)
 
-    def _ask_store(self, host: RelayHost, effect: Request) -> None:
+    def _ask_store(self, host: RelayHost, effect: StoreRequest) -> None:
         now = self._events.now
         call = Call(host.life, effect, now)
         if self._is_store_cut(host):
@@ -250,7 +250,7 @@
             host.held.append((self._answered, host, call))
             return
         began = thread_time_ns()
-        host.relay.completed(now, call.effect, call.sent, call.outcome)
+        host.relay.handle_result(now, call.effect, call.sent, call.outcome)
         self.store_cpu.calls += 1
         self.store_cpu.add(began)
         self._step(host)
@@ -284,7 +284,7 @@
                 self._end(stream)
         elif isinstance(effect, PeerRequest):
             self._ask_peer(host, self.by_address[effect.peer], effect.message)
-        elif isinstance(effect, Read | Commit | Lease | Renew):
+        elif isinstance(effect, Read | Commit | GrantLease | RenewLease):
             self._ask_store(host, effect)
         else:
             raise TypeError(f"a relay has no use for {effect}")
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -60,8 +60,8 @@
             return
         host.life += 1
         host.version, host.lease_until, host.wake_at = 0, -math.inf, math.inf
-        epoch = f"{host.name}.{host.life}"
-        identity = Identity(self.fleet, host.name, epoch, host.kind, host.zone.name)
+        incarnation = f"{host.name}.{host.life}"
+        identity = Identity(self.fleet, host.name, incarnation, host.kind, host.zone.name)
         host.participant = self.make(identity, host.relays)
         self._step(host)
 
@@ -271,7 +271,7 @@
         self.looks += 1
         version = participant.admits(now)
         if version is None:
-            self.aside[participant.standing(now).name.lower()] += 1
+            self.aside[participant.admission_status(now).label] += 1
             self.aside_at = now
         elif version != self._ledger.version:
             self._ledger.admits(now, host.name, version)
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -5,13 +5,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from otterrudder.fleet.effects import Commit, Lease, Read, Renew, Request
-from otterrudder.fleet.store import Done, Leased, Snapshot
+from otterrudder.fleet.effects import Commit, GrantLease, Read, RenewLease, StoreRequest
+from otterrudder.fleet.store import CommitResult, LeaseResult, Snapshot
 from otterrudder.lab.indexed import IndexedKeySpace
 from otterrudder.lab.scale.experiment import StorePart
 from otterrudder.lab.scale.topology import Topology
 
-COUNTED = {Read: "reads", Commit: "writes", Lease: "leases", Renew: "renewals"}
+COUNTED = {Read: "reads", Commit: "writes", GrantLease: "leases", RenewLease: "renewals"}
 
 
 class NotingKeySpace(IndexedKeySpace):
@@ -44,7 +44,7 @@
         self._ways = [topology.store_way_ms(region) for region in range(len(topology.regions))]
         self._quorum_ms = topology.quorum_ms
 
-    def arrival_ms(self, region: int, request: Request) -> float:
+    def arrival_ms(self, region: int, request: StoreRequest) -> float:
         """From the sending of a request until it takes effect."""
         bounds = self._part.read_ms if isinstance(request, Read) else self._part.disk_ms
         return self._ways[region] + self._quorum_ms + self._chance.uniform(*bounds)
@@ -57,14 +57,14 @@
         """From a write until a watch tells of it."""
         return self._ways[region] + self._chance.uniform(*self._part.watch_ms)
 
-    def answer(self, now: float, request: Request) -> Snapshot | Done | Leased:
+    def answer(self, now: float, request: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
         self.counts[COUNTED[type(request)]] += 1
         if isinstance(request, Commit):
-            self.counts[request.what] += 1
+            self.counts[request.purpose] += 1
         outcome = self.keys.answer(now, request)
         if isinstance(request, Commit):
-            assert isinstance(outcome, Done)
-            if outcome.held:
+            assert isinstance(outcome, CommitResult)
+            if outcome.succeeded:
                 self._written(request)
             else:
                 self.counts["fallen"] += 1
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.service import RelayService, check_descriptors
 from otterrudder.fleet.client import Client
@@ -28,7 +28,7 @@
 async def _serve(fleet: Fleet, role: RelayRole) -> None:
     check_descriptors(role.sessions_most)
     store = Client(fleet)
-    folder, record = open_folder(fleet, role.cell)
+    folder, record = open_state_directory(fleet, role.cell)
     service = RelayService(fleet, role, store, folder, record)
     service.listen()
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -82,11 +82,11 @@
             return None
         if self.levels:
             raise BadConfiguration(f"--levels {self.levels}: in a fleet the table of levels is the policy's")
-        from otterrudder.fleet.configuration import BadFleet, read_fleet
+        from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
 
         try:
             fleet = read_fleet(self.fleet)
-        except BadFleet as trouble:
+        except InvalidFleetError as trouble:
             raise BadConfiguration(str(trouble)) from None
         if fleet.relay:
             raise BadConfiguration(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
@@ -281,12 +281,12 @@
 ) -> "Agent | CellAgent":
     """The fleet's actor: what it orders goes to the core by the dispatcher, ahead of what arrives.
     BadConfiguration: the folder is another process's, or a file of keys can't be read."""
-    from otterrudder.durable import Busy
+    from otterrudder.durable import DirectoryInUseError
     from otterrudder.fleet.assembly import make_agent
-    from otterrudder.fleet.policy import Content, own_of
+    from otterrudder.fleet.policy import Content, local_configuration_of
     from otterrudder.levels import LevelController
 
-    own = replace(own_of(configuration.settings), products=dispatcher.core.products)
+    own = replace(local_configuration_of(configuration.settings), products=dispatcher.core.products)
 
     def apply(content: Content) -> None:
         dispatcher.post(
@@ -306,7 +306,7 @@
 
     try:
         agent = make_agent(fleet, configuration.name, own, apply, stand_aside, facts)
-    except (Busy, OSError) as trouble:
+    except (DirectoryInUseError, OSError) as trouble:
         raise BadConfiguration(f"fleet: {trouble}") from None
     dispatcher.before_turn.append(agent.pulse)
     return agent
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -25,11 +25,11 @@
     RelayLimits,
     SendToServer,
 )
-from otterrudder.fleet.change import propose, whole
-from otterrudder.fleet.effects import Commit, Outcome, Save
+from otterrudder.fleet.change import coordination_keys, propose
+from otterrudder.fleet.effects import Commit, Outcome, SaveState
 from otterrudder.fleet.queue import enqueue
-from otterrudder.fleet.records import Keys, Queued, View
-from otterrudder.fleet.state import Record, Rules
+from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange
+from otterrudder.fleet.state import MemberState, Rules
 from otterrudder.lab.keyspace import KeySpace
 
 FLEET = "f"
@@ -60,7 +60,7 @@
     refuses: dict[str, str] = field(default_factory=dict)  # by kind: what is wrong with a text that ends in !
     checks: list[str] = field(default_factory=list)  # names of the servers that were asked to check a text
     refusals: list[Refuse] = field(default_factory=list)
-    disks: dict[str, Record] = field(default_factory=dict)  # of cells of one relay
+    disks: dict[str, MemberState] = field(default_factory=dict)  # of cells of one relay
     life: int = 0
 
     # Who there is.
@@ -114,24 +114,24 @@
 
     # The store.
 
-    def view(self) -> View:
-        return View(KEYS, self.space.read(whole(KEYS)))
+    def view(self) -> FleetSnapshot:
+        return FleetSnapshot(KEYS, self.space.read(coordination_keys(KEYS)))
 
     def commit(self, commit: Commit) -> None:
-        assert self.space.commit(commit.compares, commit.writes).held
+        assert self.space.commit(commit.compares, commit.writes).succeeded
         self._hint(commit)
 
     def propose(self, ident: str, text: str = "") -> None:
         self.commit(propose(self.view(), ident, text or f"policy {ident}", ident, "", 0.0, 30_000.0))
 
     def enqueue(self, ident: str, text: str = "", base: str = "") -> None:
-        self.commit(enqueue(self.view(), Queued(ident, base=base), text or f"policy {ident}"))
+        self.commit(enqueue(self.view(), QueuedChange(ident, base=base), text or f"policy {ident}"))
 
     def _hint(self, commit: Commit) -> None:
         for relay in self.relays.values():
             for prefix in relay.watched():
                 if any(write.key.startswith(prefix) for write in commit.writes):
-                    relay.hint(self.now, prefix)
+                    relay.handle_watch_event(self.now, prefix)
 
     # Time.
 
@@ -178,14 +178,14 @@
                 relay.peer_answered(peer.peer_asked(self.now, effect.message))
         else:
             outcome: Outcome = None
-            if isinstance(effect, Save):
-                assert isinstance(effect.record, Record)
+            if isinstance(effect, SaveState):
+                assert isinstance(effect.record, MemberState)
                 self.disks[address], outcome = effect.record, True
             elif not self.is_store_away:
                 outcome = self.space.answer(self.now, effect)  # type: ignore[arg-type]
                 if isinstance(effect, Commit):
                     self._hint(effect)
-            relay.completed(self.now, effect, self.now, outcome)
+            relay.handle_result(self.now, effect, self.now, outcome)
 
     def _to_server(self, stream: Stream, message: RelayMessage) -> None:
         if isinstance(message, Refuse):
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -10,7 +10,7 @@
 from otterrudder.fleet.cell.consent import CONSENT_MS, Consents, PeerRequest, Promise
 from otterrudder.fleet.cell.kinds import ASK_AGAIN_MS, ASK_MOST_MS, VERDICTS_MOST, Candidate, Poll, Verdicts
 from otterrudder.fleet.cell.messages import (
-    NAME_MOST,
+    MAX_NAME_LENGTH,
     AskConsent,
     AskVerdict,
     BadMessage,
@@ -50,16 +50,22 @@
     RelayEffect,
     RelayLimits,
 )
-from otterrudder.fleet.change import COUNT_MS, Settler, settle
-from otterrudder.fleet.effects import Commit, Lane, Lease, Read
-from otterrudder.fleet.effects import Renew as EffectOfLease
+from otterrudder.fleet.change import COUNT_MS, ChangeCoordinator, finish_change
+from otterrudder.fleet.effects import Commit, GrantLease, Lane, Read
+from otterrudder.fleet.effects import RenewLease as EffectOfLease
 from otterrudder.fleet.member import VOTE_FIRST_MS
-from otterrudder.fleet.queue import InForce as PolicyInForce
-from otterrudder.fleet.queue import QueueRefused, enqueue, leave_queue, open_first, place
-from otterrudder.fleet.records import QUEUE_MOST, SETTLED_MOST, Queued, digest_of
+from otterrudder.fleet.queue import (
+    PolicyInForce,
+    QueueRejectedError,
+    enqueue,
+    open_next,
+    queue_position,
+    withdraw_queued,
+)
+from otterrudder.fleet.records import MAX_FINISHED_CHANGES, MAX_QUEUED_CHANGES, QueuedChange, digest_of
 from otterrudder.fleet.records import encode as encode_record
-from otterrudder.fleet.state import Rules, Standing
-from otterrudder.fleet.store import Done, Put
+from otterrudder.fleet.state import AdmissionStatus, Rules
+from otterrudder.fleet.store import CommitResult, Put
 
 # A server's part.
 
@@ -92,12 +98,12 @@
 
 def test_a_lease_counts_from_the_sending() -> None:
     server = participant()
-    assert server.standing(0.0) is Standing.STARTING and server.admits(0.0) is None
+    assert server.admission_status(0.0) is AdmissionStatus.STARTING and server.admits(0.0) is None
     sequence = connect(server).sequence
     grant(server, 700.0, sequence)
     assert server.lease_until == 0.9 * LEASE_SPAN_MS
     assert server.admits(2699.0) == 0 and server.admits(2700.0) is None
-    assert server.standing(2700.0) is Standing.LAPSED
+    assert server.admission_status(2700.0) is AdmissionStatus.LEASE_EXPIRED
 
 
 def test_a_lease_is_asked_for_again_after_a_quarter() -> None:
@@ -135,7 +141,7 @@
     server = participant()
     connect(server)
     grant(server, 0.0, 7)
-    assert server.standing(0.0) is Standing.STARTING
+    assert server.admission_status(0.0) is AdmissionStatus.STARTING
 
 
 def test_a_refusal_leads_to_the_next_relay_at_once() -> None:
@@ -174,7 +180,7 @@
     assert server.admits(0.0) == 1
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
-    assert server.relay == "b" and server.doubt == "a tells of version 0, older than 1"
+    assert server.relay == "b" and server.mistrust == "a tells of version 0, older than 1"
     assert server.lease_until == 0.9 * LEASE_SPAN_MS and server.admits(800.0) == 1
 
 
@@ -184,7 +190,7 @@
     takes(server, 0.0, 1, "one")
     server.effects(server.due())
     server.received(800.0, 1, Grant(2, 1, "another", 3000.0))
-    assert server.relay == "b" and server.doubt == "a tells of another version 1"
+    assert server.relay == "b" and server.mistrust == "a tells of another version 1"
 
 
 def test_the_old_version_lasts_for_its_lease_and_no_longer() -> None:
@@ -192,7 +198,7 @@
     grant(server, 0.0, connect(server).sequence)
     server.effects(server.due())
     grant(server, 800.0, 2, 1)  # its text has not come
-    assert server.admits(2699.0) == 0 and server.standing(2700.0) is Standing.BEHIND
+    assert server.admits(2699.0) == 0 and server.admission_status(2700.0) is AdmissionStatus.OUTDATED
     takes(server, 2800.0, 1, "one")
     assert server.admits(2800.0) == 1
 
@@ -200,7 +206,7 @@
 def test_a_server_that_knew_nothing_admits_nothing_before_the_text() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
-    assert server.standing(0.0) is Standing.BEHIND
+    assert server.admission_status(0.0) is AdmissionStatus.OUTDATED
     takes(server, 0.0, 1, "one")
     assert server.admits(0.0) == 1
 
@@ -210,7 +216,7 @@
     connect(server)
     server.received(0.0, 1, in_force(1, "damaged", digest_of("one")))
     assert server.relay == "b" and server.head == 0
-    assert server.doubt == "a: the text of version 1 is damaged"
+    assert server.mistrust == "a: the text of version 1 is damaged"
 
 
 def test_a_text_that_is_no_good_here_stops_the_server() -> None:
@@ -220,9 +226,12 @@
     (check,) = server.effects(0.0)
     assert isinstance(check, CheckText)
     server.checked(0.0, check.digest, "values.look: no product")
-    assert server.standing(0.0) is Standing.UNFIT and server.why == "values.look: no product"
+    assert (
+        server.admission_status(0.0) is AdmissionStatus.POLICY_REJECTED
+        and server.status_detail == "values.look: no product"
+    )
     takes(server, 10.0, 2, "two")
-    assert server.standing(10.0) is Standing.SERVING
+    assert server.admission_status(10.0) is AdmissionStatus.SERVING
 
 
 def test_a_question_is_answered_once_checked_and_from_memory_after() -> None:
@@ -266,7 +275,7 @@
                 grant(server, now, message.sequence)
             else:
                 server.received(now, server.connection, Refuse(message.sequence, RefusalReason.NOT_LEADER))
-        assert not now or server.standing(now).admits
+        assert not now or server.admission_status(now).admits
         now = max(server.due(), now)
     waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
     assert len(waits) >= 5
@@ -295,7 +304,7 @@
     connect(server)
     server.received(0.0, 1, AskVerdict(digest_of("one"), "damaged"))
     assert not [effect for effect in server.effects(0.0) if isinstance(effect, CheckText)]
-    assert server.relay == "b" and "damaged" in server.doubt
+    assert server.relay == "b" and "damaged" in server.mistrust
 
 
 # Messages.
@@ -322,8 +331,8 @@
         b"",
         b"\xff",
         encode(Grant(1, 1, "", 1.0)),
-        encode(registration(name="n" * (NAME_MOST + 1))),
-        encode(Verdict("d" * (NAME_MOST + 1))),
+        encode(registration(name="n" * (MAX_NAME_LENGTH + 1))),
+        encode(Verdict("d" * (MAX_NAME_LENGTH + 1))),
         encode(Verdict("d", "x" * 100_000)),
         encode(Renew(1, 1, "x" * 100_000)),
     ],
@@ -437,7 +446,7 @@
     harness = at_work()
     relay = harness.leader("east")
     until = relay.member.lease_until
-    relay.member.consent_until = -math.inf
+    relay.member.endorsed_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
         relay.received(until - left, number, Renew(99, 0))
@@ -453,7 +462,7 @@
     harness.propose("A")
     relay = harness.leader("east")
     harness.is_store_away = False
-    while not relay.member.pledge:
+    while not relay.member.prepared_vote:
         assert harness._step()
     until = relay.member.fresh_at + relay.member.rules.bound_ms
     assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
@@ -490,7 +499,7 @@
 def test_a_relay_refuses_and_says_why(message: Register | Renew | Verdict, reason: RefusalReason) -> None:
     relay = Harness().add_relay("a", "east")
     relay.received(0.0, 1, message)
-    effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
+    effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | GrantLease)]
     assert [refuse.reason for refuse in told(effects) if isinstance(refuse, Refuse)] == [reason]
     assert EndSession(1) in effects and not relay.sessions
 
@@ -515,9 +524,9 @@
     harness = at_work(refuses={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    (end,) = harness.view().settled
-    assert not end.committed and end.why.startswith("east: east-s")
-    assert end.why.endswith(": values.look: no product") and set(harness.admitted().values()) == {0}
+    (end,) = harness.view().finished
+    assert not end.committed and end.reason.startswith("east: east-s")
+    assert end.reason.endswith(": values.look: no product") and set(harness.admitted().values()) == {0}
 
 
 def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
@@ -579,7 +588,7 @@
     relay.member.abstains_until = harness.now + 500.0
     harness.propose("A")
     harness.run(100.0)
-    end = settle(harness.view(), True)
+    end = finish_change(harness.view(), True)
     assert end
     harness.commit(end)
     harness.run(5000.0)
@@ -600,22 +609,22 @@
         harness.servers[name]._connect_at = harness.now + 0.6 * TAKEOVER_MS
     harness.propose("A", "policy!")
     harness.run(4 * TAKEOVER_MS)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
     harness = at_work(refuses={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().settled] == [False]  # east has said yes, west no
+    assert [end.committed for end in harness.view().finished] == [False]  # east has said yes, west no
     for name in ("west-s0", "west-s1"):
         harness.remove_server(name)
     harness.add_server("east-s2", tuple(a for a in harness.relays if a.startswith("east")), "kind of north")
     harness.run(4000.0)
     harness.propose("B", "policy!")
     harness.run(3000.0)
-    assert [end.committed for end in harness.view().settled] == [False, False]
-    assert harness.view().settled[-1].why == "east: east-s2: no"
+    assert [end.committed for end in harness.view().finished] == [False, False]
+    assert harness.view().finished[-1].reason == "east: east-s2: no"
 
 
 def test_a_kind_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
@@ -633,22 +642,22 @@
     harness.propose("A", "policy!")
     harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
     harness._relay_effect = hold_reads  # type: ignore[method-assign]
-    relay.hint(harness.now, KEYS.head)
+    relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
     harness.silent.clear()
     for name in ("east-s0", "east-s1"):
         if check := harness.servers[name]._check:
             harness.servers[name].checked(harness.now, check.digest, "")
     harness.run(0.0)
-    assert relay.member.judgement(digest_of("policy!")) == "" and not relay.member.vote_sent
+    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.vote_sent
     east = tuple(address for address in harness.relays if address.startswith("east"))
     harness.add_server("east-s2", east, "kind of north")
     harness.run(50.0)
     harness._relay_effect = begin  # type: ignore[method-assign]
     sent_at = harness.now - 50.0
-    relay.completed(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
+    relay.handle_result(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
     harness.run(1000.0)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_a_kind_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
@@ -662,7 +671,7 @@
         server._connect_at = harness.now + 400.0
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_a_server_that_has_just_started_waits_for_a_read() -> None:
@@ -677,7 +686,7 @@
     effects = relay.effects(now)
     assert not [effect for effect in told(effects) if isinstance(effect, Grant)]
     (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
-    relay.completed(now, read, now, harness.space.answer(now, read))
+    relay.handle_result(now, read, now, harness.space.answer(now, read))
     grants = [message for message in told(relay.effects(now)) if isinstance(message, Grant)]
     assert [message.sequence for message in grants] == [5]
 
@@ -687,10 +696,10 @@
     identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
     relay = Relay(0.0, identity, "a.1", RULES, cluster=harness.space.cluster + 1)
     (read,) = [effect for effect in relay.effects(0.0) if isinstance(effect, Read)]
-    relay.completed(0.0, read, 0.0, harness.space.answer(0.0, read))
+    relay.handle_result(0.0, read, 0.0, harness.space.answer(0.0, read))
     for now in range(0, 1500, 100):
         assert not [effect for effect in relay.effects(float(now)) if isinstance(effect, Read)]
-    assert relay.member.why.startswith("another engine answers") and relay.due() == 1500.0
+    assert relay.member.status_detail.startswith("another engine answers") and relay.due() == 1500.0
 
 
 def test_a_pledge_of_an_earlier_life_is_no_vote() -> None:
@@ -702,22 +711,22 @@
     begin = harness._relay_effect
 
     def lose_votes(address: str, relay: Relay, effect: RelayEffect) -> None:
-        if isinstance(effect, Commit) and effect.what == "vote":
-            relay.completed(harness.now, effect, harness.now, None)
+        if isinstance(effect, Commit) and effect.purpose == "vote":
+            relay.handle_result(harness.now, effect, harness.now, None)
         else:
             begin(address, relay, effect)
 
     harness._relay_effect = lose_votes  # type: ignore[method-assign]
     harness.propose("A", "policy!")
     harness.run(100.0)
-    assert harness.disks[relays[0]].pledge
+    assert harness.disks[relays[0]].prepared_vote
     harness.remove_relay(relays[0])
     harness._relay_effect = begin  # type: ignore[method-assign]
     harness.remove_server("s0")
     harness.add_server("s1", relays, "kind of north")
     harness.add_relay(relays[0], "east")
     harness.run(15_000.0)
-    assert [(end.committed, end.why) for end in harness.view().settled] == [(False, "east: s1: no")]
+    assert [(end.committed, end.reason) for end in harness.view().finished] == [(False, "east: s1: no")]
 
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
@@ -814,7 +823,7 @@
     connection, session = next(iter(relay.sessions.items()))
     member = relay.member
     renewal = EffectOfLease(member.lease)
-    member.completed(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
+    member.handle_result(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
     assert not relay.leads()
     relay.received(harness.now, connection, Renew(99, 0))
     assert session.held == 99
@@ -825,7 +834,7 @@
     assert relay.leads() and not session.held and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
     member._lose_registration()
-    member.consent_until = harness.now
+    member.endorsed_until = harness.now
     relay.received(harness.now, connection, Renew(100, 0))
     (refused,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, Refuse)]
     assert refused.reason is RefusalReason.NO_AUTHORITY
@@ -942,26 +951,26 @@
         harness.enqueue(ident)
     view = harness.view()
     assert [entry.id for entry in view.queue] == ["z", "a", "m"]
-    assert [place(view, ident) for ident in ("z", "a", "m", "x")] == [0, 1, 2, None]
-    first = open_first(view)
+    assert [queue_position(view, ident) for ident in ("z", "a", "m", "x")] == [0, 1, 2, None]
+    first = open_next(view)
     assert first
     harness.commit(first)
     view = harness.view()
     assert view.change and view.change.id == "z"
-    assert [place(view, ident) for ident in ("z", "a", "m")] == [0, 1, 2]
-    assert open_first(view) is None
-    harness.commit(leave_queue(view, "a"))
+    assert [queue_position(view, ident) for ident in ("z", "a", "m")] == [0, 1, 2]
+    assert open_next(view) is None
+    harness.commit(withdraw_queued(view, "a"))
     assert [entry.id for entry in harness.view().queue] == ["m"]
-    with pytest.raises(QueueRefused, match="does not wait"):
-        leave_queue(harness.view(), "a")
+    with pytest.raises(QueueRejectedError, match="does not wait"):
+        withdraw_queued(harness.view(), "a")
 
 
 def test_a_full_queue_names_its_bound() -> None:
     harness = Harness()
-    entry = encode_record(Queued("x"))
-    harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(QUEUE_MOST)))
-    with pytest.raises(QueueRefused, match=f"{QUEUE_MOST} changes wait already"):
-        enqueue(harness.view(), Queued("y"), "text")
+    entry = encode_record(QueuedChange("x"))
+    harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(MAX_QUEUED_CHANGES)))
+    with pytest.raises(QueueRejectedError, match=f"{MAX_QUEUED_CHANGES} changes wait already"):
+        enqueue(harness.view(), QueuedChange("y"), "text")
 
 
 def test_a_change_made_from_what_is_no_longer_in_force_ends_and_says_so() -> None:
@@ -973,9 +982,9 @@
     harness.enqueue("C", base=base)
     harness.enqueue("D")
     harness.run(6000.0)
-    ends = {end.id: end for end in harness.view().settled}
+    ends = {end.id: end for end in harness.view().finished}
     assert [ends[ident].committed for ident in "ABCD"] == [True, True, False, True]
-    assert ends["C"].why == f"it was made from policy {base[:12]}, which is not in force at its turn"
+    assert ends["C"].reason == f"it was made from policy {base[:12]}, which is not in force at its turn"
     assert set(harness.admitted().values()) == {3} and not harness.view().queue
 
 
@@ -984,7 +993,7 @@
     for number in range(40):  # more ends than are kept
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
     harness.run(120_000.0)
-    assert [end.committed for end in harness.view().settled] == [True] * 32
+    assert [end.committed for end in harness.view().finished] == [True] * 32
     assert set(harness.admitted().values()) == {40}
 
 
@@ -993,25 +1002,25 @@
     for ident in "ABC":
         harness.enqueue(ident)
     start, opened = harness.now, {}
-    while len(harness.view().settled) < 3 and harness.now < start + 10_000.0:
+    while len(harness.view().finished) < 3 and harness.now < start + 10_000.0:
         harness.run(1.0)
         if change := harness.view().change:
             opened.setdefault(change.id, harness.now)
     assert harness.now - start < 3000.0
-    assert {end.committed for end in harness.view().settled} == {True}
+    assert {end.committed for end in harness.view().finished} == {True}
 
 
 def test_what_follows_an_end_is_opened_by_what_was_read_before_it() -> None:
     harness = at_work()
     harness.enqueue("A")
     harness.enqueue("B")
-    first = open_first(harness.view())
+    first = open_next(harness.view())
     assert first
     harness.commit(first)
     view = harness.view()
     assert view.change
-    after = open_first(view, PolicyInForce(1, view.change.digest, 99))
-    assert after and after.what == "open" and after.compares[1].equals == 99
+    after = open_next(view, PolicyInForce(1, view.change.digest, 99))
+    assert after and after.purpose == "open" and after.compares[1].equals == 99
 
 
 def test_a_settler_of_relays_keeps_the_leadership_and_follows_hints() -> None:
@@ -1023,15 +1032,15 @@
     assert all(relay.watched() == (KEYS.head,) for relay in harness.relays.values() if relay is not leader)
     harness.run(30_000.0)
     assert [relay for relay in harness.relays.values() if relay.member.is_leader] == [leader]
-    settler = Settler(KEYS, "east", keeps_leadership=True)
-    read = settler.effects(5000.0, "", True, True, 1, 1)
-    assert isinstance(read, Read) and read.lane is Lane.SETTLE
-    settler.completed(5000.0, read, harness.space.read(read.names))
-    assert settler.due() > 5000.0
-    settler.hint(5000.0)
-    assert settler.due() == 5000.0 and isinstance(settler.effects(5000.0, "", True, True, 1, 1), Read)
-    lead = Settler(KEYS, "west", keeps_leadership=True).effects(1.0, "", False, False, 1, 1)
-    assert lead is None or isinstance(lead, Commit) and lead.what == "lead"
+    coordinator = ChangeCoordinator(KEYS, "east", retains_leadership=True)
+    read = coordinator.effects(5000.0, "", True, True, 1, 1)
+    assert isinstance(read, Read) and read.lane is Lane.COORDINATE
+    coordinator.handle_result(5000.0, read, harness.space.read(read.names))
+    assert coordinator.due() > 5000.0
+    coordinator.handle_watch_event(5000.0)
+    assert coordinator.due() == 5000.0 and isinstance(coordinator.effects(5000.0, "", True, True, 1, 1), Read)
+    lead = ChangeCoordinator(KEYS, "west", retains_leadership=True).effects(1.0, "", False, False, 1, 1)
+    assert lead is None or isinstance(lead, Commit) and lead.purpose == "lead"
 
 
 def test_in_force_is_told_to_all_sessions_once() -> None:
@@ -1058,7 +1067,7 @@
     begin = harness._relay_effect
 
     def watch(address: str, relay: Relay, effect: RelayEffect) -> None:
-        if isinstance(effect, Read) and effect.lane is Lane.SETTLE:
+        if isinstance(effect, Read) and effect.lane is Lane.COORDINATE:
             reads.append(harness.now)
         begin(address, relay, effect)
 
@@ -1072,12 +1081,12 @@
 @pytest.mark.parametrize("held", [True, False])
 def test_a_settler_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
     """Whether it leads its member says, once it has read."""
-    settler, now = Settler(KEYS, "east", keeps_leadership=True), 0.0
-    while not (lead := settler.effects(now, "", False, False, 1, 1)):
-        now = settler.due()
-    assert isinstance(lead, Commit) and lead.what == "lead"
-    assert settler.completed(now, lead, Done(held, 9, 1)) is None
-    assert settler.due() >= now + COUNT_MS
+    coordinator, now = ChangeCoordinator(KEYS, "east", retains_leadership=True), 0.0
+    while not (lead := coordinator.effects(now, "", False, False, 1, 1)):
+        now = coordinator.due()
+    assert isinstance(lead, Commit) and lead.purpose == "lead"
+    assert coordinator.handle_result(now, lead, CommitResult(held, 9, 1)) is None
+    assert coordinator.due() >= now + COUNT_MS
 
 
 def with_ends(harness: Harness, count: int) -> None:
@@ -1090,14 +1099,14 @@
 
 def test_a_text_that_is_queued_again_while_its_end_falls_out_is_kept() -> None:
     harness = at_work()
-    with_ends(harness, SETTLED_MOST)
+    with_ends(harness, MAX_FINISHED_CHANGES)
     harness.propose("last")
-    counted = settle(harness.view(), True)  # what somebody has counted, and has not sent
+    counted = finish_change(harness.view(), True)  # what somebody has counted, and has not sent
     assert counted
     harness.enqueue("again", "text 0")  # the oldest end's
-    assert not harness.space.commit(counted.compares, counted.writes).held
+    assert not harness.space.commit(counted.compares, counted.writes).succeeded
     harness.run(5000.0)
-    assert [(end.id, end.committed) for end in harness.view().settled][-2:] == [
+    assert [(end.id, end.committed) for end in harness.view().finished][-2:] == [
         ("last", True),
         ("again", True),
     ]
@@ -1105,9 +1114,9 @@
 
 def test_texts_of_dropped_changes_go_with_their_ends() -> None:
     harness = at_work()
-    for number in range(SETTLED_MOST + 8):
+    for number in range(MAX_FINISHED_CHANGES + 8):
         harness.enqueue(f"c{number}", f"text {number}", base="another")
     harness.run(60_000.0)
-    assert not harness.view().queue and len(harness.view().settled) == SETTLED_MOST
+    assert not harness.view().queue and len(harness.view().finished) == MAX_FINISHED_CHANGES
     texts = [key for key in harness.space.keys if key.startswith(f"{FLEET}/text/")]
-    assert len(texts) == SETTLED_MOST
+    assert len(texts) == MAX_FINISHED_CHANGES
--- a/tests/fleet/test_durable.py
+++ b/tests/fleet/test_durable.py
@@ -10,13 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from otterrudder.durable import BadState, Busy, Folder
-from otterrudder.durable.folder import seal, unseal
+from otterrudder.durable import DirectoryInUseError, InvalidStateFileError, StateDirectory
+from otterrudder.durable.state_directory import decode_state_file, encode_state_file
 
 WRITER = """
 import sys
-from otterrudder.durable import Folder
-folder = Folder(sys.argv[1]); folder.take()
+from otterrudder.durable import StateDirectory
+folder = StateDirectory(sys.argv[1]); folder.take()
 n = 0
 while True:
     folder.write("state", bytes([n % 251]) * (1000 + n % 5000)); n += 1
@@ -26,16 +26,16 @@
 
 @given(st.binary(max_size=200), st.data())
 def test_no_cut_or_changed_file_is_believed(data: bytes, draw: st.DataObject) -> None:
-    whole = seal(data)
-    assert unseal(whole, "f") == data
+    whole = encode_state_file(data)
+    assert decode_state_file(whole, "f") == data
     cut = draw.draw(st.integers(0, len(whole) - 1))
-    with pytest.raises(BadState):
-        unseal(whole[:cut], "f")
+    with pytest.raises(InvalidStateFileError):
+        decode_state_file(whole[:cut], "f")
     at, bit = draw.draw(st.integers(0, len(whole) - 1)), draw.draw(st.integers(0, 7))
     changed = bytearray(whole)
     changed[at] ^= 1 << bit
-    with pytest.raises(BadState):
-        assert unseal(bytes(changed), "f") != data
+    with pytest.raises(InvalidStateFileError):
+        assert decode_state_file(bytes(changed), "f") != data
 
 
 def test_a_writer_that_is_killed_leaves_the_old_or_the_new(tmp_path: Path) -> None:
@@ -45,7 +45,7 @@
         writer.send_signal(signal.SIGKILL)
         writer.wait()
         writer.stdout.close()
-        folder = Folder(tmp_path)
+        folder = StateDirectory(tmp_path)
         folder.take()  # the lock went with the process
         data = folder.read("state")
         folder.close()
@@ -53,9 +53,9 @@
 
 
 def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
-    first, second = Folder(tmp_path), Folder(tmp_path)
+    first, second = StateDirectory(tmp_path), StateDirectory(tmp_path)
     first.take()
-    with pytest.raises(Busy, match="another process has this folder"):
+    with pytest.raises(DirectoryInUseError, match="another process has this folder"):
         second.take()
     first.close()
     second.take()
@@ -63,7 +63,7 @@
 
 
 def test_what_can_t_be_written_leaves_what_was(tmp_path: Path) -> None:
-    folder = Folder(tmp_path)
+    folder = StateDirectory(tmp_path)
     folder.take()
     assert folder.read("state") is None
     folder.write("state", b"old")
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -7,22 +7,22 @@
 
 from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
 from otterrudder.fleet.change import (
-    Refused,
-    Settler,
-    fate,
+    ChangeCoordinator,
+    ChangeRejectedError,
+    coordination_keys,
+    find_change,
+    finish_change,
     propose,
-    settle,
-    strike,
-    trial_id,
-    whole,
+    remove_member,
+    trial_key,
     withdraw,
 )
-from otterrudder.fleet.configuration import BadFleet, read_fleet
-from otterrudder.fleet.effects import Commit, Judge, Read, Renew, Save
+from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
+from otterrudder.fleet.effects import Commit, Read, RenewLease, SaveState, ValidatePolicy
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.policy import BadPolicy, Own, parse
-from otterrudder.fleet.records import Keys, Settled, View, digest_of
-from otterrudder.fleet.state import Record, Rules, Standing
+from otterrudder.fleet.policy import InvalidPolicyError, LocalConfiguration, parse
+from otterrudder.fleet.records import FinishedChange, FleetSnapshot, Keys, digest_of
+from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Delete
 from otterrudder.lab.fleet.simulation import play
 from otterrudder.lab.keyspace import KeySpace
@@ -57,7 +57,7 @@
 def test_a_bad_file_is_refused_by_its_key(tmp_path: Path, change: tuple[str, str], says: str) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(GOOD.replace(*change))
-    with pytest.raises(BadFleet) as trouble:
+    with pytest.raises(InvalidFleetError) as trouble:
         read_fleet(path)
     assert str(trouble.value).startswith(says) and "\n" not in str(trouble.value)
 
@@ -65,54 +65,58 @@
 def test_the_examples_are_good() -> None:
     fleet = read_fleet(ROOT / "deploy/fleet.toml")
     assert fleet.rules == Rules() and fleet.timeout_ms == 500.0
-    assert fleet.folder == ROOT / "deploy/fleet-state"
-    content = parse((ROOT / "deploy/policy.toml").read_text(), Own(PRODUCTS, []))
+    assert fleet.state_directory == ROOT / "deploy/fleet-state"
+    content = parse((ROOT / "deploy/policy.toml").read_text(), LocalConfiguration(PRODUCTS, []))
     assert content.levels and [rung.name for rung in content.levels.rungs] == ["checks-when-free"]
-    assert parse("version = 1", Own(PRODUCTS, [])).levels is None
+    assert parse("version = 1", LocalConfiguration(PRODUCTS, [])).levels is None
 
 
-def trouble_in(text: str, own: Own) -> str:
+def trouble_in(text: str, own: LocalConfiguration) -> str:
     try:
         parse(text, own)
-    except BadPolicy as trouble:
+    except InvalidPolicyError as trouble:
         return str(trouble)
     return ""
 
 
 def test_a_policy_is_refused_by_its_key() -> None:
     text = (ROOT / "deploy/policy.toml").read_text()
-    assert trouble_in(text, Own(PRODUCTS, [])) == ""
-    assert "form-check" in trouble_in(text, Own(PRODUCTS[:1], []))
-    assert trouble_in(text, Own(PRODUCTS[:1], [])).startswith("levels.level[1].cut[1]")
-    with pytest.raises(BadPolicy, match="unknown field `drains`"):  # of a newer program
-        parse(text.replace("version = 1", "version = 1\ndrains = 3", 1), Own(PRODUCTS, []))
-    assert "products.x: no product" in trouble_in("version = 1\n[products.x]\nvalue = 1", Own(PRODUCTS, []))
-    assert "tenants.x: no tenant" in trouble_in("version = 1\n[tenants.x]\nper_s = 1", Own(PRODUCTS, []))
-    assert trouble_in("version = 1\n[products.form-check]\nlate_value = 2", Own(PRODUCTS, [])) == (
-        "products.form-check.late_value: 2 is not from 0 to 1"
+    assert trouble_in(text, LocalConfiguration(PRODUCTS, [])) == ""
+    assert "form-check" in trouble_in(text, LocalConfiguration(PRODUCTS[:1], []))
+    assert trouble_in(text, LocalConfiguration(PRODUCTS[:1], [])).startswith("levels.level[1].cut[1]")
+    with pytest.raises(InvalidPolicyError, match="unknown field `drains`"):  # of a newer program
+        parse(text.replace("version = 1", "version = 1\ndrains = 3", 1), LocalConfiguration(PRODUCTS, []))
+    assert "products.x: no product" in trouble_in(
+        "version = 1\n[products.x]\nvalue = 1", LocalConfiguration(PRODUCTS, [])
     )
+    assert "tenants.x: no tenant" in trouble_in(
+        "version = 1\n[tenants.x]\nper_s = 1", LocalConfiguration(PRODUCTS, [])
+    )
+    assert trouble_in(
+        "version = 1\n[products.form-check]\nlate_value = 2", LocalConfiguration(PRODUCTS, [])
+    ) == ("products.form-check.late_value: 2 is not from 0 to 1")
     told = parse(
         "version = 1\n[products.form-check]\nvalue = 7\n[tenants.north]\nper_s = 400",
-        Own(PRODUCTS, [Tenant("north", 0.5), Tenant("south", 0.5, 0.02)], servers=4),
+        LocalConfiguration(PRODUCTS, [Tenant("north", 0.5), Tenant("south", 0.5, 0.02)], servers=4),
     )
     assert [product.value for product in told.products] == [1.0, 7.0, 1.0]
     assert [tenant.per_ms for tenant in told.tenants] == [0.1, 0.02]
     told = parse(
         "version = 1\n[limits]\nstay_away_ms = 300\n[budgets]\ncalls = 24",
-        Own(PRODUCTS, [], 8, Limits(500.0, 1.0, 0.1)),
+        LocalConfiguration(PRODUCTS, [], 8, Limits(500.0, 1.0, 0.1)),
     )
     assert told.limits == Limits(300.0, 3.0, 0.1)
     assert "limits.stay_away_ms: 600 is more than callers honour here, 500" in trouble_in(
-        "version = 1\n[limits]\nstay_away_ms = 600", Own(PRODUCTS, [], 8, Limits(500.0))
-    )
-    assert trouble_in("version = 1\n[budgets]\ncalls = 24", Own(PRODUCTS, [], shares_below=False)) == (
-        "budgets.calls: here no service lies below that all servers share"
+        "version = 1\n[limits]\nstay_away_ms = 600", LocalConfiguration(PRODUCTS, [], 8, Limits(500.0))
     )
+    assert trouble_in(
+        "version = 1\n[budgets]\ncalls = 24", LocalConfiguration(PRODUCTS, [], shares_below=False)
+    ) == ("budgets.calls: here no service lies below that all servers share")
     assert "limits.over_share_value: 3 is not from 0 to 1" in trouble_in(
-        "version = 1\n[limits]\nover_share_value = 3", Own(PRODUCTS, [])
+        "version = 1\n[limits]\nover_share_value = 3", LocalConfiguration(PRODUCTS, [])
     )
-    with pytest.raises(BadPolicy, match="not TOML"):
-        parse("version = ", Own(PRODUCTS, []))
+    with pytest.raises(InvalidPolicyError, match="not TOML"):
+        parse("version = ", LocalConfiguration(PRODUCTS, []))
 
 
 class Fleet:
@@ -122,24 +126,24 @@
         self.judges: dict[str, Callable[[str], str]] = {}
         self.rules = rules or Rules()
         self.space, self.now = KeySpace(), 0.0
-        self.disks: dict[str, Record] = {}
+        self.disks: dict[str, MemberState] = {}
         self.members: dict[str, Member] = {}
         for name in names:
             self.start(name)
 
-    def start(self, name: str, epoch: str = "1", text_is_bad: str = "") -> Member:
-        def judge(text: str) -> str:
+    def start(self, name: str, incarnation: str = "1", text_is_bad: str = "") -> Member:
+        def validate(text: str) -> str:
             return f"{name}: bad" if text == text_is_bad else ""
 
-        self.judges[name] = judge
+        self.judges[name] = validate
         self.members[name] = Member(
             self.now,
             KEYS,
             name,
-            f"{name}{epoch}",
+            f"{name}{incarnation}",
             f"of {name}",
             self.rules,
-            judge,
+            validate,
             record=self.disks.get(name),
         )
         return self.members[name]
@@ -150,11 +154,11 @@
         for _ in range(30):
             for name, member in self.members.items():
                 for effect in member.effects(self.now):
-                    if isinstance(effect, Save):
-                        assert isinstance(effect.record, Record)
+                    if isinstance(effect, SaveState):
+                        assert isinstance(effect.record, MemberState)
                         self.disks[name] = effect.record
                         outcome: object = True
-                    elif isinstance(effect, Judge):
+                    elif isinstance(effect, ValidatePolicy):
                         outcome = self.judges[name](effect.text)
                     elif name in cut:
                         outcome = None
@@ -166,7 +170,7 @@
                         outcome = self.space.grant(self.now, effect.span_ms)
                     else:
                         outcome = self.space.renew(self.now, effect.lease)
-                    member.completed(self.now, effect, self.now, outcome)  # type: ignore[arg-type]
+                    member.handle_result(self.now, effect, self.now, outcome)  # type: ignore[arg-type]
 
     def later(self, ms: float, *cut: str) -> None:
         ends = self.now + ms
@@ -175,15 +179,15 @@
             self.turn(*cut)
 
     @property
-    def view(self) -> View:
-        return View(KEYS, self.space.read(whole(KEYS)))
+    def view(self) -> FleetSnapshot:
+        return FleetSnapshot(KEYS, self.space.read(coordination_keys(KEYS)))
 
     def do(self, commit: Commit | None) -> bool:
         assert commit
         done = self.space.commit(commit.compares, commit.writes)
         for member in self.members.values():
-            member.hint()
-        return done.held
+            member.handle_watch_event()
+        return done.succeeded
 
     def open(self, ident: str, text: str) -> None:
         assert self.do(propose(self.view, ident, text, "me", "why", 0.0, 5000.0))
@@ -198,16 +202,18 @@
     fleet.turn()
     assert fleet.admits() == [0, 0, 0]
     fleet.open("one", "first")
-    with pytest.raises(Refused, match="a change to version 1 is open: me, why"):
+    with pytest.raises(ChangeRejectedError, match="a change to version 1 is open: me, why"):
         propose(fleet.view, "two", "second", "you", "", 0.0, 5000.0)
-    assert settle(fleet.view, False) is None
+    assert finish_change(fleet.view, False) is None
     fleet.turn()
-    assert {member.standing(fleet.now) for member in fleet.members.values()} == {Standing.PLEDGED}
-    assert fleet.do(settle(fleet.view, False))
+    assert {member.admission_status(fleet.now) for member in fleet.members.values()} == {
+        AdmissionStatus.PREPARED
+    }
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.turn()
     assert fleet.admits() == [1, 1, 1]
-    end = fate(fleet.view, "one")
-    assert isinstance(end, Settled) and end.committed and fate(fleet.view, "two") is None
+    end = find_change(fleet.view, "one")
+    assert isinstance(end, FinishedChange) and end.committed and find_change(fleet.view, "two") is None
     assert fleet.members["a"].known.text == "first"
 
 
@@ -217,12 +223,12 @@
     fleet.turn()
     fleet.open("one", "bad")
     fleet.turn()
-    commit = settle(fleet.view, False)
-    assert commit and commit.what == "abort" and fleet.do(commit)
-    end = fate(fleet.view, "one")
-    assert isinstance(end, Settled) and not end.committed and end.why == "c: c: bad"
+    commit = finish_change(fleet.view, False)
+    assert commit and commit.purpose == "abort" and fleet.do(commit)
+    end = find_change(fleet.view, "one")
+    assert isinstance(end, FinishedChange) and not end.committed and end.reason == "c: c: bad"
     fleet.turn()
-    assert fleet.admits() == [0, 0, 0] and not any(m.pledge for m in fleet.members.values())
+    assert fleet.admits() == [0, 0, 0] and not any(m.prepared_vote for m in fleet.members.values())
     assert KEYS.text(digest_of("bad")) in fleet.space.keys  # for the history, until it is too old
 
 
@@ -232,11 +238,11 @@
     fleet.open("one", "first")
     fleet.turn()
     fleet.later(1900.0, "a")
-    assert fleet.members["a"].standing(fleet.now) is Standing.PLEDGED
+    assert fleet.members["a"].admission_status(fleet.now) is AdmissionStatus.PREPARED
     fleet.later(200.0, "a")
-    assert fleet.members["a"].standing(fleet.now) is Standing.UNHEARD
+    assert fleet.members["a"].admission_status(fleet.now) is AdmissionStatus.OUTCOME_UNKNOWN
     assert fleet.admits() == [None, 0]
-    assert fleet.do(settle(fleet.view, False))
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.later(5000.0, "a")
     assert fleet.admits() == [None, 1]
     fleet.later(2500.0)
@@ -256,32 +262,34 @@
     fleet.later(5000.0, "a")
     assert fleet.admits() == [0, 0]
     fleet.later(1500.0, "a")
-    assert fleet.members["a"].standing(fleet.now) is Standing.LAPSED
+    assert fleet.members["a"].admission_status(fleet.now) is AdmissionStatus.LEASE_EXPIRED
     fleet.open("one", "first")
     fleet.turn("a")
-    commit = settle(fleet.view, False)
+    commit = finish_change(fleet.view, False)
     assert commit and fleet.do(commit)
-    end = fate(fleet.view, "one")
-    assert isinstance(end, Settled) and end.left_out == ("a",)
+    end = find_change(fleet.view, "one")
+    assert isinstance(end, FinishedChange) and end.left_out == ("a",)
     fleet.later(2500.0)
     assert fleet.admits() == [1, 1]
 
 
 def test_a_start_without_the_store_by_the_folder_where_nothing_is_promised() -> None:
-    rules = Rules(starts_from_folder=True)
+    rules = Rules(starts_from_directory=True)
     fleet = Fleet("ab", rules)
     fleet.turn()
     fleet.open("one", "first")
     fleet.turn()
-    assert fleet.do(settle(fleet.view, False))
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.turn()
     assert fleet.start("a", "2").admits(fleet.now) == 1
     fleet.later(7000.0)
     fleet.open("two", "second")
     fleet.turn()
     again = fleet.start("a", "3")
-    assert again.admits(fleet.now) is None and again.standing(fleet.now) is Standing.STARTING
-    fleet.disks["a"] = Record("a", "of a")  # a new folder of that name: nobody knows what it has promised
+    assert again.admits(fleet.now) is None and again.admission_status(fleet.now) is AdmissionStatus.STARTING
+    fleet.disks["a"] = MemberState(
+        "a", "of a"
+    )  # a new folder of that name: nobody knows what it has promised
     assert fleet.start("a", "4").admits(fleet.now) is None
 
 
@@ -292,20 +300,20 @@
     member = fleet.members["a"]
     fleet.now += 6000.0  # frozen, say, with a read under way
     late = Read(())
-    member.hint()
+    member.handle_watch_event()
     sent = fleet.now
     effects = member.effects(fleet.now)
-    assert [type(effect) for effect in effects] == [Read, Renew, Commit]
+    assert [type(effect) for effect in effects] == [Read, RenewLease, Commit]
     late, renewal, told = effects
-    assert isinstance(told, Commit) and told.what == "tell"  # it waits for nothing, and nothing for it
+    assert isinstance(told, Commit) and told.purpose == "tell"  # it waits for nothing, and nothing for it
     shown = fleet.space.read(late.names)  # type: ignore[union-attr]
     fleet.space.lapse(fleet.now)
-    assert shown.entries[KEYS.live("a")]
-    member.completed(fleet.now, renewal, sent, fleet.space.renew(fleet.now, renewal.lease))  # type: ignore
+    assert shown.entries[KEYS.status("a")]
+    member.handle_result(fleet.now, renewal, sent, fleet.space.renew(fleet.now, renewal.lease))  # type: ignore
     lease = member.effects(fleet.now)[0]
-    member.completed(fleet.now, lease, fleet.now, fleet.space.grant(fleet.now, 6000.0))
-    member.completed(fleet.now, told, sent, fleet.space.commit(told.compares, told.writes))
-    member.completed(fleet.now, late, sent, shown)
+    member.handle_result(fleet.now, lease, fleet.now, fleet.space.grant(fleet.now, 6000.0))
+    member.handle_result(fleet.now, told, sent, fleet.space.commit(told.compares, told.writes))
+    member.handle_result(fleet.now, late, sent, shown)
     assert member.admits(fleet.now) is None
     fleet.turn()
     assert fleet.admits() == [0, 0]
@@ -317,8 +325,8 @@
     true, fleet.space = fleet.space, fleet.space.copy()
     fleet.space.cluster = 7
     fleet.later(6000.0)
-    assert fleet.members["a"].standing(fleet.now) is Standing.LAPSED
-    assert "another engine answers: 7, not 1" in fleet.members["a"].why
+    assert fleet.members["a"].admission_status(fleet.now) is AdmissionStatus.LEASE_EXPIRED
+    assert "another engine answers: 7, not 1" in fleet.members["a"].status_detail
     fleet.space = true
     fleet.later(3000.0)
     assert fleet.admits() == [0]
@@ -331,10 +339,10 @@
     fleet.turn()
     member = fleet.members["a"]
     fleet.now += 2000.0
-    (renewal,) = (effect for effect in member.effects(fleet.now) if isinstance(effect, Renew))
+    (renewal,) = (effect for effect in member.effects(fleet.now) if isinstance(effect, RenewLease))
     told = fleet.space.renew(fleet.now, renewal.lease)
-    member.completed(fleet.now, renewal, fleet.now, told._replace(revision=1))
-    assert not member.doubt and member.lease_until == fleet.now + 5400.0
+    member.handle_result(fleet.now, renewal, fleet.now, told._replace(revision=1))
+    assert not member.mistrust and member.lease_until == fleet.now + 5400.0
 
 
 def test_where_the_file_names_the_engine_a_first_start_believes_no_other() -> None:
@@ -360,7 +368,7 @@
                     if isinstance(effect, Commit)
                     else space.grant(0.0, 6000.0)
                 )
-                member.completed(0.0, effect, 0.0, outcome)
+                member.handle_result(0.0, effect, 0.0, outcome)
         assert member.admits(0.0) == admits
         space = KeySpace(cluster=7)
 
@@ -368,25 +376,25 @@
 def test_a_folder_is_not_believed_where_the_roster_left_out_its_server_until_now() -> None:
     """Found by walks once rules may change with a restart: the file says `wait` now, and the change that was
     made while the server was down went by what the roster said."""
-    waits = Rules(starts_from_folder=True)
+    waits = Rules(starts_from_directory=True)
     fleet = Fleet("ab", Rules(absent="leave-out"))
     fleet.turn()
     del fleet.members["a"]
     fleet.later(7000.0)
     fleet.open("one", "first")
     fleet.turn()
-    assert fleet.do(settle(fleet.view, False))
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.rules = waits
     assert fleet.start("a", "2").admits(fleet.now) is None
     fleet.turn()
-    assert fleet.admits() == [1, 1] and fleet.disks["a"].waited
+    assert fleet.admits() == [1, 1] and fleet.disks["a"].waits_for_member
     assert fleet.start("a", "3").admits(fleet.now) == 1
     fleet.rules = Rules(absent="leave-out")  # and back: the folder says so before the roster does
     back = fleet.start("a", "4")
     fleet.later(7000.0, "a")
-    assert not fleet.disks["a"].waited and back.admits(fleet.now) is None
+    assert not fleet.disks["a"].waits_for_member and back.admits(fleet.now) is None
     fleet.later(3000.0)
-    assert View(KEYS, fleet.space.read([KEYS.rosters])).rosters["a"].absent == "leave-out"
+    assert FleetSnapshot(KEYS, fleet.space.read([KEYS.rosters])).rosters["a"].absent == "leave-out"
 
 
 def test_a_store_that_went_back_or_is_another_one_is_not_believed() -> None:
@@ -395,14 +403,14 @@
     old = fleet.space.copy()
     fleet.open("one", "first")
     fleet.turn()
-    assert fleet.do(settle(fleet.view, False))
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.turn()
     fleet.space = old
     fleet.later(11_000.0)
-    assert fleet.admits() == [1, 1] and "revision went back" in fleet.members["a"].why
+    assert fleet.admits() == [1, 1] and "revision went back" in fleet.members["a"].status_detail
     fleet.space = KeySpace(cluster=7, revision=900)
     fleet.later(11_000.0)
-    assert fleet.admits() == [1, 1] and "another engine answers" in fleet.members["a"].why
+    assert fleet.admits() == [1, 1] and "another engine answers" in fleet.members["a"].status_detail
 
 
 def test_a_name_is_one_process_s_until_an_operator_says_that_it_is_gone() -> None:
@@ -412,16 +420,18 @@
     twin = Member(fleet.now, KEYS, "a", "twin", "another folder", fleet.rules, lambda text: "")
     fleet.members["a"] = twin
     fleet.turn()
-    assert twin.standing(fleet.now) is Standing.TAKEN
-    with pytest.raises(Refused, match="a lives: its lease has not lapsed"):
-        strike(fleet.view, "a")
+    assert twin.admission_status(fleet.now) is AdmissionStatus.NAME_TAKEN
+    with pytest.raises(ChangeRejectedError, match="a lives: its lease has not lapsed"):
+        remove_member(fleet.view, "a")
     fleet.later(7000.0)
-    assert twin.standing(fleet.now) is Standing.FOREIGN and first.admits(fleet.now) == 0
-    assert fleet.do(strike(fleet.view, "a"))
+    assert (
+        twin.admission_status(fleet.now) is AdmissionStatus.FOREIGN_DIRECTORY and first.admits(fleet.now) == 0
+    )
+    assert fleet.do(remove_member(fleet.view, "a"))
     fleet.later(4000.0)
     assert twin.admits(fleet.now) == 0
-    with pytest.raises(Refused, match="z is not on the roster"):
-        strike(fleet.view, "z")
+    with pytest.raises(ChangeRejectedError, match="z is not on the roster"):
+        remove_member(fleet.view, "z")
 
 
 def test_a_disk_that_is_full_is_a_no_and_no_promise() -> None:
@@ -431,17 +441,17 @@
     fleet.open("one", "first")
     for _ in range(20):
         for effect in member.effects(fleet.now):
-            outcome: object = False if isinstance(effect, Save) else None
-            if isinstance(effect, Judge):
+            outcome: object = False if isinstance(effect, SaveState) else None
+            if isinstance(effect, ValidatePolicy):
                 outcome = ""
             elif isinstance(effect, Read):
                 outcome = fleet.space.read(effect.names)
             elif isinstance(effect, Commit):
                 outcome = fleet.space.commit(effect.compares, effect.writes)
-            member.completed(fleet.now, effect, fleet.now, outcome)  # type: ignore[arg-type]
+            member.handle_result(fleet.now, effect, fleet.now, outcome)  # type: ignore[arg-type]
     vote = fleet.view.vote("a")
-    assert vote and not vote.yes and "could not be written" in vote.why
-    assert member.pledge is None and member.admits(fleet.now) == 0
+    assert vote and not vote.accepted and "could not be written" in vote.reason
+    assert member.prepared_vote is None and member.admits(fleet.now) == 0
 
 
 def test_a_change_is_withdrawn_and_ends_at_its_deadline() -> None:
@@ -449,14 +459,14 @@
     fleet.turn()
     fleet.open("one", "first")
     assert fleet.do(withdraw(fleet.view, "one", "no more"))
-    with pytest.raises(Refused, match="it is open no more"):
+    with pytest.raises(ChangeRejectedError, match="it is open no more"):
         withdraw(fleet.view, "one", "no more")
     fleet.open("two", "second")
-    assert settle(fleet.view, False) is None
-    commit = settle(fleet.view, True)
+    assert finish_change(fleet.view, False) is None
+    commit = finish_change(fleet.view, True)
     assert commit and fleet.do(commit)
-    end = fate(fleet.view, "two")
-    assert isinstance(end, Settled) and end.why == "no word in time from a, b"
+    end = find_change(fleet.view, "two")
+    assert isinstance(end, FinishedChange) and end.reason == "no word in time from a, b"
 
 
 def test_a_record_that_can_t_be_read_is_a_no_or_alive() -> None:
@@ -464,14 +474,14 @@
     fleet.turn()
     fleet.open("one", "first")
     fleet.turn()
-    live = fleet.space.keys[KEYS.live("b")]
-    fleet.space.keys[KEYS.live("b")] = live._replace(value=b"{")
-    assert fleet.view.lives["b"].epoch == ""
+    status = fleet.space.keys[KEYS.status("b")]
+    fleet.space.keys[KEYS.status("b")] = status._replace(value=b"{")
+    assert fleet.view.statuses["b"].incarnation == ""
     fleet.space.keys[KEYS.vote("b")] = fleet.space.keys[KEYS.vote("b")]._replace(value=b"yes")
-    commit = settle(fleet.view, False)
-    assert commit and commit.what == "abort" and fleet.do(commit)
-    end = fate(fleet.view, "one")
-    assert isinstance(end, Settled) and end.why == "b: its vote can't be read"
+    commit = finish_change(fleet.view, False)
+    assert commit and commit.purpose == "abort" and fleet.do(commit)
+    end = find_change(fleet.view, "one")
+    assert isinstance(end, FinishedChange) and end.reason == "b: its vote can't be read"
 
 
 def on_trial(bounds: dict[str, float], figures: dict[str, dict[str, float]], ms: float) -> Fleet:
@@ -480,26 +490,28 @@
     fleet.turn()
     fleet.open("one", "first")
     fleet.turn()
-    assert fleet.do(settle(fleet.view, False))
+    assert fleet.do(finish_change(fleet.view, False))
     fleet.turn()
     conditions = tuple(bounds.items())
     assert fleet.do(propose(fleet.view, "two", "second", "me", "why", 0.0, 5000.0, 10_000.0, conditions))
     fleet.turn()
-    assert fleet.do(settle(fleet.view, False))
-    settler, ends = Settler(KEYS, "any", needs_leadership=False), fleet.now + ms
+    assert fleet.do(finish_change(fleet.view, False))
+    coordinator, ends = ChangeCoordinator(KEYS, "any", requires_leadership=False), fleet.now + ms
     while fleet.now < ends:
         for name, told in figures.items():
             fleet.members[name].figures = tuple(told.items())
         fleet.later(100.0)
         view = fleet.view
-        opened = view.change.id if view.change else trial_id(view.trial) if view.trial else ""
-        effect = settler.effects(fleet.now, opened, False, False, 0, 0)
+        opened = view.change.id if view.change else trial_key(view.trial) if view.trial else ""
+        effect = coordinator.effects(fleet.now, opened, False, False, 0, 0)
         if isinstance(effect, Read):
-            commit = settler.completed(fleet.now, effect, fleet.space.read(effect.names))
+            commit = coordinator.handle_result(fleet.now, effect, fleet.space.read(effect.names))
             if commit:
-                settler.completed(fleet.now, commit, fleet.space.commit(commit.compares, commit.writes))
+                coordinator.handle_result(
+                    fleet.now, commit, fleet.space.commit(commit.compares, commit.writes)
+                )
                 for member in fleet.members.values():
-                    member.hint()
+                    member.handle_watch_event()
     fleet.turn()
     return fleet
 
@@ -519,8 +531,8 @@
     assert fleet.admits() == ([3, 3, 3] if goes_back else [2, 2, 2])
     assert fleet.members["a"].known.text == ("first" if goes_back else "second")
     if goes_back:
-        end = fate(fleet.view, "back-two")
-        assert isinstance(end, Settled) and end.author == "the fleet"
+        end = find_change(fleet.view, "back-two")
+        assert isinstance(end, FinishedChange) and end.author == "the fleet"
         assert "trial of version 2 ended" in end.note
     assert (fleet.view.trial is None) is goes_back
 
@@ -529,7 +541,7 @@
     calm = {name: {"busy": 0.1} for name in "abc"}
     fleet = on_trial({"busy": 0.5}, calm, 12_000.0)
     assert fleet.admits() == [2, 2, 2] and fleet.view.trial is None
-    with pytest.raises(Refused, match="a trial needs an earlier policy"):
+    with pytest.raises(ChangeRejectedError, match="a trial needs an earlier policy"):
         propose(Fleet("a").view, "x", "text", "", "", 0.0, 5000.0, 1000.0, (("busy", 0.5),))
 
 
@@ -537,9 +549,9 @@
     """What the member wants now, beside the disk, which is quick."""
     begun = member.effects(fleet.now)
     for effect in begun:
-        if isinstance(effect, Save):
-            member.completed(fleet.now, effect, fleet.now, True)
-    return [effect for effect in begun if not isinstance(effect, Save)]
+        if isinstance(effect, SaveState):
+            member.handle_result(fleet.now, effect, fleet.now, True)
+    return [effect for effect in begun if not isinstance(effect, SaveState)]
 
 
 @pytest.mark.parametrize("is_opening_there", [True, False])
@@ -552,7 +564,7 @@
     fleet.turn()
     fleet.open("one", "first")
     fleet.turn()
-    fleet.do(settle(fleet.view, False))
+    fleet.do(finish_change(fleet.view, False))
     member = fleet.members["a"]
     (read,) = begun_and_saved(fleet, member)
     assert isinstance(read, Read)
@@ -560,23 +572,23 @@
     if not is_opening_there:
         fleet.space.commit((), [Delete(KEYS.opening)])
     assert KEYS.opening in read.names
-    member.completed(fleet.now, read, fleet.now, fleet.space.read(read.names))
+    member.handle_result(fleet.now, read, fleet.now, fleet.space.read(read.names))
     begun = begun_and_saved(fleet, member)
     if not is_opening_there:
         (read,) = begun
         assert isinstance(read, Read) and KEYS.text(digest_of("second")) in read.names
         fleet.now += 5000.0  # what it has to tell is long due
-        member.completed(fleet.now, read, fleet.now, fleet.space.read(read.names))
+        member.handle_result(fleet.now, read, fleet.now, fleet.space.read(read.names))
         begun = begun_and_saved(fleet, member)
     # No further read, though a hint has come, nor what it tells.
     assert not [effect for effect in begun if isinstance(effect, Read | Commit)]
-    (judge,) = (effect for effect in begun if isinstance(effect, Judge))
-    member.completed(fleet.now, judge, fleet.now, "")
+    (validate,) = (effect for effect in begun if isinstance(effect, ValidatePolicy))
+    member.handle_result(fleet.now, validate, fleet.now, "")
     commits = [effect for _ in range(2) for effect in begun_and_saved(fleet, member)]
-    assert [commit.what for commit in commits if isinstance(commit, Commit)] == ["vote"]
+    assert [commit.purpose for commit in commits if isinstance(commit, Commit)] == ["vote"]
     assert not [effect for effect in commits if isinstance(effect, Read)]
     fleet.do(next(effect for effect in commits if isinstance(effect, Commit)))
-    assert fleet.view.votes["a"].yes
+    assert fleet.view.votes["a"].accepted
 
 
 def test_a_settler_takes_the_duty_once_and_commits_what_it_counted() -> None:
@@ -584,17 +596,17 @@
     fleet.turn()
     fleet.open("one", "first")
     fleet.turn()
-    settler, member, now = Settler(KEYS, "a"), fleet.members["a"], fleet.now
+    coordinator, member, now = ChangeCoordinator(KEYS, "a"), fleet.members["a"], fleet.now
     asked = None
     while asked is None:
         now += 50.0
-        asked = settler.effects(now, "one", False, False, member.lease, member.registered)
-    assert isinstance(asked, Commit) and asked.what == "lead" and fleet.do(asked)
-    assert settler.completed(now, asked, fleet.space.commit((), ())) is None
-    read = settler.effects(now, "one", True, True, member.lease, member.registered)
+        asked = coordinator.effects(now, "one", False, False, member.lease, member.registered)
+    assert isinstance(asked, Commit) and asked.purpose == "lead" and fleet.do(asked)
+    assert coordinator.handle_result(now, asked, fleet.space.commit((), ())) is None
+    read = coordinator.effects(now, "one", True, True, member.lease, member.registered)
     assert isinstance(read, Read)
-    commit = settler.completed(now, read, fleet.space.read(read.names))
-    assert commit and commit.what == "commit" and fleet.do(commit)
+    commit = coordinator.handle_result(now, read, fleet.space.read(read.names))
+    assert commit and commit.purpose == "commit" and fleet.do(commit)
 
 
 @pytest.mark.parametrize("absent", ["wait", "leave-out"])
@@ -610,20 +622,22 @@
 def test_a_relay_near_the_store_takes_the_leadership_before_one_far_from_it(
     latency_ms: float, least: float, most: float
 ) -> None:
-    settler = Settler(KEYS, "a", keeps_leadership=True)
-    settler.latency_ms = latency_ms
-    assert settler.effects(0.0, "", False, False, 1, 1) is None
-    now = settler.due()
+    coordinator = ChangeCoordinator(KEYS, "a", retains_leadership=True)
+    coordinator.latency_ms = latency_ms
+    assert coordinator.effects(0.0, "", False, False, 1, 1) is None
+    now = coordinator.due()
     assert least <= now <= most
-    settler.hint(1.0)
-    assert settler.effects(1.0, "", False, False, 1, 1) is None, "a hint is no reason to come forward sooner"
-    assert settler.due() == now
-    taken = settler.effects(now, "", False, False, 1, 1)
-    assert isinstance(taken, Commit) and taken.what == "lead"
+    coordinator.handle_watch_event(1.0)
+    assert (
+        coordinator.effects(1.0, "", False, False, 1, 1) is None
+    ), "a hint is no reason to come forward sooner"
+    assert coordinator.due() == now
+    taken = coordinator.effects(now, "", False, False, 1, 1)
+    assert isinstance(taken, Commit) and taken.purpose == "lead"
 
 
 def test_a_relay_that_waits_to_come_forward_does_not_where_another_has() -> None:
-    settler = Settler(KEYS, "a", keeps_leadership=True)
-    assert settler.effects(0.0, "", False, False, 1, 1) is None
-    assert settler.effects(settler.due(), "", False, True, 1, 1) is None
-    assert settler.effects(settler.due(), "", False, False, 1, 1) is None, "it waits anew"
+    coordinator = ChangeCoordinator(KEYS, "a", retains_leadership=True)
+    assert coordinator.effects(0.0, "", False, False, 1, 1) is None
+    assert coordinator.effects(coordinator.due(), "", False, True, 1, 1) is None
+    assert coordinator.effects(coordinator.due(), "", False, False, 1, 1) is None, "it waits anew"
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -9,7 +9,7 @@
 
 from otterrudder.admission.factory import create_controller, gauge_names, products_of, tenants_of
 from otterrudder.admission.interface import Limits, Outcome
-from otterrudder.fleet.policy import Own, parse
+from otterrudder.fleet.policy import LocalConfiguration, parse
 from otterrudder.levels import LevelController
 from otterrudder.net.core import Core
 
@@ -46,7 +46,7 @@
         self.core.done()
 
     def policy(self, text: str) -> None:
-        told = parse(text, Own(PRODUCTS, TENANTS))
+        told = parse(text, LocalConfiguration(PRODUCTS, TENANTS))
         self.core.take_policy(
             told.levels, lambda table: LevelController(table, 0.0), told.products, told.tenants, told.limits
         )
--- a/tests/fleet/test_fleet_queue.py
+++ b/tests/fleet/test_fleet_queue.py
@@ -12,7 +12,7 @@
 from engine import Engine
 from helpers import ROOT
 
-from otterrudder.fleet.records import Keys, Roster, encode
+from otterrudder.fleet.records import Keys, RosterEntry, encode
 from otterrudder.fleet.store import Put
 
 ABORTED, BAD_INPUT = 3, 2
@@ -71,7 +71,7 @@
     engine: Engine,
 ) -> None:
     keys = Keys("f")
-    put(engine, Put(keys.roster("absent"), encode(Roster("folder", "wait"))))
+    put(engine, Put(keys.roster("absent"), encode(RosterEntry("folder", "wait"))))
     first = Command(engine, "policy", "apply", policy(engine, 1))
     while "open: version 1" not in Command(engine, "status").ended()[1] and first.process.poll() is None:
         pass
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -14,15 +14,24 @@
 from engine import Engine
 
 from otterrudder import clock
-from otterrudder.durable import Busy, Folder
-from otterrudder.fleet.agent import Agent, Orders, open_folder
-from otterrudder.fleet.change import Settler, propose
+from otterrudder.durable import DirectoryInUseError, StateDirectory
+from otterrudder.fleet.agent import Agent, ServerControl, open_state_directory
+from otterrudder.fleet.change import ChangeCoordinator, propose
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, read_fleet
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import Keys, Live, View
+from otterrudder.fleet.records import FleetSnapshot, Keys, MemberStatus
 from otterrudder.fleet.state import Rules
-from otterrudder.fleet.store import Changed, Compare, Delete, Done, Leased, Put, Snapshot, StoreAway
+from otterrudder.fleet.store import (
+    CommitResult,
+    Compare,
+    Delete,
+    LeaseResult,
+    Put,
+    Snapshot,
+    StoreUnavailableError,
+    WatchEvent,
+)
 from otterrudder.lab.keyspace import KeySpace
 from otterrudder.lab.processes.link import Harm, Link
 from otterrudder.lab.processes.rig import ROOT
@@ -41,9 +50,9 @@
     async def play() -> None:
         client, space = engine.client(), KeySpace()
         writes = [Put("f/head/a", b"1"), Put("f/head/ab", b"2"), Put("f/live/a", b"3"), Put("f/b", b"4")]
-        assert (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).held
-        assert space.commit([Compare("f/b", "created", 0)], writes).held
-        assert not (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).held
+        assert (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).succeeded
+        assert space.commit([Compare("f/b", "created", 0)], writes).succeeded
+        assert not (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).succeeded
         lapses = (await client.lease(1000.0, TIMEOUT_MS)).lease
         lasts = (await client.lease(60_000.0, TIMEOUT_MS)).lease
         await client.commit([], [Put("f/live/c", b"5", lapses), Put("f/live/d", b"6", lasts)], TIMEOUT_MS)
@@ -57,7 +66,7 @@
         left = await client.read(["f/live/"], TIMEOUT_MS)
         assert sorted(left.entries) == ["f/live/a", "f/live/d"]
         assert not (await client.renew(lapses, TIMEOUT_MS)).lease
-        assert not (await client.commit([], [Put("f/x", b"", lapses)], TIMEOUT_MS)).held
+        assert not (await client.commit([], [Put("f/x", b"", lapses)], TIMEOUT_MS)).succeeded
         done = await client.commit([], [Delete("f/live/", True), Delete("f/b")], TIMEOUT_MS)
         assert sorted((await client.read(["f/head/", "f/live/", "f/b"], TIMEOUT_MS)).entries) == [
             "f/head/a",
@@ -73,11 +82,11 @@
     async def play() -> None:
         client = engine.client()
         engine.tell(lose_answers=1)
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailableError):
             await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
         assert (await client.read(["f/a"], TIMEOUT_MS)).entries["f/a"].value == b"1"
         engine.tell(down=True)
-        with anyio.fail_after(3), pytest.raises(StoreAway):
+        with anyio.fail_after(3), pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
         engine.tell(down=False)
         with anyio.fail_after(3):
@@ -85,7 +94,7 @@
                 try:
                     await client.read(["f/a"], TIMEOUT_MS)
                     break
-                except StoreAway:
+                except StoreUnavailableError:
                     await anyio.sleep(0.05)
         await client.close()
 
@@ -98,7 +107,7 @@
         await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
         before = await client.read(["f/a"], TIMEOUT_MS)
         engine.stop()
-        with pytest.raises(StoreAway):
+        with pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
         engine.start()
         engine.tell(empty=1)
@@ -107,7 +116,7 @@
                 try:
                     after = await client.read(["f/a"], TIMEOUT_MS)
                     break
-                except StoreAway:
+                except StoreUnavailableError:
                     await anyio.sleep(0.05)
         assert not after.entries and after.cluster != before.cluster and after.revision < before.revision
         await client.close()
@@ -140,7 +149,7 @@
         client, heard = engine.client(), []
 
         async def watch() -> None:
-            with pytest.raises(StoreAway):
+            with pytest.raises(StoreUnavailableError):
                 async for change in client.watch("f/head/"):
                     heard.append(change.revision)
 
@@ -173,7 +182,7 @@
         async def ask() -> None:
             try:
                 await client.read(["f/a"], 5000.0)
-            except StoreAway as why:
+            except StoreUnavailableError as why:
                 outcomes.append(str(why))
 
         async with anyio.create_task_group() as group:
@@ -194,8 +203,8 @@
         rules = 'absent = "leave-out"\nlease_ms = 3000\n'
         path.write_text(f'version = 1\nfleet = "f"\nstore = {stores}\n{rules}')
         fleet = read_fleet(path)
-        orders = Orders(lambda text: None, lambda is_aside: None)
-        agent = Agent(fleet, Client(fleet), "a", Live(""), lambda text: "", orders, None, None)
+        orders = ServerControl(lambda text: None, lambda is_aside: None)
+        agent = Agent(fleet, Client(fleet), "a", MemberStatus(""), lambda text: "", orders, None, None)
 
         async def until(is_so: Callable[[], bool]) -> None:
             with anyio.fail_after(15):
@@ -209,10 +218,10 @@
             group.start_soon(agent.run)
             await until(admits)
             engine.stop()
-            await until(lambda: "another engine answers: 99" in agent.member.doubt)
+            await until(lambda: "another engine answers: 99" in agent.member.mistrust)
             await until(lambda: not admits())  # its lease lapses, whatever the other one says
             engine.start()
-            await until(lambda: admits() and not agent.member.doubt)
+            await until(lambda: admits() and not agent.member.mistrust)
             group.cancel_scope.cancel()
 
     try:
@@ -225,20 +234,20 @@
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The write of a life that ends could come after the first one of the next."""
-    goes_on, write = threading.Event(), Folder.write
+    goes_on, write = threading.Event(), StateDirectory.write
 
-    def slow(self: Folder, name: str, data: bytes) -> None:
+    def slow(self: StateDirectory, name: str, data: bytes) -> None:
         goes_on.wait(10.0)
         write(self, name, data)
 
-    monkeypatch.setattr(Folder, "write", slow)
+    monkeypatch.setattr(StateDirectory, "write", slow)
     engine.client()  # writes the file
-    fleet = replace(read_fleet(engine.folder / "fleet.toml"), folder=engine.folder / "state")
+    fleet = replace(read_fleet(engine.folder / "fleet.toml"), state_directory=engine.folder / "state")
 
-    async def live() -> Agent:
-        folder, record = open_folder(fleet, "a")
-        orders = Orders(lambda text: None, lambda is_aside: None)
-        agent = Agent(fleet, engine.client(), "a", Live(""), lambda text: "", orders, folder, record)
+    async def status() -> Agent:
+        folder, record = open_state_directory(fleet, "a")
+        orders = ServerControl(lambda text: None, lambda is_aside: None)
+        agent = Agent(fleet, engine.client(), "a", MemberStatus(""), lambda text: "", orders, folder, record)
         async with anyio.create_task_group() as group:
             group.start_soon(agent.run)
             with anyio.fail_after(5):
@@ -247,16 +256,16 @@
             group.cancel_scope.cancel()
         return agent
 
-    agent = anyio.run(live)
-    with pytest.raises(Busy):
-        open_folder(fleet, "a")
+    agent = anyio.run(status)
+    with pytest.raises(DirectoryInUseError):
+        open_state_directory(fleet, "a")
     goes_on.set()
     until = time.monotonic() + 5.0
     while agent.is_writing and time.monotonic() < until:
         time.sleep(0.01)
     assert not agent.is_writing
-    assert agent.folder
-    agent.folder.close()
+    assert agent.directory
+    agent.directory.close()
 
 
 @pytest.mark.parametrize("fails", [False, True])
@@ -265,33 +274,33 @@
 ) -> None:
     """Judged in the loop, a policy of 27 KB held it up for 29 ms."""
 
-    def judge(text: str) -> str:
+    def validate(text: str) -> str:
         time.sleep(0.6)
         return str(1 / 0) if fails else ""
 
     async def play() -> None:
         keys, client = Keys("f"), engine.client()
-        orders = Orders(lambda text: None, lambda is_aside: None)
+        orders = ServerControl(lambda text: None, lambda is_aside: None)
         fleet = read_fleet(engine.folder / "fleet.toml")
-        agent = Agent(fleet, client, "a", Live(""), judge, orders, None, None)
+        agent = Agent(fleet, client, "a", MemberStatus(""), validate, orders, None, None)
         worst = 0.0
         async with anyio.create_task_group() as group:
             group.start_soon(agent.run)
             while agent.member.admits(clock.monotonic()) is None:
                 await anyio.sleep(0.02)
             asker = engine.client()
-            view = View(keys, await asker.read([keys.head], TIMEOUT_MS))
+            view = FleetSnapshot(keys, await asker.read([keys.head], TIMEOUT_MS))
             commit = propose(view, "one", "a policy", "", "", 0.0, 5000.0)
-            assert (await asker.commit(commit.compares, commit.writes, TIMEOUT_MS)).held
+            assert (await asker.commit(commit.compares, commit.writes, TIMEOUT_MS)).succeeded
             with anyio.fail_after(5):
-                while not (vote := View(keys, await asker.read([keys.votes], TIMEOUT_MS)).vote("a")):
+                while not (vote := FleetSnapshot(keys, await asker.read([keys.votes], TIMEOUT_MS)).vote("a")):
                     began = clock.monotonic()
                     await anyio.sleep(0.01)
                     worst = max(worst, clock.monotonic() - began)
             await asker.close()
             group.cancel_scope.cancel()
-        assert vote.yes is not fails and worst < 400.0, (vote, worst)
-        assert not fails or "ZeroDivisionError" in vote.why
+        assert vote.accepted is not fails and worst < 400.0, (vote, worst)
+        assert not fails or "ZeroDivisionError" in vote.reason
 
     anyio.run(play)
 
@@ -315,22 +324,22 @@
                 raise ValueError("odd")
             return space.read(names)
 
-        async def commit(self, compares: list[Compare], writes: list[Put], timeout_ms: float) -> Done:
+        async def commit(self, compares: list[Compare], writes: list[Put], timeout_ms: float) -> CommitResult:
             return space.commit(compares, writes)
 
-        async def lease(self, span_ms: float, timeout_ms: float) -> Leased:
+        async def lease(self, span_ms: float, timeout_ms: float) -> LeaseResult:
             return space.grant(0.0, span_ms)
 
-        async def renew(self, lease: int, timeout_ms: float) -> Leased:
+        async def renew(self, lease: int, timeout_ms: float) -> LeaseResult:
             return space.renew(0.0, lease)
 
         async def revoke(self, lease: int, timeout_ms: float) -> None:
             space.revoke(lease)
 
-        async def watch(self, prefix: str) -> AsyncIterator[Changed]:
+        async def watch(self, prefix: str) -> AsyncIterator[WatchEvent]:
             fails_once("watch")
             await anyio.sleep_forever()
-            yield Changed(0)
+            yield WatchEvent(0)
 
         async def leave(self) -> None: ...
 
@@ -341,16 +350,16 @@
     odd = [Put(keys.roster("x"), b"not JSON")]
     space.commit([], odd)
     fleet = Fleet("f", (("127.0.0.1", 1),), Rules(absent="leave-out"), None, "", None, None, None)
-    orders = Orders(lambda text: None, lambda is_aside: None)
-    agent = Agent(fleet, Odd(), "a", Live(""), lambda text: "", orders, None, None)
-    effects = agent.settler.effects_of
+    orders = ServerControl(lambda text: None, lambda is_aside: None)
+    agent = Agent(fleet, Odd(), "a", MemberStatus(""), lambda text: "", orders, None, None)
+    effects = agent.coordinator.effects_for
 
     def fails_first(now: float, member: Member) -> object:
-        if member.seen:
+        if member.observed:
             fails_once("effects")
         return effects(now, member)
 
-    monkeypatch.setattr(Settler, "effects_of", lambda self, now, member: fails_first(now, member))
+    monkeypatch.setattr(ChangeCoordinator, "effects_for", lambda self, now, member: fails_first(now, member))
 
     async def play() -> None:
         async with anyio.create_task_group() as group:
@@ -358,15 +367,15 @@
             with anyio.fail_after(5):
                 while agent.member.admits(clock.monotonic()) is None:
                     await anyio.sleep(0.02)
-                view = View(keys, space.read([keys.head]))
+                view = FleetSnapshot(keys, space.read([keys.head]))
                 commit = propose(view, "A", "version = 1", "", "", 0.0, 1000.0)
                 space.commit(commit.compares, commit.writes)
-                agent.member.hint()
-                while not agent.member.pledge:
+                agent.member.handle_watch_event()
+                while not agent.member.prepared_vote:
                     agent.wake.set()
                     await anyio.sleep(0.02)
-            await anyio.sleep(2.5)  # the settler has come upon the record by now, and is alive
-            assert agent.member.standing(clock.monotonic()).admits
+            await anyio.sleep(2.5)  # the coordinator has come upon the record by now, and is alive
+            assert agent.member.admission_status(clock.monotonic()).admits
             group.cancel_scope.cancel()
 
     anyio.run(play)
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -20,7 +20,7 @@
 from otterrudder.admission.interface import Tenant
 from otterrudder.cli.fleet import fleet as fleet_command
 from otterrudder.configuration import BadConfiguration
-from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.cell.kind import kind_of
 from otterrudder.fleet.cell.messages import (
@@ -45,12 +45,12 @@
 )
 from otterrudder.fleet.cell.streams import INCOMING_PER_S, MessageEncoder
 from otterrudder.fleet.cell.wire import CONSENT, SESSION, open_channel
-from otterrudder.fleet.change import propose, whole
+from otterrudder.fleet.change import coordination_keys, propose
 from otterrudder.fleet.client import Client
-from otterrudder.fleet.configuration import BadFleet, Fleet, read_fleet
-from otterrudder.fleet.orders import Orders
-from otterrudder.fleet.policy import Own
-from otterrudder.fleet.records import TEXT_MOST, Keys, View
+from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
+from otterrudder.fleet.policy import LocalConfiguration
+from otterrudder.fleet.records import MAX_TEXT_BYTES, FleetSnapshot, Keys
+from otterrudder.fleet.server_control import ServerControl
 from otterrudder.lab.processes.link import Harm, Link, free_port
 from otterrudder.net.serve import Files
 
@@ -91,7 +91,7 @@
         own = f'[relay]\ncell = "{cell}"\naddress = "{address}"\nfolder = "state-{cell}"\n'
         fleet = self.file(cell, f"{own}sessions_most = {sessions_most}")
         assert fleet.relay
-        folder, record = open_folder(fleet, cell)
+        folder, record = open_state_directory(fleet, cell)
         service = RelayService(fleet, fleet.relay, Client(fleet), folder, record)
         service.listen()
         self.addresses.append(address)
@@ -101,9 +101,9 @@
             yield service
             service.stop()
 
-    def server(self, name: str, judge: Callable[[str], str] = lambda text: "") -> CellAgent:
+    def server(self, name: str, validate: Callable[[str], str] = lambda text: "") -> CellAgent:
         fleet = self.file(name, f"relays = {self.addresses}".replace("'", '"'))
-        return CellAgent(fleet, name, KIND, judge, Orders(lambda text: None, lambda is_aside: None))
+        return CellAgent(fleet, name, KIND, validate, ServerControl(lambda text: None, lambda is_aside: None))
 
 
 @contextlib.asynccontextmanager
@@ -133,7 +133,7 @@
 
 
 def register(sequence: int = 1, **other: Any) -> Register:
-    told = dict(fleet="f", name="x", epoch="e", kind=KIND) | other
+    told = dict(fleet="f", name="x", incarnation="e", kind=KIND) | other
     return Register(sequence, **told)
 
 
@@ -144,8 +144,16 @@
 
 async def put_in_force(engine: Engine, text: str) -> None:
     keys, client = Keys("f"), engine.client()
-    commit = propose(View(keys, await client.read(whole(keys), 1000.0)), "c", text, "", "", 0.0, 5000.0)
-    assert (await client.commit(commit.compares, commit.writes, 1000.0)).held
+    commit = propose(
+        FleetSnapshot(keys, await client.read(coordination_keys(keys), 1000.0)),
+        "c",
+        text,
+        "",
+        "",
+        0.0,
+        5000.0,
+    )
+    assert (await client.commit(commit.compares, commit.writes, 1000.0)).succeeded
     await client.close()
 
 
@@ -294,7 +302,7 @@
                 await stream.write(encode(register()))
                 await until(lambda: len(service.relay.sessions) == 2)
                 slow = max(service._streams)
-                data = encode(InForce(1, "c", "d", "x" * TEXT_MOST))
+                data = encode(InForce(1, "c", "d", "x" * MAX_TEXT_BYTES))
                 for _ in range(200):
                     if found := service._streams.get(slow):
                         found.send(data)
@@ -310,7 +318,7 @@
 def test_a_text_goes_to_all_servers_and_is_encoded_once(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
-        text = "version = 1\n#" + "x" * (TEXT_MOST - 20)
+        text = "version = 1\n#" + "x" * (MAX_TEXT_BYTES - 20)
         async with cells.relay("a") as service:
             agents = [cells.server(f"n{number}") for number in range(3)]
             async with running(*agents):
@@ -334,13 +342,13 @@
         cells = Cells(engine)
         orders: list[object] = []
 
-        def judge(text: str) -> str:
+        def validate(text: str) -> str:
             time.sleep(1.0)
             return ""
 
         async with cells.relay("a"):
-            agent = cells.server("one", judge)
-            agent.order_sender.orders = Orders(orders.append, orders.append)
+            agent = cells.server("one", validate)
+            agent.control_sender.orders = ServerControl(orders.append, orders.append)
             async with running(agent):
                 agent.pulse(clock.monotonic())
                 agent.pulse(clock.monotonic() + 60_000.0)
@@ -407,7 +415,7 @@
         address = f"127.0.0.1:{free_port()}"
         fleet = cells.file("a", f'[relay]\ncell = "a"\naddress = "{address}"\nfolder = "state"\n')
         assert fleet.relay
-        service = RelayService(fleet, fleet.relay, Client(fleet), *open_folder(fleet, "a"))
+        service = RelayService(fleet, fleet.relay, Client(fleet), *open_state_directory(fleet, "a"))
         service.listen()
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
@@ -438,8 +446,8 @@
 
 
 def test_a_kind_is_what_a_server_judges_by() -> None:
-    own = Own((), (Tenant("t", 0.5, 1.0),), 3)
-    assert kind_of(own) == kind_of(Own((), (Tenant("t", 0.5, 1.0),), 3))
+    own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
+    assert kind_of(own) == kind_of(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
     kinds = [kind_of(own), kind_of(own, "another program"), *map(kind_of, others)]
     assert len(set(kinds)) == len(kinds)
@@ -479,7 +487,7 @@
 ) -> None:
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\n{text}\n')
-    with pytest.raises(BadFleet) as why:
+    with pytest.raises(InvalidFleetError) as why:
         read_fleet(path)
     assert str(why.value).startswith(f"cells.toml: {says}"), why.value
 
@@ -488,10 +496,12 @@
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
     server = read_fleet(path)
-    assert server.relays == ("127.0.0.1:2", "127.0.0.1:3") and not server.stores and not server.folder
+    assert (
+        server.relays == ("127.0.0.1:2", "127.0.0.1:3") and not server.stores and not server.state_directory
+    )
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\n')
     alone = read_fleet(path)
-    assert alone.folder == tmp_path / "f" and not alone.rules.is_shared
+    assert alone.state_directory == tmp_path / "f" and not alone.rules.is_shared
     assert alone.relay and alone.relay.listen == alone.relay.address
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\nlisten = "0.0.0.0:4"\n')
     role = read_fleet(path).relay
--- a/tests/fleet/test_stored_bytes.py
+++ b/tests/fleet/test_stored_bytes.py
@@ -10,28 +10,28 @@
 import msgspec
 import pytest
 
-from otterrudder.durable.folder import Folder, seal, unseal
+from otterrudder.durable.state_directory import StateDirectory, decode_state_file, encode_state_file
 from otterrudder.fleet import commits
-from otterrudder.fleet.agent import open_folder
-from otterrudder.fleet.change import propose, settle, strike, try_out, withdraw
+from otterrudder.fleet.agent import open_state_directory
+from otterrudder.fleet.change import evaluate_trial, finish_change, propose, remove_member, withdraw
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.queue import enqueue, leave_queue, open_first
+from otterrudder.fleet.queue import enqueue, open_next, withdraw_queued
 from otterrudder.fleet.records import (
     Change,
+    FinishedChange,
+    FleetSnapshot,
     Keys,
-    Live,
+    MemberStatus,
     PolicyHead,
-    Queued,
-    Roster,
-    Settled,
+    QueuedChange,
+    RosterEntry,
     Trial,
-    View,
     Vote,
     decode,
     digest_of,
     encode,
 )
-from otterrudder.fleet.state import Open, Record, Rules, Seen
+from otterrudder.fleet.state import MemberState, ObservedState, OpenChange, Rules
 from otterrudder.fleet.store import Entry, Snapshot
 
 # What each stored record is read as.
@@ -39,13 +39,13 @@
     "trial": Trial,
     "policy": PolicyHead,
     "change": Change,
-    "queued": Queued,
-    "settled": Settled,
-    "roster": Roster,
-    "live": Live,
+    "queued": QueuedChange,
+    "settled": FinishedChange,
+    "roster": RosterEntry,
+    "live": MemberStatus,
     "vote": Vote,
 }
-STATE_TYPE = Record
+STATE_TYPE = MemberState
 
 TRIAL = (
     b'{"change":"c-6","version":6,"back":"d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0d0","span_ms":60000.0,'
@@ -114,7 +114,9 @@
     """A snapshot at revision 99 of these keys, each made at revision 10 and written last at revision 20. A
     double underscore stands for a slash."""
     keys = {f"bank/{key.replace('__', '/')}": value for key, value in stored.items()}
-    return View(KEYS, Snapshot(0xCAFE, 99, {key: Entry(value, 10, 20) for key, value in keys.items()}))
+    return FleetSnapshot(
+        KEYS, Snapshot(0xCAFE, 99, {key: Entry(value, 10, 20) for key, value in keys.items()})
+    )
 
 
 def written(commit: Any) -> list[Any]:
@@ -157,7 +159,7 @@
         KEYS.head,
         KEYS.policy,
         KEYS.change,
-        KEYS.settled,
+        KEYS.finished,
         KEYS.trial,
         KEYS.leader,
         KEYS.joined,
@@ -165,7 +167,7 @@
         KEYS.text("d"),
         KEYS.queued("i"),
         KEYS.roster("n"),
-        KEYS.live("n"),
+        KEYS.status("n"),
         KEYS.vote("n"),
     ] == [
         "bank/head/",
@@ -192,7 +194,7 @@
 @pytest.mark.parametrize(("file", "state"), [(STATE_FILE, STATE), (NEW_STATE_FILE, NEW_STATE)])
 def test_a_state_file_is_read_and_written_as_before(tmp_path: Path, file: bytes, state: bytes) -> None:
     (tmp_path / "member").write_bytes(file)
-    folder, record = open_folder(fleet_of(tmp_path), "s1")
+    folder, record = open_state_directory(fleet_of(tmp_path), "s1")
     assert folder and isinstance(record, STATE_TYPE)
     assert msgspec.json.encode(record) == state
     folder.write("member", msgspec.json.encode(record))
@@ -208,8 +210,8 @@
         (STATE.replace(b',"waited":true', b""), STATE.replace(b'"waited":true', b'"waited":false')),
         (STATE[:-1] + b',"of_a_newer_release":1}', STATE),
     ]:
-        (tmp_path / "member").write_bytes(seal(old))
-        folder, record = open_folder(fleet_of(tmp_path), "s1")
+        (tmp_path / "member").write_bytes(encode_state_file(old))
+        folder, record = open_state_directory(fleet_of(tmp_path), "s1")
         assert folder and msgspec.json.encode(record) == new
         folder.close()
 
@@ -217,7 +219,7 @@
 @pytest.mark.parametrize("file", [STATE_FILE[:-1], STATE, b"", STATE_FILE.replace(b"state 1", b"state 2")])
 def test_a_state_file_that_is_torn_or_another_s_is_kept_beside(tmp_path: Path, file: bytes) -> None:
     (tmp_path / "member").write_bytes(file)
-    folder, record = open_folder(fleet_of(tmp_path), "s1")
+    folder, record = open_state_directory(fleet_of(tmp_path), "s1")
     assert folder and record is None
     folder.close()
     assert (tmp_path / "member.bad").read_bytes() == file
@@ -225,25 +227,25 @@
 
 def test_a_state_file_of_another_name_is_kept_beside(tmp_path: Path) -> None:
     (tmp_path / "member").write_bytes(STATE_FILE)
-    folder, record = open_folder(fleet_of(tmp_path), "s2")
+    folder, record = open_state_directory(fleet_of(tmp_path), "s2")
     assert folder and record is None
     folder.close()
     assert (tmp_path / "member.bad").read_bytes() == STATE_FILE
 
 
 def test_the_form_of_a_state_file_is_as_before(tmp_path: Path) -> None:
-    assert seal(STATE) == STATE_FILE
-    assert unseal(STATE_FILE, "member") == STATE
-    folder = Folder(tmp_path)
+    assert encode_state_file(STATE) == STATE_FILE
+    assert decode_state_file(STATE_FILE, "member") == STATE
+    folder = StateDirectory(tmp_path)
     folder.take()
     assert {path.name for path in tmp_path.iterdir()} == {"lock"}
     folder.close()
 
 
 def test_what_a_member_writes_is_as_before() -> None:
-    live, roster = decode(LIVE, TYPES["live"]), decode(WHOLE[9][1], TYPES["roster"])
-    seen = Seen(99, None, None, None, 0, None, 0, False, None)
-    assert written(commits.register(KEYS, "s1", live, roster, seen, 77)) == [
+    status, roster = decode(LIVE, TYPES["live"]), decode(WHOLE[9][1], TYPES["roster"])
+    seen = ObservedState(99, None, None, None, 0, None, 0, False, None)
+    assert written(commits.register(KEYS, "s1", status, roster, seen, 77)) == [
         ("bank/live/s1", "created", 0),
         ("bank/roster/s1", "modified", 0),
         ("bank/live/s1", LIVE, 77),
@@ -251,13 +253,13 @@
         ("bank/roster/s1", WHOLE[9][1], 0),
     ]
     ballot = decode(b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', TYPES["vote"])
-    assert written(commits.vote(KEYS, "s1", Open("c-7", 7, "ab", 10), 33, ballot)) == [
+    assert written(commits.vote(KEYS, "s1", OpenChange("c-7", 7, "ab", 10), 33, ballot)) == [
         ("bank/head/change", "created", 10),
         ("bank/live/s1", "created", 33),
         ("bank/vote/s1", "created", 0),
         ("bank/vote/s1", b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', 0),
     ]
-    assert written(commits.tell(KEYS, "s1", live, 33, 77)) == [
+    assert written(commits.tell(KEYS, "s1", status, 33, 77)) == [
         ("bank/live/s1", "created", 33),
         ("bank/live/s1", LIVE, 77),
     ]
@@ -293,7 +295,7 @@
         ("bank/text/e4db8edaacbe94515506b9adb3095a00", b"version = 1\n", 0),
     ]
     waiting = {"head__policy": POLICY, "queue__c-8": stored}
-    opened = open_first(view_of(**waiting))
+    opened = open_next(view_of(**waiting))
     assert opened and written(opened) == [
         ("bank/head/change", "created", 0),
         ("bank/head/policy", "modified", 20),
@@ -305,7 +307,7 @@
         ),
         ("bank/queue/c-8", False),
     ]
-    assert written(leave_queue(view_of(**waiting), "c-8")) == [
+    assert written(withdraw_queued(view_of(**waiting), "c-8")) == [
         ("bank/queue/c-8", "modified", 20),
         ("bank/head/settled", "modified", 0),
         (
@@ -317,7 +319,7 @@
         ("bank/queue/c-8", False),
     ]
     stale = stored.replace(b"d6d6d6d6d6d6d6d6", b"d5d5d5d5d5d5d5d5")
-    dropped = open_first(view_of(head__policy=POLICY, **{"queue__c-8": stale}))
+    dropped = open_next(view_of(head__policy=POLICY, **{"queue__c-8": stale}))
     assert dropped and written(dropped)[-2] == (
         "bank/head/settled",
         b'[{"id":"c-8","version":0,"digest":"e4db8edaacbe94515506b9adb3095a00","committed":false,'
@@ -335,7 +337,7 @@
         roster__s1=b'{"folder":"f0f0f0f0f0f0f0f0","absent":"wait"}',
         vote__s1=b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}',
     )
-    committed = settle(view, False)
+    committed = finish_change(view, False)
     assert committed and written(committed) == [
         ("bank/head/change", "modified", 20),
         ("bank/joined", "modified", 20),
@@ -364,7 +366,7 @@
         b'"committed":false,"why":"enough","author":"ann","note":"more calls"}]',
         0,
     ) in withdrawn
-    assert written(strike(view, "s1")) == [
+    assert written(remove_member(view, "s1")) == [
         ("bank/roster/s1", "modified", 20),
         ("bank/live/s1", "created", 0),
         ("bank/roster/s1", False),
@@ -372,12 +374,12 @@
 
 
 def test_what_ends_a_trial_writes_is_as_before() -> None:
-    live = LIVE.replace(b'"version":7', b'"version":6').replace(b'["busy",0.5]', b'["busy",0.95]')
-    view = view_of(head__policy=POLICY, head__trial=TRIAL, live__s1=live)
-    over, strikes = try_out(view, 60000.0, 1)
+    status = LIVE.replace(b'"version":7', b'"version":6').replace(b'["busy",0.5]', b'["busy",0.95]')
+    view = view_of(head__policy=POLICY, head__trial=TRIAL, live__s1=status)
+    over, strikes = evaluate_trial(view, 60000.0, 1)
     assert over and strikes == 0
     assert written(over) == [("bank/head/trial", "modified", 20), ("bank/head/trial", False)]
-    back, strikes = try_out(view, 10.0, 2)
+    back, strikes = evaluate_trial(view, 10.0, 2)
     assert back and strikes == 0
     assert written(back) == [
         ("bank/head/change", "created", 0),
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -13,7 +13,7 @@
 from otterrudder.fleet.cell.messages import Grant
 from otterrudder.fleet.cell.participant import Identity, Participant
 from otterrudder.fleet.cell.relay import CellIdentity, Relay
-from otterrudder.fleet.effects import Commit, Lease, Read
+from otterrudder.fleet.effects import Commit, GrantLease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
 from otterrudder.lab.indexed import IndexedKeySpace
 from otterrudder.lab.keyspace import KeySpace
@@ -83,8 +83,8 @@
 
 
 class FaultyRelays(Relays):
-    def make(self, identity: CellIdentity, epoch: str) -> Relay:
-        return GrantsPastAuthority(self._events.now, identity, epoch, self.rules)
+    def make(self, identity: CellIdentity, incarnation: str) -> Relay:
+        return GrantsPastAuthority(self._events.now, identity, incarnation, self.rules)
 
 
 class WithFaultyServers(Simulation):
@@ -172,14 +172,14 @@
 def test_an_indexed_key_space_answers_as_the_plain_one() -> None:
     plain, indexed = KeySpace(), IndexedKeySpace()
     requests = [
-        Lease(1000.0),
+        GrantLease(1000.0),
         Commit("a", (Compare("f/a/x", "created", 0),), (Put("f/a/x", b"1", 1), Put("f/b/y", b"2"))),
         Commit("b", (Compare("f/a/x", "created", 0),), (Put("f/a/x", b"3"),)),
         Read(("f/a/", "f/b/y", "f/none")),
         Commit("c", (), (Put("f/b/z", b"4", 1), Put("f/a/x", b"5"))),
         Read(("f/a/", "f/b/")),
         Read(("f/a/", "f/b/")),
-        Commit("d", (), (Delete("f/b/", whole_prefix=True),)),
+        Commit("d", (), (Delete("f/b/", is_prefix=True),)),
         Read(("f/a/", "f/b/")),
     ]
     for number, request in enumerate(requests):
