--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -28,7 +28,7 @@
     in_words,
     with_store,
 )
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.fleet.change import ChangeRejectedError, find_change, withdraw
 from otterrudder.fleet.policy import InvalidPolicyError, LocalConfiguration, local_configuration_of, parse
 from otterrudder.fleet.queue import QueueRejectedError, queue_position, withdraw_queued
@@ -40,7 +40,7 @@
     digest_of,
     stored_fields,
 )
-from otterrudder.levels.table import FACTS
+from otterrudder.levels.facts import FACTS
 
 
 @click.group()
@@ -303,5 +303,5 @@
             ]
             own = LocalConfiguration(*named_in(named))
         parse(text, own)
-    except (InvalidPolicyError, BadConfiguration, ValueError) as trouble:
+    except (InvalidPolicyError, ConfigurationError, ValueError) as trouble:
         give_up(f"{path.name}: {trouble}")
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -12,6 +12,7 @@
 from typing import NoReturn
 
 from otterrudder import log
+from otterrudder.admission import commands
 from otterrudder.admission.interface import Outcome
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet import agent
@@ -122,7 +123,7 @@
         self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
     setattr(core.Core, "_reuse", reuse)  # noqa: B010
-    core._OF_A_TXN["reuse"] = reuse
+    core._REQUEST_COMMANDS[commands.ReplayResponse] = reuse
 
 
 def _unlisted() -> None:
@@ -167,7 +168,7 @@
     """The server's program, by what the environment says."""
     files = serve.Files.from_environment()
     configuration = read_configuration(files.configuration)
-    log.set_up(configuration.name)
+    log.configure_logging(configuration.name)
     sys.exit(serve.run(configuration, files))
 
 
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from otterrudder.admission import controller
-from otterrudder.lab.claims import Verdict, judge
+from otterrudder.lab.claims import Verdict, evaluate
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
-from otterrudder.levels import Ladder
+from otterrudder.levels import LevelSelector
 
 Progress = Callable[[int, int, Run, Result], None]
 
@@ -32,12 +32,12 @@
 
 def play(run: Run) -> Result:
     """One day; the same for the same run on every machine."""
-    kind = Bare if run.bare else Ladder
+    kind = Bare if run.bare else LevelSelector
     before = {name: getattr(controller, name) for name, _ in run.module}
     try:
         for name, value in run.module:
             setattr(controller, name, value)
-        return Day(run.site, run.load, run.troubles, run.levels, run.seed, run.length_s, kind).play()
+        return Day(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).play()
     finally:
         for name, value in before.items():
             setattr(controller, name, value)
@@ -57,7 +57,7 @@
         for run, result in results
         for what in result.broken
     ]
-    verdicts = [judge(claim, figures) for claim in experiment.claims]
+    verdicts = [evaluate(claim, figures) for claim in experiment.claims]
     return Outcome(experiment, results, verdicts, broken, time.monotonic() - began)
 
 
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -2,7 +2,7 @@
 
 A batch is the time first, then what the runtime and the records tier said, then arrivals, the ring if it is
 due, one `done`; what comes at one instant makes one batch. The process may be killed, frozen, slowed or
-drained by troubles, and dies by itself of memory or a crowd, as the platform's would."""
+drained by faults, and dies by itself of memory or a crowd, as the platform's would."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -10,12 +10,12 @@
 
 from otterrudder.admission.interface import Idempotency, Outcome
 from otterrudder.lab.arrivals import Ask
-from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
 from otterrudder.lab.cores import Cores, Job
+from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.site import Site
-from otterrudder.levels import Ladder, LevelController, Table
+from otterrudder.levels import LevelController, LevelSelector, LevelTable
 from otterrudder.net.core import DISPATCHER, GATEWAYS, RECORDS, RUNTIME, Core
 
 UNIX = 1.7e12  # ms: the Unix time of the day's start
@@ -56,13 +56,13 @@
         number: int,
         site: Site,
         engine: Engine,
-        below: Below,
+        below: Downstream,
         checker: Checker,
         *,
         seed: int,
         lives: "Iterator[int]",
-        levels: Table | None,
-        kind: type[Ladder],
+        levels: LevelTable | None,
+        kind: type[LevelSelector],
         logged: Logged,
     ) -> None:
         self.number, self.site, self.engine, self.below, self.checker = number, site, engine, below, checker
@@ -164,15 +164,15 @@
             return
         ask, call = attempt.ask, f"{attempt.number:016x}"
         spec = self.products[ask.product]
-        referenced = spec.effect is Idempotency.IDEMPOTENT
+        referenced = spec.idempotency is Idempotency.IDEMPOTENT
         self.tries[call] = attempt
-        self.checker.read(
+        self.checker.received(
             self.engine.now,
             attempt.number,
             self.life,
             attempt.at,
             attempt.at + attempt.wait,
-            0 if spec.effect is Idempotency.SAFE else ask.number,
+            0 if spec.idempotency is Idempotency.SAFE else ask.number,
         )
         self.post_arrival(
             self.core.arrive,
@@ -193,7 +193,7 @@
 
     def left(self, attempt: Attempt) -> None:
         """Its caller has gone away."""
-        self.checker.left(attempt.number)
+        self.checker.disconnected(attempt.number)
         self.post_arrival(self.core.left, f"{attempt.number:016x}")
 
     # The runtime and what lies below it.
@@ -203,7 +203,7 @@
             call = rest[0]
             attempt = self.tries[call]
             self.checker.started(
-                self.engine.now, attempt.number, self.products[attempt.ask.product].window_ms
+                self.engine.now, attempt.number, self.products[attempt.ask.product].retention_ms
             )
             ask = attempt.ask
             run = self.runs[call] = Run(ask.work / (ask.calls + 1), ask.calls)
@@ -247,13 +247,13 @@
             s = self.site.server
             self.is_draining = True
             now = self.engine.now
-            self.checker.retired(self.life, now + s.grace_ms, now + s.stop_ms)
+            self.checker.shutdown_began(self.life, now + s.grace_ms)
             self.post(self.core.retire, s.stop_ms)
             self.engine.after(s.stop_ms, self._stopped, self.life)
 
     def _stopped(self, life: int) -> None:
         if life == self.life and self.is_up:
-            self.checker.stopped(self.engine.now, self.life)
+            self.checker.stopped(self.life)
             self._gone()
 
     def kill(self) -> None:
@@ -275,7 +275,7 @@
         self.is_frozen = on
         self.cores.set_factor(0.0 if on else 1.0)
         if not on:
-            self.checker.thawed(self.engine.now, self.life)
+            self.checker.resumed(self.engine.now, self.life)
             self.is_planned = False
             self._plan()
 
@@ -292,9 +292,9 @@
         refs = len(self.core.references) * s.ref_kb
         used = (counters["held"] + counters["runs"] * s.run_factor) * s.held_kb + refs
         self.memory_peak = max(self.memory_peak, used / self.memory_most)
-        crowd = self.cores.crowd / (1 + (s.falls_at - 1) * warm)
+        crowd = self.cores.jobs_per_core / (1 + (s.falls_at - 1) * warm)
         self.crowd_peak = max(self.crowd_peak, crowd)
         why = "memory" if used > self.memory_most else "a crowd on its cores" if crowd > 1 else ""
         if why:
-            self.checker.fell(self.engine.now, self.life, why)
+            self.checker.crashed(self.engine.now, self.life, why)
             self._gone()
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -156,27 +156,27 @@
                 now,
                 instance=instance,
                 seed=seed,
-                products=self.products,
+                request_classes=self.products,
                 tenants=self.tenants,
                 cores=s.cores,
                 callers=self.gateways.count,
                 memory_kb=s.memory_kb,
                 run_factor=s.run_factor,
-                ref_kb=s.ref_kb,
+                idempotency_entry_kb=s.ref_kb,
                 crowd_per_core=s.falls_at,
-                fresh=not warm,
+                is_cold_start=not warm,
                 cold_from=s.cold_from,
                 cold_ms=s.cold_s * 1000,
                 drain_grace_ms=s.grace_ms,
                 tick_ms=4.0,
                 say=s.say,
-                limits=Limits(stay_away_ms=s.away_most_ms),
+                limits=Limits(max_retry_after_ms=s.away_most_ms),
                 idle_max_ms=math.inf,
-                may_stop=False,
+                can_stop_requests=False,
                 below="tier",
                 calls_span_ms=0.0,
                 linger_ms=0.0,
-                up_ms=up_ms,
+                uptime_ms=up_ms,
             )
             controller.start()
             return controller
@@ -188,8 +188,8 @@
     """`told` as `kind`; BadInput names the place as msgspec knows it."""
     try:
         return msgspec.convert(told, kind)
-    except msgspec.ValidationError as trouble:
-        what, _, at = str(trouble).partition(" - at `")
+    except msgspec.ValidationError as error:
+        what, _, at = str(error).partition(" - at `")
         key = at.rstrip("`").lstrip("$").lstrip(".")
         raise BadInput(": ".join(filter(None, (where, key, what)))) from None
 
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -21,9 +21,10 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
-    Command,
     Idempotency,
     Limits,
     Outcome,
@@ -36,7 +37,7 @@
 )
 
 if TYPE_CHECKING:  # a server without levels does not carry them
-    from otterrudder.levels import LevelController, LevelUpdate, Table
+    from otterrudder.levels import LevelController, LevelTable, LevelUpdate
 
 RUNTIME, RECORDS, GATEWAYS, DISPATCHER = "runtime", "records", "gateways", "dispatcher"
 Outgoing = tuple[Any, ...]  # (address, word, ...), in the forms above
@@ -118,7 +119,7 @@
         self.is_aside = False  # it does not know which policy is in force, and admits nothing
         self.values: tuple[list[RequestClass], list[Tenant], Limits] | None = None  # as a policy has them
         self.aside = ServiceLevel(
-            "aside", ((Restriction(RestrictionKind.DECLINE),),) * len(products), elsewhere=True
+            "aside", ((Restriction(RestrictionKind.DECLINE),),) * len(products), served_elsewhere=True
         )
         self.create_controller, self.products, self.gauges = create_controller, products, gauges
         self.names = {product.name: n for n, product in enumerate(products)}
@@ -156,15 +157,14 @@
 
     def done(self) -> list[Outgoing]:
         """Carries the steps out, and those that follow from them, and hands over what is to be sent."""
-        while self.controller and (steps := self.controller.take_commands()):
-            for step in steps:
+        while self.controller and (pending := self.controller.take_commands()):
+            for command in pending:
                 try:
-                    self._carry_out(step)
-                except Exception as trouble:  # one request's failure is not the others'
-                    self.out.append(
-                        (DISPATCHER, "log", "a step failed", {"step": step, "trouble": repr(trouble)})
-                    )
-                    if len(step) > 1 and (request := self.requests.get(step[1])):
+                    self._carry_out(command)
+                except Exception as error:  # one request's failure is not the others'
+                    facts = {"command": command, "error": repr(error)}
+                    self.out.append((DISPATCHER, "log", "a command failed", facts))
+                    if request := self.requests.get(getattr(command, "request_id", 0)):
                         self._void(request)
         self.fresh.clear()
         out, self.out = self.out, []
@@ -196,7 +196,7 @@
             self.out.append((peer, "declined", rpc, False, 0.0, self.load))
             return
         spec = self.products[product]
-        mark, known, digest = dedupe if spec.effect is Idempotency.IDEMPOTENT else "", None, b""
+        mark, known, digest = dedupe if spec.idempotency is Idempotency.IDEMPOTENT else "", None, b""
         if mark:
             digest = request_digest(product, body)
             known = self.references.get(mark) or self.fresh.get(mark)
@@ -215,12 +215,12 @@
             product,
             tenant=tenant,
             key=key,
-            kb=kb,
+            size_kb=kb,
             age_ms=age,
-            left_ms=left,
-            earlier=known.holder if known else 0,
-            retry=retry,
-            rank=rank,
+            time_left_ms=left,
+            earlier_attempt_id=known.holder if known else 0,
+            is_retry=retry,
+            criticality=rank,
         )
 
     def left(self, call: str) -> None:
@@ -348,15 +348,15 @@
                 del facts["busy"]
             self._tell_level(self.levels.step(self.now, facts))
 
-    def take_levels(self, table: "Table") -> None:
+    def take_levels(self, table: "LevelTable") -> None:
         """Another table of levels, also while one is in force."""
         if self.levels and not self.retiring:
-            self._tell_level(self.levels.take(table, self.now))
+            self._tell_level(self.levels.replace_table(table, self.now))
 
     def take_policy(
         self,
-        table: "Table | None",
-        make: "Callable[[Table], LevelController]",
+        table: "LevelTable | None",
+        make: "Callable[[LevelTable], LevelController]",
         products: list[RequestClass],
         tenants: list[Tenant],
         limits: Limits,
@@ -381,12 +381,12 @@
     def _enforce(self) -> None:
         if self.controller and not self.retiring:
             self.controller.set_service_level(
-                self.aside if self.is_aside else self.levels.relief if self.levels else None
+                self.aside if self.is_aside else self.levels.service_level if self.levels else None
             )
 
     def _tell_level(self, update: "LevelUpdate | None") -> None:
-        if update and update.relief and self.controller and not self.is_aside:
-            self.controller.set_service_level(update.relief)
+        if update and update.service_level and self.controller and not self.is_aside:
+            self.controller.set_service_level(update.service_level)
         if update:
             self.out.append((DISPATCHER, "log", update.text, update.facts))
 
@@ -394,11 +394,10 @@
         """What the module counts beside what is known here, for the log: they must agree."""
         if not self.controller:
             return {}
-        slots = self.controller.slots
         return dict(
-            in_hand=slots.in_hand,
-            running=slots.running,
-            held=self.controller.sessions.held,
+            in_hand=self.controller.in_flight_count,
+            running=self.controller.running_count,
+            held=self.controller.queued_count,
             runs=sum(request.started for request in self.requests.values()),
             at_calls=sum(request.wants is not None for request in self.requests.values()),
             on_cores=self.told_cores,
@@ -433,23 +432,27 @@
 
     # Steps.
 
-    def _carry_out(self, step: Command) -> None:
-        word, *rest = step
-        if word in _OF_A_TXN:
-            if request := self.requests.get(rest[0]):
-                _OF_A_TXN[word](self, request, *rest[1:])
-            elif word == "run":  # its caller left within this batch: nothing starts, and its slot comes back
-                self._module.handle_finished(rest[0], Outcome.NEVER_STARTED)
-        elif word == "wake":
-            self.out.append((DISPATCHER, "wake", rest[0]))
-        elif word == "advertise":
-            self.load = rest[0]
-        elif word == "health":
-            self.healthy = rest[0]
-        elif word == "log":
-            self.out.append((DISPATCHER, "log", rest[0], {}))
-        else:
-            self.out.append((GATEWAYS, word, *rest))
+    def _carry_out(self, command: Command) -> None:
+        if commands.is_request_command(command):
+            if request := self.requests.get(command.request_id):
+                _REQUEST_COMMANDS[type(command)](self, request, *command[1:])
+            elif isinstance(command, commands.StartRequest):
+                # Its caller left within this batch: nothing starts, and its slot comes back.
+                self._module.handle_finished(command.request_id, Outcome.NEVER_STARTED)
+            return
+        match command:
+            case commands.ScheduleTick():
+                self.out.append((DISPATCHER, "wake", command.delay_ms))
+            case commands.AdvertiseLoad():
+                self.load = command.value
+            case commands.SetHealth():
+                self.healthy = command.is_healthy
+            case commands.LogMessage():
+                self.out.append((DISPATCHER, "log", command.text, {}))
+            case commands.SetIdleTimeout():
+                self.out.append((GATEWAYS, "idle", command.timeout_ms))
+            case commands.CloseConnections():
+                self.out.append((GATEWAYS, "close"))
 
     def _run(self, request: PendingRequest) -> None:
         request.started = True
@@ -504,7 +507,7 @@
         elif known.holder != request.number:
             known.holder, known.over, known.result = request.number, False, None
         # A try of the window may wait unread for as long as its caller does, and no longer.
-        known.until = self.now + span_ms + self.products[request.product].expiry_ms
+        known.until = self.now + span_ms + self.products[request.product].deadline_ms
 
     def _forget(self, request: PendingRequest) -> None:
         known = self.references.get(request.mark)
@@ -576,22 +579,22 @@
         if known.until > self.now:
             heapq.heappush(self.lapses, (known.until, mark))
         elif holder := self.requests.get(known.holder):  # not before its run
-            heapq.heappush(self.lapses, (self.now + self.products[holder.product].expiry_ms, mark))
+            heapq.heappush(self.lapses, (self.now + self.products[holder.product].deadline_ms, mark))
         else:
             del self.references[mark]
 
     def _effectful(self, request: PendingRequest) -> bool:
-        return self.products[request.product].effect is not Idempotency.SAFE
-
-
-_OF_A_TXN: dict[str, Any] = {
-    "run": Core._run,
-    "reuse": Core._reuse,
-    "stop": Core._stop,
-    "decline": Core._decline,
-    "void": Core._void,
-    "keep": Core._keep,
-    "forget": Core._forget,
-    "call": Core._call,
-    "omit": Core._omit,
+        return self.products[request.product].idempotency is not Idempotency.SAFE
+
+
+_REQUEST_COMMANDS: dict[type[Command], Callable[..., None]] = {
+    commands.StartRequest: Core._run,
+    commands.ReplayResponse: Core._reuse,
+    commands.StopRequest: Core._stop,
+    commands.RejectRequest: Core._decline,
+    commands.FailRequest: Core._void,
+    commands.RetainKey: Core._keep,
+    commands.EvictKey: Core._forget,
+    commands.CallDownstream: Core._call,
+    commands.SkipCall: Core._omit,
 }
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -14,7 +14,13 @@
 
 from otterrudder import clock
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.factory import can_stop, create_controller, gauge_names, products_of, tenants_of
+from otterrudder.admission.factory import (
+    can_stop_requests,
+    create_controller,
+    gauge_names,
+    request_classes_of,
+    tenants_of,
+)
 from otterrudder.admission.interface import Idempotency, RequestClass
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
@@ -22,8 +28,8 @@
     LEVELS_VARIABLE,
     MOVABLE,
     VRRP_VARIABLE,
-    BadConfiguration,
     Configuration,
+    ConfigurationError,
     address,
     read_configuration,
 )
@@ -39,11 +45,11 @@
     from otterrudder.fleet.agent import Agent
     from otterrudder.fleet.cell.agent import CellAgent
     from otterrudder.fleet.configuration import Fleet
-    from otterrudder.levels import Table
+    from otterrudder.levels import LevelTable
     from otterrudder.net.control import Control
-    from otterrudder.vrrp.gate import Order
-    from otterrudder.vrrp.group import Groups
-    from otterrudder.vrrp.speaker import Speaker
+    from otterrudder.vrrp.admission_gate import SetAdmission
+    from otterrudder.vrrp.configuration import VrrpConfiguration
+    from otterrudder.vrrp.router import VrrpRouter
 
 RESULTS_SHARE = 0.4  # share of this process's memory that references with their results may take
 RESULT_BYTES = 5 * 1024  # bytes of a reference: the longest result, its mark and what both hang on
@@ -65,58 +71,61 @@
         names = (CONFIGURATION_VARIABLE, LEVELS_VARIABLE, VRRP_VARIABLE, FLEET_VARIABLE)
         return cls(*(os.environ.get(name) or None for name in names))
 
-    def read_levels(self, settings: dict[str, Any]) -> "Table | None":
-        """The table of levels, None where there is no file; BadConfiguration says what is wrong with it."""
+    def read_levels(self, settings: dict[str, Any]) -> "LevelTable | None":
+        """The table of levels, None where there is no file; ConfigurationError says what is wrong with it."""
         if not self.levels:
             return None
         from otterrudder import levels
 
         try:
-            return levels.read(self.levels, products_of(settings), tenants_of(settings))
-        except levels.BadTable as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            return levels.read_table(self.levels, request_classes_of(settings), tenants_of(settings))
+        except levels.LevelTableError as trouble:
+            raise ConfigurationError(str(trouble)) from None
 
     def read_fleet(self) -> "Fleet | None":
-        """The fleet this server is of, None where there is no file; BadConfiguration says what is wrong."""
+        """The fleet this server is of, None where there is no file; ConfigurationError says what is wrong."""
         if not self.fleet:
             return None
         if self.levels:
-            raise BadConfiguration(f"--levels {self.levels}: in a fleet the table of levels is the policy's")
+            raise ConfigurationError(
+                f"--levels {self.levels}: in a fleet the table of levels is the policy's"
+            )
         from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
 
         try:
             fleet = read_fleet(self.fleet)
         except InvalidFleetError as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            raise ConfigurationError(str(trouble)) from None
         if fleet.relay:
-            raise BadConfiguration(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
+            raise ConfigurationError(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
         return fleet
 
-    def read_vrrp(self, settings: dict[str, Any]) -> "Groups | None":
-        """The VRRP groups with their keys, None where there is no file; BadConfiguration says what is
+    def read_vrrp(self, settings: dict[str, Any]) -> "VrrpConfiguration | None":
+        """The VRRP groups with their keys, None where there is no file; ConfigurationError says what is
         wrong."""
         if not self.vrrp:
             return None
-        from otterrudder.vrrp.group import BadGroups, read_groups
+        from otterrudder.vrrp.configuration_reader import VrrpConfigurationError
+        from otterrudder.vrrp.configuration_reader import read_configuration as read_vrrp_configuration
 
         try:
-            return read_groups(self.vrrp, products_of(settings), tenants_of(settings))
-        except BadGroups as trouble:
-            raise BadConfiguration(str(trouble)) from None
+            return read_vrrp_configuration(self.vrrp, request_classes_of(settings), tenants_of(settings))
+        except VrrpConfigurationError as trouble:
+            raise ConfigurationError(str(trouble)) from None
 
 
 def unsupported_settings(settings: dict[str, Any]) -> list[str]:
     """What the settings allow and the runtime's protocol has no word for: a line that is no command ends the
     link, so the server keeps it off."""
     why = "the runtime's protocol has no word for it, so it is kept off"
-    omits = any(product.omit_value for product in products_of(settings))
-    return [f"familyInfo.stopMode: work can't be stopped here: {why}"] * can_stop(settings) + [
+    omits = any(product.skip_weight_factor for product in request_classes_of(settings))
+    return [f"familyInfo.stopMode: work can't be stopped here: {why}"] * can_stop_requests(settings) + [
         f"familyInfo.classSkipWorth: no call is left out here: {why}"
     ] * omits
 
 
 def run(configuration: Configuration, files: Files) -> int:
-    """Serves until the drain is over or SIGTERM comes before the runtime is up. BadConfiguration comes
+    """Serves until the drain is over or SIGTERM comes before the runtime is up. ConfigurationError comes
     before that."""
     levels, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
     fleet = files.read_fleet()
@@ -131,8 +140,8 @@
 async def _serve(
     configuration: Configuration,
     files: Files,
-    levels: "Table | None",
-    groups: "Groups | None",
+    levels: "LevelTable | None",
+    groups: "VrrpConfiguration | None",
     fleet: "Fleet | None",
 ) -> None:
     heard = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -143,8 +152,8 @@
 async def _live(
     configuration: Configuration,
     files: Files,
-    levels: "Table | None",
-    groups: "Groups | None",
+    levels: "LevelTable | None",
+    groups: "VrrpConfiguration | None",
     fleet: "Fleet | None",
     signals: AsyncIterator[signal.Signals],
 ) -> None:
@@ -172,7 +181,7 @@
     agent = _agent(fleet, configuration, dispatcher, spread) if fleet else None
     log.info("listening", address=configuration.listen, pid=os.getpid())
     if levels and level_controller:
-        names = [rung.name for rung in levels.rungs]
+        names = [level.name for level in levels.levels]
         log.info("levels", service=level_controller.name, shadow=level_controller.is_shadow, of=names)
     gc.collect()
     gc.freeze()  # what lives as long as the process is not looked through again and again
@@ -180,7 +189,7 @@
         for actor in (dispatcher, runtime, records, registry):
             group.start_soon(actor.run)
         if speaker:
-            speaker.begin()
+            speaker.start()
             group.start_soon(speaker.run)
         if agent:
             group.start_soon(agent.run)
@@ -196,7 +205,7 @@
 
 def _served_products(settings: dict[str, Any]) -> list[RequestClass]:
     """The products as they can be served here, see `unsupported_settings`."""
-    return [replace(product, omit_value=0.0) for product in products_of(settings)]
+    return [replace(product, skip_weight_factor=0.0) for product in request_classes_of(settings)]
 
 
 def _controller_factory(
@@ -205,8 +214,8 @@
     """What makes the AdmissionController once the runtime has said how it stands: by the time, warmth and ms
     up."""
     # A reference outlives its window by an expiry, see core.py.
-    kept = [p for p in products if p.effect is Idempotency.IDEMPOTENT]
-    stays = [1 + p.expiry_ms / (p.window_ms or p.expiry_ms) for p in kept]
+    kept = [p for p in products if p.idempotency is Idempotency.IDEMPOTENT]
+    stays = [1 + p.deadline_ms / (p.retention_ms or p.deadline_ms) for p in kept]
     refs_most = configuration.limits.memory_mb * 1e6 * RESULTS_SHARE / RESULT_BYTES / max(stays, default=1.0)
 
     def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
@@ -215,12 +224,12 @@
             configuration.settings.get("me") or 0,
             configuration.seed,
             configuration.settings,
-            fresh=not warm,
-            up_ms=up_ms,
-            products=products,
-            may_stop=False,
-            ref_kb=0.0,  # results lie here, not in the runtime's memory
-            refs_most=refs_most,
+            is_cold_start=not warm,
+            uptime_ms=up_ms,
+            request_classes=products,
+            can_stop_requests=False,
+            idempotency_entry_kb=0.0,  # results lie here, not in the runtime's memory
+            max_idempotency_entries=refs_most,
         )
 
     return make
@@ -233,27 +242,31 @@
     return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
 
 
-def _control(name: str, speaker: "Speaker | None", agent: "Agent | CellAgent | None") -> "Control":
+def _control(name: str, speaker: "VrrpRouter | None", agent: "Agent | CellAgent | None") -> "Control":
     """The operators' local socket, which answers for the parts that are there."""
     from otterrudder.net.control import Control
 
     answers: dict[str, Callable[[], object]] = {}
     if speaker:
-        answers["vrrp"] = speaker.shown
+        answers["vrrp"] = speaker.status
     if agent:
         answers["fleet"] = agent.shown
     return Control(name, answers)
 
 
 def _speaker(
-    groups: "Groups", dispatcher: Dispatcher, runtime: Runtime, records: Records, registry: Registry
-) -> "Speaker":
+    groups: "VrrpConfiguration",
+    dispatcher: Dispatcher,
+    runtime: Runtime,
+    records: Records,
+    registry: Registry,
+) -> "VrrpRouter":
     """VRRP's actor, its socket taken: what it orders goes to the core by the dispatcher, ahead of what
     arrives."""
-    from otterrudder.vrrp.speaker import Speaker
+    from otterrudder.vrrp.router import VrrpRouter
 
-    def order(told: "Order") -> None:
-        dispatcher.post(dispatcher.core.serve_part, told.part, told.is_up, told.left_ms)
+    def order(told: "SetAdmission") -> None:
+        dispatcher.post(dispatcher.core.serve_part, told.scope, told.is_admitted, told.drain_ms)
 
     def facts() -> dict[str, bool]:
         core = dispatcher.core
@@ -268,11 +281,11 @@
     def changed() -> None:
         registry.draining = dispatcher.core.retiring or not speaker.is_serving
 
-    speaker = Speaker(groups, int(clock.unix()), order, facts)
-    speaker.changed = changed
+    speaker = VrrpRouter(groups, int(clock.unix()), order, facts)
+    speaker.on_change = changed
     speaker.bind()
     registry.draining = True
-    dispatcher.before_turn.append(speaker.pulse)
+    dispatcher.before_turn.append(speaker.poll)
     return speaker
 
 
@@ -280,7 +293,7 @@
     fleet: "Fleet", configuration: Configuration, dispatcher: Dispatcher, spread: float
 ) -> "Agent | CellAgent":
     """The fleet's actor: what it orders goes to the core by the dispatcher, ahead of what arrives.
-    BadConfiguration: the folder is another process's, or a file of keys can't be read."""
+    ConfigurationError: the folder is another process's, or a file of keys can't be read."""
     from otterrudder.durable import DirectoryInUseError
     from otterrudder.fleet.assembly import make_agent
     from otterrudder.fleet.policy import Content, local_configuration_of
@@ -307,7 +320,7 @@
     try:
         agent = make_agent(fleet, configuration.name, own, apply, stand_aside, facts)
     except (DirectoryInUseError, OSError) as trouble:
-        raise BadConfiguration(f"fleet: {trouble}") from None
+        raise ConfigurationError(f"fleet: {trouble}") from None
     dispatcher.before_turn.append(agent.pulse)
     return agent
 
@@ -324,7 +337,7 @@
     runtime: Runtime,
     records: Records,
     registry: Registry,
-    speaker: "Speaker | None",
+    speaker: "VrrpRouter | None",
 ) -> None:
     async for number in _signals_and_early_sighup(signals):
         if number == signal.SIGHUP:
@@ -337,7 +350,7 @@
                 log.exception("reload failed")
             continue
         if speaker:  # priority 0 first, so that another takes over while this one drains
-            speaker.retire()
+            speaker.begin_shutdown()
         registry.draining = True
         dispatcher.post(dispatcher.core.retire, configuration.stop_ms)
 
@@ -355,7 +368,7 @@
     """Takes new addresses from the configuration file; one that is no good leaves the old in force."""
     try:
         new = read_configuration(files.configuration)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         log.error("configuration not taken", why=str(trouble))
         return configuration
     before, after = configuration.document, new.document
@@ -379,13 +392,13 @@
     )
 
 
-def _reload_keys(configuration: Configuration, files: Files, speaker: "Speaker") -> None:
+def _reload_keys(configuration: Configuration, files: Files, speaker: "VrrpRouter") -> None:
     """Other keys for VRRP; groups are settled at the start."""
     try:
         if groups := files.read_vrrp(configuration.settings):
-            speaker.take_keys(groups.keys)
-            log.info("vrrp keys taken", keys=sorted(groups.keys.by_number), signs=groups.keys.signs)
-    except BadConfiguration as trouble:
+            speaker.replace_keys(groups.keys)
+            log.info("vrrp keys taken", keys=sorted(groups.keys.by_number), signs=groups.keys.signing_number)
+    except ConfigurationError as trouble:
         log.error("vrrp keys not taken", why=str(trouble))
 
 
@@ -394,5 +407,5 @@
     try:
         if table := files.read_levels(configuration.settings):
             dispatcher.post(dispatcher.core.take_levels, table)
-    except BadConfiguration as trouble:
+    except ConfigurationError as trouble:
         log.error("levels not taken", why=str(trouble))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,8 @@
 at 50 finished a ok             also: needs a, called a full, left a, retire 5000; or nothing
 at 55 stepdown pay 2000         a product (-: all) is left with so long to answer; stepup pay
 at 60 reduce - look=decline     a level in force; also =share:0.5, =omit, held, away, stay=5000
-  sees run a                    a step since the last `at`, by its first words (<3: less); `sees 2 run`
-  lacks decline a               no such step
+  sees start a                  a command since the last `at`, by its first words (<3: less); `sees 2 start`
+  lacks reject a                no such command
 memory 100                      what the server may use now, in kB, by its own count, is no more than this
 """
 
@@ -25,6 +25,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
     Idempotency,
@@ -48,40 +50,88 @@
 }  # fmt: skip
 
 
+WORDS = {
+    commands.StartRequest: "start",
+    commands.ReplayResponse: "replay",
+    commands.StopRequest: "stop",
+    commands.RejectRequest: "reject",
+    commands.FailRequest: "fail",
+    commands.RetainKey: "retain",
+    commands.EvictKey: "evict",
+    commands.CallDownstream: "call",
+    commands.SkipCall: "skip",
+    commands.ScheduleTick: "tick",
+    commands.AdvertiseLoad: "advertise",
+    commands.SetHealth: "health",
+    commands.SetIdleTimeout: "idle",
+    commands.LogMessage: "log",
+    commands.CloseConnections: "close",
+}
+
+# `handle_arrival`'s parameters by a scenario's words.
+PARAMETERS = {
+    "age": "age_ms",
+    "earlier": "earlier_attempt_id",
+    "kb": "size_kb",
+    "left": "time_left_ms",
+    "rank": "criticality",
+    "retry": "is_retry",
+}
+
+
 class Play:
     def __init__(self) -> None:
         self.told: dict = dict(SERVER)
         self.products: list[RequestClass] = []
         self.tenants: list[Tenant] = []
         self.controller: AdmissionController | None = None
-        self.steps: list[tuple] = []
+        self.commands: list[Command] = []
         self.running: list[str] = []
         self.ring_at = 0.0
 
-    def take(self, now: float, steps: list[tuple]) -> None:
-        for step in steps:
-            if step[0] == "wake":
-                self.ring_at = now + step[1]
-        self.steps += steps
-        self.running += [step[1] for step in steps if step[0] == "run"]
+    def take(self, now: float, taken: list[Command]) -> None:
+        for command in taken:
+            if isinstance(command, commands.ScheduleTick):
+                self.ring_at = now + command.delay_ms
+        self.commands += taken
+        self.running += [
+            command.request_id for command in taken if isinstance(command, commands.StartRequest)
+        ]
 
     def start(self, now: float) -> AdmissionController:
         t = self.told
         controller = AdmissionController(
-            now, instance=1, seed=1, products=self.products, tenants=self.tenants, cores=int(t["cores"]),
-            callers=int(t["callers"]), memory_kb=t["memory"], run_factor=t["factor"], ref_kb=t["ref"],
-            crowd_per_core=t["crowd"], fresh=bool(t["fresh"]), cold_from=t["cold_from"], cold_ms=t["cold"],
-            drain_grace_ms=t["grace"], tick_ms=t["tick"], say=t["say"],
-            limits=Limits(t["away"], t["share"], t["over"]), idle_max_ms=t["idle"],
-            may_stop=bool(t["stop"]), below=t["below"], calls_span_ms=t["span"], linger_ms=t["linger"],
+            now,
+            instance=1,
+            seed=1,
+            request_classes=self.products,
+            tenants=self.tenants,
+            cores=int(t["cores"]),
+            callers=int(t["callers"]),
+            memory_kb=t["memory"],
+            run_factor=t["factor"],
+            idempotency_entry_kb=t["ref"],
+            crowd_per_core=t["crowd"],
+            is_cold_start=bool(t["fresh"]),
+            cold_from=t["cold_from"],
+            cold_ms=t["cold"],
+            drain_grace_ms=t["grace"],
+            tick_ms=t["tick"],
+            say=t["say"],
+            limits=Limits(t["away"], t["share"], t["over"]),
+            idle_max_ms=t["idle"],
+            can_stop_requests=bool(t["stop"]),
+            below=t["below"],
+            calls_span_ms=t["span"],
+            linger_ms=t["linger"],
             marks_retry=bool(t["marks"]),
-        )  # fmt: skip
+        )
         controller.start()
         self.take(now, controller.take_commands())
         return controller
 
     def at(self, now: float, words: list[str]) -> None:
-        self.steps = []
+        self.commands = []
         self.controller = self.controller or self.start(now)
         while self.ring_at <= now:
             self.controller.advance_to(self.ring_at)
@@ -101,9 +151,9 @@
             more = {k: v if k == "earlier" else float(v) for k, v in (w.split("=") for w in rest[1:])}
             kinds = {"key": int, "tenant": int, "retry": bool}
             more = {k: kinds.get(k, type(v))(v) for k, v in more.items()}
-            more = {k + "_ms" if k in ("left", "age") else k: v for k, v in more.items()}
+            more = {PARAMETERS.get(k, k): v for k, v in more.items()}
             number = [p.name for p in self.products].index(rest[0])
-            controller.handle_arrival(ident, number, **{"kb": 10.0, **more})
+            controller.handle_arrival(ident, number, **{"size_kb": 10.0, **more})
             return
         if verb == "reduce":
             controller.set_service_level(self.relief(rest))
@@ -154,13 +204,14 @@
             assert self.controller.memory.used <= float(rest[0]), self.controller.memory.used
         else:
             count = int(rest.pop(0)) if rest[0].isdigit() else None
-            found = sum(matches(step, rest) for step in self.steps)
+            found = sum(matches(command, rest) for command in self.commands)
             expected = {"sees": found == count if count is not None else found > 0, "lacks": found == 0}[word]
-            assert expected, f"{text!r}: got {self.steps}"
+            assert expected, f"{text!r}: got {self.commands}"
 
 
-def matches(step: tuple, words: list[str]) -> bool:
-    return len(step) >= len(words) and all(map(fits, step, words))
+def matches(command: Command, words: list[str]) -> bool:
+    values = (WORDS[type(command)], *command)
+    return len(values) >= len(words) and all(map(fits, values, words))
 
 
 def fits(value: object, word: str) -> bool:
