--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.measure import PROCESS_TIME, cpu_s
 from benchmarks.capacity.slope import Series, Slope
 from otterrudder.lab.processes.standins import Listing
-from otterrudder.net.registry import PERIOD_S, Registry
+from otterrudder.net.discovery import REPORT_INTERVAL_S, DiscoveryReporter
 
 SERVERS = (50, 100, 200, 400)
 SERVERS_QUICK = (2, 4, 8, 16)
@@ -44,8 +44,8 @@
         if is_heard:
             group.start_soon(listing.run)
         for n in range(servers):
-            group.start_soon(Registry(f"n{n:05}", listing.address).run)
-        await anyio.sleep(min(span_s, PERIOD_S) / 2)  # the starts
+            group.start_soon(DiscoveryReporter(f"n{n:05}", listing.address).run)
+        await anyio.sleep(min(span_s, REPORT_INTERVAL_S) / 2)  # the starts
         began = time.process_time()
         await anyio.sleep(span_s)
         share = (time.process_time() - began) / span_s
@@ -65,7 +65,9 @@
     reports = Series("listing", "servers", sizes, size.SERVERS)
     reports.add("reports", "all servers' sides together, share of a core", PROCESS_TIME, sent)
     reports.add("heard", "the list's side, share of a core", PROCESS_TIME, heard, STAND_IN_CORE)
-    reports.add("bytes", "bytes a second at the list", "bytes", [n / PERIOD_S * report for n in sizes])
+    reports.add(
+        "bytes", "bytes a second at the list", "bytes", [n / REPORT_INTERVAL_S * report for n in sizes]
+    )
     lists = Series("listing", "servers", WHOLE, size.SERVERS)
     lists.add("encode", "encoding a whole list, s", PROCESS_TIME, cpu, EACH_SECOND)
     lists.add(
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -47,10 +47,10 @@
             for line in log.splitlines()
             if line.startswith("turns ")
         ][SKIPPED:]
-        last = [line for line in log.splitlines() if "event=doing" in line][-1]
+        last = [line for line in log.splitlines() if "event=status" in line][-1]
         told = dict(re.findall(r"(\w+)=([\d.]+)", last))
         requests = sum(a.answered > 0 for a in rig.wire.asked) / SPAN_S * 10
-        wanted = ("cpu_s", "rss_mb", "worst_turn_ms", "worst_ring_late_ms")
+        wanted = ("cpu_s", "rss_mb", "worst_batch_ms", "worst_tick_late_ms")
         found = {word: float(told[word]) for word in wanted} | {"txns": requests}
         found |= {word: sum(float(one[word]) for one in turns) for word in ("over_1ms", "turns")}
         return found | {"worst_cpu_ms": max(float(one["worst_ms"]) for one in turns)}
@@ -63,8 +63,8 @@
         print(
             f"{name:8} {cpu:7.0f} us of CPU a txn, ticks and all; {told['rss_mb']:5.1f} MB; worst turn "
             f"{told['worst_cpu_ms']:4.2f} ms of CPU ({told['over_1ms']:.0f} of {told['turns']:.0f} over "
-            f"1 ms), {told['worst_turn_ms']:4.1f} ms, worst ring late by "
-            f"{told['worst_ring_late_ms']:4.1f} ms"
+            f"1 ms), {told['worst_batch_ms']:4.1f} ms, worst ring late by "
+            f"{told['worst_tick_late_ms']:4.1f} ms"
         )
 
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -16,7 +16,8 @@
 from otterrudder.files import load_toml  # noqa: E402
 from otterrudder.lab.site import BadInput, Site, site_of  # noqa: E402
 from otterrudder.levels import LevelController, LevelTable, read_table  # noqa: E402
-from otterrudder.net.core import Core  # noqa: E402
+from otterrudder.net.core import RequestCore  # noqa: E402
+from otterrudder.net.requests import RequestFields  # noqa: E402
 
 PER_RING = 8  # requests between rings: 200 a second at 25 rings, what a server of the platform gets
 TABLE_OF = {"no levels": "", "levels, full service": "full", "levels, one in force": "checks-when-free"}
@@ -27,41 +28,39 @@
     controller = (
         LevelController(LevelTable(table.levels, table.damping, False, start), 0.0) if table else None
     )
-    core = Core(site.create_controller(1, 1), site.products, ["busy", "on_cores"], controller)
+    core = RequestCore(site.create_controller(1, 1), site.products, ["busy", "on_cores"], controller)
     now = 0.0
-    core.at(now + 1e12, now)
-    core.begin(True, 1e6)
-    core.linked()
-    core.done()
+    core.advance_to(now + 1e12, now)
+    core.handle_runtime_ready(True, 1e6)
+    core.handle_link_established()
+    core.take_messages()
     began = time.perf_counter()
     for n in range(loops):
         now += 5.0
         call = f"{n:016x}"
-        core.at(now + 1e12, now)
-        core.arrive(
-            "peer",
-            n + 1,
-            0,
-            call=call,
-            recv=now + 1e12,
-            ttl=2000.0,
-            kb=20.0,
-            tenant=0,
-            key=n % 997 + 1,
-            retry=False,
-            dedupe="",
+        core.advance_to(now + 1e12, now)
+        fields = RequestFields(
+            request_id=call,
+            received_at=now + 1e12,
+            ttl_ms=2000.0,
+            size_kb=20.0,
+            tenant_index=0,
+            session_key=n % 997 + 1,
+            is_retry=False,
+            idempotency_key="",
             body=b"body",
         )
-        core.done()
-        core.at(now + 1e12, now + 2.0)
-        core.ended(call, Outcome.OK, b"result")
-        core.done()
+        core.handle_arrival("connection", n + 1, 0, fields)
+        core.take_messages()
+        core.advance_to(now + 1e12, now + 2.0)
+        core.handle_run_ended(call, Outcome.OK, b"result")
+        core.take_messages()
         if n % PER_RING == 0:
-            core.at(now + 1e12, now + 3.0)
-            core.ask()
-            core.gauged(core.asked, [0.9, 2.0])
-            core.ring(0.1)
-            core.done()
+            core.advance_to(now + 1e12, now + 3.0)
+            core.query_gauges()
+            core.handle_gauges(core.delivery.last_query, [0.9, 2.0])
+            core.tick(0.1)
+            core.take_messages()
     return time.perf_counter() - began
 
 
--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -49,9 +49,9 @@
     """Members, cells with the relay that leads each, versions, votes, and who an open change waits for."""
     if here:
         try:
-            told = control.ask(here, "fleet")
+            told = control.query(here, "fleet")
         except (OSError, ValueError) as why:
-            give_up(f"no server answers at {control.path_of(here)}: {why}")
+            give_up(f"no server answers at {control.socket_path(here)}: {why}")
         click.echo(json.dumps(told.get("fleet", told), indent=1))
         return
     while True:
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -54,9 +54,9 @@
     _, role = _read(file)
     name = control_name(role)
     try:
-        told = control.ask(name, "relay")
+        told = control.query(name, "relay")
     except (OSError, ValueError) as why:
-        give_up(f"no relay answers at {control.path_of(name)}: {why}")
+        give_up(f"no relay answers at {control.socket_path(name)}: {why}")
     click.echo(json.dumps(told.get("relay", told), indent=1))
 
 
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -17,6 +17,8 @@
     read_configuration,
 )
 from otterrudder.net import serve as server
+from otterrudder.net.controller_setup import unsupported_settings
+from otterrudder.net.server_files import ServerFiles
 
 LEVELS = click.option(
     "--levels",
@@ -62,7 +64,7 @@
     configuration, path = named_configuration()
     log.configure_logging(configuration.name)
     try:
-        sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
+        sys.exit(server.run(configuration, ServerFiles(path, levels, vrrp, fleet)))
     except ConfigurationError as trouble:
         give_up(trouble)
 
@@ -75,7 +77,7 @@
     """Say what is wrong with the configuration (and the other files, if given), if anything."""
     configuration, path = named_configuration()
     try:
-        files = server.Files(path, levels, vrrp, fleet)
+        files = ServerFiles(path, levels, vrrp, fleet)
         table, groups = files.read_levels(configuration.settings), files.read_vrrp(configuration.settings)
         of = files.read_fleet()
     except ConfigurationError as trouble:
@@ -86,5 +88,5 @@
         + (f", {len(groups.groups)} VRRP groups" if groups else "")
         + (f", of the fleet {of.name}" if of else "")
     )
-    for line in server.unsupported_settings(configuration.settings):
+    for line in unsupported_settings(configuration.settings):
         click.echo(f"{configuration.name}: {line}")
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -74,9 +74,9 @@
     if not name:
         give_up("name the server, or set NODE_NAME")
     try:
-        answer = control.ask(name, "vrrp")
+        answer = control.query(name, "vrrp")
     except (OSError, ValueError) as error:
-        give_up(f"no server answers at {control.path_of(name)}: {error}")
+        give_up(f"no server answers at {control.socket_path(name)}: {error}")
     if "error" in answer:
         give_up(str(answer["error"]))
     groups = answer["vrrp"]
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterrudder.configuration import ConfigurationError, address
+from otterrudder.configuration import ConfigurationError, parse_address
 from otterrudder.fleet.cell.relay import SESSIONS_MOST
 from otterrudder.fleet.records import NAME_MOST, Absent
 
@@ -48,7 +48,7 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        return address(self.listen, "relay.listen")
+        return parse_address(self.listen, "relay.listen")
 
 
 def check_server_lease(server_lease_ms: float, bound_ms: float) -> None:
@@ -68,7 +68,7 @@
         raise BadRelay(f"{key}: an address is there twice")
     for relay in relays:
         try:
-            _, port = address(relay, key)
+            _, port = parse_address(relay, key)
         except ConfigurationError as trouble:
             raise BadRelay(str(trouble)) from None
         if not port:
--- a/otterrudder/fleet/configuration.py
+++ b/otterrudder/fleet/configuration.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from otterrudder.configuration import ConfigurationError, address
+from otterrudder.configuration import ConfigurationError, parse_address
 from otterrudder.files import convert, load_toml
 from otterrudder.fleet.cell.configuration import (
     SERVER_LEASE_MS,
@@ -151,7 +151,7 @@
         raise bad("tls", "a relay shows its servers a certificate: cert and key are wanted")
     beside = path.parent
     try:
-        stores = tuple(address(text, "store") for text in told.store)
+        stores = tuple(parse_address(text, "store") for text in told.store)
     except ConfigurationError as trouble:
         raise BadFleet(f"{path.name}: {trouble}") from None
     return Fleet(
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -154,7 +154,7 @@
         self.checker.check_overdue(self.engine.now)
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
-            name = server.core.levels.name if server.is_up and server.core.levels else ""
+            name = server.core.service.levels.name if server.is_up and server.core.service.levels else ""
             self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
         if self.engine.now < self.length_ms:
             self.engine.after(SWEEP_MS, self._sweep)
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -8,7 +8,6 @@
 
 import math
 from collections.abc import Callable
-from typing import Any
 
 from otterrudder.lab.arrivals import Ask
 from otterrudder.lab.checker import Checker
@@ -17,7 +16,21 @@
 from otterrudder.lab.ledger import DECLINED, SETTLED, UNREACHED, VOIDED, Ledger
 from otterrudder.lab.server import Server
 from otterrudder.lab.site import GatewaysPart, Site
-
+from otterrudder.net.messages import (
+    ConnectionMessage,
+    RequestCompleted,
+    RequestFailed,
+    RequestInvalid,
+    RequestRejected,
+)
+
+# Answers as the checker names them.
+ANSWERS = {
+    RequestCompleted: "settled",
+    RequestRejected: "declined",
+    RequestFailed: "voided",
+    RequestInvalid: "rejected",
+}
 WALK_MS = 1.0  # ms from a decline to the next try
 
 
@@ -40,24 +53,24 @@
         self.at, self.wait, self.is_marked = at, wait, is_marked
         self.is_over = False
 
-    def tell(self, server: Server, word: str, rpc: int, *rest: Any) -> None:
+    def receive(self, server: Server, message: ConnectionMessage) -> None:
         """An answer of the server, on its way to the gateway."""
-        self.gateway.checker.answered(self.gateway.engine.now, self.number, word)
+        self.gateway.checker.answered(self.gateway.engine.now, self.number, ANSWERS[type(message)])
         server.over(self)
-        self.gateway.engine.after(self.gateway.part.net_ms, self._hear, word, rest)
+        self.gateway.engine.after(self.gateway.part.net_ms, self._finish, message)
 
-    def _hear(self, word: str, rest: tuple[Any, ...]) -> None:
+    def _finish(self, message: ConnectionMessage | None) -> None:
         if not self.is_over:
             self.is_over = True
-            self.gateway.heard(self, word, rest)
+            self.gateway.attempt_finished(self, message)
 
     def reset(self, server: Server) -> None:
         """The connection breaks with its server."""
-        self._hear("reset", ())
+        self._finish(None)
 
     def given_up(self) -> None:
         """It has waited for as long as it was allowed."""
-        self._hear("timeout", ())
+        self._finish(None)
 
 
 class Gateway(EndpointListener):
@@ -130,27 +143,29 @@
         self.open[attempt.server.number] -= 1
         return self.trail.pop(attempt.number)
 
-    def heard(self, attempt: Try, word: str, rest: tuple[Any, ...]) -> None:
+    def attempt_finished(self, attempt: Try, message: ConnectionMessage | None) -> None:
+        """`message`: None if there was no answer, be it in time or at all."""
         been, since = self._closed(attempt)
         ask, server, now = attempt.ask, attempt.server, self.engine.now
         been = (*been, server.number)
-        if word == "settled":
-            self._note_load(server.number, rest[-1])
-            self._end(ask, SETTLED)
-        elif word == "declined":
-            is_final, away_ms, load = rest
-            self._note_load(server.number, load)
-            if self.heeds_away and away_ms > 0:
-                self.away[server.number] = max(self.away.get(server.number, 0.0), now + away_ms)
-            if is_final and self.heeds_stop:
-                self._end(ask, DECLINED)
-            else:
-                self.engine.after(WALK_MS, self._try, ask, been, since)
-        elif word == "voided":
-            self._note_load(server.number, rest[-1])
-            self._again(ask, been, since)
-        else:  # reset, timeout
-            self._again(ask, been, since)
+        match message:
+            case RequestCompleted():
+                self._note_load(server.number, message.load)
+                self._end(ask, SETTLED)
+            case RequestRejected():
+                self._note_load(server.number, message.load)
+                if self.heeds_away and message.retry_after_ms > 0:
+                    until = now + message.retry_after_ms
+                    self.away[server.number] = max(self.away.get(server.number, 0.0), until)
+                if message.is_final and self.heeds_stop:
+                    self._end(ask, DECLINED)
+                else:
+                    self.engine.after(WALK_MS, self._try, ask, been, since)
+            case RequestFailed():
+                self._note_load(server.number, message.load)
+                self._again(ask, been, since)
+            case _:
+                self._again(ask, been, since)
 
     def _again(self, ask: Ask, been: tuple[int, ...], since: float) -> None:
         """After a failure only what may run twice goes elsewhere: servers share nothing, and know no other's
--- a/otterrudder/lab/processes/cells.py
+++ b/otterrudder/lab/processes/cells.py
@@ -172,7 +172,7 @@
 
 async def _asked(path: Path, what: str) -> dict[str, Any]:
     try:
-        told = await anyio.to_thread.run_sync(control.ask_at, path, what)
+        told = await anyio.to_thread.run_sync(control.query_path, path, what)
     except (OSError, ValueError):
         return {}
     answer = told.get(what)
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -19,7 +19,10 @@
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.state import Standing
 from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
-from otterrudder.net import core, registry, serve
+from otterrudder.net import core, discovery, serve
+from otterrudder.net.request_table import RequestTable
+from otterrudder.net.requests import PendingRequest
+from otterrudder.net.server_files import ServerFiles
 
 EACH = 6  # requests, of which one is spoilt
 LATE_S = 4.6  # s until an answer that is late: the gateways wait 4 s
@@ -43,104 +46,103 @@
 
 def _loses() -> None:
     """Now and then an answer is never sent."""
-    real, count = core.Core._answer, [0]
+    real, count = RequestTable._answer, [0]
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
+    def answer(self: RequestTable, request: PendingRequest, *rest: object) -> None:
         count[0] += 1
         if count[0] % EACH == 0:
-            request.answered = True
+            request.is_answered = True
             return
         real(self, request, *rest)  # type: ignore[arg-type]
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    setattr(RequestTable, "_answer", answer)  # noqa: B010
 
 
 def _runs_twice() -> None:
     """Knows no repeat."""
-    real = core.Core.arrive
+    real = core.RequestCore.handle_arrival
 
-    def arrive(self: core.Core, *args: object, **told: object) -> None:
-        self.references.clear()
-        self.fresh.clear()
-        real(self, *args, **told)  # type: ignore[arg-type]
+    def handle_arrival(self: core.RequestCore, *args: object) -> None:
+        self.idempotency.entries.clear()
+        self.idempotency.batch_entries.clear()
+        real(self, *args)  # type: ignore[arg-type]
 
-    setattr(core.Core, "arrive", arrive)  # noqa: B010
+    setattr(core.RequestCore, "handle_arrival", handle_arrival)  # noqa: B010
 
 
 def _other_result() -> None:
     """Now and then serves what no run made."""
-    real, count = core.Core.ended, [0]
+    real, count = core.RequestCore.handle_run_ended, [0]
 
-    def ended(self: core.Core, call: str, outcome: object, body: bytes) -> None:
+    def ended(self: core.RequestCore, call: str, outcome: object, body: bytes) -> None:
         count[0] += 1
         real(self, call, outcome, b"other" if count[0] % EACH == 0 else body)  # type: ignore[arg-type]
 
-    setattr(core.Core, "ended", ended)  # noqa: B010
+    setattr(core.RequestCore, "handle_run_ended", ended)  # noqa: B010
 
 
 def _answers_twice() -> None:
     """Says the same again."""
-    real = core.Core._answer
+    real = RequestTable._answer
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
-        sent = len(self.out)
+    def answer(self: RequestTable, request: PendingRequest, *rest: object) -> None:
+        sent = len(self._outbox.messages)
         real(self, request, *rest)  # type: ignore[arg-type]
-        self.out += self.out[sent:]
+        self._outbox.messages += self._outbox.messages[sent:]
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    setattr(RequestTable, "_answer", answer)  # noqa: B010
 
 
 def _answers_late() -> None:
     """Now and then an answer lies about until its caller has given up."""
-    real, count = core.Core._answer, [0]
+    real, count = RequestTable._answer, [0]
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
+    def answer(self: RequestTable, request: PendingRequest, *rest: object) -> None:
         count[0] += 1
-        if count[0] % EACH or request.answered:
+        if count[0] % EACH or request.is_answered:
             real(self, request, *rest)  # type: ignore[arg-type]
             return
 
         def later() -> None:
-            request.answered = False
+            request.is_answered = False
             real(self, request, *rest)  # type: ignore[arg-type]
 
-        request.answered = True
+        request.is_answered = True
         asyncio.get_running_loop().call_later(LATE_S, later)
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    setattr(RequestTable, "_answer", answer)  # noqa: B010
 
 
 def _declines_repeats() -> None:
     """A repeat of what ran is turned away."""
 
-    def reuse(self: core.Core, request: core.PendingRequest) -> None:
-        self._decline(request, False, 0.0)
+    def replay(self: core.RequestCore, request: PendingRequest, _: object) -> None:
+        self.requests.reject(request, False, 0.0)
         assert self.controller
         self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
-    setattr(core.Core, "_reuse", reuse)  # noqa: B010
-    core._REQUEST_COMMANDS[commands.ReplayResponse] = reuse
+    core._REQUEST_COMMANDS[commands.ReplayResponse] = replay
 
 
 def _unlisted() -> None:
     """Tells the list of itself when it feels like it."""
-    real, start = registry.Registry._report, time.monotonic()
+    real, start = discovery.DiscoveryReporter._report, time.monotonic()
 
-    def report(self: registry.Registry, sock: socket.socket) -> None:
+    def report(self: discovery.DiscoveryReporter, sock: socket.socket) -> None:
         if (time.monotonic() - start) % PAUSE_S < PAUSE_S / 5:
             real(self, sock)
 
-    setattr(registry.Registry, "_report", report)  # noqa: B010
+    setattr(discovery.DiscoveryReporter, "_report", report)  # noqa: B010
 
 
 def _drops_at_drain() -> None:
     """Told to drain, it ends at once."""
-    setattr(core.Core, "retire", lambda self, left_ms: os._exit(0))  # noqa: B010
+    setattr(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: os._exit(0))  # noqa: B010
 
 
 def _never_leaves() -> None:
     """Told to drain, it serves on."""
-    setattr(core.Core, "retire", lambda self, left_ms: None)  # noqa: B010
+    setattr(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: None)  # noqa: B010
 
 
 FAULTS: dict[str, Callable[[], None]] = {
@@ -162,7 +164,7 @@
 
 def serve_as_told() -> NoReturn:
     """The server's program, by what the environment says."""
-    files = serve.Files.from_environment()
+    files = ServerFiles.from_environment()
     configuration = read_configuration(files.configuration)
     log.configure_logging(configuration.name)
     sys.exit(serve.run(configuration, files))
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -319,7 +319,7 @@
     with anyio.move_on_after(RELAY_UP_S):
         while True:
             with contextlib.suppress(OSError, ValueError):
-                told = await anyio.to_thread.run_sync(control.ask_at, control_path, "relay")
+                told = await anyio.to_thread.run_sync(control.query_path, control_path, "relay")
                 relay = told["relay"]
                 if isinstance(relay, dict) and relay["leads"] and relay["authority_left_ms"]:
                     return
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -1,13 +1,14 @@
 """One server of a site: a real core driven as the dispatcher drives it, on modelled cores.
 
 A batch is the time first, then what the runtime and the records tier said, then arrivals, the ring if it is
-due, one `done`; what comes at one instant makes one batch. The process may be killed, frozen, slowed or
-drained by faults, and dies by itself of memory or a crowd, as the platform's would."""
+due, then what the core sends; what comes at one instant makes one batch. The process may be killed, frozen,
+slowed or drained by faults, and dies by itself of memory or a crowd, as the platform's would."""
 
 import math
 from collections.abc import Callable, Iterator
 from typing import Any, Protocol
 
+from otterrudder.admission.commands import CloseConnections
 from otterrudder.admission.interface import Idempotency, Outcome
 from otterrudder.lab.arrivals import Ask
 from otterrudder.lab.checker import Checker
@@ -16,7 +17,21 @@
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.site import Site
 from otterrudder.levels import LevelController, LevelSelector, LevelTable
-from otterrudder.net.core import DISPATCHER, GATEWAYS, RECORDS, RUNTIME, Core
+from otterrudder.net.core import RequestCore
+from otterrudder.net.messages import (
+    ConnectionMessage,
+    DeliverReply,
+    Destination,
+    DispatcherMessage,
+    LogEntry,
+    RecordsMessage,
+    RuntimeMessage,
+    SendCall,
+    SkipDownstreamCall,
+    StartRun,
+    StopRun,
+)
+from otterrudder.net.requests import RequestFields
 
 UNIX = 1.7e12  # ms: the Unix time of the day's start
 GAUGES = ["busy", "on_cores"]
@@ -33,7 +48,7 @@
     is_marked: bool  # as a later try
     is_over: bool
 
-    def tell(self, server: "Server", word: str, rpc: int, *rest: Any) -> None:
+    def receive(self, server: "Server", message: ConnectionMessage) -> None:
         """An answer of the server."""
 
     def reset(self, server: "Server") -> None:
@@ -72,7 +87,7 @@
         s = site.server
         self.cores = Cores(engine, s.cores, s.speed[number % len(s.speed)], s.crowd_at, s.crowd_loss)
         self.is_up = self.is_frozen = self.is_draining = self.is_listed = False
-        self.core: Core
+        self.core: RequestCore
         self.life = 0
         self.memory_most = s.memory_kb
         self.memory_peak = self.crowd_peak = 0.0
@@ -87,25 +102,25 @@
         self.cores.start(1.0 if warm else s.cold_from, 0.0 if warm else s.cold_s * 1000)
         controller = LevelController(self.table, self.spread(), self.kind) if self.table else None
         create_controller = self.site.create_controller(self.number + 1, self.seed * 1000 + self.life)
-        self.core = Core(create_controller, self.products, GAUGES, controller)
+        self.core = RequestCore(create_controller, self.products, GAUGES, controller)
         self.tries: dict[str, Attempt] = {}
         self.runs: dict[str, Run] = {}
-        self.urgent: list[tuple[Callable[..., object], tuple[object, ...], dict[str, Any]]] = []
-        self.arrivals: list[tuple[Callable[..., object], tuple[object, ...], dict[str, Any]]] = []
+        self.urgent: list[tuple[Callable[..., object], tuple[object, ...]]] = []
+        self.arrivals: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.ring_at = math.inf
         self.is_planned = False
         self.is_up, self.is_draining, self.is_frozen = True, False, False
-        self.post(self.core.begin, warm, s.cold_s * 1000 if warm else 0.0)
-        self.post(self.core.linked)
+        self.post(self.core.handle_runtime_ready, warm, s.cold_s * 1000 if warm else 0.0)
+        self.post(self.core.handle_link_established)
 
     # The mailbox.
 
-    def post(self, act: Callable[..., object], *args: object, **more: Any) -> None:
-        self.urgent.append((act, args, more))
+    def post(self, act: Callable[..., object], *args: object) -> None:
+        self.urgent.append((act, args))
         self._plan()
 
-    def post_arrival(self, act: Callable[..., object], *args: object, **more: Any) -> None:
-        self.arrivals.append((act, args, more))
+    def post_arrival(self, act: Callable[..., object], *args: object) -> None:
+        self.arrivals.append((act, args))
         self._plan()
 
     def _plan(self) -> None:
@@ -120,34 +135,37 @@
         now = self.engine.now
         urgent, self.urgent = self.urgent, []
         arrivals, self.arrivals = self.arrivals, []
-        self.core.at(UNIX + now, now)
-        for act, args, more in urgent + arrivals:
-            act(*args, **more)
+        self.core.advance_to(UNIX + now, now)
+        for act, args in urgent + arrivals:
+            act(*args)
         if now >= self.ring_at:
             late, self.ring_at = now - self.ring_at, math.inf
-            self.core.ask()
-            self.core.gauged(self.core.asked, list(self.cores.gauges()))
-            self.core.ring(late)
+            self.core.query_gauges()
+            self.core.handle_gauges(self.core.delivery.last_query, list(self.cores.gauges()))
+            self.core.tick(late)
             self._check_falls()
-        for address, *message in self.core.done():
-            if address == RUNTIME:
-                self._runtime(*message)
-            elif address == RECORDS:
-                self._records(*message)
-            elif address == DISPATCHER:
-                self._dispatcher(*message)
-            elif address == GATEWAYS:
-                if message[0] == "close":
-                    self.engine.after(1.0, self._stopped, self.life)
-            elif address is not None:
-                address.tell(self, *message)
-
-    def _dispatcher(self, word: str, *rest: Any) -> None:
-        if word == "wake":
-            self.ring_at = self.engine.now + rest[0]
-            self.engine.at(self.ring_at, self._ring, self.life)
+        for destination, message in self.core.take_messages():
+            self._deliver(destination, message)
+
+    def _deliver(self, destination: Any, message: Any) -> None:
+        if destination is Destination.RUNTIME:
+            self._runtime(message)
+        elif destination is Destination.RECORDS:
+            self._records(message)
+        elif destination is Destination.DISPATCHER:
+            self._dispatcher(message)
+        elif destination is Destination.GATEWAYS:
+            if isinstance(message, CloseConnections):
+                self.engine.after(1.0, self._stopped, self.life)
+        elif destination is not None:
+            destination.receive(self, message)
+
+    def _dispatcher(self, message: DispatcherMessage) -> None:
+        if isinstance(message, LogEntry):
+            self.logged(self.engine.now, self.number, message.text, message.fields)
         else:
-            self.logged(self.engine.now, self.number, rest[0], rest[1])
+            self.ring_at = self.engine.now + message.delay_ms
+            self.engine.at(self.ring_at, self._ring, self.life)
 
     def _ring(self, life: int) -> None:
         if life == self.life and self.is_up and not self.is_frozen:
@@ -174,47 +192,45 @@
             attempt.at + attempt.wait,
             0 if spec.idempotency is Idempotency.SAFE else ask.number,
         )
-        self.post_arrival(
-            self.core.arrive,
-            attempt,
-            attempt.number,
-            ask.product,
-            call=call,
-            recv=UNIX + attempt.at,
-            ttl=attempt.wait,
-            kb=self.site.server.held_kb,
-            tenant=ask.tenant,
-            key=0 if referenced else ask.key,
-            retry=attempt.is_marked,
-            dedupe=f"{ask.number:x}" if referenced else "",
+        fields = RequestFields(
+            request_id=call,
+            received_at=UNIX + attempt.at,
+            ttl_ms=attempt.wait,
+            size_kb=self.site.server.held_kb,
+            tenant_index=ask.tenant,
+            session_key=0 if referenced else ask.key,
+            is_retry=attempt.is_marked,
+            idempotency_key=f"{ask.number:x}" if referenced else "",
             body=b"",
-            rank=ask.rank,
+            criticality=ask.rank,
         )
+        self.post_arrival(self.core.handle_arrival, attempt, attempt.number, ask.product, fields)
 
     def left(self, attempt: Attempt) -> None:
         """Its caller has gone away."""
         self.checker.disconnected(attempt.number)
-        self.post_arrival(self.core.left, f"{attempt.number:016x}")
+        self.post_arrival(self.core.handle_disconnect, f"{attempt.number:016x}")
 
     # The runtime and what lies below it.
 
-    def _runtime(self, word: str, *rest: Any) -> None:
-        if word == "start":
-            call = rest[0]
-            attempt = self.tries[call]
-            self.checker.started(
-                self.engine.now, attempt.number, self.products[attempt.ask.product].retention_ms
-            )
-            ask = attempt.ask
-            run = self.runs[call] = Run(ask.work / (ask.calls + 1), ask.calls)
-            self._work(call, run)
-        elif word in ("give", "omit") and rest[0] in self.runs:
-            self._work(rest[0], self.runs[rest[0]])
-        elif word == "stop" and rest[0] in self.runs:
-            stopped = self.runs.pop(rest[0])
-            if stopped.job:
-                self.cores.cancel(stopped.job)
-            self.post(self.core.ended, rest[0], Outcome.CANCELLED, b"")
+    def _runtime(self, message: RuntimeMessage) -> None:
+        match message:
+            case StartRun(call):
+                self._start_run(call)
+            case DeliverReply(call) | SkipDownstreamCall(call) if call in self.runs:
+                self._work(call, self.runs[call])
+            case StopRun(call) if call in self.runs:
+                stopped = self.runs.pop(call)
+                if stopped.job:
+                    self.cores.cancel(stopped.job)
+                self.post(self.core.handle_run_ended, call, Outcome.CANCELLED, b"")
+
+    def _start_run(self, call: str) -> None:
+        attempt = self.tries[call]
+        self.checker.started(self.engine.now, attempt.number, self.products[attempt.ask.product].retention_ms)
+        ask = attempt.ask
+        run = self.runs[call] = Run(ask.work / (ask.calls + 1), ask.calls)
+        self._work(call, run)
 
     def _work(self, call: str, run: Run) -> None:
         run.job = self.cores.run(run.part, lambda: self._worked(call, run))
@@ -223,21 +239,21 @@
         run.job = None
         if run.calls_left:
             run.calls_left -= 1
-            self.post(self.core.wants, call, b"")
+            self.post(self.core.handle_call_needed, call, b"")
         else:
             self.runs.pop(call, None)
             if self.tries[call].is_over:
                 del self.tries[call]
-            self.post(self.core.ended, call, Outcome.OK, b"done")
+            self.post(self.core.handle_run_ended, call, Outcome.OK, b"done")
 
-    def _records(self, word: str, call: str, *rest: Any) -> None:
-        if word == "call":
-            life = self.life
+    def _records(self, message: RecordsMessage) -> None:
+        if isinstance(message, SendCall):
+            life, call = self.life, message.request_id
             self.below.call(lambda outcome: self._replied(life, call, outcome))
 
     def _replied(self, life: int, call: str, outcome: Outcome) -> None:
         if life == self.life and self.is_up:
-            self.post(self.core.replied, call, outcome, b"")
+            self.post(self.core.handle_call_ended, call, outcome, b"")
 
     # Its life.
 
@@ -248,7 +264,7 @@
             self.is_draining = True
             now = self.engine.now
             self.checker.shutdown_began(self.life, now + s.grace_ms)
-            self.post(self.core.retire, s.stop_ms)
+            self.post(self.core.begin_graceful_shutdown, s.stop_ms)
             self.engine.after(s.stop_ms, self._stopped, self.life)
 
     def _stopped(self, life: int) -> None:
@@ -288,9 +304,9 @@
     def _check_falls(self) -> None:
         s = self.site.server
         warm = self.cores.warmth()
-        counters = self.core.counters()
-        refs = len(self.core.references) * s.ref_kb
-        used = (counters["held"] + counters["runs"] * s.run_factor) * s.held_kb + refs
+        counters = self.core.log_fields()
+        refs = len(self.core.idempotency) * s.ref_kb
+        used = (counters["queued"] + counters["runs"] * s.run_factor) * s.held_kb + refs
         self.memory_peak = max(self.memory_peak, used / self.memory_most)
         crowd = self.cores.jobs_per_core / (1 + (s.falls_at - 1) * warm)
         self.crowd_peak = max(self.crowd_peak, crowd)
--- a/otterrudder/levels/controller.py
+++ b/otterrudder/levels/controller.py
@@ -42,6 +42,11 @@
         """The name of the level in force, also in shadow mode."""
         return self._selector.name
 
+    @property
+    def is_full_service(self) -> bool:
+        """Whether no level of reduced service is in force."""
+        return self.name == FULL_SERVICE
+
     def step(self, now: float, facts: Mapping[str, float]) -> LevelUpdate | None:
         """Plays the tick at `now` ms with the facts that are known then."""
         return self._update(self._selector.step(now, facts))
--- a/otterrudder/net/control.py
+++ b/otterrudder/net/control.py
@@ -2,8 +2,8 @@
 
     {"v": 1, "ask": "vrrp"}      ->      {"v": 1, "vrrp": [...]}
 
-In $TMPDIR, mode 0600, so nobody but the server's own user reads it. Bounded in connections, bytes and
-time."""
+It lies in $TMPDIR with mode 0600, so nobody but the server's own user reads it. Bounded in connections, bytes
+and time. tests/test_control_stored_bytes.py holds the form."""
 
 import contextlib
 import json
@@ -19,120 +19,141 @@
 from otterrudder.log import log
 
 VERSION = 1  # of the form
-REQUEST_MOST = 4096  # bytes of a request
-OPEN_MOST = 4  # connections at a time: an operator or two
-PATIENCE_S = 2.0  # s for a request to come and its reply to go
-MODE = 0o600
+MAX_REQUEST_BYTES = 4096
+MAX_CONNECTIONS = 4  # an operator or two
+TIMEOUT_S = 2.0  # for a request to come and its reply to go
+SOCKET_MODE = 0o600
+READ_BYTES = 65536  # of one read of a reply
 
 
-def path_of(name: str) -> Path:
+class InvalidRequestError(Exception):
+    """A request that can't be answered; the text is the reply's `error`."""
+
+
+def socket_path(name: str) -> Path:
     """Where the server of that name listens."""
     return Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / f"otterrudder-{name}.sock"
 
 
-class Control:
+class ControlSocket:
+    """The server's side."""
+
     def __init__(self, name: str, answers: dict[str, Callable[[], object]]) -> None:
-        """`answers`: by what is asked for, a call that says it."""
-        self.path, self.answers, self.open = path_of(name), answers, 0
+        """`answers`: by the word that is asked for, a function that returns what JSON can hold."""
+        self.path = socket_path(name)
+        self._answers = answers
+        self._connections = 0
 
     async def run(self) -> None:
-        """Serves until it is cancelled; a place that can't be had is logged, and the server goes on
-        without."""
+        """Serves until it is cancelled. If it can't listen, that is logged, and nothing else happens."""
         try:
             sock = self._bind()
-        except OSError as trouble:
-            log.warning("no control socket", path=str(self.path), why=str(trouble))
+        except OSError as error:
+            log.warning("no control socket", path=str(self.path), why=str(error))
             return
         try:
             async with anyio.create_task_group() as group:
                 while True:
                     await anyio.wait_readable(sock)
-                    try:
-                        other, _ = sock.accept()
-                    except OSError:
-                        continue
-                    if self.open >= OPEN_MOST:
-                        other.close()
-                        continue
-                    group.start_soon(self._serve, other)
+                    self._accept(sock, group)
         finally:
             sock.close()
             self.path.unlink(missing_ok=True)
 
     def _bind(self) -> socket.socket:
-        self.path.unlink(missing_ok=True)  # of a process that was killed: names are one server's each
+        self.path.unlink(missing_ok=True)  # of a process that was killed: each name is one server's
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            before = os.umask(0o777 & ~MODE)
+            earlier_mask = os.umask(0o777 & ~SOCKET_MODE)
             try:
                 sock.bind(str(self.path))
             finally:
-                os.umask(before)
-            sock.listen(OPEN_MOST)
+                os.umask(earlier_mask)
+            sock.listen(MAX_CONNECTIONS)
         except BaseException:
             sock.close()
             raise
         return sock
 
+    def _accept(self, sock: socket.socket, group: anyio.abc.TaskGroup) -> None:
+        try:
+            connection, _ = sock.accept()
+        except OSError:
+            return
+        if self._connections >= MAX_CONNECTIONS:
+            connection.close()
+        else:
+            group.start_soon(self._serve, connection)
+
     async def _serve(self, sock: socket.socket) -> None:
-        self.open += 1
+        self._connections += 1
         try:
             sock.setblocking(False)
-            with anyio.move_on_after(PATIENCE_S):
-                data = b""
-                while b"\n" not in data and len(data) < REQUEST_MOST:
-                    await anyio.wait_readable(sock)
-                    try:
-                        more = sock.recv(REQUEST_MOST - len(data))
-                    except BlockingIOError:  # woken for nothing
-                        continue
-                    if not more:
-                        break
-                    data += more
-                await self._send(sock, self._reply(data) + b"\n")
+            with anyio.move_on_after(TIMEOUT_S):
+                line = await self._read_line(sock)
+                await self._write(sock, self._reply(line) + b"\n")
         except OSError:
-            pass  # it has gone, and is owed nothing
+            pass  # the other side has gone
         finally:
-            self.open -= 1
+            self._connections -= 1
             sock.close()
 
-    async def _send(self, sock: socket.socket, data: bytes) -> None:
+    async def _read_line(self, sock: socket.socket) -> bytes:
+        data = b""
+        while b"\n" not in data and len(data) < MAX_REQUEST_BYTES:
+            await anyio.wait_readable(sock)
+            try:
+                more = sock.recv(MAX_REQUEST_BYTES - len(data))
+            except BlockingIOError:  # a spurious wake-up
+                continue
+            if not more:
+                break
+            data += more
+        return data
+
+    async def _write(self, sock: socket.socket, data: bytes) -> None:
         while data:
             await anyio.wait_writable(sock)
             with contextlib.suppress(BlockingIOError):
                 data = data[sock.send(data) :]
 
-    def _reply(self, data: bytes) -> bytes:
+    def _reply(self, line: bytes) -> bytes:
         try:
-            told = json.loads(data)
-            if told.get("v") != VERSION:
-                return _said(error=f"this server speaks version {VERSION}")
-            answer = self.answers.get(told.get("ask"))
-            if answer is None:
-                return _said(error=f"ask for one of {', '.join(sorted(self.answers))}")
-            return _said(**{told["ask"]: answer()})
+            word = self._requested_word(line)
+            return _encode(**{word: self._answers[word]()})
+        except InvalidRequestError as error:
+            return _encode(error=str(error))
         except (ValueError, AttributeError, TypeError):
-            return _said(error="not a line of JSON")
+            return _encode(error="not a line of JSON")
+
+    def _requested_word(self, line: bytes) -> str:
+        request = json.loads(line)
+        if request.get("v") != VERSION:
+            raise InvalidRequestError(f"this server speaks version {VERSION}")
+        word = request.get("ask")
+        if word not in self._answers:
+            raise InvalidRequestError(f"ask for one of {', '.join(sorted(self._answers))}")
+        return str(word)
 
 
-def _said(**facts: object) -> bytes:
-    return json.dumps({"v": VERSION} | facts, default=str).encode()
+def _encode(**members: object) -> bytes:
+    return json.dumps({"v": VERSION} | members, default=str).encode()
 
 
-def ask(name: str, what: str) -> dict[str, object]:
-    """What a running server says; OSError if none answers."""
-    return ask_at(path_of(name), what)
+def query(name: str, word: str) -> dict[str, object]:
+    """Asks the running server of that name; OSError if none answers."""
+    return query_path(socket_path(name), word)
 
 
-def ask_at(path: Path, what: str) -> dict[str, object]:
-    """The same, by the socket's path."""
+def query_path(path: Path, word: str) -> dict[str, object]:
+    """Asks the server that listens there; OSError if none answers."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(TIMEOUT_S)
         sock.connect(str(path))
-        sock.sendall(json.dumps({"v": VERSION, "ask": what}).encode() + b"\n")
+        sock.sendall(json.dumps({"v": VERSION, "ask": word}).encode() + b"\n")
         data = b""
-        while more := sock.recv(65536):
+        while more := sock.recv(READ_BYTES):
             data += more
-    told: dict[str, object] = json.loads(data)
-    return told
+    reply: dict[str, object] = json.loads(data)
+    return reply
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -1,171 +1,126 @@
-"""The event loop's dispatcher: the only caller of the core.
+"""The dispatcher of the event loop, the only caller of the request core.
 
-Actors post calls of the core into its mailbox and never call the core themselves. A turn takes all that waits
-in one go: the time once, the runtime and records before arrivals (what they free is there for those that
-come), the ring if it is due, then one `done`, whose messages go to their addresses. Its one timer wakes it
-for the next ring, and a little earlier to ask for gauges."""
+The actors (connections, links, signals) post events: calls of the core, which they never call themselves. The
+dispatcher handles all events that wait as one batch: the time once, then the events of the runtime and the
+records service ahead of arrivals (what they free is there for those that arrive), then the admission
+controller's tick if it is due. The core's messages then go to their destinations. A timer wakes the
+dispatcher for the next tick, and a little earlier to query gauges."""
 
-import gc
 import math
-import resource
 from collections.abc import Callable, Hashable
-from pathlib import Path
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 import anyio
 
 from otterrudder import clock
+from otterrudder.admission.commands import ScheduleTick
 from otterrudder.log import log
-from otterrudder.net import core
+from otterrudder.net.core import RequestCore
+from otterrudder.net.loop_statistics import LoopStatistics
+from otterrudder.net.messages import Destination, DispatcherMessage
 
-ASK_AHEAD_MS = 6.0  # ms before a ring at which gauges are asked for: a round trip and a busy loop
-LATE_MS = 40.0  # ms of lateness of a ring from which on this process is short of CPU: a whole ring
-LATE_FOR_MS = 1000.0  # ms for which such a ring makes it a late one
-REPORT_MS = 10_000.0  # ms between lines on how this process does
+GAUGE_QUERY_LEAD_MS = 6.0  # ahead of a tick: a round trip, and a busy loop
 
 
-Mail = tuple[
-    Callable[..., object], tuple[Any, ...], dict[str, Any], str
-]  # a call, its arguments, whose request
+class MailboxEvent(NamedTuple):
+    """A call of the core that waits for the next batch."""
 
+    handler: Callable[..., object]
+    arguments: tuple[Any, ...]
+    request_id: str  # of the request that fails with it; "": none
 
-class Address(Protocol):
-    """What the core's messages may be sent to."""
 
-    def tell(self, word: str, *rest: Any) -> None:
-        """Takes a message, in the forms that core.py lists; never waits."""
+class Recipient(Protocol):
+    """Where the core's messages may go."""
+
+    def send(self, message: Any) -> None:
+        """Takes a message of its own types, see `messages.py`; never waits."""
 
 
 class Dispatcher:
-    """Plays what was posted in turns, one at a time; a call that fails is logged, and the others go on."""
-
-    def __init__(self, the_core: core.Core) -> None:
-        self.core = the_core
-        self.addresses: dict[Hashable, Address] = {core.DISPATCHER: self}
-        self.period = 0.0  # ms of the last ring's wait
-        self.urgent: list[Mail] = []  # of all but gateways: played ahead of arrivals
-        self.arrivals: list[Mail] = []
-        self.wake = anyio.Event()
-        self.ring_at = self.ask_at = float("inf")
-        self.statistics = _LoopStatistics()
-        self.before_turn: list[Callable[[float], None]] = []  # played at the head of each turn
-
-    def post(self, act: Callable[..., object], *args: Any, of: str = "", **more: Any) -> None:
-        """Puts a call of the core into the mailbox; `of` names the request that is voided if it fails."""
-        self.urgent.append((act, args, more, of))
-        self.wake.set()
-
-    def post_arrival(self, act: Callable[..., object], *args: Any, of: str = "", **more: Any) -> None:
-        """The same for what gateways say: played after all that was put in by `post`."""
-        self.arrivals.append((act, args, more, of))
-        self.wake.set()
+    """Handles posted events in batches, one batch at a time. An event that fails is logged, and the others go
+    on."""
+
+    def __init__(self, core: RequestCore) -> None:
+        self.core = core
+        self.recipients: dict[Hashable, Recipient] = {Destination.DISPATCHER: self}
+        self.tick_at = math.inf
+        self.gauge_query_at = math.inf
+        self.statistics = LoopStatistics()
+        self.batch_hooks: list[Callable[[float], None]] = []  # called at the start of each batch
+        self._tick_delay_ms = 0.0  # of the last tick
+        self._events: list[MailboxEvent] = []  # of all but gateways: handled ahead of arrivals
+        self._arrivals: list[MailboxEvent] = []
+        self._woken = anyio.Event()
+
+    def post(self, handler: Callable[..., object], *arguments: Any, request_id: str = "") -> None:
+        """Puts a call of the core into the mailbox; `request_id`: the request that fails if the call does."""
+        self._events.append(MailboxEvent(handler, arguments, request_id))
+        self._woken.set()
+
+    def post_arrival(self, handler: Callable[..., object], *arguments: Any, request_id: str = "") -> None:
+        """The same for events of gateways: handled after all that came by `post`."""
+        self._arrivals.append(MailboxEvent(handler, arguments, request_id))
+        self._woken.set()
 
     async def run(self) -> None:
-        """Takes turns until it is cancelled."""
+        """Runs batches until it is cancelled."""
         while True:
-            wait = min(self.ring_at, self.ask_at, self.statistics.next) - clock.monotonic()
-            if not (self.urgent or self.arrivals) and wait > 0:
-                self.wake = anyio.Event()
-                with anyio.move_on_after(wait / 1000):
-                    await self.wake.wait()
+            wait_ms = min(self.tick_at, self.gauge_query_at, self.statistics.next_report) - clock.monotonic()
+            if not (self._events or self._arrivals) and wait_ms > 0:
+                self._woken = anyio.Event()
+                with anyio.move_on_after(wait_ms / 1000):
+                    await self._woken.wait()
             else:
-                await anyio.lowlevel.checkpoint()  # the actors get to their mail even if this one never rests
-            self.turn()
+                await anyio.lowlevel.checkpoint()  # the actors get their turn even if this one never rests
+            self.run_batch()
 
-    def turn(self) -> None:
-        """One batch of the core: the time, all mail, what is due, and what the core then sends."""
+    def run_batch(self) -> None:
+        """One batch: the time, all events, what is due, and what the core then sends."""
         now = clock.monotonic()
-        for pulse in self.before_turn:
-            self._try(pulse, now)
-        urgent, self.urgent = self.urgent, []
-        arrivals, self.arrivals = self.arrivals, []
-        self._try(self.core.at, clock.unix(), now)
-        for act, args, more, of in urgent + arrivals:
-            self._try(act, *args, of=of, **more)
-        if now >= self.ask_at:
-            self.ask_at = float("inf")
-            self._try(self.core.ask)
-        if now >= self.ring_at:
-            late = now - self.ring_at
-            self.statistics.ring_played(late)
-            self.ring_at = float("inf")
-            self._try(self.core.ring, late)
-        for address, *message in self._try(self.core.done) or ():
-            if address:  # else its caller has gone
-                self._try(self.addresses.get(address, address).tell, *message)
-        if self.ring_at == self.ask_at == float("inf") and self.period:  # a failed ring must not be the last
-            self.tell("wake", self.period)
-        self._try(self.statistics.turn_played, now, len(urgent) + len(arrivals), self.core)
-
-    def tell(self, word: str, *rest: Any) -> None:
-        """What the core sends to its dispatcher: when to ring next, or a line to log."""
-        if word == "wake":
-            self.period = rest[0]
-            self.ring_at = clock.monotonic() + rest[0]
-            self.ask_at = self.ring_at - ASK_AHEAD_MS
+        for hook in self.batch_hooks:
+            self._try(hook, now)
+        events = self._events + self._arrivals
+        self._events = []
+        self._arrivals = []
+        self._try(self.core.advance_to, clock.unix(), now)
+        for event in events:
+            self._try(event.handler, *event.arguments, request_id=event.request_id)
+        self._run_timers(now)
+        for destination, message in self._try(self.core.take_messages) or ():
+            if destination:  # else its caller has gone
+                self._try(self.recipients.get(destination, destination).send, message)
+        if self.tick_at == self.gauge_query_at == math.inf and self._tick_delay_ms:
+            self._schedule_tick(self._tick_delay_ms)  # a tick that failed must not be the last
+        self._try(self.statistics.batch_handled, now, len(events), self.core)
+
+    def send(self, message: DispatcherMessage) -> None:
+        """What the core sends to its dispatcher: when the next tick is due, or a line for the log."""
+        if isinstance(message, ScheduleTick):
+            self._schedule_tick(message.delay_ms)
         else:
-            log.info(rest[0], **rest[1])
-
-    def _try(self, act: Callable[..., Any], *args: Any, of: str = "", **more: Any) -> Any:
+            log.info(message.text, **message.fields)
+
+    def _run_timers(self, now: float) -> None:
+        if now >= self.gauge_query_at:
+            self.gauge_query_at = math.inf
+            self._try(self.core.query_gauges)
+        if now >= self.tick_at:
+            late_ms = now - self.tick_at
+            self.statistics.tick_handled(late_ms)
+            self.tick_at = math.inf
+            self._try(self.core.tick, late_ms)
+
+    def _schedule_tick(self, delay_ms: float) -> None:
+        self._tick_delay_ms = delay_ms
+        self.tick_at = clock.monotonic() + delay_ms
+        self.gauge_query_at = self.tick_at - GAUGE_QUERY_LEAD_MS
+
+    def _try(self, act: Callable[..., Any], *arguments: Any, request_id: str = "") -> Any:
         try:
-            return act(*args, **more)
+            return act(*arguments)
         except Exception:
-            log.exception("an event failed", event_of=act.__name__, call=of)
-            if of and act != self.core.failed:
-                self._try(self.core.failed, of)
+            log.exception("an event failed", event_of=act.__name__, call=request_id)
+            if request_id and act != self.core.fail_request:
+                self._try(self.core.fail_request, request_id)
             return None
-
-
-def _rss_mb() -> float:
-    """Now, not at its highest: growth shows."""
-    return round(int(Path("/proc/self/statm").read_bytes().split()[1]) * resource.getpagesize() / 2**20, 1)
-
-
-class _LoopStatistics:
-    """How the loop keeps up: cheap counts, logged and begun anew each REPORT_MS."""
-
-    def __init__(self) -> None:
-        self.next = clock.monotonic() + REPORT_MS
-        self.lag = self.turn_ms = 0.0
-        self.late_at = -math.inf
-        self.mail = self.turns = self.events = 0
-        self.cpu = 0.0
-
-    def ring_played(self, late_ms: float) -> None:
-        """A ring was played so late."""
-        self.lag = max(self.lag, late_ms)
-        if late_ms > LATE_MS:
-            self.late_at = clock.monotonic()
-
-    def is_late(self) -> bool:
-        """Whether a ring of late was so late that answers at expiry may be."""
-        return clock.monotonic() - self.late_at < LATE_FOR_MS
-
-    def turn_played(self, began: float, mail: int, of: core.Core) -> None:
-        """A turn that began then took so much mail."""
-        now = clock.monotonic()
-        self.turn_ms = max(self.turn_ms, now - began)
-        self.mail, self.turns, self.events = max(self.mail, mail), self.turns + 1, self.events + mail
-        if now < self.next:
-            return
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        cpu = used.ru_utime + used.ru_stime
-        log.info(
-            "doing",
-            **of.counters(),
-            requests=len(of.requests),
-            references=len(of.references),
-            numbered=of.numbered,
-            worst_ring_late_ms=round(self.lag, 1),
-            worst_turn_ms=round(self.turn_ms, 1),
-            most_mail=self.mail,
-            turns=self.turns,
-            events=self.events,
-            cpu_s=round(cpu - self.cpu, 3),
-            rss_mb=_rss_mb(),
-            most_rss_mb=round(used.ru_maxrss / 1024, 1),
-            collections=gc.get_stats()[2]["collections"],
-        )
-        self.next, self.cpu = now + REPORT_MS, cpu
-        self.lag = self.turn_ms = 0.0
-        self.mail = self.turns = self.events = 0
--- /dev/null
+++ b/otterrudder/net/fleet_setup.py
@@ -0,0 +1,45 @@
+"""Connects the fleet's agent with the server. Imported only where there is a fleet file."""
+
+from dataclasses import replace
+
+from otterrudder.configuration import Configuration, ConfigurationError
+from otterrudder.durable import Busy
+from otterrudder.fleet.agent import Agent
+from otterrudder.fleet.assembly import make_agent
+from otterrudder.fleet.cell.agent import CellAgent
+from otterrudder.fleet.configuration import Fleet
+from otterrudder.fleet.policy import Content, own_of
+from otterrudder.levels import LevelController
+from otterrudder.net.dispatcher import Dispatcher
+
+
+def create_agent(
+    fleet: Fleet, configuration: Configuration, dispatcher: Dispatcher, level_spread: float
+) -> Agent | CellAgent:
+    """The fleet's agent. What it decides goes to the core by the dispatcher, ahead of what arrives.
+    ConfigurationError: the state directory is another process's, or a file of keys can't be read."""
+    core = dispatcher.core
+    own = replace(own_of(configuration.settings), products=core.request_classes)
+
+    def apply_policy(content: Content) -> None:
+        dispatcher.post(
+            core.update_policy,
+            content.levels,
+            lambda table: LevelController(table, level_spread),
+            content.products,
+            content.tenants,
+            content.limits,
+        )
+
+    def set_suspended(is_suspended: bool) -> None:
+        dispatcher.post(core.set_suspended, is_suspended)
+
+    def load_report() -> dict[str, float]:
+        return core.controller.load_report() if core.controller else {}
+
+    try:
+        agent = make_agent(fleet, configuration.name, own, apply_policy, set_suspended, load_report)
+    except (Busy, OSError) as error:
+        raise ConfigurationError(f"fleet: {error}") from None
+    dispatcher.batch_hooks.append(agent.pulse)
+    return agent
--- /dev/null
+++ b/otterrudder/net/gateway_connection.py
@@ -0,0 +1,177 @@
+"""One connection of a gateway: its messages to the request core, and the core's answers back.
+
+Each connection answers for its own input and output alone."""
+
+import math
+import socket
+from typing import Any, Protocol
+
+from otterrudder import clock
+from otterrudder.admission.interface import Idempotency
+from otterrudder.log import log
+from otterrudder.net import jsonrpc, sockets
+from otterrudder.net.buffer import Buffer
+from otterrudder.net.dispatcher import Dispatcher
+from otterrudder.net.messages import ConnectionMessage, HealthStatus, RequestInvalid
+
+MAX_OPEN_REQUESTS = 32
+MAX_UNSENT_BYTES = 512 * 1024  # the 32 longest answers, three times over
+MAX_PROTOCOL_ERRORS = 6  # after so many it is closed: a good gateway makes none
+CLOSE_TIMEOUT_S = 0.5  # to read what it is owed, and to close: many round trips
+IDLE = "idle"  # a reason for an end
+
+
+class ConnectionOwner(Protocol):
+    """Who accepted the connection, as far as the connection knows."""
+
+    dispatcher: Dispatcher
+    tenants: dict[str, int]  # indices by name
+
+    def log_connection_error(self, reason: str) -> None:
+        """Logs it, at a bounded rate."""
+
+    def remove(self, connection: "GatewayConnection") -> None:
+        """The connection has ended."""
+
+
+class GatewayConnection:
+    """Gives back its socket and its open requests in `run`, on every way out."""
+
+    def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
+        self.open_requests: dict[int, str] = {}  # request ids by rpc id
+        self.stream = sockets.Stream(
+            sock,
+            jsonrpc.MAX_LINE_BYTES,
+            MAX_UNSENT_BYTES,
+            self._handle_input,
+            owes_answers=lambda: bool(self.open_requests),
+            close_timeout_s=CLOSE_TIMEOUT_S,
+        )
+        self.connected_at = clock.monotonic()
+        self.last_activity = self.connected_at  # when something last came or was answered
+        self.partial_since = math.inf  # when the message that is partly read began to come
+        self.goaway_at = 0.0  # when it was asked to send nothing more; 0: not yet
+        self.has_response = False  # something was answered
+        self._owner = owner
+        self._dispatcher = owner.dispatcher
+        self._protocol_errors = 0
+
+    async def run(self) -> None:
+        """Serves the connection to its end."""
+        try:
+            reason = await self.stream.serve()
+            if reason not in (sockets.CLOSED_BY_PEER, IDLE, sockets.SERVER_ENDS):
+                self._owner.log_connection_error(reason)
+        except Exception:  # a fault of this connection's is not the others'
+            log.exception("a connection failed")
+        finally:
+            self._owner.remove(self)
+            for request_id in self.open_requests.values():
+                self._post(self._dispatcher.core.handle_disconnect, request_id, request_id=request_id)
+
+    def send(self, message: ConnectionMessage) -> None:
+        """Sends an answer of the core."""
+        if not isinstance(message, HealthStatus):
+            self.open_requests.pop(message.rpc_id, None)
+        if isinstance(message, RequestInvalid):
+            self._send_error(message.rpc_id, jsonrpc.INVALID_PARAMS, message.reason)
+            return
+        self.last_activity = clock.monotonic()
+        self.has_response = True
+        self.stream.send(jsonrpc.encode(message))
+
+    def send_goaway(self, now: float) -> None:
+        """Asks the gateway to send nothing more here; what crosses this message is answered."""
+        if not self.goaway_at:
+            self.goaway_at = now
+            self.stream.send(jsonrpc.GOAWAY)
+
+    def is_busy(self) -> bool:
+        """Whether it ends already, or is owed something, sent or not: an answer that it has not read would be
+        lost with it."""
+        return bool(self.open_requests or self.stream.unsent_bytes or self.stream.end_reason)
+
+    def close(self, reason: str, timeout_s: float = CLOSE_TIMEOUT_S) -> bool:
+        """Closes it unless something new comes first; whether it is closing.
+
+        A request may lie unread where the loop was busy, or a part of one: what has come is handled first,
+        and who sent something new stays. More of an old partial message is nothing new."""
+        partial_since = self.partial_since
+        if not self.stream.receive_pending() or partial_since == self.partial_since < math.inf:
+            self.stream.close(reason, timeout_s)
+        return bool(self.stream.end_reason)
+
+    # What comes.
+
+    def _handle_input(self, buffer: Buffer) -> None:
+        self.last_activity = clock.monotonic()
+        has_message = False
+        for message in jsonrpc.read_messages(buffer):
+            has_message = True
+            if isinstance(message, jsonrpc.InvalidMessage):
+                self._send_error(message.rpc_id, message.code, message.reason)
+            else:
+                self._handle_message(message)
+            if self.stream.end_reason:
+                return
+        if buffer.is_empty:
+            self.partial_since = math.inf
+        elif has_message or self.partial_since == math.inf:  # a rest since the last message does not count
+            self.partial_since = self.last_activity
+
+    def _handle_message(self, message: jsonrpc.IncomingMessage) -> None:
+        rpc_id, method, params = message
+        core = self._dispatcher.core
+        if method == jsonrpc.INTERRUPT_METHOD:
+            self._interrupt(params)
+        elif rpc_id is None:
+            self._send_error(None, jsonrpc.INVALID_REQUEST, "no id")
+        elif method == jsonrpc.CHECK_METHOD:
+            self._post(core.handle_health_check, self, rpc_id)
+        elif (class_index := core.class_indices.get(method)) is None:
+            self._send_error(rpc_id, jsonrpc.METHOD_NOT_FOUND, "no such method")
+        elif rpc_id in self.open_requests:
+            # An answer under this id would be taken for that of the open request.
+            self._count_error(f"id {rpc_id} is open already")
+        elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
+            reason = f"more than {MAX_OPEN_REQUESTS} open requests"
+            self._send_error(rpc_id, jsonrpc.INVALID_REQUEST, reason)
+        else:
+            self._handle_request(rpc_id, class_index, params)
+
+    def _handle_request(self, rpc_id: int, class_index: int, params: dict[str, Any]) -> None:
+        core = self._dispatcher.core
+        needs_key = core.request_classes[class_index].idempotency is Idempotency.IDEMPOTENT
+        try:
+            fields = jsonrpc.read_request(params, self._owner.tenants, clock.unix(), needs_key)
+        except jsonrpc.InvalidParamsError as error:
+            self._send_error(rpc_id, jsonrpc.INVALID_PARAMS, str(error))
+            return
+        request_id = fields.request_id
+        self.open_requests[rpc_id] = request_id
+        self._post(core.handle_arrival, self, rpc_id, class_index, fields, request_id=request_id)
+
+    def _interrupt(self, params: dict[str, Any]) -> None:
+        interrupted = jsonrpc.interrupted_request(params)
+        for rpc_id, request_id in self.open_requests.items():
+            if request_id == interrupted:
+                del self.open_requests[rpc_id]
+                self._post(self._dispatcher.core.handle_disconnect, request_id, request_id=request_id)
+                return
+
+    def _post(self, handler: Any, *arguments: Any, request_id: str = "") -> None:
+        self._dispatcher.post_arrival(handler, *arguments, request_id=request_id)
+
+    # Protocol errors.
+
+    def _send_error(self, rpc_id: int | None, code: int, reason: str) -> None:
+        self.has_response = True
+        self.stream.send(jsonrpc.encode_error(rpc_id, code, reason))
+        self._count_error(reason)
+
+    def _count_error(self, reason: str) -> None:
+        self._protocol_errors += 1
+        if self._protocol_errors == 1:
+            self._owner.log_connection_error(reason)
+        elif self._protocol_errors >= MAX_PROTOCOL_ERRORS:
+            self.stream.close("too many wrong messages")  # its good requests are still answered
--- a/otterrudder/net/jsonrpc.py
+++ b/otterrudder/net/jsonrpc.py
@@ -1,178 +1,242 @@
-"""JSON-RPC 2.0 as gateways speak it, a message a line: lines in, calls out; results in, lines out. No I/O."""
+"""The codec of the gateways' protocol: JSON-RPC 2.0, a message a line. No I/O.
+
+Field names and words of the wire appear here alone; the rest of the server uses `RequestFields` and the types
+of `messages.py`."""
 
 import binascii
 import math
 import re
-from collections.abc import Iterator
-from typing import Any, NamedTuple, TypedDict
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 import msgspec
 
-from otterrudder.net.sockets import Buffer
-
-BODY_MOST = 2048  # bytes of a request's body
-LINE_MOST = 16 * 1024  # bytes of a line: a body, its base64 and every field with room to spare
-ID_MOST = 2**53  # ids count from 1; past that not all readers of JSON can tell them apart
-AWRY_MS = 3600e3  # ms by which a gateway's clock may differ from ours: past an hour it is no clock
-WAIT_MOST_MS = 86400e3  # ms that a try may wait: nobody waits for a day
-KB_MOST = 2000.0  # KB below which a request's memory lies
-MARK_MOST = 64  # characters of a mark: all that is kept for its window is bounded
-
-PARSE, REQUEST, METHOD, PARAMS, FAILED, NEVER_RAN = -32700, -32600, -32601, -32602, -32000, -32014
+from otterrudder.net.buffer import Buffer
+from otterrudder.net.messages import (
+    ConnectionMessage,
+    HealthStatus,
+    RequestCompleted,
+    RequestFailed,
+    RequestInvalid,
+    RequestRejected,
+)
+from otterrudder.net.requests import RequestFields
+
+MAX_BODY_BYTES = 2048  # of a request
+MAX_LINE_BYTES = 16 * 1024  # a body, its base64 and every field with room to spare
+MAX_RPC_ID = 2**53  # ids count from 1; past that not all readers of JSON can tell them apart
+MAX_CLOCK_SKEW_MS = 3600e3  # between a gateway's clock and this one; past an hour it is no clock
+MAX_TTL_MS = 86400e3  # nobody waits for a day
+MAX_SIZE_KB = 2000.0  # a request's memory lies below
+MAX_KEY_CHARACTERS = 64  # of an idempotency key: all that is retained is bounded
+
+# JSON-RPC error codes; the first four are those of its specification.
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
+FAILED = -32000
+REJECTED = -32014  # never ran
+
+CHECK_METHOD = "check"
+INTERRUPT_METHOD = "interrupt"
+GOAWAY = [b'{"jsonrpc":"2.0","method":"noMore"}\n']
 
 _HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII | re.IGNORECASE)
 _decode = msgspec.json.Decoder().decode
 _encode = msgspec.json.encode
 
 
-class Malformed(Exception):
-    """A line that is no good message; it is answered under the id it named, if it named one."""
+class InvalidParamsError(ValueError):
+    """A field is missing or wrong; the text names it."""
 
-    def __init__(self, code: int, why: str, rpc: int | None = None) -> None:
-        super().__init__(why)
-        self.code, self.rpc = code, rpc
 
+@dataclass(frozen=True, slots=True)
+class InvalidMessage:
+    """A line that is no valid message; it is answered under its id, if it has one."""
 
-class Message(NamedTuple):
-    rpc: int | None  # none: no answer is wanted
-    method: str
-    params: dict[str, Any]
+    code: int
+    reason: str
+    rpc_id: int | None = None
 
 
-class TxnFields(TypedDict):
-    """What a gateway says of a request, by the names of `Core.arrive`."""
+class IncomingMessage(NamedTuple):
+    """A request or notification of a gateway."""
 
-    call: str
-    recv: float  # Unix time in ms
-    ttl: float | None  # ms
-    kb: float
-    tenant: int
-    key: int
-    retry: bool
-    rank: float
-    dedupe: str
-    body: bytes
+    rpc_id: int | None  # None: no answer is wanted
+    method: str
+    params: dict[str, Any]
 
 
-def messages(buffer: Buffer) -> Iterator[Message | Malformed]:
-    """All whole lines that wait in the buffer."""
+def read_messages(buffer: Buffer) -> Iterator[IncomingMessage | InvalidMessage]:
+    """Takes all whole lines out of the buffer."""
     while (line := buffer.line(b"\n")) is not None:
         size = len(line) + 1
         with line:
-            message = _message(line)
+            message = _decode_line(line)
         buffer.drop(size)
         if message:
             yield message
 
 
-def _message(line: memoryview) -> Message | Malformed | None:
+def _decode_line(line: memoryview) -> IncomingMessage | InvalidMessage | None:
+    """None: an empty line."""
     try:
-        told = _decode(line)
+        document = _decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return None if not bytes(line).strip() else Malformed(PARSE, "not JSON")
-    if not isinstance(told, dict):
-        return Malformed(REQUEST, "not a JSON-RPC message; batches are not taken")
-    rpc, method, params = told.get("id"), told.get("method"), told.get("params", {})
-    if rpc is not None and (type(rpc) is not int or not 1 <= rpc <= ID_MOST):
-        return Malformed(REQUEST, "id is no whole number above 0")
-    if told.get("jsonrpc") != "2.0" or not isinstance(method, str):
-        return Malformed(REQUEST, "not a JSON-RPC 2.0 request", rpc)
+        return None if not bytes(line).strip() else InvalidMessage(PARSE_ERROR, "not JSON")
+    if not isinstance(document, dict):
+        return InvalidMessage(INVALID_REQUEST, "not a JSON-RPC message; batches are not taken")
+    rpc_id = document.get("id")
+    method = document.get("method")
+    params = document.get("params", {})
+    if rpc_id is not None and (type(rpc_id) is not int or not 1 <= rpc_id <= MAX_RPC_ID):
+        return InvalidMessage(INVALID_REQUEST, "id is no whole number above 0")
+    if document.get("jsonrpc") != "2.0" or not isinstance(method, str):
+        return InvalidMessage(INVALID_REQUEST, "not a JSON-RPC 2.0 request", rpc_id)
     if not isinstance(params, dict):
-        return Malformed(PARAMS, "params is no object", rpc)
-    return Message(rpc, method, params)
+        return InvalidMessage(INVALID_PARAMS, "params is no object", rpc_id)
+    return IncomingMessage(rpc_id, method, params)
 
 
-def ident(params: dict[str, Any]) -> str:
-    call = params.get("call")
-    if not isinstance(call, str) or not _HEX16.fullmatch(call):
-        raise ValueError("call is not 16 hex digits")
-    return call
+def interrupted_request(params: dict[str, Any]) -> object:
+    """The id of the request that an interrupt is about, as it came."""
+    return params.get("call")
 
 
-def number(params: dict[str, Any], name: str, least: float, most: float) -> float:
+def read_request(
+    params: dict[str, Any], tenants: dict[str, int], unix_ms: float, needs_key: bool
+) -> RequestFields:
+    """The fields of a request; InvalidParamsError says which is wrong. `tenants`: indices by name;
+    `needs_key`: a request of its class has to have an idempotency key."""
+    tenant_name = _text(params, "org")
+    session_key = _text(params, "row")
+    idempotency_key = _text(params, "dedupe")
+    if len(idempotency_key) > MAX_KEY_CHARACTERS or (needs_key and not idempotency_key):
+        raise InvalidParamsError("dedupe is missing or too long")
+    if params.get("rep", 1) != 1:
+        raise InvalidParamsError("rep is not 1")
+    if "src" in params:  # not used here, but a good gateway knows its own
+        _number(params, "src", 0, 1e9)
+    size_kb = _size_kb(params)
+    if tenant_name not in tenants and (tenant_name or tenants):
+        raise InvalidParamsError("org is no tenant of the settings")
+    if session_key and not _HEX16.fullmatch(session_key):
+        raise InvalidParamsError("row is not 16 hex digits")
+    body = _body(params)
+    return RequestFields(
+        request_id=_request_id(params),
+        received_at=_number(params, "recv", unix_ms - MAX_CLOCK_SKEW_MS, unix_ms + MAX_CLOCK_SKEW_MS),
+        ttl_ms=_number(params, "ttl", 0, MAX_TTL_MS) if "ttl" in params else None,
+        size_kb=size_kb,
+        tenant_index=tenants.get(tenant_name, 0),
+        session_key=int(session_key, 16) if session_key else 0,
+        is_retry="rep" in params,
+        criticality=_number(params, "crit", 0, 1) if "crit" in params else 1.0,
+        idempotency_key=idempotency_key,
+        body=body,
+    )
+
+
+def _request_id(params: dict[str, Any]) -> str:
+    request_id = params.get("call")
+    if not isinstance(request_id, str) or not _HEX16.fullmatch(request_id):
+        raise InvalidParamsError("call is not 16 hex digits")
+    return request_id
+
+
+def _size_kb(params: dict[str, Any]) -> float:
+    size_kb = _number(params, "heap", 0, MAX_SIZE_KB)
+    if not 0 < size_kb < MAX_SIZE_KB:
+        raise InvalidParamsError(f"heap is not above 0 and below {MAX_SIZE_KB:g}")
+    return size_kb
+
+
+def _body(params: dict[str, Any]) -> bytes:
+    try:
+        body = binascii.a2b_base64(_text(params, "blob"), strict_mode=True)
+    except binascii.Error:
+        raise InvalidParamsError("blob is not base64") from None
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidParamsError(f"blob is over {MAX_BODY_BYTES} bytes")
+    return body
+
+
+def _number(params: dict[str, Any], name: str, minimum: float, maximum: float) -> float:
     value: Any = params.get(name)
-    if type(value) not in (int, float) or not least <= value <= most:  # NaN is neither
-        raise ValueError(f"{name} is no number from {least:g} to {most:g}")
+    if type(value) not in (int, float) or not minimum <= value <= maximum:  # NaN is neither
+        raise InvalidParamsError(f"{name} is no number from {minimum:g} to {maximum:g}")
     return float(value)
 
 
-def text(params: dict[str, Any], name: str) -> str:
+def _text(params: dict[str, Any], name: str) -> str:
     value = params.get(name, "")
     if not isinstance(value, str):
-        raise ValueError(f"{name} is no string")
+        raise InvalidParamsError(f"{name} is no string")
     return value
 
 
-def request(params: dict[str, Any], tenants: dict[str, int], unix: float, marked: bool) -> TxnFields:
-    """The fields of a request by the core's names; ValueError says what is wrong with them."""
-    org, row, mark = text(params, "org"), text(params, "row"), text(params, "dedupe")
-    if len(mark) > MARK_MOST or (marked and not mark):
-        raise ValueError("dedupe is missing or too long")
-    if params.get("rep", 1) != 1:
-        raise ValueError("rep is not 1")
-    if "src" in params:  # nothing hangs on it here, but a good gateway knows its own
-        number(params, "src", 0, 1e9)
-    kb = number(params, "heap", 0, KB_MOST)
-    if not 0 < kb < KB_MOST:
-        raise ValueError(f"heap is not above 0 and below {KB_MOST:g}")
-    if org not in tenants and (org or tenants):
-        raise ValueError("org is no tenant of the settings")
-    if row and not _HEX16.fullmatch(row):
-        raise ValueError("row is not 16 hex digits")
-    try:
-        body = binascii.a2b_base64(text(params, "blob"), strict_mode=True)
-    except binascii.Error:
-        raise ValueError("blob is not base64") from None
-    if len(body) > BODY_MOST:
-        raise ValueError(f"blob is over {BODY_MOST} bytes")
-    return {
-        "call": ident(params),
-        "recv": number(params, "recv", unix - AWRY_MS, unix + AWRY_MS),
-        "ttl": number(params, "ttl", 0, WAIT_MOST_MS) if "ttl" in params else None,
-        "kb": kb,
-        "tenant": tenants.get(org, 0),
-        "key": int(row, 16) if row else 0,
-        "retry": "rep" in params,
-        "rank": number(params, "crit", 0, 1) if "crit" in params else 1.0,
-        "dedupe": mark,
-        "body": body,
-    }
-
-
-def settled(rpc: int, body: bytes, load: float | None) -> list[bytes]:
-    blob = binascii.b2a_base64(body, newline=False)
-    return [b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"' % rpc, blob, b'"%s}}\n' % _load(load)]
-
-
-def declined(rpc: int, terminal: bool, stay_away_ms: float, load: float | None) -> list[bytes]:
-    data = b'"stop":1' if terminal else b""
-    if stay_away_ms > 0:
-        data += b'%s"pushback":%d' % (b"," if data else b"", math.ceil(stay_away_ms))
-    told = _load(load)
-    data += told if data else told[1:]
+def encode(message: ConnectionMessage) -> list[bytes]:
+    """The line of a message, in parts."""
+    return _ENCODERS[type(message)](message)
+
+
+def encode_error(rpc_id: int | None, code: int, reason: str, load: float | None = None) -> list[bytes]:
+    """An error's line; an id of None is JSON's null."""
+    number = b"null" if rpc_id is None else b"%d" % rpc_id
+    data = b',"data":{%s}' % _load_member(load)[1:] if load is not None else b""
     return [
-        b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"declined","data":{%s}}}\n'
-        % (rpc, NEVER_RAN, data)
+        b'{"jsonrpc":"2.0","id":%s,"error":{"code":%d,"message":%s%s}}\n'
+        % (number, code, _encode(reason), data)
     ]
 
 
-def voided(rpc: int | None, code: int, why: str, load: float | None) -> list[bytes]:
-    number = b"null" if rpc is None else b"%d" % rpc
-    data = b',"data":{%s}' % _load(load)[1:] if load is not None else b""
+def _encode_completed(message: RequestCompleted) -> list[bytes]:
+    blob = binascii.b2a_base64(message.body, newline=False)
     return [
-        b'{"jsonrpc":"2.0","id":%s,"error":{"code":%d,"message":%s%s}}\n' % (number, code, _encode(why), data)
+        b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"' % message.rpc_id,
+        blob,
+        b'"%s}}\n' % _load_member(message.load),
     ]
 
 
-def health(rpc: int, good: bool, load: float | None) -> list[bytes]:
+def _encode_rejected(message: RequestRejected) -> list[bytes]:
+    data = b'"stop":1' if message.is_final else b""
+    if message.retry_after_ms > 0:
+        data += b'%s"pushback":%d' % (b"," if data else b"", math.ceil(message.retry_after_ms))
+    load = _load_member(message.load)
+    data += load if data else load[1:]
     return [
-        b'{"jsonrpc":"2.0","id":%d,"result":{"pass":%s%s}}\n'
-        % (rpc, b"true" if good else b"false", _load(load))
+        b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"declined","data":{%s}}}\n'
+        % (message.rpc_id, REJECTED, data)
     ]
 
 
-NO_MORE = [b'{"jsonrpc":"2.0","method":"noMore"}\n']
+def _encode_failed(message: RequestFailed) -> list[bytes]:
+    return encode_error(message.rpc_id, FAILED, message.reason, message.load)
+
+
+def _encode_invalid(message: RequestInvalid) -> list[bytes]:
+    return encode_error(message.rpc_id, INVALID_PARAMS, message.reason)
 
 
-def _load(load: float | None) -> bytes:
+def _encode_health(message: HealthStatus) -> list[bytes]:
+    return [
+        b'{"jsonrpc":"2.0","id":%d,"result":{"pass":%s%s}}\n'
+        % (message.rpc_id, b"true" if message.is_healthy else b"false", _load_member(message.load))
+    ]
+
+
+def _load_member(load: float | None) -> bytes:
+    """With the comma ahead of it."""
     return b"" if load is None else b',"load":%s' % _encode(round(load, 4))
+
+
+_ENCODERS: dict[type[ConnectionMessage], Callable[[Any], list[bytes]]] = {
+    RequestCompleted: _encode_completed,
+    RequestRejected: _encode_rejected,
+    RequestFailed: _encode_failed,
+    RequestInvalid: _encode_invalid,
+    HealthStatus: _encode_health,
+}
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -1,9 +1,7 @@
-"""The connections to the records service: a bounded pool, one call at a time on each while the bound allows,
-so that whatever spoils a connection costs one call. A reply counts only where its call went out."""
+"""The connections to the records service: a bounded pool with one call at a time on each while the bound
+allows, so that a broken connection costs one call. A reply counts only where its call went out."""
 
-import math
 from collections import deque
-from typing import Any
 
 import anyio
 import anyio.abc
@@ -11,174 +9,223 @@
 from otterrudder import clock
 from otterrudder.admission.interface import Outcome
 from otterrudder.log import log
-from otterrudder.net import lines, sockets
+from otterrudder.net import lines, records_codec, sockets
+from otterrudder.net.buffer import Buffer
 from otterrudder.net.dispatcher import Dispatcher
-
-LINKS_MOST = 48  # connections: twice the calls that a server of the usual size has out
-REUSE_MS = 500.0  # ms unused after which one takes no call: the service may have forgotten it, and then it
-# resets it at the call, which proves nothing; a new one costs less than a request with an effect
-HALF_MS = 250.0  # ms that a reply may stay half read: its length is wrong, or its line never ends
-SWEEP_S = 0.1  # s between looks for connections unused or stuck
-CARRIED_MOST = 16  # last calls known of a connection: a request's next call must not meet a copy of its reply
-UNSENT_MOST = 1 << 20  # bytes not yet read by the service
-CONNECT_S = 1.0  # s to connect: a proxy on this machine answers at once or hangs
-
-
-class Link:
-    """One connection. Gives back its calls in `run`, on every way out."""
-
-    def __init__(self, records: "Records", address: tuple[str, int]) -> None:
-        self.records, self.address = records, address
+from otterrudder.net.messages import CancelCall, RecordsMessage, SendCall
+from otterrudder.net.records_codec import CallReply
+
+MAX_CONNECTIONS = 48  # twice the calls that a server of the usual size has out
+MIN_CONNECTIONS = 2
+DESCRIPTORS_A_CONNECTION = 8  # of the process, for each connection of the pool
+# Unused for so long, a connection takes no call: the service may have forgotten it, and then resets it at the
+# call, which proves nothing; a new one costs less than a request with an effect.
+MAX_IDLE_MS = 500.0
+PARTIAL_REPLY_TIMEOUT_MS = 250.0  # its length is wrong, or its line never ends
+SWEEP_INTERVAL_S = 0.1  # between looks for connections that are unused or stuck
+MAX_REMEMBERED_CALLS = 16  # of a connection: a request's next call must not meet a copy of its last reply
+MAX_UNSENT_BYTES = 1 << 20
+CONNECT_TIMEOUT_S = 1.0  # a proxy on this machine answers at once or hangs
+
+
+class RecordsConnection:
+    """One connection. Reports the end of each of its calls, in `run` on every way out."""
+
+    def __init__(self, pool: "RecordsPool", address: tuple[str, int]) -> None:
         self.stream: sockets.Stream | None = None
-        self.calls: dict[str, list[bytes]] = {}  # out on it, with what is sent once it is connected
-        self.carried: deque[str] = deque(maxlen=CARRIED_MOST)
-        self.heard = clock.monotonic()
-        self.spent = ""  # why it takes no further call
-
-    def take(self, call: str, parts: list[bytes]) -> None:
-        self.calls[call] = parts
-        self.carried.append(call)
+        self.calls: dict[str, list[bytes]] = {}  # out on it by request id, with the bytes to send
+        self.past_calls: deque[str] = deque(maxlen=MAX_REMEMBERED_CALLS)  # request ids
+        self.last_input = clock.monotonic()
+        self.retire_reason = ""  # why it takes no further call
+        self._pool = pool
+        self._address = address
+
+    def start_call(self, request_id: str, parts: list[bytes]) -> None:
+        """Sends a call, once it is connected."""
+        self.calls[request_id] = parts
+        self.past_calls.append(request_id)
         if self.stream:
             self.stream.send(parts)
 
-    def give_up(self, call: str) -> None:
-        del self.calls[call]
+    def cancel_call(self, request_id: str, parts: list[bytes]) -> None:
+        """Gives a call up; `parts` say so to the service."""
+        del self.calls[request_id]
         if self.stream and self.calls:  # else its close says the same
-            self.stream.send(lines.encode("UNOP", call))
-        self.spend("a call on it was given up")  # its reply may be on the way
+            self.stream.send(parts)
+        self.retire("a call on it was given up")  # its reply may be on the way
 
-    def spend(self, why: str) -> None:
-        self.spent = self.spent or why
+    def retire(self, reason: str) -> None:
+        """Takes no further call, and is closed after its last one."""
+        self.retire_reason = self.retire_reason or reason
         if self.stream and not self.calls:
-            self.stream.end(self.spent)
+            self.stream.abort(self.retire_reason)
 
-    def has_gone(self) -> bool:
-        """Whether the service has ended it, or says more than it was asked for, and nobody has read that yet:
+    def has_ended(self) -> bool:
+        """Whether the service has ended it, or sent more than it was asked for, and nobody has read that yet:
         a call on it would be reset, which proves nothing."""
-        return bool(self.stream and (self.stream.catch_up() or self.stream.why))
+        return bool(self.stream and (self.stream.receive_pending() or self.stream.end_reason))
 
     async def run(self) -> None:
-        outcome, why = Outcome.UNREACHABLE, "no answer to the connection"
+        """Connects, and serves the connection to its end."""
+        outcome = Outcome.UNREACHABLE
+        reason = "no answer to the connection"
         try:
-            with anyio.move_on_after(CONNECT_S):
-                sock = await sockets.connect(self.address)
+            with anyio.move_on_after(CONNECT_TIMEOUT_S):
+                sock = await sockets.connect(self._address)
                 outcome = Outcome.RESET  # from here on a call may have run
-                self.stream = sockets.Stream(sock, lines.ROOM, UNSENT_MOST, self._hear_all)
+                self.stream = sockets.Stream(sock, lines.BUFFER_BYTES, MAX_UNSENT_BYTES, self._handle_input)
                 for parts in self.calls.values():
                     self.stream.send(parts)
             if self.stream:
                 if not self.calls:
-                    self.spend("nothing to call")
-                why = await self.stream.serve()
-        except OSError as trouble:
-            why = str(trouble)
+                    self.retire("nothing to call")
+                reason = await self.stream.serve()
+        except OSError as error:
+            reason = str(error)
         finally:
-            if not self.stream:
-                self.records.is_refused = True
-            if self.calls:
-                log.warning(
-                    "records connection lost" if self.stream else "records service refuses",
-                    why=why,
-                    calls=len(self.calls),
-                )
-            for call in list(self.calls):
-                self.records.ended(self, call, outcome)
-            self.records.gone(self)
-
-    def _hear_all(self, buffer: sockets.Buffer) -> None:
-        self.heard = clock.monotonic()
-        self.records.is_refused = False
-        for words, body in lines.messages(buffer, lines.records_body):
-            outcome = lines.REPLIES.get(words[1]) if len(words) > 1 else None
-            if outcome is None:
-                raise sockets.ProtocolError(f"unknown reply {' '.join(words)[:40]!r}")
-            if words[0] in self.calls:
-                self.records.ended(self, words[0], outcome, body)
-            else:  # a copy, or somebody else's: the good one may still follow
-                self.spend("a reply to no call")
-        if not self.calls:
-            if buffer.start < buffer.end or self.spent:
-                self.spend("more than the reply")
-            else:
-                self.records.idle.append(self)
+            self._finish(outcome, reason)
 
     def sweep(self, now: float) -> None:
+        """Ends it if it is unused, or stuck in a partial reply."""
         stream = self.stream
-        if not self.calls and now - self.heard > REUSE_MS:
-            self.spend("unused")
+        if not self.calls and now - self.last_input > MAX_IDLE_MS:
+            self.retire("unused")
         elif (
             stream
-            and stream.buffer.start < stream.buffer.end
-            and now - self.heard > HALF_MS
-            and not stream.catch_up()
-        ):  # the other half may lie unread where this loop was busy
-            stream.end("half a reply")
-
-
-class Records:
-    def __init__(self, dispatcher: Dispatcher, address: tuple[str, int] | None, sockets_most: int) -> None:
-        self.dispatcher, self.address = dispatcher, address
-        self.most = max(min(LINKS_MOST, sockets_most // 8), 2)
-        self.links: set[Link] = set()
-        self.idle: list[Link] = []  # the last used at the end
-        self.on: dict[str, Link] = {}  # where a call is out
-        self.group: anyio.abc.TaskGroup | None = None
-        self.is_refused = False  # the last that was heard of the service is a connection that was not made
-
-    def tell(self, word: str, *rest: Any) -> None:
-        call = rest[0]
-        if word == "call":
-            if earlier := self.on.pop(call, None):  # a second call for one request gives up the first
-                earlier.give_up(call)
-            link = self._link(call, self.address, self.group) if self.address and self.group else None
-            if link:
-                self.on[call] = link
-                link.take(call, lines.encode_with_body(rest[2], "OP", call, max(math.ceil(rest[1]), 1)))
-            else:  # it never ran: the module may try again
-                self.dispatcher.post(self.dispatcher.core.replied, call, Outcome.UNREACHABLE, of=call)
-        elif link := self.on.pop(call, None):
-            link.give_up(call)
-
-    def _link(self, call: str, address: tuple[str, int], group: anyio.abc.TaskGroup) -> Link | None:
-        """The freshest idle one, else a new one, else the one with the fewest calls."""
-        now = clock.monotonic()
-        for link in self.idle[::-1]:  # one that has gone may leave the list
-            if now - link.heard > REUSE_MS:
-                break
-            if not link.spent and call not in link.carried and not link.has_gone():
-                self.idle.remove(link)
-                return link
-        if len(self.links) < self.most:
-            link = Link(self, address)
-            self.links.add(link)
-            group.start_soon(link.run)
-            return link
-        usable = [link for link in self.links if not link.spent and call not in link.carried]
-        least = min(usable, key=lambda link: len(link.calls), default=None)
-        if least in self.idle:
-            self.idle.remove(least)
-        return least
-
-    def ended(self, link: Link, call: str, outcome: Outcome, body: bytes = b"") -> None:
-        del link.calls[call], self.on[call]
-        self.dispatcher.post(self.dispatcher.core.replied, call, outcome, body, of=call)
-
-    def gone(self, link: Link) -> None:
-        link.spent = link.spent or "gone"
-        self.links.discard(link)
-        if link in self.idle:
-            self.idle.remove(link)
+            and not stream.buffer.is_empty
+            and now - self.last_input > PARTIAL_REPLY_TIMEOUT_MS
+            and not stream.receive_pending()
+        ):  # the rest may lie unread where this loop was busy
+            stream.abort("partial reply")
+
+    def _finish(self, outcome: Outcome, reason: str) -> None:
+        """All calls that are out end so."""
+        if not self.stream:
+            self._pool.is_refused = True
+        if self.calls:
+            text = "records connection lost" if self.stream else "records service refuses"
+            log.warning(text, why=reason, calls=len(self.calls))
+        for request_id in list(self.calls):
+            self._pool.finish_call(self, CallReply(request_id, outcome, b""))
+        self._pool.remove(self)
+
+    def _handle_input(self, buffer: Buffer) -> None:
+        self.last_input = clock.monotonic()
+        self._pool.is_refused = False
+        for words, body in lines.read_messages(buffer, records_codec.has_body):
+            reply = records_codec.decode(words, body)
+            if reply.request_id in self.calls:
+                self._pool.finish_call(self, reply)
+            else:  # a copy, or somebody else's: the right one may still follow
+                self.retire("a reply to no call")
+        if not self.calls:
+            if not buffer.is_empty or self.retire_reason:
+                self.retire("more than the reply")
+            else:
+                self._pool.add_idle(self)
+
+
+class RecordsPool:
+    """Hands calls to connections, and their ends to the core."""
+
+    def __init__(self, dispatcher: Dispatcher, address: tuple[str, int] | None, max_descriptors: int) -> None:
+        """`address`: None where there is no records service; `max_descriptors`: of the whole process."""
+        share = max_descriptors // DESCRIPTORS_A_CONNECTION
+        self.max_connections = max(min(MAX_CONNECTIONS, share), MIN_CONNECTIONS)
+        self.connections: set[RecordsConnection] = set()
+        self.idle: list[RecordsConnection] = []  # the last used at the end
+        self.connection_of: dict[str, RecordsConnection] = {}  # by request id: where its call is out
+        self.is_refused = False  # the last that is known of the service: a connection could not be made
+        self.group: anyio.abc.TaskGroup | None = None  # while it runs
+        self._dispatcher = dispatcher
+        self._address = address
+
+    def send(self, message: RecordsMessage) -> None:
+        """Makes or cancels a call."""
+        if isinstance(message, SendCall):
+            self._start_call(message)
+        elif connection := self.connection_of.pop(message.request_id, None):
+            connection.cancel_call(message.request_id, records_codec.encode_cancel(message))
+
+    def finish_call(self, connection: RecordsConnection, reply: CallReply) -> None:
+        """A call on the connection has ended."""
+        del connection.calls[reply.request_id]
+        del self.connection_of[reply.request_id]
+        self._report(reply)
+
+    def add_idle(self, connection: RecordsConnection) -> None:
+        """The connection may take another call."""
+        self.idle.append(connection)
+
+    def remove(self, connection: RecordsConnection) -> None:
+        """The connection has ended."""
+        connection.retire_reason = connection.retire_reason or "gone"
+        self.connections.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def move(self, address: tuple[str, int] | None) -> None:
         """New calls go to a new address; those that are out end where they are."""
-        self.address = address
-        for link in self.links:
-            link.spend("the service has moved")
+        self._address = address
+        for connection in self.connections:
+            connection.retire("the service has moved")
 
     async def run(self) -> None:
+        """Serves the connections until it is cancelled."""
         async with anyio.create_task_group() as self.group:
             while True:
-                await anyio.sleep(SWEEP_S)
+                await anyio.sleep(SWEEP_INTERVAL_S)
                 now = clock.monotonic()
-                for link in self.links:
-                    link.sweep(now)
+                for connection in self.connections:
+                    connection.sweep(now)
+
+    def _start_call(self, call: SendCall) -> None:
+        request_id = call.request_id
+        if earlier := self.connection_of.pop(request_id, None):  # a request's second call replaces the first
+            cancel = CancelCall(request_id)
+            earlier.cancel_call(request_id, records_codec.encode_cancel(cancel))
+        connection = None
+        if self._address and self.group:
+            connection = self._choose(request_id, self._address, self.group)
+        if connection:
+            self.connection_of[request_id] = connection
+            connection.start_call(request_id, records_codec.encode_call(call))
+        else:  # it never ran: the controller may try again
+            self._report(CallReply(request_id, Outcome.UNREACHABLE, b""))
+
+    def _report(self, reply: CallReply) -> None:
+        handler = self._dispatcher.core.handle_call_ended
+        self._dispatcher.post(handler, *reply, request_id=reply.request_id)
+
+    def _choose(
+        self, request_id: str, address: tuple[str, int], group: anyio.abc.TaskGroup
+    ) -> RecordsConnection | None:
+        """The freshest idle one, else a new one, else the one with the fewest calls."""
+        if connection := self._take_idle(request_id):
+            return connection
+        if len(self.connections) < self.max_connections:
+            connection = RecordsConnection(self, address)
+            self.connections.add(connection)
+            group.start_soon(connection.run)
+            return connection
+        usable = [
+            one for one in self.connections if not one.retire_reason and request_id not in one.past_calls
+        ]
+        least_used = min(usable, key=lambda one: len(one.calls), default=None)
+        if least_used in self.idle:
+            self.idle.remove(least_used)
+        return least_used
+
+    def _take_idle(self, request_id: str) -> RecordsConnection | None:
+        now = clock.monotonic()
+        for connection in self.idle[::-1]:  # a copy: one that has ended may leave the list
+            if now - connection.last_input > MAX_IDLE_MS:
+                return None
+            if (
+                not connection.retire_reason
+                and request_id not in connection.past_calls
+                and not connection.has_ended()
+            ):
+                self.idle.remove(connection)
+                return connection
+        return None
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay's process: its service on the wire, its control socket, and its end at a signal."""
+"""A relay's process: its service on the wire, its control socket, and its end at a signal."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
@@ -34,12 +34,12 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_at_signal, signals, service.stop)
-            group.start_soon(control.Control(control_name(role), {"relay": service.shown}).run)
+            group.start_soon(control.ControlSocket(control_name(role), {"relay": service.shown}).run)
             await service.run()
             group.cancel_scope.cancel()
 
 
 async def _stop_at_signal(signals: AsyncIterator[signal.Signals], stop: Callable[[], None]) -> None:
     async for number in signals:
-        log.info("told to stop", by=number.name)
+        log.info("stopping", signal=number.name)
         stop()
--- /dev/null
+++ b/otterrudder/net/request_table.py
@@ -0,0 +1,174 @@
+"""The pending requests, and the ways in which they end.
+
+A request is kept until it is answered, or its caller has gone, and its run is over. What hangs on it is given
+back on every way out: its run in `finish_run`, its downstream call in `finish_run` or `close`, the request
+itself in `release`."""
+
+from collections.abc import Hashable
+
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import Outcome, RequestClass
+from otterrudder.net.downstream import DownstreamCalls
+from otterrudder.net.idempotency import IdempotencyEntry, IdempotencyTable
+from otterrudder.net.messages import RequestCompleted, RequestFailed, RequestRejected
+from otterrudder.net.outbox import Outbox
+from otterrudder.net.requests import PendingRequest, RequestFields
+from otterrudder.net.run_delivery import RunDelivery
+
+
+class RequestTable:
+    """Keeps the requests, answers each of them once, and tells the admission controller what has finished."""
+
+    def __init__(
+        self,
+        request_classes: list[RequestClass],
+        outbox: Outbox,
+        idempotency: IdempotencyTable,
+        delivery: RunDelivery,
+        calls: DownstreamCalls,
+    ) -> None:
+        self._request_classes = request_classes
+        self._outbox = outbox
+        self._idempotency = idempotency
+        self._delivery = delivery
+        self._calls = calls
+        self.controller: AdmissionController  # from when the runtime is up: no request is kept before
+        self.by_number: dict[int, PendingRequest] = {}
+        self.by_id: dict[str, PendingRequest] = {}
+        self.arrival_count = 0
+        self.advertised_load: float | None = None  # goes with each answer
+
+    def __len__(self) -> int:
+        return len(self.by_number)
+
+    def add(
+        self,
+        connection: Hashable,
+        rpc_id: int,
+        class_index: int,
+        fields: RequestFields,
+        idempotency_key: str,
+        digest: bytes,
+    ) -> PendingRequest:
+        """Keeps a request that has come on a connection."""
+        self.arrival_count += 1
+        request = PendingRequest(
+            self.arrival_count,
+            fields.request_id,
+            connection,
+            rpc_id,
+            class_index,
+            fields.body,
+            idempotency_key,
+            digest,
+        )
+        self.by_number[request.number] = request
+        self.by_id[request.request_id] = request
+        return request
+
+    def running(self) -> list[PendingRequest]:
+        """Those whose run is not over."""
+        return [request for request in self.by_number.values() if request.is_running]
+
+    def unanswered_count(self) -> int:
+        """How many are owed an answer."""
+        return sum(not request.is_answered for request in self.by_number.values())
+
+    def pending_call_count(self) -> int:
+        """How many wait at a downstream call."""
+        return sum(request.pending_call is not None for request in self.by_number.values())
+
+    def deadline_of(self, number: int) -> float | None:
+        """In ms, of a request that is still kept."""
+        request = self.by_number.get(number)
+        return self._request_classes[request.class_index].deadline_ms if request else None
+
+    # Answers.
+
+    def reject(self, request: PendingRequest, is_final: bool, retry_after_ms: float) -> None:
+        """Answers that the request never ran."""
+        if not request.is_answered:
+            answer = RequestRejected(request.rpc_id, is_final, retry_after_ms, self.advertised_load)
+            self._outbox.send(request.connection, answer)
+            self.close(request)
+        self.release(request)
+
+    def fail(self, request: PendingRequest) -> None:
+        """Answers that the request is given up; a run goes on."""
+        if not request.is_answered:
+            answer = RequestFailed(request.rpc_id, "given up", self.advertised_load)
+            self._outbox.send(request.connection, answer)
+            self.close(request)
+        self.release(request)
+
+    def replay(self, request: PendingRequest) -> None:
+        """Answers with the response of an earlier attempt, as soon as there is one."""
+        entry = self._idempotency.entries.get(request.idempotency_key)
+        if entry and not entry.is_finished:
+            entry.waiting.append(request.number)
+            request.replayed_entry = entry
+        else:
+            self._answer_from(request, entry.response if entry else None)
+
+    def close(self, request: PendingRequest) -> None:
+        """No answer is owed any more; a run may go on."""
+        request.is_answered = True
+        request.connection = None
+        if request.replayed_entry:
+            request.replayed_entry.waiting.remove(request.number)
+            request.replayed_entry = None
+        self._calls.cancel(request)
+        self._delivery.confirm_answered(request)
+
+    # The ends of runs.
+
+    def finish_run(self, request: PendingRequest, outcome: Outcome, body: bytes = b"") -> None:
+        """The run is over: answers the request and those that wait for its response."""
+        request.is_running = False
+        entry = self._idempotency.held_by(request.idempotency_key, request.number)
+        if entry:
+            entry.is_finished = True
+            entry.response = body if outcome is Outcome.OK else None
+            if outcome is Outcome.NEVER_STARTED:
+                self._idempotency.evict(request.idempotency_key, request.number)
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            self._answer(request, outcome, body)
+        self._calls.cancel(request)
+        self.controller.handle_finished(request.number, outcome)
+        if entry:
+            self._answer_waiting(entry)
+        self.release(request)
+
+    def release(self, request: PendingRequest) -> None:
+        """Drops the request once it is answered and its run is over."""
+        if not request.is_answered or request.is_running:
+            return
+        if self.by_number.pop(request.number, None):
+            del self.by_id[request.request_id]
+
+    def _answer(self, request: PendingRequest, outcome: Outcome, body: bytes) -> None:
+        if request.is_answered:
+            return
+        answer: RequestCompleted | RequestFailed
+        if outcome is Outcome.OK:
+            answer = RequestCompleted(request.rpc_id, body, self.advertised_load)
+        else:
+            answer = RequestFailed(request.rpc_id, "failed", self.advertised_load)
+        self._outbox.send(request.connection, answer)
+        self.close(request)
+
+    def _answer_from(self, request: PendingRequest, response: bytes | None) -> None:
+        """Answers with the response of an earlier attempt; None: that one failed."""
+        outcome = Outcome.ERROR if response is None else Outcome.OK
+        self._answer(request, outcome, response or b"")
+        self.controller.handle_finished(request.number, outcome)
+        self.release(request)
+
+    def _answer_waiting(self, entry: IdempotencyEntry) -> None:
+        """Answers the attempts that wait for the run that has ended."""
+        waiting = entry.waiting
+        entry.waiting = []
+        for number in waiting:
+            if request := self.by_number.get(number):
+                request.replayed_entry = None
+                self._answer_from(request, entry.response)
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -1,160 +1,181 @@
-"""The link to the runtime: held open, made anew when lost, with every notice heard once and in order."""
+"""The link to the runtime: held open, made anew when it is lost, each notice handled once and in order."""
 
 import random
-from typing import Any
 
 import anyio
 import anyio.abc
 
 from otterrudder import clock
 from otterrudder.log import log
-from otterrudder.net import lines, sockets
+from otterrudder.net import lines, runtime_codec, sockets
+from otterrudder.net.buffer import Buffer, ProtocolError
 from otterrudder.net.dispatcher import Dispatcher
+from otterrudder.net.messages import LeaveLink, RuntimeMessage
 
-PAUSE_MS = 20.0  # ms before the first try to connect again: the link is lost, the runtime most likely is not
-PAUSE_MOST_MS = 500.0  # ms at most: a runtime that comes up is found within that
-UNSENT_MOST = 8 << 20  # bytes not yet read by the runtime; past that it hangs, and a new link tells more
-ANEW_MS = 5000.0  # ms a runtime may seem younger before it counts as another: a pause may lie between
-MOVE_S = 0.3  # s that the old link has to prove what it read when the runtime's address changes
-MOVED = "the address has changed"
-REPLAYED = "replayed"  # tag of the gauges whose answer ends the replay: commands are dealt with in order
+FIRST_RETRY_MS = 20.0  # until the first attempt to reconnect: the runtime most likely still runs
+MAX_RETRY_MS = 500.0  # a runtime that comes up is found within that
+MAX_UNSENT_BYTES = 8 << 20  # beyond that the runtime hangs, and a new link tells more
+RESTART_TOLERANCE_MS = 5000.0  # by which a runtime may seem younger before it counts as restarted: a pause
+MOVE_TIMEOUT_S = 0.3  # for the old link to confirm what was read, when the runtime's address changes
+ADDRESS_CHANGED = "the address has changed"
+MAX_QUOTED = 80  # characters of a line that is not understood, in an error
 
 
-class Runtime:
+class RuntimeLink:
+    """Keeps one connection to the runtime, and tells the core what comes on it."""
+
     def __init__(self, dispatcher: Dispatcher, address: tuple[str, int]) -> None:
-        self.dispatcher, self.address = dispatcher, address
-        self.stream: sockets.Stream | None = None
-        self.group: anyio.abc.TaskGroup  # while it runs
-        self.last = 0  # the last notice heard
-        self.replaying = False
-        self.born: float | None = None  # when the runtime started, by our clock
-        self.leaving = ""  # the tag of the last command on a link that is left for a new address
-        self.left: sockets.Stream | None = None  # that link
+        self._dispatcher = dispatcher
+        self._address = address
+        self._group: anyio.abc.TaskGroup  # while it runs
+        self._stream: sockets.Stream | None = None
+        self._last_notice = 0
+        self._is_replaying = False  # notices missed on earlier links come first
+        self._started_at: float | None = None  # when the runtime started, by this process's clock
+        self._leaving_tag = 0  # of the last query on a link that is left for a new address; 0: none
+        self._leaving_stream: sockets.Stream | None = None  # that link
 
     def move(self, address: tuple[str, int]) -> None:
-        """The core is asked first: what it decides from then on waits for the new link."""
-        self.address, self.left = address, self.stream
-        if self.stream and self.replaying:
-            self.stream.end(MOVED)  # nothing was sent on it
-        elif self.stream:
-            self.dispatcher.post(self.dispatcher.core.leave_link)
-
-    def tell(self, word: str, *rest: Any) -> None:
-        if not self.stream:
-            return  # the core repeats what is missing once the link stands
-        if word == "leave":
-            self._leave(*rest)
-            return
-        if self.replaying or self.leaving:
+        """The runtime has another address. The core is asked first: what it decides from then on waits for
+        the new link."""
+        self._address = address
+        self._leaving_stream = self._stream
+        if self._stream and self._is_replaying:
+            self._stream.abort(ADDRESS_CHANGED)  # nothing was sent on it
+        elif self._stream:
+            self._dispatcher.post(self._dispatcher.core.leave_runtime_link)
+
+    def send(self, message: RuntimeMessage) -> None:
+        """Sends a command of the core; without a link it is dropped, and the core sends what is missing once
+        a link stands."""
+        if not self._stream:
             return
-        self.stream.send(
-            lines.encode_with_body(rest[-1], word, *rest[:-1])
-            if word in ("start", "give")
-            else lines.encode(word, *rest)
-        )
+        if isinstance(message, LeaveLink):
+            self._leave(message)
+        elif not self._is_replaying and not self._leaving_tag:
+            self._stream.send(runtime_codec.encode(message))
 
     async def run(self) -> None:
-        async with anyio.create_task_group() as self.group:
-            await self._run()
+        """Keeps the link up until it is cancelled."""
+        async with anyio.create_task_group() as self._group:
+            await self._keep_linked()
 
-    async def _run(self) -> None:
-        pause = PAUSE_MS
+    async def _keep_linked(self) -> None:
+        retry_ms = FIRST_RETRY_MS
         while True:
             try:
-                sock = await sockets.connect(self.address)
-                stream = sockets.Stream(sock, lines.ROOM, UNSENT_MOST, self._hear_all)
-            except OSError as trouble:
-                if pause == PAUSE_MS:
-                    log.warning("no link to the runtime", why=str(trouble))
-                pause = min(pause * 2, PAUSE_MOST_MS)
+                sock = await sockets.connect(self._address)
+                stream = sockets.Stream(sock, lines.BUFFER_BYTES, MAX_UNSENT_BYTES, self._handle_input)
+            except OSError as error:
+                if retry_ms == FIRST_RETRY_MS:
+                    log.warning("no link to the runtime", why=str(error))
+                retry_ms = min(retry_ms * 2, MAX_RETRY_MS)
             else:
-                moved = await self._serve(stream)
-                pause = PAUSE_MS
-                if moved:
+                has_moved = await self._serve(stream)
+                retry_ms = FIRST_RETRY_MS
+                if has_moved:
                     continue
-            await anyio.sleep(pause / 1000 * random.uniform(0.5, 1.0))
+            await anyio.sleep(retry_ms / 1000 * random.uniform(0.5, 1.0))
 
     async def _serve(self, stream: sockets.Stream) -> bool:
-        """Whether it ended because the address is another now."""
-        self.stream, self.replaying, self.leaving = stream, True, ""
-        stream.send(lines.encode("sync", self.last))
+        """Runs one link to its end; whether it ended because the address is another now."""
+        self._stream = stream
+        self._is_replaying = True
+        self._leaving_tag = 0
+        stream.send(runtime_codec.encode_sync(self._last_notice))
         try:
-            why = await stream.serve()
-            if why == MOVED:
-                log.info("runtime link moves", address=self.address, last_notice=self.last)
+            reason = await stream.serve()
+            if reason == ADDRESS_CHANGED:
+                log.info("runtime link moves", address=self._address, last_notice=self._last_notice)
             else:
-                log.warning("runtime link lost", why=why, last_notice=self.last, unsent=stream.unsent)
+                log.warning(
+                    "runtime link lost",
+                    why=reason,
+                    last_notice=self._last_notice,
+                    unsent=stream.unsent_bytes,
+                )
         finally:
-            self.stream = None
-            self.dispatcher.post(self.dispatcher.core.unlinked)
-        return why == MOVED
-
-    def _leave(self, tag: int) -> None:
-        """The last question on the old link: its answer proves that all before it was read. What is decided
-        meanwhile waits for the new link, so that no start is in doubt."""
-        stream = self.stream
-        if stream and stream is self.left and not self.leaving:
-            self.leaving = str(tag)
-            stream.send(lines.encode("gauges", tag))
-            self.group.start_soon(self._end_late, stream)
-
-    async def _end_late(self, stream: sockets.Stream) -> None:
-        await anyio.sleep(MOVE_S)
-        stream.end(MOVED)
-
-    def _hear_all(self, buffer: sockets.Buffer) -> None:
-        for words, body in lines.messages(buffer, lines.runtime_body):
+            self._stream = None
+            self._dispatcher.post(self._dispatcher.core.handle_link_lost)
+        return reason == ADDRESS_CHANGED
+
+    def _leave(self, message: LeaveLink) -> None:
+        """Sends the last query on the old link: its answer confirms that all before it was read. What is
+        decided meanwhile waits for the new link, so that no start is uncertain."""
+        stream = self._stream
+        if stream and stream is self._leaving_stream and not self._leaving_tag:
+            self._leaving_tag = message.tag
+            stream.send(runtime_codec.encode(message))
+            self._group.start_soon(self._abort_after_timeout, stream)
+
+    async def _abort_after_timeout(self, stream: sockets.Stream) -> None:
+        await anyio.sleep(MOVE_TIMEOUT_S)
+        stream.abort(ADDRESS_CHANGED)
+
+    # What comes.
+
+    def _handle_input(self, buffer: Buffer) -> None:
+        for words, body in lines.read_messages(buffer, runtime_codec.has_body):
             try:
-                self._hear(words, body)
+                self._handle_message(words, body)
             except (ValueError, IndexError):
-                raise sockets.ProtocolError(f"not understood: {' '.join(words)[:80]!r}") from None
-
-    def _hear(self, words: lines.Words, body: bytes) -> None:
-        word, core = words[0], self.dispatcher.core
-        if word in ("end", "wants", "info"):
-            number = lines.natural(words[1])
-            if number <= self.last:
-                log.warning("notice heard twice", notice=number, last_notice=self.last)
-                return
-            if number > self.last + 1 and not self.replaying:
-                raise sockets.ProtocolError(f"notice {number} after {self.last}")
-            if number > self.last + 1:  # the runtime keeps so many and no more: what is lost is lost
-                log.error("notices are missing", notice=number, last_notice=self.last)
-            self.last = number
-            if word == "end":
-                outcome = lines.ENDS.get(words[3])
-                if outcome is None:
-                    raise sockets.ProtocolError(f"unknown end {words[3][:20]!r}")
-                self.dispatcher.post(core.ended, words[2], outcome, body, of=words[2])
-            elif word == "wants":
-                self.dispatcher.post(core.wants, words[2], body, of=words[2])
-        elif word == "load":
-            if words[1] == REPLAYED:
-                self.replaying = False
-                self.dispatcher.post(core.linked)
-            else:
-                self.dispatcher.post(
-                    core.gauged, lines.natural(words[1]), [float(value) for value in words[2:]]
-                )
-                if self.stream and words[1] == self.leaving:
-                    self.stream.end(MOVED)
-        elif word == "ready":
-            warm, up_ms = words[1] == "hot", float(words[2])
-            # Not before: a runtime that is not up yet refuses the question, and the replay would never end.
-            assert self.stream  # that it was heard on
-            self.stream.send(lines.encode("gauges", REPLAYED))
-            born = clock.monotonic() - up_ms
-            if self.born is None:
-                log.info("runtime is up", warm=warm, up_ms=up_ms)
-                self.dispatcher.post(core.begin, warm, up_ms)
-            elif born > self.born + ANEW_MS:
-                log.error("runtime has started anew", up_ms=up_ms, last_notice=self.last)
-                self.last = 0
-                self.dispatcher.post(core.restarted)
-            self.born = born
-        elif word == "nack" and words[1:3] == ["gauges", REPLAYED]:
-            raise sockets.ProtocolError("the replay has no end")  # the next link asks again
-        elif word == "nack":
-            self.dispatcher.post(core.refused, words[1], words[2] if len(words) > 2 else "")
-        else:
-            raise sockets.ProtocolError(f"unknown word {word[:20]!r}")
+                raise ProtocolError(f"not understood: {' '.join(words)[:MAX_QUOTED]!r}") from None
+
+    def _handle_message(self, words: lines.Words, body: bytes) -> None:
+        number = runtime_codec.notice_number(words)
+        if number is not None and not self._accept_notice(number):
+            return
+        core = self._dispatcher.core
+        event = runtime_codec.decode(words, body)
+        match event:
+            case runtime_codec.RunEnded():
+                self._dispatcher.post(core.handle_run_ended, *event, request_id=event.request_id)
+            case runtime_codec.CallNeeded():
+                self._dispatcher.post(core.handle_call_needed, *event, request_id=event.request_id)
+            case runtime_codec.GaugesReported():
+                self._handle_gauges(event)
+            case runtime_codec.ReplayFinished():
+                self._is_replaying = False
+                self._dispatcher.post(core.handle_link_established)
+            case runtime_codec.RuntimeReady():
+                self._handle_ready(event)
+            case runtime_codec.CommandRefused():
+                self._handle_refused(event)
+
+    def _accept_notice(self, number: int) -> bool:
+        """Whether the notice is a new one; ProtocolError: one between was left out."""
+        if number <= self._last_notice:
+            log.warning("notice received twice", notice=number, last_notice=self._last_notice)
+            return False
+        if number > self._last_notice + 1 and not self._is_replaying:
+            raise ProtocolError(f"notice {number} after {self._last_notice}")
+        if number > self._last_notice + 1:  # the runtime keeps a bounded number: what is lost is lost
+            log.error("notices are missing", notice=number, last_notice=self._last_notice)
+        self._last_notice = number
+        return True
+
+    def _handle_gauges(self, event: runtime_codec.GaugesReported) -> None:
+        self._dispatcher.post(self._dispatcher.core.handle_gauges, event.tag, event.values)
+        if self._stream and self._leaving_tag and event.tag == self._leaving_tag:
+            self._stream.abort(ADDRESS_CHANGED)
+
+    def _handle_ready(self, event: runtime_codec.RuntimeReady) -> None:
+        assert self._stream  # that it came on
+        # Not before: a runtime that is not up yet refuses the query, and the replay would never end.
+        self._stream.send(runtime_codec.encode_replay_end())
+        started_at = clock.monotonic() - event.uptime_ms
+        core = self._dispatcher.core
+        if self._started_at is None:
+            log.info("runtime is up", warm=event.is_warm, up_ms=event.uptime_ms)
+            self._dispatcher.post(core.handle_runtime_ready, event.is_warm, event.uptime_ms)
+        elif started_at > self._started_at + RESTART_TOLERANCE_MS:
+            log.error("runtime has restarted", up_ms=event.uptime_ms, last_notice=self._last_notice)
+            self._last_notice = 0
+            self._dispatcher.post(core.handle_runtime_restart)
+        self._started_at = started_at
+
+    def _handle_refused(self, event: runtime_codec.CommandRefused) -> None:
+        if event.is_replay_end:
+            raise ProtocolError("the replay has no end")  # the next link asks again
+        log.info("runtime refused a command", command=event.word, call=event.argument)
+        self._dispatcher.post(self._dispatcher.core.handle_command_refused, event.command, event.argument)
--- /dev/null
+++ b/otterrudder/net/runtime_codec.py
@@ -0,0 +1,166 @@
+"""The codec of the runtime's protocol: notices and answers in, commands out. No I/O.
+
+Words of the wire appear here alone. Notices (`end`, `wants`, `info`) are numbered by the runtime and come
+again on a new link from the number that `sync` names."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from otterrudder.admission.interface import Outcome
+from otterrudder.net import lines
+from otterrudder.net.buffer import ProtocolError
+from otterrudder.net.lines import Words
+from otterrudder.net.messages import (
+    DeliverReply,
+    LeaveLink,
+    QueryGauges,
+    RuntimeMessage,
+    SkipDownstreamCall,
+    StartRun,
+    StopRun,
+)
+
+END, WANTS, INFO = "end", "wants", "info"
+NOTICE_WORDS = frozenset({END, WANTS, INFO})
+END_WORDS, WANTS_WORDS = 6, 4  # words of a line that a body follows
+REPLAYED = "replayed"  # tag of the gauges whose answer ends the replay: commands are dealt with in order
+MAX_QUOTED = 20  # characters of a wrong word in an error
+
+_OUTCOMES = {
+    "complete": Outcome.OK,
+    "error": Outcome.ERROR,
+    "cancelled": Outcome.CANCELLED,
+    "unknown": Outcome.NEVER_STARTED,
+}
+_COMMANDS: dict[str, type[RuntimeMessage]] = {
+    "start": StartRun,
+    "give": DeliverReply,
+    "stop": StopRun,
+    "omit": SkipDownstreamCall,
+    "gauges": QueryGauges,
+}
+
+
+class RunEnded(NamedTuple):
+    """A run has ended; `body` is its response."""
+
+    request_id: str
+    outcome: Outcome
+    body: bytes
+
+
+class CallNeeded(NamedTuple):
+    """A run waits at a downstream call."""
+
+    request_id: str
+    body: bytes
+
+
+class Information(NamedTuple):
+    """A notice without consequence."""
+
+
+class GaugesReported(NamedTuple):
+    """The answer to a gauges query."""
+
+    tag: int
+    values: list[float]
+
+
+class ReplayFinished(NamedTuple):
+    """All notices missed on earlier links have come."""
+
+
+class RuntimeReady(NamedTuple):
+    """The runtime is up."""
+
+    is_warm: bool
+    uptime_ms: float
+
+
+class CommandRefused(NamedTuple):
+    """The runtime did not carry out a command."""
+
+    word: str
+    argument: str  # of most commands the request's id
+
+    @property
+    def command(self) -> type[RuntimeMessage] | None:
+        """The type of the command; None: there is none of that word."""
+        return _COMMANDS.get(self.word)
+
+    @property
+    def is_replay_end(self) -> bool:
+        """Whether it is the query whose answer would end the replay."""
+        return self.command is QueryGauges and self.argument == REPLAYED
+
+
+RuntimeEvent = (
+    RunEnded | CallNeeded | Information | GaugesReported | ReplayFinished | RuntimeReady | CommandRefused
+)
+
+
+def has_body(words: Words) -> bool:
+    """Whether a body follows this line."""
+    return (words[0] == END and len(words) == END_WORDS) or (words[0] == WANTS and len(words) == WANTS_WORDS)
+
+
+def notice_number(words: Words) -> int | None:
+    """The number of a notice; None: the line is none. ProtocolError or IndexError: it lacks a number."""
+    return lines.whole_number(words[1]) if words[0] in NOTICE_WORDS else None
+
+
+def decode(words: Words, body: bytes) -> RuntimeEvent:
+    """What a line says. ProtocolError, ValueError or IndexError: it can't be understood."""
+    match words[0]:
+        case "end":
+            return _decode_end(words, body)
+        case "wants":
+            return CallNeeded(words[2], body)
+        case "info":
+            return Information()
+        case "load":
+            if words[1] == REPLAYED:
+                return ReplayFinished()
+            return GaugesReported(lines.whole_number(words[1]), [float(value) for value in words[2:]])
+        case "ready":
+            return RuntimeReady(words[1] == "hot", float(words[2]))
+        case "nack":
+            return CommandRefused(words[1], words[2] if len(words) > 2 else "")
+    raise ProtocolError(f"unknown word {words[0][:MAX_QUOTED]!r}")
+
+
+def _decode_end(words: Words, body: bytes) -> RunEnded:
+    outcome = _OUTCOMES.get(words[3])
+    if outcome is None:
+        raise ProtocolError(f"unknown end {words[3][:MAX_QUOTED]!r}")
+    return RunEnded(words[2], outcome, body)
+
+
+def encode(message: RuntimeMessage) -> list[bytes]:
+    """The line of a command, in parts."""
+    return _ENCODERS[type(message)](message)
+
+
+def encode_sync(last_notice: int) -> list[bytes]:
+    """Asks for all notices after that one; the first line on a link."""
+    return lines.encode("sync", last_notice)
+
+
+def encode_replay_end() -> list[bytes]:
+    """Asks for the gauges whose answer ends the replay."""
+    return lines.encode("gauges", REPLAYED)
+
+
+def _encode_query(message: QueryGauges | LeaveLink) -> list[bytes]:
+    return lines.encode("gauges", message.tag)
+
+
+_ENCODERS: dict[type[RuntimeMessage], Callable[[Any], list[bytes]]] = {
+    StartRun: lambda m: lines.encode_with_body(m.body, "start", m.request_id, m.method),
+    DeliverReply: lambda m: lines.encode_with_body(m.body, "give", m.request_id),
+    StopRun: lambda m: lines.encode("stop", m.request_id),
+    SkipDownstreamCall: lambda m: lines.encode("omit", m.request_id),
+    QueryGauges: _encode_query,
+    LeaveLink: _encode_query,
+}
--- /dev/null
+++ b/otterrudder/net/server_parts.py
@@ -0,0 +1,141 @@
+"""The parts of one server, created in order and connected with each other."""
+
+import resource
+import zlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from otterrudder.admission.factory import gauge_names, tenants_of
+from otterrudder.configuration import Configuration, parse_address
+from otterrudder.log import log
+from otterrudder.net import controller_setup
+from otterrudder.net.core import RequestCore
+from otterrudder.net.discovery import DiscoveryReporter
+from otterrudder.net.dispatcher import Dispatcher
+from otterrudder.net.gateway_listener import GatewayListener
+from otterrudder.net.messages import Destination
+from otterrudder.net.records import RecordsPool
+from otterrudder.net.runtime import RuntimeLink
+
+if TYPE_CHECKING:  # what a server has no file for is not imported
+    from otterrudder.fleet.agent import Agent
+    from otterrudder.fleet.cell.agent import CellAgent
+    from otterrudder.fleet.configuration import Fleet
+    from otterrudder.levels import LevelTable
+    from otterrudder.net.control import ControlSocket
+    from otterrudder.vrrp.configuration import VrrpConfiguration
+    from otterrudder.vrrp.router import VrrpRouter
+
+
+@dataclass(frozen=True, slots=True)
+class OptionalParts:
+    """What the files beside the configuration say; None: there is no such file."""
+
+    levels: "LevelTable | None"
+    vrrp: "VrrpConfiguration | None"
+    fleet: "Fleet | None"
+
+
+@dataclass(frozen=True, slots=True)
+class ServerParts:
+    """The actors of one server."""
+
+    dispatcher: Dispatcher
+    runtime: RuntimeLink
+    records: RecordsPool
+    gateways: GatewayListener
+    discovery: DiscoveryReporter
+    router: "VrrpRouter | None"
+    agent: "Agent | CellAgent | None"
+
+    def begin_shutdown(self, time_left_ms: float) -> None:
+        """Drains, and ends within `time_left_ms`."""
+        if self.router:  # priority 0 first, so that another takes over while this one drains
+            self.router.begin_shutdown()
+        self.discovery.is_draining = True
+        self.dispatcher.post(self.dispatcher.core.begin_graceful_shutdown, time_left_ms)
+
+
+def create_parts(configuration: Configuration, optional: OptionalParts) -> ServerParts:
+    """Creates them; sockets to listen on are taken. OSError: an address is taken, or not ours."""
+    spread = _level_spread(configuration.name)
+    core = _create_core(configuration, optional.levels, spread)
+    dispatcher = Dispatcher(core)
+    runtime = RuntimeLink(dispatcher, parse_address(configuration.runtime))
+    max_descriptors = _max_descriptors(configuration)
+    records = RecordsPool(dispatcher, records_address(configuration), max_descriptors)
+    tenants = {tenant.name: index for index, tenant in enumerate(tenants_of(configuration.settings))}
+    gateways = GatewayListener(
+        dispatcher,
+        parse_address(configuration.listen),
+        max_descriptors - records.max_connections,
+        tenants,
+    )
+    discovery = DiscoveryReporter(configuration.name, parse_address(configuration.registry))
+    dispatcher.recipients |= {
+        Destination.RUNTIME: runtime,
+        Destination.RECORDS: records,
+        Destination.GATEWAYS: gateways,
+    }
+    router = None
+    if optional.vrrp:
+        from otterrudder.net.vrrp_setup import create_router
+
+        router = create_router(optional.vrrp, dispatcher, records, discovery)
+    agent = None
+    if optional.fleet:
+        from otterrudder.net.fleet_setup import create_agent
+
+        agent = create_agent(optional.fleet, configuration, dispatcher, spread)
+    return ServerParts(dispatcher, runtime, records, gateways, discovery, router, agent)
+
+
+def create_control_socket(name: str, parts: ServerParts) -> "ControlSocket | None":
+    """The operators' local socket, which answers for the parts that are there; None if none is."""
+    answers: dict[str, Callable[[], object]] = {}
+    if parts.router:
+        answers["vrrp"] = parts.router.status
+    if parts.agent:
+        answers["fleet"] = parts.agent.shown
+    if not answers:
+        return None
+    from otterrudder.net.control import ControlSocket
+
+    return ControlSocket(name, answers)
+
+
+def log_levels(core: RequestCore, table: "LevelTable | None") -> None:
+    """Logs which levels there are."""
+    if table and (controller := core.service.levels):
+        names = [level.name for level in table.levels]
+        log.info("levels", service=controller.name, shadow=controller.is_shadow, of=names)
+
+
+def records_address(configuration: Configuration) -> tuple[str, int] | None:
+    """None where there is no records service."""
+    return parse_address(configuration.records) if configuration.records else None
+
+
+def _create_core(configuration: Configuration, table: "LevelTable | None", spread: float) -> RequestCore:
+    request_classes = controller_setup.served_classes(configuration.settings)
+    factory = controller_setup.controller_factory(configuration, request_classes)
+    levels = None
+    if table:
+        from otterrudder.levels import LevelController
+
+        levels = LevelController(table, spread)
+    return RequestCore(factory, request_classes, gauge_names(configuration.settings), levels)
+
+
+def _level_spread(name: str) -> float:
+    """From 0 to 1, each server's own. A fleet shares one table: the spread keeps its servers from leaving a
+    level together."""
+    return zlib.crc32(f"{name}/levels".encode()) / 2**32
+
+
+def _max_descriptors(configuration: Configuration) -> int:
+    """That this process may open: as the platform says, within the limit of the system."""
+    configured = int(configuration.limits.sockets)
+    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return configured if allowed == resource.RLIM_INFINITY else min(configured, allowed)
--- /dev/null
+++ b/otterrudder/net/service_state.py
@@ -0,0 +1,120 @@
+"""What restricts admission from outside the controller: the service level, the policy, suspension, drained
+scopes and the shutdown.
+
+All of it may be set before the admission controller exists, and holds from its start on."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import (
+    Limits,
+    RequestClass,
+    RequestScope,
+    Restriction,
+    RestrictionKind,
+    ServiceLevel,
+    Tenant,
+)
+
+if TYPE_CHECKING:  # a server without levels does not import them
+    from otterrudder.levels import LevelController, LevelTable, LevelUpdate
+
+
+class ServiceState:
+    """Keeps what is in force and passes it to the controller. Where a level changes, the update is returned
+    for the log."""
+
+    def __init__(self, class_count: int, levels: "LevelController | None") -> None:
+        self.levels = levels
+        self.is_suspended = False
+        self.is_shutting_down = False
+        self.drained_scopes: list[RequestScope] = []
+        self._policy: tuple[list[RequestClass], list[Tenant], Limits] | None = None
+        self._controller: AdmissionController | None = None
+        self._suspended_level = ServiceLevel(
+            "aside", ((Restriction(RestrictionKind.DECLINE),),) * class_count, served_elsewhere=True
+        )
+
+    def attach(self, controller: AdmissionController) -> None:
+        """The controller has been created: what is in force holds for it too."""
+        self._controller = controller
+        if self._policy:
+            controller.update_policy(*self._policy)
+        if self.levels or self.is_suspended:
+            self._set_service_level()
+        for scope in self.drained_scopes:
+            controller.drain(scope, 0.0)
+
+    def step_levels(
+        self, now: float, tick_late_ms: float, is_utilization_known: bool
+    ) -> "LevelUpdate | None":
+        """Plays a tick of the level controller. During the shutdown levels stay as they are, for a drain
+        rejects by rules of its own."""
+        if not self.levels or self.is_shutting_down or not self._controller:
+            return None
+        facts = self._controller.load_report() | {"late_ms": tick_late_ms}
+        if not is_utilization_known:
+            del facts["busy"]
+        return self._apply(self.levels.step(now, facts))
+
+    def replace_table(self, table: "LevelTable", now: float) -> "LevelUpdate | None":
+        """Takes another table of levels, where there are levels."""
+        if not self.levels or self.is_shutting_down:
+            return None
+        return self._apply(self.levels.replace_table(table, now))
+
+    def update_policy(
+        self,
+        table: "LevelTable | None",
+        create_levels: "Callable[[LevelTable], LevelController]",
+        policy: tuple[list[RequestClass], list[Tenant], Limits],
+        now: float,
+    ) -> "LevelUpdate | None":
+        """A policy is in force: its table of levels takes the place of any other, or of none, and its request
+        classes, tenants and limits hold for what comes from now on."""
+        self._policy = policy
+        if self._controller:
+            self._controller.update_policy(*policy)
+        if table and self.levels:
+            return self.replace_table(table, now)
+        self.levels = create_levels(table) if table else None
+        self._set_service_level()
+        return None
+
+    def set_suspended(self, is_suspended: bool) -> None:
+        """While admission is suspended, all that comes is rejected, though not finally: others may know which
+        policy is in force. What is queued or runs is answered, and a retry of what ran."""
+        self.is_suspended = is_suspended
+        self._set_service_level()
+
+    def set_scope_served(self, scope: RequestScope, is_served: bool, drain_ms: float) -> None:
+        """Serves the scope's requests from now on, or drains them within `drain_ms`."""
+        self.drained_scopes = [other for other in self.drained_scopes if other != scope]
+        if not is_served:
+            self.drained_scopes.append(scope)
+        if self._controller and is_served:
+            self._controller.resume(scope)
+        elif self._controller:
+            self._controller.drain(scope, drain_ms)
+
+    def begin_shutdown(self, time_left_ms: float) -> bool:
+        """Drains everything; False if there is no controller, so nothing has run and nothing will."""
+        self.is_shutting_down = True
+        if not self._controller:
+            return False
+        self._controller.begin_graceful_shutdown(time_left_ms)
+        return True
+
+    def _set_service_level(self) -> None:
+        if not self._controller or self.is_shutting_down:
+            return
+        if self.is_suspended:
+            self._controller.set_service_level(self._suspended_level)
+        else:
+            self._controller.set_service_level(self.levels.service_level if self.levels else None)
+
+    def _apply(self, update: "LevelUpdate | None") -> "LevelUpdate | None":
+        if update and update.service_level and self._controller and not self.is_suspended:
+            self._controller.set_service_level(update.service_level)
+        return update
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -1,5 +1,6 @@
-"""A stream's two ends in this process: a receive buffer that is parsed in place, gathered writes, and the one
-way in which a connection is closed. docs/design/closes.md has its states and what may fall between them."""
+"""One connection in this process: its receive buffer, gathered writes, and the one way in which it is closed.
+
+docs/design/closes.md has the states and what may fall between them."""
 
 import os
 import socket
@@ -12,70 +13,28 @@
 
 from otterrudder import clock
 from otterrudder.log import log
+from otterrudder.net.buffer import Buffer, ProtocolError
 
-ROOM_FIRST = 4 * 1024  # bytes of a new buffer: nearly all messages fit, and hundreds of peers are quiet
-GATHER_MOST = 256  # parts of one gathered write: below every system's bound of 1,024
-READ_OUT_MOST = 64 * 1024  # bytes read out of a peer that is left: past that it floods, and is cut off
-READ_OUT_GO = 16 * 1024  # bytes of one read of these
-
-
-CLOSED = "closed by the other side"
-
-
-class ProtocolError(Exception):
-    """What came is no message, and what follows it can't be told from it: the connection has to go."""
-
-
-class Buffer:
-    """What was received and not yet taken. Codecs look at `data` from `start` to `end` and move `start`.
-    It grows up to its room with the longest message."""
-
-    def __init__(self, room: int) -> None:
-        self.room, self.data = room, bytearray(min(room, ROOM_FIRST))
-        self.start = self.end = self.seen = 0  # seen: up to there no line end was found
+MAX_GATHERED_PARTS = 256  # of one gathered write: below every system's bound of 1,024
+MAX_DISCARDED_BYTES = 64 * 1024  # read after the shutdown: who sends more floods, and is cut off
+DISCARD_READ_BYTES = 16 * 1024  # of one read of these
 
-    def space(self) -> memoryview:
-        """Room for more; empty if one message fills it all, which no good peer does."""
-        if self.start:
-            rest = self.end - self.start
-            self.data[:rest] = self.data[self.start : self.end]
-            self.seen = max(self.seen - self.start, 0)
-            self.start, self.end = 0, rest
-        if self.end == len(self.data) < self.room:
-            self.data += bytes(min(self.end, self.room - self.end))
-        return memoryview(self.data)[self.end :]
-
-    def line(self, mark: bytes) -> memoryview | None:
-        """The next line without its mark, in place, if it is whole. `drop` it before the next one."""
-        at = self.data.find(mark, max(self.seen, self.start), self.end)
-        if at < 0:
-            self.seen = max(self.end - len(mark) + 1, self.start)
-            return None
-        return memoryview(self.data)[self.start : at]
-
-    def drop(self, count: int) -> None:
-        self.start = self.seen = self.start + count
-
-    def put(self, data: bytes) -> None:
-        while data:
-            with self.space() as space:
-                if not space:
-                    raise ProtocolError("a message that is too long")
-                count = min(len(space), len(data))
-                space[:count] = data[:count]
-            self.end, data = self.end + count, data[count:]
+# Reasons for an end.
+CLOSED_BY_PEER = "closed by the other side"
+SERVER_ENDS = "the server ends"
+MESSAGE_TOO_LONG = "a message that is too long"
 
 
 class State(Enum):
     """Of a connection, as this process has decided; each leads on to those below it and never back."""
 
-    OPEN = "open"  # heard, and written to
-    DEAF = "deaf"  # what comes is left unread; what is owed still goes out
-    SHUT = "shut"  # all that is owed is written, the write side is shut: what comes is read and dropped
+    OPEN = "open"  # read and written
+    CLOSING = "closing"  # input is left unread; what is owed is still written
+    SHUT_DOWN = "shut down"  # all is written and the write side is shut: input is read and discarded
     CLOSED = "closed"
 
 
-def _heard_by_nobody(_: Buffer) -> None: ...
+def _ignore_input(_: Buffer) -> None: ...
 
 
 def _owes_nothing() -> bool:
@@ -83,184 +42,193 @@
 
 
 class Stream:
-    """One connection, read and written until either ends. Whoever runs `serve` owns it.
+    """One connection, read and written until either side ends it. Whoever runs `serve` owns it.
 
-    `leave` is this side's own wish: what was heard is answered, nothing more is heard, and the other side's
-    last bytes are read, for a close over unread ones resets the connection and takes with it what the other
-    side had not read yet. `end` is for a connection that is of no more use."""
+    `close` is an orderly end: what was received is answered, nothing more is received, and the other side's
+    last bytes are read and discarded, for a close over unread bytes resets the connection and loses what the
+    other side has not read yet. `abort` is for a connection that is of no more use."""
 
     def __init__(
         self,
         sock: socket.socket,
-        room: int,
-        unsent_most: int,
-        hear: Callable[[Buffer], None],
-        owes: Callable[[], bool] = _owes_nothing,
-        leave_s: float = 0.0,
+        max_message_bytes: int,
+        max_unsent_bytes: int,
+        handle_input: Callable[[Buffer], None],
+        owes_answers: Callable[[], bool] = _owes_nothing,
+        close_timeout_s: float = 0.0,
     ) -> None:
-        """`hear` takes what is whole from the buffer; what it raises ends this connection and nothing else.
-        `owes`: whether something that was heard is still to be answered. `leave_s`: s to write that and to
-        read out what still comes, once it is left; 0: whoever is left has nothing to come."""
+        """`handle_input` takes what is whole from the buffer; what it raises ends this connection alone.
+        `owes_answers`: whether something that was received is still to be answered. `close_timeout_s`: the
+        time to write the answers and to read what still comes, once `close` was called."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sock, self.buffer, self.unsent_most = sock, Buffer(room), unsent_most
-        self.hear, self.owes = hear, owes
-        self.parts: deque[bytes | memoryview] = deque()
-        self.unsent, self.wake = 0, anyio.Event()
-        self.taken_at = clock.monotonic()  # when the other side last took some of what it was owed, or all
+        self.sock = sock
+        self.buffer = Buffer(max_message_bytes)
         self.state = State.OPEN
-        self.sent = anyio.Event()  # while it is left: nothing is owed or unsent
-        self.leave_s = leave_s
-        self.why = ""  # it is left or has ended, once there is a reason
+        self.end_reason = ""  # set once it is closing or closed
+        self.unsent_bytes = 0
+        self.last_progress = clock.monotonic()  # when the other side last read some or all of its output
+        self._max_unsent_bytes = max_unsent_bytes
+        self._handle_input = handle_input
+        self._owes_answers = owes_answers
+        self._close_timeout_s = close_timeout_s
+        self._output: deque[bytes | memoryview] = deque()
+        self._output_ready = anyio.Event()
+        self._output_written = anyio.Event()
 
     async def serve(self) -> str:
-        """Says why it ended; the socket is closed by then."""
+        """Runs the connection to its end, and returns the reason; the socket is closed by then."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
-                await self._listen()
-                if self.state is State.DEAF:
-                    await self._see_off()
-                self.end("the server ends")
+                await self._read()
+                if self.state is State.CLOSING:
+                    await self._finish_close()
+                self.abort(SERVER_ENDS)
                 group.cancel_scope.cancel()
         finally:
-            self.end("the server ends")
-            self.parts.clear()
+            self.abort(SERVER_ENDS)
+            self._output.clear()
             self.sock.close()
-            # Its owner and it held on to each other: left to the collector, the buffers of a day of short
-            # connections are memory that grows.
-            self.hear, self.owes = _heard_by_nobody, _owes_nothing
-        return self.why
+            # Breaks the reference cycle with the owner: left to the garbage collector, the buffers of a day
+            # of short connections are memory that grows.
+            self._handle_input = _ignore_input
+            self._owes_answers = _owes_nothing
+        return self.end_reason
 
     def send(self, parts: Iterable[bytes]) -> None:
-        """Never waits. A peer that reads too slowly to bound what it is owed is given up."""
-        if self.state not in (State.OPEN, State.DEAF):
+        """Never waits. A connection whose other side reads too slowly to bound its output is aborted."""
+        if self.state not in (State.OPEN, State.CLOSING):
             return
-        if not self.parts:
-            self.taken_at = clock.monotonic()
+        if not self._output:
+            self.last_progress = clock.monotonic()
         for part in parts:
-            self.parts.append(part)
-            self.unsent += len(part)
-        self.wake.set()
-        if self.unsent > self.unsent_most:
-            self.end("reads too slowly")
-
-    def catch_up(self) -> bool:
-        """Hands on what lies unread in the system's queue; whether there was anything, the end included. Who
-        closes for want of words asks this first: a busy loop may have left them unread for long."""
-        return self.state is State.OPEN and self._take()
-
-    def leave(self, why: str, leave_s: float | None = None) -> None:
-        """Nothing more is heard. Once what is owed is answered, it has `leave_s` to be written and read."""
-        self.leave_s = self.leave_s if leave_s is None else leave_s
+            self._output.append(part)
+            self.unsent_bytes += len(part)
+        self._output_ready.set()
+        if self.unsent_bytes > self._max_unsent_bytes:
+            self.abort("reads too slowly")
+
+    def receive_pending(self) -> bool:
+        """Handles what lies unread in the system's queue; whether there was anything, an end included.
+
+        To be called before a close for silence: a busy loop may have left input unread for long."""
+        return self.state is State.OPEN and self._receive()
+
+    def close(self, reason: str, timeout_s: float | None = None) -> None:
+        """Begins the orderly end. `timeout_s`: instead of `close_timeout_s`."""
+        if timeout_s is not None:
+            self._close_timeout_s = timeout_s
         if self.state is State.OPEN:
-            self.state, self.why = State.DEAF, why
-            anyio.notify_closing(self.sock)  # wakes the reader; the writer waits on
+            self.state = State.CLOSING
+            self.end_reason = reason
+            anyio.notify_closing(self.sock)  # wakes the reader; the writer goes on waiting
 
-    def end(self, why: str) -> None:
-        """At once, and whatever is unsent or unread goes with it."""
+    def abort(self, reason: str) -> None:
+        """Ends it at once; unsent and unread bytes are lost."""
         if self.state is not State.CLOSED:
-            self.state, self.why = State.CLOSED, self.why or why
-            self.wake.set()
-            self.sent.set()
+            self.state = State.CLOSED
+            self.end_reason = self.end_reason or reason
+            self._output_ready.set()
+            self._output_written.set()
             anyio.notify_closing(self.sock)  # wakes reader and writer
 
-    async def _listen(self) -> None:
+    async def _read(self) -> None:
         while self.state is State.OPEN:
             try:
                 await anyio.wait_readable(self.sock)
             except anyio.ClosedResourceError:
                 continue
-            except OSError as trouble:
-                self.end(str(trouble))
-            self.catch_up()
+            except OSError as error:
+                self.abort(str(error))
+            self.receive_pending()
 
-    def _take(self) -> bool:
-        """One read, and what is whole in it goes to the owner; whether anything came, the end included."""
+    def _receive(self) -> bool:
+        """One read, whose whole messages are handled; whether anything came, an end included."""
         try:
             with self.buffer.space() as space:
                 if not space:
-                    self.leave("a message that is too long")
+                    self.close(MESSAGE_TOO_LONG)
                     return True
                 count = self.sock.recv_into(space)
         except (BlockingIOError, InterruptedError):
             return False
-        except OSError as trouble:
-            self.end(str(trouble))
+        except OSError as error:
+            self.abort(str(error))
             return True
         if not count:
-            self.end(CLOSED)
+            self.abort(CLOSED_BY_PEER)
             return True
         self.buffer.end += count
         try:
-            self.hear(self.buffer)
-        except ProtocolError as trouble:
-            self.leave(str(trouble))
+            self._handle_input(self.buffer)
+        except ProtocolError as error:
+            self.close(str(error))
         except Exception:
-            log.exception("input could not be dealt with")
-            self.leave("input could not be dealt with")
+            log.exception("input could not be handled")
+            self.close("input could not be handled")
         return True
 
-    async def _see_off(self) -> None:
-        """What is owed is answered by whoever owes it; then writing, shutting and reading out are bounded."""
-        while self.owes() and self.state is State.DEAF:
-            self.sent = anyio.Event()
-            await self.sent.wait()
-        with anyio.move_on_after(self.leave_s):
-            while self.parts and self.state is State.DEAF:
-                self.sent = anyio.Event()
-                await self.sent.wait()
-            if self.state is State.DEAF:
-                await self._read_out()
-
-    async def _read_out(self) -> None:
-        """The other side learns of the end, and closes; one that does not is not waited for."""
-        self.state = State.SHUT
-        left = READ_OUT_MOST
+    async def _finish_close(self) -> None:
+        """Waits for the answers that are owed; then writing, the shutdown and reading are bounded in time."""
+        while self._owes_answers() and self.state is State.CLOSING:
+            self._output_written = anyio.Event()
+            await self._output_written.wait()
+        with anyio.move_on_after(self._close_timeout_s):
+            while self._output and self.state is State.CLOSING:
+                self._output_written = anyio.Event()
+                await self._output_written.wait()
+            if self.state is State.CLOSING:
+                await self._discard_input()
+
+    async def _discard_input(self) -> None:
+        """Shuts the write side, so the other side closes; one that does not is not waited for."""
+        self.state = State.SHUT_DOWN
+        allowed = MAX_DISCARDED_BYTES
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            while left > 0 and self.state is State.SHUT:
+            while allowed > 0 and self.state is State.SHUT_DOWN:
                 try:
-                    count = len(self.sock.recv(READ_OUT_GO))
+                    count = len(self.sock.recv(DISCARD_READ_BYTES))
                 except (BlockingIOError, InterruptedError):
                     await anyio.wait_readable(self.sock)
                     continue
                 if not count:
                     return
-                left -= count
+                allowed -= count
         except (OSError, anyio.ClosedResourceError):
             return  # it has gone
 
     async def _write(self) -> None:
-        while self.state in (State.OPEN, State.DEAF):
+        while self.state in (State.OPEN, State.CLOSING):
             try:
-                if self.parts:
-                    self._push()
+                if self._output:
+                    self._write_some()
                 else:
-                    self.sent.set()
-                    self.wake = anyio.Event()
-                    await self.wake.wait()
+                    self._output_written.set()
+                    self._output_ready = anyio.Event()
+                    await self._output_ready.wait()
                 continue
             except (BlockingIOError, InterruptedError):
                 pass
-            except OSError as trouble:
-                self.end(str(trouble))
+            except OSError as error:
+                self.abort(str(error))
             try:
                 await anyio.wait_writable(self.sock)
             except anyio.ClosedResourceError:
                 continue
             except OSError:
-                self.end("closed while it was written to")
+                self.abort("closed while it was written to")
 
-    def _push(self) -> None:
-        """One gathered write, and what it took is gone."""
-        count = self.sock.sendmsg(list(islice(self.parts, GATHER_MOST)))
-        self.taken_at = clock.monotonic()
-        self.unsent -= count
+    def _write_some(self) -> None:
+        """One gathered write; what it wrote is dropped."""
+        count = self.sock.sendmsg(list(islice(self._output, MAX_GATHERED_PARTS)))
+        self.last_progress = clock.monotonic()
+        self.unsent_bytes -= count
         while count:
-            part = self.parts.popleft()
+            part = self._output.popleft()
             if len(part) > count:
-                self.parts.appendleft(memoryview(part)[count:])
+                self._output.appendleft(memoryview(part)[count:])
                 return
             count -= len(part)
 
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -11,7 +11,15 @@
 from otterrudder.admission.interface import Limits, Outcome
 from otterrudder.fleet.policy import Own, parse
 from otterrudder.levels import LevelController
-from otterrudder.net.core import Core
+from otterrudder.net.core import RequestCore
+from otterrudder.net.messages import (
+    Destination,
+    Outgoing,
+    RequestCompleted,
+    RequestRejected,
+    StartRun,
+)
+from otterrudder.net.requests import RequestFields
 
 PRODUCTS, TENANTS = request_classes_of(SETTINGS), tenants_of(SETTINGS)
 CUTS_LOOK = """version = 1
@@ -44,71 +52,73 @@
                 idempotency_entry_kb=0.0,
             )
 
-        self.core, self.now, self.rpc = Core(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
+        self.core, self.now, self.rpc = RequestCore(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
 
     def up(self) -> None:
-        self.core.at(1e12, self.now)
-        self.core.begin(True, 60_000.0)
-        self.core.linked()
-        self.core.done()
+        self.core.advance_to(1e12, self.now)
+        self.core.handle_runtime_ready(True, 60_000.0)
+        self.core.handle_link_established()
+        self.core.take_messages()
 
     def policy(self, text: str) -> None:
         told = parse(text, Own(PRODUCTS, TENANTS))
-        self.core.take_policy(
+        self.core.update_policy(
             told.levels, lambda table: LevelController(table, 0.0), told.products, told.tenants, told.limits
         )
 
-    def ask(self, product: int, mark: str = "", retry: bool = False) -> list[tuple]:
+    def ask(self, product: int, mark: str = "", retry: bool = False) -> list[Outgoing]:
         self.now += 5.0
         self.rpc += 1
-        self.core.at(1e12 + self.now, self.now)
-        self.core.arrive(
-            "peer",
-            self.rpc,
-            product,
-            call=f"{self.rpc:016x}",
-            recv=1e12 + self.now,
-            ttl=9000.0,
-            kb=20.0,
-            tenant=0,
-            key=0,
-            retry=retry,
-            dedupe=mark,
+        self.core.advance_to(1e12 + self.now, self.now)
+        fields = RequestFields(
+            request_id=f"{self.rpc:016x}",
+            received_at=1e12 + self.now,
+            ttl_ms=9000.0,
+            size_kb=20.0,
+            tenant_index=0,
+            session_key=0,
+            is_retry=retry,
+            idempotency_key=mark,
             body=b"ask",
         )
-        return self.core.done()
+        self.core.handle_arrival("connection", self.rpc, product, fields)
+        return self.core.take_messages()
 
 
-def words(out: list[tuple]) -> list[tuple]:
-    """What its caller or the runtime is told, without numbers that change."""
-    told = [one for one in out if one[0] != "dispatcher"]
-    return [one[:2] if one[1] != "declined" else ("declined", *one[3:5]) for one in told]
+def sent(out: list[Outgoing]) -> list:
+    """What its caller or the runtime is told."""
+    return [message for destination, message in out if destination is not Destination.DISPATCHER]
+
+
+def kinds(out: list[Outgoing]) -> list[type]:
+    return [type(message) for message in sent(out)]
 
 
 def test_aside_all_is_declined_and_nothing_for_good_and_a_repeat_is_answered() -> None:
     played = Played()
     played.up()
-    assert ("runtime", "start") in words(played.ask(1, "m" * 32))
-    played.core.ended(f"{1:016x}", Outcome.OK, b"done")
-    assert ("peer", "settled") in words(played.core.done())
-    played.core.stand_aside(True)
+    assert StartRun in kinds(played.ask(1, "m" * 32))
+    played.core.handle_run_ended(f"{1:016x}", Outcome.OK, b"done")
+    assert RequestCompleted in kinds(played.core.take_messages())
+    played.core.set_suspended(True)
     for product, mark, retry in ((0, "", False), (0, "", True), (1, "n" * 32, False)):
-        (told,) = words(played.ask(product, mark, retry))
-        assert told[0] == "declined" and told[1] is False and told[2] > 0.0
-    assert ("peer", "settled") in words(played.ask(1, "m" * 32, True))
-    played.core.stand_aside(False)
-    assert ("runtime", "start") in words(played.ask(0))
+        (answer,) = sent(played.ask(product, mark, retry))
+        assert isinstance(answer, RequestRejected)
+        assert answer.is_final is False and answer.retry_after_ms > 0.0
+    assert RequestCompleted in kinds(played.ask(1, "m" * 32, True))
+    played.core.set_suspended(False)
+    assert StartRun in kinds(played.ask(0))
 
 
 def test_what_holds_before_the_runtime_is_up_holds_after() -> None:
     played = Played()
     played.policy(CUTS_LOOK)
-    played.core.stand_aside(True)
+    played.core.set_suspended(True)
     played.up()
-    assert words(played.ask(1, "m" * 32))[0][0] == "declined"
-    played.core.stand_aside(False)
-    assert words(played.ask(0))[0][0] == "declined"
-    assert ("runtime", "start") in words(played.ask(1, "n" * 32))
+    assert kinds(played.ask(1, "m" * 32))[0] is RequestRejected
+    played.core.set_suspended(False)
+    assert kinds(played.ask(0))[0] is RequestRejected
+    assert StartRun in kinds(played.ask(1, "n" * 32))
     assert played.core.controller.request_classes[1].priority_weight == 50.0
 
 
@@ -116,14 +126,14 @@
     played = Played()
     played.up()
     played.policy(CUTS_LOOK)
-    played.core.stand_aside(True)
+    played.core.set_suspended(True)
     played.policy(CUTS_LOOK.replace('"look"]', '"pay"]'))
-    assert words(played.ask(0))[0][0] == "declined"
-    played.core.stand_aside(False)
-    assert ("runtime", "start") in words(played.ask(0))
-    assert words(played.ask(1, "m" * 32))[0][0] == "declined"
+    assert kinds(played.ask(0))[0] is RequestRejected
+    played.core.set_suspended(False)
+    assert StartRun in kinds(played.ask(0))
+    assert kinds(played.ask(1, "m" * 32))[0] is RequestRejected
     played.policy("version = 1")
-    assert ("runtime", "start") in words(played.ask(1, "m" * 32))
+    assert StartRun in kinds(played.ask(1, "m" * 32))
 
 
 def test_what_was_admitted_keeps_the_worth_it_came_with() -> None:
@@ -146,9 +156,10 @@
     before = controller.limits
     played.policy("version = 1\n[limits]\nstay_away_ms = 120\nover_share_value = 0.5\n[budgets]\ncalls = 2")
     assert controller.limits == Limits(120.0, 2.0, 0.5) != before
-    played.core.stand_aside(True)
-    (declined,) = words(played.ask(0))
-    assert declined[0] == "declined" and declined[2] <= 120.0  # as long as callers are asked to keep away
+    played.core.set_suspended(True)
+    (rejected,) = sent(played.ask(0))
+    assert isinstance(rejected, RequestRejected)
+    assert rejected.retry_after_ms <= 120.0  # as long as callers are asked to keep away
     played.policy("version = 1")
     assert controller.limits.over_quota_weight_factor == before.over_quota_weight_factor
 
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -53,7 +53,7 @@
 from otterrudder.fleet.policy import Own
 from otterrudder.fleet.records import TEXT_MOST, Keys, View
 from otterrudder.lab.processes.link import Harm, Link, free_port
-from otterrudder.net.serve import Files
+from otterrudder.net.server_files import ServerFiles
 
 WAIT_S = 8.0
 KIND = "k"
@@ -533,4 +533,4 @@
         found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
         assert found.exit_code == 2 and says in found.output, found.output
     with pytest.raises(ConfigurationError, match="this file is a relay's"):
-        Files(None, fleet=str(example)).read_fleet()
+        ServerFiles(None, fleet=str(example)).read_fleet()
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -16,7 +16,9 @@
 from otterrudder.lab.site import BadInput, site_of
 from otterrudder.levels import read_table
 from otterrudder.net import core
-from otterrudder.net.core import Core
+from otterrudder.net.core import RequestCore
+from otterrudder.net.request_table import RequestTable
+from otterrudder.net.requests import PendingRequest
 
 from helpers import ROOT  # isort: skip
 
@@ -47,37 +49,38 @@
 
 
 def test_an_answer_that_is_lost_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    close, lost = Core._close, []
+    close, lost = RequestTable.close, []
 
-    def forgets(at: Core, request) -> None:
-        if request.number % 40 == 0 and at.out and at.out[-1][0] is request.peer:
-            lost.append(at.out.pop())
+    def forgets(at: RequestTable, request: PendingRequest) -> None:
+        messages = at._outbox.messages
+        if request.number % 40 == 0 and messages and messages[-1][0] is request.connection:
+            lost.append(messages.pop())
         close(at, request)
 
-    monkeypatch.setattr(Core, "_close", forgets)
+    monkeypatch.setattr(RequestTable, "close", forgets)
     found = day([]).broken
     assert lost and any(what.startswith("rule 1") and "no answer" in what for what in found)
 
 
 def test_an_effect_that_happens_twice_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    run_over = Core._run_over
+    finish_run = RequestTable.finish_run
 
-    def twice(at: Core, request, outcome: Outcome, body: bytes = b"") -> None:
-        if request.mark and not request.answered and not hasattr(at, "again"):
+    def twice(at: RequestTable, request: PendingRequest, outcome: Outcome, body: bytes = b"") -> None:
+        if request.idempotency_key and not request.is_answered and not hasattr(at, "again"):
             at.again = True
-            at._start(request)
+            at._delivery._send_start(request)
             return
-        run_over(at, request, outcome, body)
+        finish_run(at, request, outcome, body)
 
-    monkeypatch.setattr(Core, "_run_over", twice)
+    monkeypatch.setattr(RequestTable, "finish_run", twice)
     assert any("rule 2" in what and "twice" in what for what in day([]).broken)
 
 
 def test_a_decline_of_what_has_run_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Repeats, "started", lambda *_: None)
 
-    def declines(at: Core, request) -> None:
-        at._decline(request, False, 0.0)
+    def declines(at: RequestCore, request: PendingRequest, _: commands.FailRequest) -> None:
+        at.requests.reject(request, False, 0.0)
 
     monkeypatch.setitem(core._REQUEST_COMMANDS, commands.FailRequest, declines)
     slow = [Fault(kind="slow", at_s=2, for_s=40, times=40.0)]
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -10,7 +10,8 @@
 
 from otterrudder.admission.interface import Idempotency, RequestClass, RestrictionKind, Tenant
 from otterrudder.levels import LevelController, LevelTableError, parse_table, read_table
-from otterrudder.net.core import Core
+from otterrudder.net.core import RequestCore
+from otterrudder.net.messages import LogEntry
 
 PRODUCTS = [
     RequestClass("addr-lookup", Idempotency.SAFE, 1, 1200, 2900),
@@ -146,17 +147,19 @@
 def test_the_core_tells_the_module_and_the_log_and_a_drain_freezes_the_ladder(mode: str) -> None:
     text = table(SHARE, NONE, top=f'version = 1\nmode = "{mode}"\n')
     module = Module()
-    core = Core(lambda *_: module, PRODUCTS, [], LevelController(parse_table(text, PRODUCTS, TENANTS), 0.0))
-    core.begin(True, 0.0)
+    core = RequestCore(
+        lambda *_: module, PRODUCTS, [], LevelController(parse_table(text, PRODUCTS, TENANTS), 0.0)
+    )
+    core.handle_runtime_ready(True, 0.0)
     logged, now = [], 0.0
 
     def rings(seconds: float) -> None:
         nonlocal now
         for _ in range(int(seconds * 25)):
             now += 40.0
-            core.at(now, now)
-            core.ring(2.0)
-            logged.extend(rest for _, word, *rest in core.done() if word == "log")
+            core.advance_to(now, now)
+            core.tick(2.0)
+            logged.extend(message for _, message in core.take_messages() if isinstance(message, LogEntry))
 
     rings(3)
     module.known |= {"pressure": 0.9, "demand": 2.0}
@@ -166,17 +169,17 @@
     text, facts = logged[0]
     assert text == "less service" and facts["pressure_bound"] == 0.2 and facts["why"] == "entry"
     assert facts["pressure"] > 0.2 and facts.get("shadow", False) == (mode == "shadow")
-    core.take_levels(parse_table(table(SHARE), PRODUCTS, TENANTS))
+    core.replace_level_table(parse_table(table(SHARE), PRODUCTS, TENANTS))
     rings(1)
     assert module.told[-1] == "l1" and logged[-1][1]["why"] == "table"
     shadow = 'version = 1\nmode = "shadow"\n'
-    core.take_levels(parse_table(table(SHARE, top=shadow), PRODUCTS, TENANTS))
+    core.replace_level_table(parse_table(table(SHARE, top=shadow), PRODUCTS, TENANTS))
     assert module.told[-1] == "full"  # a shadow enforces nothing, whatever was in force
-    core.retire(5000.0)
+    core.begin_graceful_shutdown(5000.0)
     module.known |= {"pressure": 0.0, "demand": 0.0}
     before = list(module.told)
     rings(60)
-    core.take_levels(parse_table(GOOD, PRODUCTS, TENANTS))
+    core.replace_level_table(parse_table(GOOD, PRODUCTS, TENANTS))
     assert module.told == before
 
 
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -25,13 +25,27 @@
 from otterrudder import clock
 from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
 from otterrudder.admission.interface import Outcome
-from otterrudder.net import core, gateways, records, serve
+from otterrudder.net import connection_reaper, gateway_connection, gateway_listener, serve
+from otterrudder.net.connection_reaper import Timeouts, close_if_silent
+from otterrudder.net.core import RequestCore
 from otterrudder.net.dispatcher import Dispatcher
+from otterrudder.net.gateway_connection import GatewayConnection
+from otterrudder.net.gateway_listener import GatewayListener
+from otterrudder.net.messages import (
+    CancelCall,
+    Destination,
+    RequestCompleted,
+    RuntimeMessage,
+    SendCall,
+    StartRun,
+)
+from otterrudder.net.records import RecordsPool
+from otterrudder.net.server_parts import ServerParts
 
 A, B, C, MARK = "00000000000000aa", "00000000000000bb", "00000000000000cc", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 ANSWERS = 30  # longest ones: some 160 KB
 IDLE_MS = 1000.0  # ms as a sweep is told them
-SWEEP = (IDLE_MS, 1500.0, 1000.0)
+TIMEOUTS = Timeouts(IDLE_MS)
 
 
 class Sent:
@@ -40,37 +54,40 @@
     def __init__(self) -> None:
         self.started: list[str] = []
 
-    def tell(self, word: str, *rest: object) -> None:
-        if word == "start":
-            self.started.append(str(rest[0]))
+    def send(self, message: RuntimeMessage) -> None:
+        if isinstance(message, StartRun):
+            self.started.append(message.request_id)
 
 
 class Inside:
     """The dispatcher, the listener and a stand-in of the runtime, in this process; its turns are the
     test's own."""
 
-    def __init__(self, group: anyio.abc.TaskGroup, sockets_most: int = 256) -> None:
+    def __init__(self, group: anyio.abc.TaskGroup, max_descriptors: int = 256) -> None:
         self.group, self.runtime = group, Sent()
-        the_core = core.Core(
+        the_core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS, is_cold_start=False),
             request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
         self.dispatcher = Dispatcher(the_core)
-        self.gateways = gateways.Gateways(
-            self.dispatcher, ("127.0.0.1", 0), sockets_most, {"north": 0, "south": 1}
+        self.gateways = GatewayListener(
+            self.dispatcher, ("127.0.0.1", 0), max_descriptors, {"north": 0, "south": 1}
         )
-        self.dispatcher.addresses |= {core.RUNTIME: self.runtime, core.GATEWAYS: self.gateways}
-        self.dispatcher.post(the_core.begin, True, 60_000.0)
-        self.dispatcher.post(the_core.linked)
-        self.dispatcher.turn()
-
-    async def connect(self, small: bool = False) -> tuple[Gateway, gateways.Peer]:
+        self.dispatcher.recipients |= {
+            Destination.RUNTIME: self.runtime,
+            Destination.GATEWAYS: self.gateways,
+        }
+        self.dispatcher.post(the_core.handle_runtime_ready, True, 60_000.0)
+        self.dispatcher.post(the_core.handle_link_established)
+        self.dispatcher.run_batch()
+
+    async def connect(self, small: bool = False) -> tuple[Gateway, GatewayConnection]:
         """A connection, and its peer once it is served; `small`: the system holds next to nothing for it."""
-        before = set(self.gateways.peers)
+        before = set(self.gateways.connections)
         gateway = Gateway(self.gateways.sock.getsockname(), room=2048 if small else 0)
         self.gateways._accept_some(self.group)
-        (peer,) = self.gateways.peers - before
+        (peer,) = self.gateways.connections - before
         if small:
             peer.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         await rest()
@@ -79,12 +96,12 @@
     async def served(self, gateway: Gateway, call: str, body: bytes = b"done", **more: object) -> dict:
         """Takes the one start that is there or to come, ends it, and hands over the answer."""
         await until(lambda: self.turned() and call in self.runtime.started)
-        self.dispatcher.post(self.dispatcher.core.ended, call, Outcome.OK, body)
-        self.dispatcher.turn()
+        self.dispatcher.post(self.dispatcher.core.handle_run_ended, call, Outcome.OK, body)
+        self.dispatcher.run_batch()
         return await answer(gateway)
 
     def turned(self) -> bool:
-        self.dispatcher.turn()
+        self.dispatcher.run_batch()
         return True
 
 
@@ -133,30 +150,30 @@
     return await anyio.to_thread.run_sync(read)
 
 
-def owe(peer: gateways.Peer) -> None:
+def owe(peer: GatewayConnection) -> None:
     """Answers of the longest kind, more than the system holds for a slow reader."""
     for n in range(ANSWERS):
-        peer.tell("settled", n + 1, b"r" * 4096, None)
+        peer.send(RequestCompleted(n + 1, b"r" * 4096, None))
 
 
-def at_rest(peer: gateways.Peer) -> float:
+def at_rest(peer: GatewayConnection) -> float:
     """Makes the peer one that was answered long ago and was told `noMore`; when its end is due."""
-    peer.worded, peer.told_no_more = True, 1.0
-    return peer.quiet_since + 2 * IDLE_MS
+    peer.has_response, peer.goaway_at = True, 1.0
+    return peer.last_activity + 2 * IDLE_MS
 
 
-def sweeps(peer: gateways.Peer, due: float) -> None:
-    peer.sweep(due, *SWEEP)
+def sweeps(peer: GatewayConnection, due: float) -> None:
+    close_if_silent(peer, due, TIMEOUTS)
 
 
-def makes_room(peer: gateways.Peer, due: float) -> None:
-    peer.quiet_since = -1e9
-    peer.gateways._make_room()
+def makes_room(peer: GatewayConnection, due: float) -> None:
+    peer.last_activity = -1e9
+    connection_reaper.make_room([peer], False)
 
 
 @pytest.mark.parametrize("ends", [sweeps, makes_room])
 def test_a_txn_that_lies_unread_as_its_connection_is_to_end_is_served(
-    ends: Callable[[gateways.Peer, float], None],
+    ends: Callable[[GatewayConnection, float], None],
 ) -> None:
     async def play(rig: Inside) -> None:
         gateway, peer = await rig.connect()
@@ -170,7 +187,7 @@
 
 @pytest.mark.parametrize("ends", [sweeps, makes_room])
 def test_half_a_txn_that_lies_unread_keeps_its_connection(
-    ends: Callable[[gateways.Peer, float], None],
+    ends: Callable[[GatewayConnection, float], None],
 ) -> None:
     async def play(rig: Inside) -> None:
         gateway, peer = await rig.connect()
@@ -187,15 +204,15 @@
 def test_half_a_txn_after_a_rest_is_no_old_half(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its age was once counted from the last whole message, so it was cut off at the next look.
     async def play(rig: Inside) -> None:
-        monkeypatch.setattr(gateways, "HALF_MS", 50.0)
+        monkeypatch.setattr(connection_reaper, "PARTIAL_MESSAGE_TIMEOUT_MS", 50.0)
         gateway, peer = await rig.connect()
         gateway.sock.sendall(gateway.txn_message(A))
         await rig.served(gateway, A)
         await anyio.sleep(0.06)  # the rest, longer than a half may last
-        data, before = gateway.txn_message(B), peer.quiet_since
+        data, before = gateway.txn_message(B), peer.last_activity
         gateway.sock.sendall(data[:40])
-        await until(lambda: peer.quiet_since > before)
-        peer.sweep(peer.quiet_since, 1e9, *SWEEP[1:])  # in the moment in which it came
+        await until(lambda: peer.last_activity > before)
+        close_if_silent(peer, peer.last_activity, Timeouts(1e9))  # in the moment in which it came
         await rest()
         gateway.sock.sendall(data[40:])
         assert "result" in await rig.served(gateway, B)
@@ -209,9 +226,10 @@
         at_rest(peer)
         data = gateway.txn_message(A)
         gateway.sock.sendall(data[:40])
-        await until(lambda: peer.half_since < 1e300)
+        await until(lambda: peer.partial_since < 1e300)
         gateway.sock.sendall(data[40:50])
-        peer.sweep(peer.half_since + gateways.HALF_MS + 1.0, *SWEEP)
+        due = peer.partial_since + connection_reaper.PARTIAL_MESSAGE_TIMEOUT_MS + 1.0
+        close_if_silent(peer, due, TIMEOUTS)
         assert await end(gateway) == b""
 
     inside(play)
@@ -222,13 +240,13 @@
         gateway, peer = await rig.connect(small=True)
         owe(peer)
         await rest()
-        assert peer.stream.unsent  # it does not read
-        peer.sweep(at_rest(peer), *SWEEP)
+        assert peer.stream.unsent_bytes  # it does not read
+        close_if_silent(peer, at_rest(peer), TIMEOUTS)
         makes_room(peer, 0.0)
-        assert not peer.stream.why  # nor is it on its way out, which is bounded
+        assert not peer.stream.end_reason  # nor is it on its way out, which is bounded
         for _ in range(ANSWERS):
             assert len((await answer(gateway))["result"]["blob"]) > 5000
-        peer.sweep(clock.monotonic() + 1e6, *SWEEP)
+        close_if_silent(peer, clock.monotonic() + 1e6, TIMEOUTS)
         assert not await end(gateway)
 
     inside(play)
@@ -240,10 +258,10 @@
         peer.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         peer.stream.send([b"x" * 400_000])
         await rest()
-        peer.sweep(clock.monotonic() + gateways.STUCK_MS - 1000.0, *SWEEP)
-        assert not peer.stream.why
-        peer.sweep(clock.monotonic() + gateways.STUCK_MS + 1.0, *SWEEP)
-        await until(lambda: not rig.gateways.peers)
+        close_if_silent(peer, clock.monotonic() + connection_reaper.READ_TIMEOUT_MS - 1000.0, TIMEOUTS)
+        assert not peer.stream.end_reason
+        close_if_silent(peer, clock.monotonic() + connection_reaper.READ_TIMEOUT_MS + 1.0, TIMEOUTS)
+        await until(lambda: not rig.gateways.connections)
 
     inside(play)
 
@@ -255,12 +273,12 @@
         gateway.sock.sendall(gateway.txn_message(A) + b"{\n" * 15_000)
         await until(lambda: rig.turned() and rig.runtime.started == [A])
         gateway.sock.sendall(gateway.txn_message(B))  # after the last wrong one: never heard
-        rig.dispatcher.post(rig.dispatcher.core.ended, A, Outcome.OK, b"r" * 4096)
-        rig.dispatcher.turn()
+        rig.dispatcher.post(rig.dispatcher.core.handle_run_ended, A, Outcome.OK, b"r" * 4096)
+        rig.dispatcher.run_batch()
         lines = (await end(gateway)).splitlines()
         assert not gateway.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        assert len(lines) == gateways.WRONGS_MOST + 1 and json.loads(lines[-1])["id"] == 1
-        rig.dispatcher.turn()
+        assert len(lines) == gateway_connection.MAX_PROTOCOL_ERRORS + 1 and json.loads(lines[-1])["id"] == 1
+        rig.dispatcher.run_batch()
         assert rig.runtime.started == [A]
 
     inside(play)
@@ -271,8 +289,8 @@
         gateway, peer = await rig.connect(small=True)
         owe(peer)
         gateway.sock.sendall(b"{\n" * 10)
-        await until(lambda: peer.stream.why)
-        assert peer.stream.unsent
+        await until(lambda: peer.stream.end_reason)
+        assert peer.stream.unsent_bytes
         told = [json.loads(text) for text in (await end(gateway)).splitlines()]
         assert sum("result" in message for message in told) == ANSWERS
 
@@ -286,13 +304,13 @@
         deaf_peer.stream.send([b"x" * 400_000])
         floods = [await rig.connect() for _ in range(2)]
         began = time.monotonic()
-        deaf_peer.stream.leave("test", 0.1)
-        floods[0][1].stream.leave("test", 0.1)
-        floods[1][1].stream.leave("test", 60.0)  # the bound of bytes ends it
+        deaf_peer.stream.close("test", 0.1)
+        floods[0][1].stream.close("test", 0.1)
+        floods[1][1].stream.close("test", 60.0)  # the bound of bytes ends it
 
-        async def pour(flood: Gateway, peer: gateways.Peer) -> None:
+        async def pour(flood: Gateway, peer: GatewayConnection) -> None:
             flood.sock.setblocking(False)
-            while peer in rig.gateways.peers:
+            while peer in rig.gateways.connections:
                 with contextlib.suppress(BlockingIOError):
                     flood.sock.send(b"x" * 65536)
                 await anyio.sleep(0)
@@ -300,7 +318,7 @@
         async with anyio.create_task_group() as pouring:
             for flood, peer in floods:
                 pouring.start_soon(pour, flood, peer)
-        await until(lambda: not rig.gateways.peers)
+        await until(lambda: not rig.gateways.connections)
         assert time.monotonic() - began < 5.0  # 0.1 s, on a busy machine
         deaf.close()
 
@@ -312,20 +330,20 @@
     async def play(rig: Inside) -> None:
         owed, owed_peer = await rig.connect()
         owed.sock.sendall(owed.txn_message(A) + b"{\n" * 6)
-        await until(lambda: owed_peer.stream.why and rig.turned() and rig.runtime.started)
-        resting = [await rig.connect() for _ in range(rig.gateways.most - 1)]
+        await until(lambda: owed_peer.stream.end_reason and rig.turned() and rig.runtime.started)
+        resting = [await rig.connect() for _ in range(rig.gateways.max_connections - 1)]
         for _, peer in resting:
-            peer.quiet_since = -1e9
+            peer.last_activity = -1e9
         newcomer = Gateway(rig.gateways.sock.getsockname())
         newcomer.sock.sendall(newcomer.txn_message(B))
         rig.group.start_soon(rig.gateways._accept, rig.group)
         assert "result" in await rig.served(newcomer, B)
-        assert owed_peer in rig.gateways.peers
-        rig.dispatcher.post(rig.dispatcher.core.ended, A, Outcome.OK, b"done")
-        rig.dispatcher.turn()
+        assert owed_peer in rig.gateways.connections
+        rig.dispatcher.post(rig.dispatcher.core.handle_run_ended, A, Outcome.OK, b"done")
+        rig.dispatcher.run_batch()
         assert b"result" in await end(owed)
 
-    inside(play, sockets_most=gateways.SPARE + 10)
+    inside(play, max_descriptors=gateway_listener.SPARE_DESCRIPTORS + 10)
 
 
 def test_a_connection_that_is_over_leaves_nothing_to_the_collector() -> None:
@@ -338,8 +356,8 @@
             gateway.close()
             gone = weakref.ref(peer)
             del peer
-            await until(lambda: not rig.gateways.peers)
-            rig.dispatcher.turn()
+            await until(lambda: not rig.gateways.connections)
+            rig.dispatcher.run_batch()
             await rest()
             assert gone() is None
         finally:
@@ -353,10 +371,10 @@
         resting, half, busy = [(await rig.connect())[0] for _ in range(3)]
         data = half.txn_message(B)
         half.sock.sendall(data[:30])
-        left = rig.gateways._until_left
+        left = rig.gateways._wait_until_closed
 
         async def last_moment() -> None:
-            rig.gateways._until_left = left
+            rig.gateways._wait_until_closed = left
             try:
                 await left()
             finally:  # the time that peers have is over; nothing runs from here to the last look
@@ -364,8 +382,8 @@
                 half.sock.sendall(data[30:])
                 busy.sock.sendall(busy.txn_message(C)[:50])
 
-        rig.gateways._until_left = last_moment
-        rig.dispatcher.post(rig.dispatcher.core.retire, 0.0)  # the stop is now
+        rig.gateways._wait_until_closed = last_moment
+        rig.dispatcher.post(rig.dispatcher.core.begin_graceful_shutdown, 0.0)  # the stop is now
         rig.group.start_soon(rig.dispatcher.run)
         await rig.gateways.run(rig.group)
         for gateway in (resting, half):
@@ -373,7 +391,7 @@
             assert [message.get("method") for message in told[:1]] == ["noMore"]
             assert [message["error"]["code"] for message in told[1:]] == [-32014]
         assert b"noMore" in await end(busy)  # its half was never a request
-        assert not rig.runtime.started and not rig.gateways.peers
+        assert not rig.runtime.started and not rig.gateways.connections
 
     inside(play)
 
@@ -385,7 +403,7 @@
     with Server(tmp_path, limits=limits) as server:
         runtime = server.runtime()
         runtime.idle(2)
-        room = 48 - 48 // 8 - gateways.SPARE
+        room = 48 - 48 // 8 - gateway_listener.SPARE_DESCRIPTORS
         busy = [server.gateway() for _ in range(room)]
         for n, gateway in enumerate(busy):
             gateway.request(f"{n:016x}")
@@ -432,16 +450,16 @@
 
 def test_a_runtime_that_comes_up_in_a_drain_finds_nobody() -> None:
     async def play(rig: Inside) -> None:
-        the_core = core.Core(
+        the_core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
             request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
         rig.dispatcher.core = rig.gateways.dispatcher.core = the_core
         gateway, _ = await rig.connect()
-        rig.dispatcher.post(the_core.retire, 1500.0)
-        rig.dispatcher.post(the_core.begin, True, 60_000.0)
-        rig.dispatcher.post(the_core.linked)
+        rig.dispatcher.post(the_core.begin_graceful_shutdown, 1500.0)
+        rig.dispatcher.post(the_core.handle_runtime_ready, True, 60_000.0)
+        rig.dispatcher.post(the_core.handle_link_established)
         gateway.sock.sendall(gateway.txn_message(A))
         await rest()
         rig.group.start_soon(rig.dispatcher.run)
@@ -457,7 +475,7 @@
     """It once closed at once, as nothing was up yet, while what came within the grace was still begun."""
 
     async def play(rig: Inside) -> None:
-        the_core = core.Core(
+        the_core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
             request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
@@ -467,12 +485,11 @@
         async def terminated() -> AsyncIterator[signal.Signals]:
             yield signal.SIGTERM
 
-        parts: list = [Mock(), Mock(), Mock()]
-        rig.dispatcher.post(the_core.begin, True, 60_000.0)
-        rig.dispatcher.post(the_core.linked)
-        await serve._handle_signals(
-            terminated(), Mock(stop_ms=1500.0), serve.Files(None), rig.dispatcher, *parts, None
-        )
+        parts = ServerParts(rig.dispatcher, Mock(), Mock(), rig.gateways, Mock(), None, None)
+        reloader = Mock(configuration=Mock(stop_ms=1500.0))
+        rig.dispatcher.post(the_core.handle_runtime_ready, True, 60_000.0)
+        rig.dispatcher.post(the_core.handle_link_established)
+        await serve.handle_signals(terminated(), reloader, parts)
         over = anyio.Event()
 
         async def run() -> None:
@@ -484,7 +501,8 @@
         gateway, _ = await rig.connect()
         gateway.sock.sendall(gateway.txn_message(A))
         await until(lambda: rig.runtime.started)
-        await anyio.sleep(2 * (gateways.CROSS_S + gateways.LAST_S))  # longer than a way out takes
+        shutdown_s = gateway_listener.GOAWAY_GRACE_S + gateway_listener.LAST_WRITES_S
+        await anyio.sleep(2 * shutdown_s)  # longer than a way out takes
         assert not over.is_set()
         assert "result" in await rig.served(gateway, A)
         await over.wait()
@@ -574,9 +592,9 @@
         def none_left() -> float:
             raise OSError(24, "Too many open files")
 
-        monkeypatch.setattr("otterrudder.net.dispatcher._rss_mb", none_left)
-        rig.dispatcher.statistics.next = 0.0
-        rig.dispatcher.turn()
+        monkeypatch.setattr("otterrudder.net.loop_statistics.resident_mb", none_left)
+        rig.dispatcher.statistics.next_report = 0.0
+        rig.dispatcher.run_batch()
         gateway, _ = await rig.connect()
         gateway.sock.sendall(gateway.txn_message(A))
         assert "result" in await rig.served(gateway, A)
@@ -609,17 +627,19 @@
         assert not server.logged("Too many open files")
 
 
-def told(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[records.Records, list[tuple]]:
+def told(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[RecordsPool, list[tuple]]:
     """The pool of connections below, and what it tells the core."""
     heard: list[tuple] = []
 
     class Ear:
-        core = type("Core", (), {"replied": "replied"})
+        core = type("Core", (), {"handle_call_ended": "handle_call_ended"})
 
-        def post(self, act: object, call: str, outcome: Outcome, body: bytes = b"", of: str = "") -> None:
+        def post(
+            self, act: object, call: str, outcome: Outcome, body: bytes = b"", request_id: str = ""
+        ) -> None:
             heard.append((call, outcome, body))
 
-    pool = records.Records(Ear(), address, 256)  # type: ignore[arg-type]
+    pool = RecordsPool(Ear(), address, 256)  # type: ignore[arg-type]
     pool.group = group
     return pool, heard
 
@@ -628,15 +648,15 @@
     async def play(rig: Inside) -> None:
         service = listener()
         pool, heard = told(rig.group, service.getsockname())
-        pool.tell("call", A, 500.0, b"?")
+        pool.send(SendCall(A, 500.0, b"?"))
         first = await anyio.to_thread.run_sync(lambda: service.accept()[0])
-        await until(lambda: pool.links and next(iter(pool.links)).stream)
+        await until(lambda: pool.connections and next(iter(pool.connections)).stream)
         await anyio.to_thread.run_sync(lambda: first.recv(100))
         first.sendall(f"{A} DONE 1\r\n!\r\n".encode())
         await until(lambda: heard)
         assert heard.pop() == (A, Outcome.OK, b"!") and pool.idle
         first.close()  # its end lies unread, for the loop does not run
-        pool.tell("call", B, 500.0, b"?")
+        pool.send(SendCall(B, 500.0, b"?"))
         second = await anyio.to_thread.run_sync(lambda: service.accept()[0])
         second.sendall(f"{B} DONE 1\r\n!\r\n".encode())
         await until(lambda: heard)
@@ -652,7 +672,7 @@
         pool, heard = told(rig.group, service.getsockname())
         ends = []
         for _ in range(2):
-            pool.tell("call", A, 500.0, b"?")
+            pool.send(SendCall(A, 500.0, b"?"))
             ends.append(await anyio.to_thread.run_sync(lambda: service.accept()[0]))
         ends[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         ends[0].close()
@@ -660,7 +680,7 @@
         assert not heard  # the first was given up by the second
         ends[1].sendall(f"{A} DONE 1\r\n!\r\n".encode())
         await until(lambda: heard)
-        assert heard == [(A, Outcome.OK, b"!")] and not pool.on
+        assert heard == [(A, Outcome.OK, b"!")] and not pool.connection_of
         service.close(), ends[1].close()
 
     inside(play)
@@ -673,7 +693,7 @@
     async def play(rig: Inside) -> None:
         chance, services = random.Random(seed), [listener(), listener()]
         pool, heard = told(rig.group, services[0].getsockname())
-        pool.most = 3  # so that calls share connections too
+        pool.max_connections = 3  # so that calls share connections too
         for service in services:
             service.setblocking(False)
         ends: list[socket.socket] = []
@@ -699,9 +719,10 @@
             if what < 4:
                 if (call := f"{chance.randrange(12):016x}") not in out:
                     out[call] = b"%016d" % n
-                    pool.tell("call", call, 500.0, out[call])
+                    pool.send(SendCall(call, 500.0, out[call]))
             elif what == 4 and out:
-                pool.tell("hang up", call := chance.choice(sorted(out)))
+                call = chance.choice(sorted(out))
+                pool.send(CancelCall(call))
                 del out[call]
             elif what == 5 and chance.random() < 0.3:
                 pool.move(chance.choice(services).getsockname())
@@ -736,6 +757,6 @@
         while out:
             await anyio.sleep(0.01)
             settle()
-        assert not pool.on and ended > 30
+        assert not pool.connection_of and ended > 30
 
     inside(play)
