--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay's process: its service on the wire, its control socket, and its end at a signal."""
+"""A relay's process: its service on the wire, its control socket, and its end at a signal."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
@@ -20,8 +20,8 @@
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and Busy
-    if the folder is another process's."""
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and
+    DirectoryInUseError if the folder is another process's."""
     anyio.run(_serve, fleet, role)
 
 
@@ -34,12 +34,12 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_at_signal, signals, service.stop)
-            group.start_soon(control.Control(control_name(role), {"relay": service.shown}).run)
+            group.start_soon(control.ControlSocket(control_name(role), {"relay": service.shown}).run)
             await service.run()
             group.cancel_scope.cancel()
 
 
 async def _stop_at_signal(signals: AsyncIterator[signal.Signals], stop: Callable[[], None]) -> None:
     async for number in signals:
-        log.info("told to stop", by=number.name)
+        log.info("stopping", signal=number.name)
         stop()
