--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -428,19 +428,20 @@
     )
 
 
-MAX_STEPS = 99.0  # of time in a fingerprint: later times are as good as never
+MAX_STEPS = 99.0  # of time in a fingerprint: all later times are one
+NEVER_STEPS = 100.0  # of a time that never comes or never was
 
 
 def _left(at: float, now: float) -> float:
     """Steps until then. inf // STEP_MS would be nan, which no fingerprint may hold: it equals nothing."""
     if at == math.inf:
-        return MAX_STEPS
+        return NEVER_STEPS
     return -1.0 if at <= now else min((at - now + STEP_MS - 1) // STEP_MS, MAX_STEPS)
 
 
 def _ago(at: float, now: float) -> float:
     """Steps since then."""
-    return MAX_STEPS if at == -math.inf else min((now - at) // STEP_MS, MAX_STEPS)
+    return NEVER_STEPS if at == -math.inf else min((now - at) // STEP_MS, MAX_STEPS)
 
 
 # Events: each gives the worlds that it may lead to. `faults_most` bounds those that harm.
