--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -4,6 +4,7 @@
 is up, frozen or gone, and keeps its own books of what was committed and when, from the store's writes and
 nothing else; `broken` checks the promises against these books."""
 
+import math
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -403,12 +404,20 @@
     )
 
 
+MAX_STEPS = 99.0
+NEVER_STEPS = 100.0
+
+
 def _left(at: float, now: float) -> float:
-    return -1.0 if at <= now else min((at - now + STEP_MS - 1) // STEP_MS, 99.0)
+    """Steps until then. inf // STEP_MS would be nan, which no fingerprint may hold: it equals nothing."""
+    if at == math.inf:
+        return NEVER_STEPS
+    return -1.0 if at <= now else min((at - now + STEP_MS - 1) // STEP_MS, MAX_STEPS)
 
 
 def _ago(at: float, now: float) -> float:
-    return min((now - at) // STEP_MS, 99.0)
+    """Steps since then."""
+    return NEVER_STEPS if at == -math.inf else min((now - at) // STEP_MS, MAX_STEPS)
 
 
 # Events: each gives the worlds that it may lead to. `faults_most` bounds those that harm.
