--- a/otterrudder/fleet/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -33,7 +33,7 @@
     SaveState,
     ValidatePolicy,
 )
-from otterrudder.fleet.policy_documents import PolicyDocuments
+from otterrudder.fleet.member.documents import PolicyDocuments
 from otterrudder.fleet.records import FleetSnapshot, InvalidRecordError, Keys, MemberStatus, RosterEntry, Vote
 from otterrudder.fleet.state import (
     AdmissionStatus,
