--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -116,19 +116,19 @@
         return dict(
             fleet=member.keys.fleet,
             name=member.name,
-            epoch=member.incarnation,
-            folder=member.directory_id,
+            epoch=member.identity.incarnation,
+            folder=member.identity.directory_id,
             standing=admission_status.label,
             admits=admission_status.admits,
             why=member.status_detail or admission_status.description,
             version=member.known.version,
             digest=member.known.digest,
-            head=member.head,
+            head=member.policies.head,
             pledged=member.prepared_vote.change if member.prepared_vote else "",
             registered=bool(member.registered),
             leader=member.is_leader,
             absent=member.rules.absent,
-            lease_left_ms=round(max(member.lease_until - now, 0.0), 1),
+            lease_left_ms=round(max(member.registration.lease_until - now, 0.0), 1),
             worst_answer_ms=round(self.executor.take_worst_ms(), 1),
             counts=self.executor.counts | {"asides": self.control_sender.asides},
         )
@@ -136,7 +136,7 @@
     def _settler_effects(self, now: float) -> list[Effect]:
         observed = self.member.observed
         if observed and observed.trial:  # nobody asks for them else
-            self.member.figures = tuple(self.facts().items())
+            self.member.reporter.metrics = tuple(self.facts().items())
         settle = self.coordinator.effects_for(now, self.member)
         return [settle] if settle else []
 
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -229,7 +229,7 @@
         if self.poll and self.poll_task:
             times.append(self.poll.due())
             if self._poll_waits:
-                times.append(self.member.abstains_until)
+                times.append(self.member.voting.abstains_until)
         if self._may_need_consent():
             times.append(max(self.consents.due(), self._consent_from()))
         return min(times)
@@ -281,7 +281,7 @@
     def peer_answered(self, consent: Consent) -> None:
         self._is_changed = True
         self.consents.received(consent)
-        self.member.endorsed_until = self.consents.until()
+        self.member.registration.endorsed_until = self.consents.until()
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
         """How an effect of the store or the disk ended; `sent`: when it was begun."""
@@ -402,13 +402,17 @@
     def _is_coming_back(self, now: float) -> bool:
         """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell:
         its servers wait for the moment until it is registered again, and do not try all relays in turn."""
-        return not self.leads() and not self._is_leaving and now < self.member.endorsed_until
+        return not self.leads() and not self._is_leaving and now < self.member.registration.endorsed_until
 
     def _may_be_newer(self, session: Session) -> bool:
         """Whether the open change may have been committed before that server came. What runs may go by the
         version before for the bound; what starts after a commit may not."""
         member = self.member
-        return bool(member.prepared_vote) and member.vote_sent and member.fresh_at < session.registered_at
+        return (
+            bool(member.prepared_vote)
+            and member.voting.vote_sent
+            and member.voting.fresh_at < session.registered_at
+        )
 
     def _why_no_authority(self, now: float) -> str:
         if now < self.promise.until:
@@ -477,13 +481,13 @@
             return
         if not self._is_open(self.poll.digest):
             # What is in force is not for this relay's servers to refuse; of anything else nothing is known.
-            is_in_force = self.member.head > self.member.known.version
+            is_in_force = self.member.policies.head > self.member.known.version
             self._end_poll(now, "" if is_in_force else None)
             return
         candidates = list(self._candidates(now))
         for connection in self.poll.ask(now, candidates):
             self._send(connection, AskVerdict(self.poll.digest, self.poll_task.text))
-        self._poll_waits = now < self.member.abstains_until
+        self._poll_waits = now < self.member.voting.abstains_until
         if self._poll_waits:  # servers are still on their way here
             return
         decided = self.poll.decided(candidates)
@@ -521,7 +525,7 @@
     def _after_store(self, now: float) -> None:
         leads = self.leads()
         if leads and not self._led:
-            self.member.abstains_until = max(self.member.abstains_until, now + TAKEOVER_MS)
+            self.member.voting.abstains_until = max(self.member.voting.abstains_until, now + TAKEOVER_MS)
         self._led = leads
         for session in [held for held in self.sessions.values() if held.held]:
             if not leads or not self._may_be_newer(session):
@@ -534,8 +538,8 @@
     def _abstain(self) -> None:
         """While the promise binds, this relay neither votes nor grants. Nor does it take the cell over, so
         that the leader finds its place free once it hears the store again."""
-        self.member.abstains_until = max(self.member.abstains_until, self.promise.until)
-        self.member.registers_from = self.promise.until
+        self.member.voting.abstains_until = max(self.member.voting.abstains_until, self.promise.until)
+        self.member.registration.registers_from = self.promise.until
 
     def _may_need_consent(self) -> bool:
         rules = self.member.rules
@@ -543,4 +547,4 @@
 
     def _consent_from(self) -> float:
         """When the store's lease has so little left that the other relays are asked."""
-        return self.member.lease_until - self.member.rules.lease_ms * CONSENT_BELOW_SHARE
+        return self.member.registration.lease_until - self.member.rules.lease_ms * CONSENT_BELOW_SHARE
--- a/otterrudder/fleet/commits.py
+++ b/otterrudder/fleet/commits.py
@@ -39,7 +39,7 @@
     return Commit("vote", compares, (Put(keys.vote(name), encode(ballot)),))
 
 
-def tell(keys: Keys, name: str, status: MemberStatus, registered: int, lease: int) -> Commit:
+def report_status(keys: Keys, name: str, status: MemberStatus, registered: int, lease: int) -> Commit:
     key = keys.status(name)
     compares = (Compare(key, "created", registered),)
     return Commit("tell", compares, (Put(key, encode(status), lease),), Lane.REPORT_STATUS)
--- a/otterrudder/fleet/member/documents.py
+++ b/otterrudder/fleet/member/documents.py
@@ -1,5 +1,5 @@
-"""The texts of policies that may come into force at a member: which are here, which has to be read or judged
-next, and what was found wrong with the last one judged. Immutable values; `member.py` holds one."""
+"""The policy documents that may come into force at a member: which are here, which one has to be read or
+validated next, and the result of the last validation. Immutable values; `policy_state.py` holds one."""
 
 from dataclasses import dataclass, replace
 
@@ -8,37 +8,43 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyDocuments:
-    held: tuple[tuple[str, str], ...] = ()  # digest and text
-    needed: str = ""  # the digest of a text that has to be read
-    judging: str = ""  # the digest of a text that is here and has to be judged
-    judged: str = ""  # the digest of the text that was judged last
-    trouble: str = ""  # and what is wrong with it here, "" if nothing
+    """Documents by the digest of their text."""
+
+    texts: tuple[tuple[str, str], ...] = ()  # digest and text
+    missing: str = ""  # the digest of a text that has to be read
+    pending: str = ""  # the digest of a text that is here and has to be validated
+    validated: str = ""  # the digest of the text that was validated last
+    rejection: str = ""  # what is wrong with it here; "": nothing
 
     def text(self, digest: str) -> str | None:
-        return dict(self.held).get(digest)
+        """None: it is not here."""
+        return dict(self.texts).get(digest)
 
-    def verdict(self, digest: str) -> str | None:
-        """None: it was not the last one judged."""
-        return self.trouble if self.judged == digest else None
+    def result_for(self, digest: str) -> str | None:
+        """What is wrong with that text, "" if nothing; None: it was not the last one validated."""
+        return self.rejection if self.validated == digest else None
 
     def with_text(self, digest: str, text: str) -> "PolicyDocuments":
-        others = tuple(kept for kept in self.held if kept[0] != digest)
-        needed = "" if self.needed == digest else self.needed
-        return replace(self, held=(*others, (digest, text))[-MAX_DOCUMENTS:], needed=needed)
-
-    def with_needed(self, digest: str) -> "PolicyDocuments":
-        return replace(self, needed=digest)
-
-    def with_judging(self, digest: str) -> "PolicyDocuments":
-        return replace(self, judging=digest)
-
-    def with_verdict(self, digest: str, trouble: str | None) -> "PolicyDocuments":
-        """`trouble` None: the judgement came to nothing, and may be begun anew."""
-        judging = "" if self.judging == digest else self.judging
-        if trouble is None:
-            return replace(self, judging=judging)
-        return replace(self, judging=judging, judged=digest, trouble=trouble)
-
-    def without_verdict(self) -> "PolicyDocuments":
-        """Nothing counts as judged."""
-        return replace(self, judged="", trouble="")
+        """The newest documents are kept, within MAX_DOCUMENTS."""
+        others = tuple(document for document in self.texts if document[0] != digest)
+        missing = "" if self.missing == digest else self.missing
+        return replace(self, texts=(*others, (digest, text))[-MAX_DOCUMENTS:], missing=missing)
+
+    def with_missing(self, digest: str) -> "PolicyDocuments":
+        """That text has to be read; "": none has."""
+        return replace(self, missing=digest)
+
+    def with_pending(self, digest: str) -> "PolicyDocuments":
+        """That text has to be validated."""
+        return replace(self, pending=digest)
+
+    def with_result(self, digest: str, rejection: str | None) -> "PolicyDocuments":
+        """A validation ended. `rejection` None: it failed itself, and may be begun again."""
+        pending = "" if self.pending == digest else self.pending
+        if rejection is None:
+            return replace(self, pending=pending)
+        return replace(self, pending=pending, validated=digest, rejection=rejection)
+
+    def without_result(self) -> "PolicyDocuments":
+        """Nothing counts as validated."""
+        return replace(self, validated="", rejection="")
--- a/otterrudder/fleet/state.py
+++ b/otterrudder/fleet/state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from otterrudder.fleet.records import Absent, MemberStatus, RosterEntry, Trial
+from otterrudder.fleet.records import Absent, Keys, MemberStatus, RosterEntry, Trial
 
 
 class AdmissionStatus(Enum):
@@ -34,6 +34,16 @@
         return self in (AdmissionStatus.SERVING, AdmissionStatus.PREPARED)
 
 
+@dataclass(frozen=True, slots=True)
+class MemberIdentity:
+    """Who a member is."""
+
+    keys: Keys  # of its fleet
+    name: str
+    incarnation: str  # of this process: new with each start
+    directory_id: str  # of the state directory, whose disk remembers what was voted
+
+
 @dataclass(frozen=True, slots=True)
 class Rules:
     """What the fleet's file says, in ms."""
@@ -105,6 +115,6 @@
     roster: RosterEntry | None
     roster_modified: int
     status: MemberStatus | None
-    live_created: int
+    status_created: int
     has_leader: bool  # somebody has it
     trial: Trial | None  # of the policy in force
--- a/otterrudder/lab/fleet/cell_doubles.py
+++ b/otterrudder/lab/fleet/cell_doubles.py
@@ -14,10 +14,13 @@
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.effects import Commit, Effect, Outcome, Read, ValidatePolicy
 from otterrudder.fleet.member import Member
+from otterrudder.fleet.member.registration import Registration
+from otterrudder.fleet.member.store_trust import StoreTrust
 from otterrudder.fleet.queue import open_next
 from otterrudder.fleet.records import FleetSnapshot, QueuedChange, encode
 from otterrudder.fleet.state import AdmissionStatus
-from otterrudder.fleet.store import CommitResult, LeaseResult, Snapshot
+from otterrudder.fleet.store import Snapshot
+from otterrudder.lab.fleet.mutants import TrustsAnyStore
 
 _T = TypeVar("_T")
 
@@ -35,6 +38,8 @@
     """A double may keep more than the relay does, and has doubles of its parts."""
 
     member_double: type[Member] = Member
+    registration_double: type[Registration] = Registration
+    trust_double: type[StoreTrust] = StoreTrust
     settler_double: type[ChangeCoordinator] = ChangeCoordinator
     consents_double: type[Consents] = Consents
     promise_double: type[Promise] = Promise
@@ -42,6 +47,8 @@
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.member = _turned_into(self.member, self.member_double)
+        self.member.registration = _turned_into(self.member.registration, self.registration_double)
+        self.member.trust = _turned_into(self.member.trust, self.trust_double)
         self.coordinator = _turned_into(self.coordinator, self.settler_double)
         self.consents = _turned_into(self.consents, self.consents_double)
         self.promise = _turned_into(self.promise, self.promise_double)
@@ -191,7 +198,9 @@
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
-        self.promise.until = self.member.abstains_until = self.member.registers_from = -math.inf
+        self.promise.until = self.member.voting.abstains_until = (
+            self.member.registration.registers_from
+        ) = -math.inf
 
 
 class VotesThoughItConsented(_LooseRelay):
@@ -205,21 +214,21 @@
     """Its promise binds its votes alone."""
 
     def _abstain(self) -> None:
-        self.member.abstains_until = max(self.member.abstains_until, self.promise.until)
+        self.member.voting.abstains_until = max(self.member.voting.abstains_until, self.promise.until)
 
     def authority_until(self, now: float) -> float:
         return -math.inf if self._is_leaving else self.member.authority_until(now)
 
 
-class _AnyRulesLease(Member):
-    def _lease_end(self) -> float:
+class _AnyRulesLease(Registration):
+    def valid_until(self) -> float:
         return max(self.lease_until, self.endorsed_until)
 
 
 class ConsentUnderLeaveOut(_LooseRelay):
     """Goes on with the others' consent where a change asks nobody's."""
 
-    member_double = _AnyRulesLease
+    registration_double = _AnyRulesLease
 
     def _may_need_consent(self) -> bool:
         return self.leads()
@@ -234,7 +243,7 @@
 
     def authority_until(self, now: float) -> float:
         until = super().authority_until(now)
-        return math.inf if until == self._lease_end() else until
+        return math.inf if until == self.registration.valid_until() else until
 
 
 class GrantsLapsed(_LooseRelay):
@@ -247,7 +256,7 @@
     """Asks for consent a second after its lease has ended."""
 
     def _consent_from(self) -> float:
-        return self.member.lease_until + 1000.0
+        return self.member.registration.lease_until + 1000.0
 
 
 # Votes.
@@ -311,18 +320,10 @@
         super()._after_store(now)
 
 
-class _AnyStore(Member):
-    def _doubt(self, view: FleetSnapshot) -> str:
-        return ""
-
-    def _is_believed(self, outcome: CommitResult | LeaseResult) -> bool:
-        return True
-
-
 class BelievesAnyStore(_LooseRelay):
     """Believes an engine that went back to an older state."""
 
-    member_double = _AnyStore
+    trust_double = TrustsAnyStore
 
 
 # The queue.
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -10,10 +10,38 @@
 from otterrudder.fleet.cell.relay import Relay, Session
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
+from otterrudder.fleet.member.local_state import LocalState
+from otterrudder.fleet.member.policy_state import PolicyState
+from otterrudder.fleet.member.read_schedule import ReadSchedule
+from otterrudder.fleet.member.registration import Registration
+from otterrudder.fleet.member.status_reporter import StatusReporter
+from otterrudder.fleet.member.store_trust import StoreTrust
+from otterrudder.fleet.member.voting import Voting
 from otterrudder.fleet.records import FleetSnapshot
 
 # What changes after it was made; everything else is a plain value and is shared.
-_MUTABLE = (Member, ChangeCoordinator, Relay, Session, Participant, Consents, Promise, Verdicts, Poll, _Asked)
+_MEMBER_PARTS = (
+    LocalState,
+    PolicyState,
+    ReadSchedule,
+    Registration,
+    StatusReporter,
+    StoreTrust,
+    Voting,
+)
+_MUTABLE = (
+    Member,
+    *_MEMBER_PARTS,
+    ChangeCoordinator,
+    Relay,
+    Session,
+    Participant,
+    Consents,
+    Promise,
+    Verdicts,
+    Poll,
+    _Asked,
+)
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
 _ATTRIBUTES: dict[type, tuple[str, ...]] = {}
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -273,7 +273,7 @@
     def _lives(self, n: int) -> bool:
         view = FleetSnapshot(KEYS, self.store.read([KEYS.status(self.hosts[n].name)]))
         status, member = view.status(self.hosts[n].name), self.hosts[n].member
-        return bool(status and member and status.incarnation == member.incarnation)
+        return bool(status and member and status.incarnation == member.identity.incarnation)
 
     def _wrong(self, host: Host, version: int) -> str:
         assert host.member
@@ -348,7 +348,7 @@
         hosts = tuple(
             (
                 host.life,
-                host.member and _member_key(host.member, self.now),
+                host.member and _member_fingerprint(host.member, self.now),
                 host.disk and msgspec.structs.replace(host.disk, revision=0),
                 host.is_frozen,
                 host.is_cut,
@@ -390,42 +390,46 @@
         return sum(at < host.started for _, at in self.committed.values())
 
 
-_IS_TIME = {
-    "fresh_at": -1,
-    "lease_until": 1,
-    "endorsed_until": 1,
-    "_vote_first_until": 1,
-    "abstains_until": 1,
-    "registers_from": 1,
-    "_read_at": -1,
-    "_retry_at": 1,
-    "_renew_at": 1,
-    "_disk_at": 1,
-    "_tell_at": 1,
-}
-_PASSED_OVER = {
-    "keys",
-    "rules",
-    "status",
-    "name",
-    "incarnation",
-    "directory_id",
-    "has_disk",
-    "_failed",
-    "cluster",
-    "answered_at",
-}
-
-
-def _member_key(member: Member, now: float) -> tuple[object, ...]:
-    """By which two members behave alike from here on: times as what is left or has passed of them, in
+# Attributes of a member's parts that are times: how much is left of some, how long ago others were.
+_TIMES_LEFT = frozenset(
+    {
+        "abstains_until",
+        "endorsed_until",
+        "lease_until",
+        "registers_from",
+        "renew_at",
+        "report_at",
+        "retry_at",
+        "save_at",
+        "vote_first_until",
+    }
+)
+_TIMES_AGO = frozenset({"fresh_at", "read_at"})
+# By which members never differ, or which nothing depends on from here on.
+_PASSED_OVER = frozenset({"answered_at", "cluster", "failures", "has_disk", "identity", "rules", "template"})
+
+
+def _member_fingerprint(member: Member, now: float) -> tuple[object, ...]:
+    """Equal for two members that behave alike from here on: times as what is left or has passed of them, in
     steps, for time goes on by whole steps."""
-    return tuple(
-        _left(value, now) if _IS_TIME.get(name) == 1 else _ago(value, now) if name in _IS_TIME else value
-        for name in Member.__slots__
+    parts = (
+        member.policies,
+        member.registration,
+        member.voting,
+        member.local_state,
+        member.reads,
+        member.reporter,
+        member.trust,
+    )
+    values = tuple(
+        _left(value, now) if name in _TIMES_LEFT else _ago(value, now) if name in _TIMES_AGO else value
+        for part in parts
+        for base in type(part).__mro__
+        for name in getattr(base, "__slots__", ())
         if name not in _PASSED_OVER
-        for value in (getattr(member, name),)
+        for value in (getattr(part, name),)
     )
+    return (*values, member.observed, member._busy)
 
 
 MAX_STEPS = 99.0  # of time in a fingerprint: later times are as good as never
--- a/otterrudder/lab/fleet/report.py
+++ b/otterrudder/lab/fleet/report.py
@@ -7,8 +7,8 @@
 
 from otterrudder.lab.fleet.explore import Found
 from otterrudder.lab.fleet.model import Stage
-from otterrudder.lab.fleet.mutants import FAULTS, SOUND
 from otterrudder.lab.fleet.search import hunt, search, walk
+from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
 from otterrudder.lab.fleet.simulation import Result, play
 
 LENGTH = 60  # events of a drawn walk
--- a/otterrudder/lab/fleet/search.py
+++ b/otterrudder/lab/fleet/search.py
@@ -10,7 +10,7 @@
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.explore import Found, Step
 from otterrudder.lab.fleet.model import NotConvergedError, Stage, Variant, World, following, staged
-from otterrudder.lab.fleet.mutants import Hunt
+from otterrudder.lab.fleet.seeded_faults import Hunt
 
 # What events are told apart by, in the words of their labels; the first that fits counts.
 KINDS = (
--- /dev/null
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -0,0 +1,193 @@
+"""The faults that are seeded into the fleet's parts, and where each shows; and the surroundings in which the
+unchanged parts have to keep every promise."""
+
+from dataclasses import dataclass, replace
+
+from otterrudder.lab.fleet.model import RULES, Stage, Variant
+from otterrudder.lab.fleet.mutants import (
+    AppliesBeforeCommit,
+    BelievesAnyLease,
+    BelievesAnyStore,
+    CountsBoundFromAnswer,
+    ForgetsPreparedVote,
+    KeepsSyncWithoutLease,
+    NeverReadsAgain,
+    NeverSuspends,
+    RegistersSilently,
+    ServesWithoutLease,
+    SharesItsName,
+    SyncsBeforeRegistration,
+    TakesForeignNames,
+    TrustsAnyDirectory,
+    TrustsItsFile,
+    TrustsLateRead,
+    UsesClockOfLastAnswer,
+    VotesBeforeSave,
+    VotesForAnyChange,
+    VotesForAnyIncarnation,
+    finish_by_majority,
+    finish_despite_rejections,
+    finish_without_absent,
+    finish_without_compares,
+)
+
+FROM_DIRECTORY = replace(RULES, starts_from_directory=True)
+LEAVE_OUT = replace(RULES, absent="leave-out")
+
+
+@dataclass(frozen=True, slots=True)
+class Hunt:
+    """Where a seeded fault shows: the model's parts, and events that random walks come to too rarely (`~`:
+    one that the unchanged member may not come to). Without a depth, walks find it."""
+
+    variant: Variant
+    stage: Stage = Stage.CALM
+    story: tuple[str, ...] = ()
+    depth: int = 0
+    faults: int = 0
+
+
+_LATE_VOTE = (
+    "0.1 vote: given up",
+    "late count",
+    "late count: abort",
+    "time",
+    "0.1 read",
+    "~0.1 read",
+    "0 is cut off",
+    "B reads",
+    "B: propose",
+    "0.-1 vote",
+    "1.1 vote",
+    "~1.1 read",
+    "~1.1 read",
+    "time",
+    "~1.1 read",
+    "~1.1 read",
+    "~1.1 read",
+    "~1.1 vote",
+)
+_OLD_INCARNATION = (
+    "0.1 vote: given up",
+    "0 dies",
+    "1.1 vote",
+    "time",
+    "time",
+    "time",
+    "time",
+    "0 starts",
+    "0.2 read",
+    "0.2 read",
+    "0.2 register",
+    "0.2 read",
+    "0 is cut off",
+    "0.-1 vote",
+)
+_DISK_FULL = (
+    "0 has no room",
+    "A reads",
+    "A: propose",
+    "1.1 read",
+    "~1.1 read",
+    "~1.1 read",
+    "1.1 vote",
+    "~0.1 read",
+    "~0.1 read",
+    "~0.1 read",
+    "~0.1 vote",
+    "0 is cut off",
+    "0 dies",
+)
+_RESTART_AFTER_COMMIT = ("0 dies", "time", "time", "time", "time", "0 starts", "0.2 read")
+_NAME_AFTER_LEASE = (
+    "0 is cut off",
+    *(("time", "~2.1 read") * 6),
+    "~2.1 register",
+    "~2.1 read",
+    "~2.1 read",
+    "A reads",
+    "A: propose",
+    *(("~1.1 read", "~2.1 read") * 3),
+    "~1.1 vote",
+    "~2.1 vote",
+)
+_LEASE_OF_COPY = (
+    "the store is copied",
+    "an older copy answers",
+    *(("time",) * 5),
+    "0 is cut off",
+    "the store itself answers",
+    "A reads",
+    "A: propose",
+    "count",
+    "count: commit",
+)
+_OLD_RULES = (
+    "0 dies",
+    *(("time",) * 5),
+    "A reads",
+    "A: propose",
+    "1.1 read",
+    "~1.1 read",
+    "~1.1 read",
+    "1.1 vote",
+    "count",
+    "count: commit",
+)
+# Each fault by its name, and where it shows.
+FAULTS: dict[str, Hunt] = {
+    "votes before the save": Hunt(
+        Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.CALM, _DISK_FULL, 4, 0
+    ),
+    "trusts any state directory": Hunt(
+        Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
+    ),
+    "trusts its file": Hunt(
+        Variant(TrustsItsFile, rules=LEAVE_OUT, others=FROM_DIRECTORY), Stage.CALM, _OLD_RULES, 4, 1
+    ),
+    "uses the clock of the last answer": Hunt(Variant(UsesClockOfLastAnswer), Stage.VOTED, (), 7, 1),
+    "counts the bound from the answer": Hunt(Variant(CountsBoundFromAnswer)),
+    "never suspends": Hunt(Variant(NeverSuspends)),
+    "serves without a lease": Hunt(Variant(ServesWithoutLease, rules=LEAVE_OUT)),
+    "keeps its sync without a lease": Hunt(Variant(KeepsSyncWithoutLease, rules=LEAVE_OUT, has_disk=False)),
+    "votes for any change": Hunt(Variant(VotesForAnyChange), Stage.OPEN, _LATE_VOTE, 5, 0),
+    "votes for any incarnation": Hunt(
+        Variant(VotesForAnyIncarnation, rules=LEAVE_OUT, has_disk=False), Stage.OPEN, _OLD_INCARNATION, 5, 0
+    ),
+    "syncs before it registers": Hunt(Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)),
+    "registers silently": Hunt(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
+    "takes foreign names": Hunt(
+        Variant(TakesForeignNames, has_twin=True), Stage.CALM, _NAME_AFTER_LEASE, 6, 0
+    ),
+    "shares its name": Hunt(Variant(SharesItsName, has_twin=True)),
+    "applies before the commit": Hunt(Variant(AppliesBeforeCommit)),
+    "forgets its prepared vote": Hunt(
+        Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
+    ),
+    "believes any store": Hunt(Variant(BelievesAnyStore, copies=True)),
+    "believes any lease": Hunt(
+        Variant(BelievesAnyLease, rules=LEAVE_OUT, copies=True), Stage.CALM, _LEASE_OF_COPY, 3, 2
+    ),
+    "trusts a late read": Hunt(Variant(TrustsLateRead, rules=LEAVE_OUT)),
+    "never reads again": Hunt(Variant(NeverReadsAgain)),
+    "finishes by majority": Hunt(Variant(finish_change=finish_by_majority)),
+    "finishes without compares": Hunt(Variant(finish_change=finish_without_compares)),
+    "finishes despite rejections": Hunt(Variant(finish_change=finish_despite_rejections, bad_for=0)),
+    "finishes without the absent": Hunt(Variant(finish_change=finish_without_absent)),
+}
+# The unchanged parts, in each surroundings that the promises are made for.
+SOUND: dict[str, Variant] = {
+    "wait": Variant(),
+    "wait, from its state directory": Variant(rules=FROM_DIRECTORY),
+    "wait, disks that fill": Variant(rules=FROM_DIRECTORY, fills_disks=True),
+    "leave-out": Variant(rules=LEAVE_OUT),
+    "leave-out, no state directory": Variant(rules=LEAVE_OUT, has_disk=False),
+    "a name taken": Variant(has_twin=True),
+    "a policy that is bad for one": Variant(bad_for=0),
+    "rules that are mixed and change": Variant(rules=LEAVE_OUT, others=FROM_DIRECTORY),
+    "another engine answers": Variant(copies=True),
+    "another engine, leave-out": Variant(rules=LEAVE_OUT, copies=True),
+    "another engine, no state directory": Variant(
+        rules=LEAVE_OUT, has_disk=False, copies=True, names_store=True
+    ),
+}
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -18,7 +18,7 @@
 from otterrudder.fleet import agent
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.state import AdmissionStatus
-from otterrudder.lab.fleet.mutants import AnyPolicy, NeverAside, SleepsThrough
+from otterrudder.lab.fleet.mutants import AppliesBeforeCommit, NeverSuspends, UsesClockOfLastAnswer
 from otterrudder.net import core, registry, serve
 
 EACH = 6  # requests, of which one is spoilt
@@ -148,9 +148,9 @@
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "never aside": _member(NeverAside),
-    "sleeps through": _member(SleepsThrough),
-    "any policy": _member(AnyPolicy),
+    "never aside": _member(NeverSuspends),
+    "sleeps through": _member(UsesClockOfLastAnswer),
+    "any policy": _member(AppliesBeforeCommit),
     "serves at once": _member(ServesAtOnce),
     "loses": _loses,
     "runs twice": _runs_twice,
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -445,8 +445,8 @@
 def test_a_grant_ends_with_the_authority_of_the_relay() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    until = relay.member.lease_until
-    relay.member.endorsed_until = -math.inf
+    until = relay.member.registration.lease_until
+    relay.member.registration.endorsed_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
         relay.received(until - left, number, Renew(99, 0))
@@ -464,8 +464,8 @@
     harness.is_store_away = False
     while not relay.member.prepared_vote:
         assert harness._step()
-    until = relay.member.fresh_at + relay.member.rules.bound_ms
-    assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
+    until = relay.member.voting.fresh_at + relay.member.rules.bound_ms
+    assert relay.member.voting.vote_sent and relay.authority_until(harness.now) <= until
 
 
 def test_no_lease_may_outlast_the_bound() -> None:
@@ -585,7 +585,7 @@
 def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    relay.member.abstains_until = harness.now + 500.0
+    relay.member.voting.abstains_until = harness.now + 500.0
     harness.propose("A")
     harness.run(100.0)
     end = finish_change(harness.view(), True)
@@ -649,7 +649,7 @@
         if check := harness.servers[name]._check:
             harness.servers[name].checked(harness.now, check.digest, "")
     harness.run(0.0)
-    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.vote_sent
+    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.voting.vote_sent
     east = tuple(address for address in harness.relays if address.startswith("east"))
     harness.add_server("east-s2", east, "kind of north")
     harness.run(50.0)
@@ -681,7 +681,7 @@
     harness.propose("A")
     while "east" not in harness.view().votes:
         harness._step()
-    now = relay.member.fresh_at + 300.0
+    now = relay.member.voting.fresh_at + 300.0
     relay.received(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
     assert not [effect for effect in told(effects) if isinstance(effect, Grant)]
@@ -833,8 +833,8 @@
     harness.run(1000.0)
     assert relay.leads() and not session.held and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
-    member._lose_registration()
-    member.endorsed_until = harness.now
+    member.lose_registration()
+    member.registration.endorsed_until = harness.now
     relay.received(harness.now, connection, Renew(100, 0))
     (refused,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, Refuse)]
     assert refused.reason is RefusalReason.NO_AUTHORITY
@@ -1073,7 +1073,7 @@
 
     harness._relay_effect = watch  # type: ignore[method-assign]
     harness.propose("A")
-    leader.member._retry_at = harness.now + 1000.0  # its own reads are held up
+    leader.member.reads.retry_at = harness.now + 1000.0  # its own reads are held up
     harness.run(900.0)
     assert len(reads) <= 900.0 / COUNT_MS + 4  # hints: of the change, of two votes
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -342,7 +342,7 @@
     (renewal,) = (effect for effect in member.effects(fleet.now) if isinstance(effect, RenewLease))
     told = fleet.space.renew(fleet.now, renewal.lease)
     member.handle_result(fleet.now, renewal, fleet.now, told._replace(revision=1))
-    assert not member.mistrust and member.lease_until == fleet.now + 5400.0
+    assert not member.mistrust and member.registration.lease_until == fleet.now + 5400.0
 
 
 def test_where_the_file_names_the_engine_a_first_start_believes_no_other() -> None:
@@ -499,7 +499,7 @@
     coordinator, ends = ChangeCoordinator(KEYS, "any", requires_leadership=False), fleet.now + ms
     while fleet.now < ends:
         for name, told in figures.items():
-            fleet.members[name].figures = tuple(told.items())
+            fleet.members[name].reporter.metrics = tuple(told.items())
         fleet.later(100.0)
         view = fleet.view
         opened = view.change.id if view.change else trial_key(view.trial) if view.trial else ""
--- a/tests/fleet/test_fleet_search.py
+++ b/tests/fleet/test_fleet_search.py
@@ -7,8 +7,8 @@
 
 from otterrudder.fleet.member import Member
 from otterrudder.lab.fleet.model import Stage
-from otterrudder.lab.fleet.mutants import FAULTS, SOUND
 from otterrudder.lab.fleet.search import hunt, search, walk
+from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
 
 
 @pytest.mark.parametrize("name", SOUND)
@@ -22,8 +22,8 @@
     ("name", "stage"),
     [
         ("wait", Stage.VOTED),
-        ("wait, from its folder", Stage.COMMITTED),
-        ("leave-out, no folder", Stage.VOTED),
+        ("wait, from its state directory", Stage.COMMITTED),
+        ("leave-out, no state directory", Stage.VOTED),
     ],
 )
 def test_no_order_of_events_to_a_depth_breaks_one(name: str, stage: Stage) -> None:
--- a/tests/fleet/test_stored_bytes.py
+++ b/tests/fleet/test_stored_bytes.py
@@ -259,7 +259,7 @@
         ("bank/vote/s1", "created", 0),
         ("bank/vote/s1", b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', 0),
     ]
-    assert written(commits.tell(KEYS, "s1", status, 33, 77)) == [
+    assert written(commits.report_status(KEYS, "s1", status, 33, 77)) == [
         ("bank/live/s1", "created", 33),
         ("bank/live/s1", LIVE, 77),
     ]
