--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -5,9 +5,8 @@
 reduce or ring, and carries out, in order, the steps that done returns. Plain types and the words of the
 steps: otterrudder/admission/interface.py.
 
-A request passes a chain of stages: Expiry, Repeats, Sessions, Levels, Memory, Holds, Slots, Calls. Each may
-pass it on, keep it or end it; what becomes of it runs back through the chain in reverse. docs/design.md says
-why.
+A request passes the chain of stages below. Each may pass it on, keep it or end it; what becomes of it runs
+back through the chain in reverse. docs/design.md says why.
 """
 
 import heapq
@@ -108,7 +107,7 @@
 STAY_AWAY_MS = 200.0  # ms a caller is asked to keep off after a decline for want of room: a run or so
 
 
-class Agenda:
+class TimerQueue:
     """Every due time but the periodic timer's, in one order."""
 
     def __init__(self) -> None:
@@ -136,7 +135,7 @@
     def freed(self, request: Request) -> None: ...
 
 
-class Expiry(Stage):
+class Deadlines(Stage):
     """Due times, the drain, and drains with a way back. Guards: no request lost, safe drains."""
 
     def __init__(self, controller: "AdmissionController", drain_grace_ms: float) -> None:
@@ -149,13 +148,13 @@
         now = self.controller.now
         request.ran = (
             request.earlier_attempt_id != 0 and request.effectful
-        )  # until Repeats knows better: it may not be declined
+        )  # until Deduplication knows better: it may not be declined
         if request.due <= now + LEAST_MS:
             return self.controller.refuse(request)
         for part, last_arrival, stop in self.shut.values():
             if part.includes(request) and (now >= stop or request.arrived > last_arrival - TICK_MS):
                 return self.controller.refuse(request, gone=True)
-        self.controller.agenda.at(request.due, lambda: self.controller.refuse(request))
+        self.controller.timers.at(request.due, lambda: self.controller.refuse(request))
         return True
 
     def times(self, request: Request, time_left_ms: float) -> None:
@@ -166,7 +165,7 @@
             else request.request_class.deadline_ms
         )
         spent = (
-            RETRY_WAITS * self.controller.signals.waits * request.request_class.latency_objective_ms
+            RETRY_WAITS * self.controller.load_reporter.waits * request.request_class.latency_objective_ms
             if request.is_retry
             else 0.0
         )
@@ -183,7 +182,7 @@
     def step_down(self, part: RequestScope, time_left_ms: float, key: object) -> None:
         stop = self.controller.now + max(time_left_ms - STOP_EARLY_MS, 0.0)
         self.shut[key] = (part, self.controller.now + self.grace, stop)
-        self.controller.agenda.at(stop, lambda: self._hand_over(key))
+        self.controller.timers.at(stop, lambda: self._hand_over(key))
 
     def _hand_over(self, key: object) -> None:
         part, _, stop = self.shut.get(key, (RequestScope(), 0.0, math.inf))
@@ -196,18 +195,18 @@
                 self.controller.commands.append(CloseConnections())
 
 
-class Repeats(Stage):
+class Deduplication(Stage):
     """The ref table: no effect twice. A referenced request is kept on arrival, or its repeat looks new."""
 
     def __init__(
         self, controller: "AdmissionController", idempotency_entry_kb: float, tick_ms: float
     ) -> None:
         self.controller, self.idempotency_entry_kb, self.tick = controller, idempotency_entry_kb, tick_ms
-        self.refs: dict[int, Request] = {}
+        self.entries: dict[int, Request] = {}
         self.unrun: tuple[set[int], set[int]] = (set(), set())  # ended before they ran, this ring and last
 
     def arrive(self, request: Request) -> bool:
-        first = self.refs.get(request.earlier_attempt_id)
+        first = self.entries.get(request.earlier_attempt_id)
         request.ran &= (
             first.ran if first else not any(request.earlier_attempt_id in ids for ids in self.unrun)
         )
@@ -226,9 +225,9 @@
         span = max(
             request.arrived + request.request_class.retention_ms - self.controller.now + self.tick, self.tick
         )
-        self.refs[request.request_id] = request
+        self.entries[request.request_id] = request
         self.controller.commands.append(RetainKey(request.request_id, span))
-        self.controller.agenda.at(self.controller.now + span + self.tick, lambda: self._lapse(request))
+        self.controller.timers.at(self.controller.now + span + self.tick, lambda: self._lapse(request))
 
     def _lapse(self, request: Request) -> None:
         if request.place in (
@@ -236,9 +235,9 @@
             RequestState.RUNNING,
             RequestState.CALLING,
         ):  # its record may not go before it
-            self.controller.agenda.at(self.controller.now + TICK_MS, lambda: self._lapse(request))
+            self.controller.timers.at(self.controller.now + TICK_MS, lambda: self._lapse(request))
         else:
-            self.refs.pop(request.request_id, None)
+            self.entries.pop(request.request_id, None)
 
     def started(self, request: Request) -> None:
         for follower in request.followers:
@@ -252,7 +251,7 @@
             return
         self.unrun[0].add(request.request_id)
         heirs, request.followers = [f for f in request.followers if not f.answered], []
-        held = self.refs.pop(request.request_id, None)
+        held = self.entries.pop(request.request_id, None)
         if heirs:  # the earlier attempt went before it ran: the next takes its place and its entry
             heirs[0].followers, heirs[0].place = heirs[1:], RequestState.QUEUED
             self.controller.forward(heirs[0], after=self)
@@ -260,7 +259,7 @@
             self.controller.commands.append(EvictKey(request.request_id))
 
 
-class Memory(Stage):
+class MemoryBudget(Stage):
     """Held + run factor x in hand + kept refs, by our own count. Guards: no death for want of memory."""
 
     def __init__(
@@ -270,41 +269,43 @@
         run_factor: float,
         max_idempotency_entries: float,
     ) -> None:
-        self.controller, self.factor, self.repeats, self.max_idempotency_entries = (
+        self.controller, self.factor, self.deduplication, self.max_idempotency_entries = (
             controller,
             run_factor,
-            controller.repeats,
+            controller.deduplication,
             max_idempotency_entries,
         )
         self.read_room, self.run_room = memory_kb * MEMORY_READ, memory_kb * MEMORY_RUN
-        self.txns_kb = 0.0
+        self.requests_kb = 0.0
 
     @property
     def used(self) -> float:
-        return self.txns_kb + len(self.repeats.refs) * self.repeats.idempotency_entry_kb
+        return self.requests_kb + len(self.deduplication.entries) * self.deduplication.idempotency_entry_kb
 
     def arrive(self, request: Request) -> bool:
         keeps = request.referenced
-        full = keeps and len(self.repeats.refs) >= self.max_idempotency_entries  # its results lie elsewhere
-        if full or self.used + self.repeats.idempotency_entry_kb * keeps > self.read_room:
+        full = (
+            keeps and len(self.deduplication.entries) >= self.max_idempotency_entries
+        )  # its results lie elsewhere
+        if full or self.used + self.deduplication.idempotency_entry_kb * keeps > self.read_room:
             return self.controller.refuse(request, room=False)
         if keeps:
-            self.repeats.keep(request)
+            self.deduplication.keep(request)
         return True
 
     def fits(self, request: Request) -> bool:
         return self.used + request.size_kb * (self.factor - 1) <= self.run_room
 
     def run(self, request: Request) -> None:
-        self.txns_kb += request.size_kb * (self.factor - 1)
+        self.requests_kb += request.size_kb * (self.factor - 1)
 
     def freed(self, request: Request) -> None:
-        self.txns_kb -= request.size_kb * (
+        self.requests_kb -= request.size_kb * (
             1 if request.place in (RequestState.QUEUED, RequestState.FOLLOWING) else self.factor
         )
 
 
-class Sessions(Stage):
+class SessionTable(Stage):
     """SBOC's table of established keys, entered when a request settles."""
 
     def __init__(self, controller: "AdmissionController", tenants: list[Tenant]) -> None:
@@ -366,9 +367,9 @@
             self.table.popitem(last=False)
 
 
-class Levels(Stage):
+class ServiceLevelStage(Stage):
     """Reduced service: while a level is in force, what it restricts is declined ahead of the holds, or loses
-    its call. What has run, or whose earlier try has, never gets here (Repeats). SBOC orders the rest."""
+    its call. What ran, or whose earlier try has, never gets here (Deduplication). SBOC orders the rest."""
 
     def __init__(self, controller: "AdmissionController") -> None:
         self.controller = controller
@@ -381,7 +382,7 @@
     def take(self, relief: ServiceLevel | None) -> None:
         self.relief, self.due = relief, 0.0
         self.until = self.controller.now + relief.min_duration_ms if relief else 0.0
-        holds = self.controller.holds
+        holds = self.controller.queues
         for request in [*holds.new, *holds.old] if relief and relief.rejects_queued else ():
             trim = self._trim(request)
             if (
@@ -396,7 +397,7 @@
         if not self.relief:
             return True
         # Further tries ask for no new work. What the level turns away counts, or shedding would read as calm.
-        self.asked += 0.0 if request.is_retry else self.controller.slots.expect(request)[0]
+        self.asked += 0.0 if request.is_retry else self.controller.limiter.expect(request)[0]
         trim = self._trim(request)
         return not (trim and self._cuts(request, trim)) or self._refuse(request)
 
@@ -407,12 +408,12 @@
     def is_known(self) -> bool:
         """Whether the work asked for is: of a class that is trimmed and never ran nobody knows its work."""
         restrictions = self.relief.restrictions if self.relief else ()
-        return all(self.controller.slots.seen[n] for n, trimmed in enumerate(restrictions) if trimmed)
+        return all(self.controller.limiter.seen[n] for n, trimmed in enumerate(restrictions) if trimmed)
 
     def turn(self) -> None:
         span = self.controller.now - self.counted
         if self.relief and span > 0:
-            rate = self.asked / span / self.controller.slots.limit
+            rate = self.asked / span / self.controller.limiter.limit
             self.demand += min(span / DEMAND_MS, 1.0) * (rate - self.demand)
         self.asked, self.counted = 0.0, self.controller.now
 
@@ -433,7 +434,7 @@
             self.due -= (passes := self.due >= 1.0)
             return not passes
         if trim.kind is RestrictionKind.SPARE:
-            return not self.controller.holds.is_free(request)
+            return not self.controller.queues.is_free(request)
         return (
             trim.kind is RestrictionKind.DECLINE
             or trim.kind is RestrictionKind.ESTABLISHED
@@ -445,14 +446,23 @@
         return self.controller.refuse(request, away_ms=away, gone=self.relief.served_elsewhere)
 
 
-class Holds(Stage):
+class AdmissionQueues(Stage):
     """The two bounded FIFO holds: old first, newcomers once it is empty; they bind while the limit is full.
     Their bound is time, not count: a request is held if the work ahead of it leaves it its SLA time."""
 
     def __init__(
-        self, controller: "AdmissionController", sessions: Sessions, slots: "Slots", calls: "Calls"
+        self,
+        controller: "AdmissionController",
+        sessions: SessionTable,
+        slots: "ConcurrencyLimiter",
+        calls: "DownstreamCalls",
     ) -> None:
-        self.controller, self.sessions, self.slots, self.calls = controller, sessions, slots, calls
+        self.controller, self.sessions, self.limiter, self.downstream_calls = (
+            controller,
+            sessions,
+            slots,
+            calls,
+        )
         self.old, self.new = deque[Request](), deque[Request]()
         self.worth = 0.0  # recent mean of what newcomers may earn for a ms on the cores
         self.old_starts = 0.0  # share of recent starts from the holds that were established
@@ -460,12 +470,12 @@
 
     def arrive(self, request: Request) -> bool:
         self.refill()
-        request.cost, whole = self.slots.expect(request)
+        request.cost, whole = self.limiter.expect(request)
         if self._hopeless(request, whole):
-            self.controller.signals.hear(request, self.slots.away[request.class_index])
+            self.controller.load_reporter.hear(request, self.limiter.away[request.class_index])
             return self.controller.refuse(request, room=False)
         if self.is_free(request):
-            self.controller.signals.hear(request, 0.0)
+            self.controller.load_reporter.hear(request, 0.0)
             return True
         worth = self.sessions.worth(request) / request.cost
         if not request.old:
@@ -475,8 +485,8 @@
         # Established requests still to come go ahead of a newcomer: their share of the starts stretches its
         # wait.
         wait = self.work[True] if request.old else sum(self.work) / max(1 - self.old_starts, OLD_LEAVE)
-        wait /= self.slots.limit
-        self.controller.signals.hear(request, wait)
+        wait /= self.limiter.limit
+        self.controller.load_reporter.hear(request, wait)
         part = min(HOLD_WAIT * worth / (self.worth or worth or 1.0), HOLD_MOST)
         if crowding or wait > (request.in_time - self.controller.now - whole) * part:
             return self.controller.refuse(request)
@@ -485,7 +495,7 @@
         request.queued = True
         self.sessions.count(request, 1)
         # Held past the point where it can be in time, it is given up at once: later it is worth little.
-        self.controller.agenda.at(
+        self.controller.timers.at(
             request.in_time - whole * HOPELESS, lambda: request.queued and self.controller.refuse(request)
         )
         return False
@@ -497,15 +507,15 @@
         # What needs a call while others wait for leave to call would be run to be thrown away.
         stuck = (
             request.request_class.may_call
-            and self.calls.queue
+            and self.downstream_calls.queue
             and not request.request_class.skip_weight_factor
         )
-        return not stuck and self.slots.may_start(request)
+        return not stuck and self.limiter.may_start(request)
 
     def _hopeless(self, request: Request, whole: float) -> bool:
         """Too late here even if started now: a quicker server may yet be in time. With nothing in hand it
         runs all the same, or a server that was slow for a while would never learn that it no longer is."""
-        return request.in_time - self.controller.now < whole * HOPELESS and self.slots.in_hand > 0
+        return request.in_time - self.controller.now < whole * HOPELESS and self.limiter.in_flight > 0
 
     def back(self, request: Request) -> None:
         if request.queued:
@@ -524,15 +534,15 @@
             self.controller.forward(request, after=self)
 
 
-class Slots(Stage):
+class ConcurrencyLimiter(Stage):
     """The latency loop sets how many requests run on the cores; the crowd guard counts all that may come
     back. Guards: nothing falls over by crowding, whatever is out on calls or still runs for nobody."""
 
     def __init__(
         self,
         controller: "AdmissionController",
-        memory: Memory,
-        repeats: Repeats,
+        memory: MemoryBudget,
+        repeats: Deduplication,
         request_classes: list[RequestClass],
         cores: int,
         crowd_per_core: float,
@@ -540,10 +550,15 @@
         cold_from: float,
         born: float,
     ) -> None:
-        self.controller, self.memory, self.repeats, self.cores = controller, memory, repeats, cores
+        self.controller, self.memory_budget, self.deduplication, self.cores = (
+            controller,
+            memory,
+            repeats,
+            cores,
+        )
         self.crowd_per_core, self.cold_ms, self.cold_from = crowd_per_core, cold_ms, cold_from
         self.born, self.limit = born, float(cores)
-        self.running = self.in_hand = 0  # on the cores; those and all out on calls
+        self.running = self.in_flight = 0  # on the cores; those and all out on calls
         self.busy = 0.0  # share of the cores in use, as the server last told
         self.seen = [0] * len(request_classes)
         self.low: list[float] = [math.inf] * len(request_classes)
@@ -568,7 +583,9 @@
 
     def may_start(self, request: Request) -> bool:
         return (
-            self.running < int(self.limit) and self.in_hand + 1 <= self.crowd() and self.memory.fits(request)
+            self.running < int(self.limit)
+            and self.in_flight + 1 <= self.crowd()
+            and self.memory_budget.fits(request)
         )
 
     def expect(self, request: Request) -> tuple[float, float]:
@@ -579,17 +596,17 @@
     def arrive(self, request: Request) -> bool:
         request.place, request.ran, request.started = RequestState.RUNNING, True, self.controller.now
         self.running += 1
-        self.in_hand += 1
-        self.memory.run(request)
+        self.in_flight += 1
+        self.memory_budget.run(request)
         self.controller.commands.append(StartRequest(request.request_id))
-        self.repeats.started(request)
+        self.deduplication.started(request)
         self.controller.sessions.started(request)
         if (
             self.controller.can_stop_requests
             and not request.effectful
             and not request.request_class.late_weight_factor
         ):
-            self.controller.agenda.at(request.in_time, lambda: self._give_up(request))
+            self.controller.timers.at(request.in_time, lambda: self._give_up(request))
         return True
 
     def _give_up(self, request: Request) -> None:
@@ -609,7 +626,7 @@
     def freed(self, request: Request) -> None:
         if request.place not in (RequestState.RUNNING, RequestState.CALLING):
             return
-        self.in_hand -= 1
+        self.in_flight -= 1
         if request.place is RequestState.CALLING:
             self.on_cores(request)  # what it spent at the call it ended at is no time on the cores
         self.running -= 1
@@ -644,8 +661,8 @@
         self.limit = min(self.limit, max(self.crowd(), self.cores))
 
 
-class Calls(Stage):
-    """Calls below: how long to wait, whether to repeat, and when to stop calling.
+class DownstreamCalls(Stage):
+    """DownstreamCalls below: how long to wait, whether to repeat, and when to stop calling.
     A call of a request with an effect is repeated only if the one before is known not to have run."""
 
     def __init__(
@@ -681,12 +698,12 @@
         waiting, self.queue = self.queue, deque()
         for request in waiting:  # one that has to wait does not keep those behind it from going on without
             needed = request.place is RequestState.CALLING and not request.answered
-            allowed = self._allowed() and not self.controller.levels.omits(request)
+            allowed = self._allowed() and not self.controller.service_level_stage.omits(request)
             if needed and not allowed and not request.request_class.skip_weight_factor:
                 self.queue.append(request)
             elif needed and not allowed:
                 self.controller.commands.append(SkipCall(request.request_id))
-                self.controller.slots.on_cores(request)
+                self.controller.limiter.on_cores(request)
             elif needed:
                 request.tries, request.calling, self.called = request.tries + 1, True, self.controller.now
                 self._count(1)
@@ -697,7 +714,7 @@
     def _hang_up(self, request: Request, linger_ms: float) -> None:
         if request.calling:
             request.calling = False
-            self.controller.agenda.at(self.controller.now + linger_ms, lambda: self._count(-1))
+            self.controller.timers.at(self.controller.now + linger_ms, lambda: self._count(-1))
 
     def freed(self, request: Request) -> None:
         self._hang_up(request, self.linger)  # its end beat the call's: what lies below may still be at it
@@ -711,7 +728,7 @@
                 )
             self.failed = request.tries = 0
             self.gap = self.gap / 2 if self.gap > TICK_MS / 2 else 0.0  # by degrees: all others come back too
-            self.controller.slots.on_cores(request)
+            self.controller.limiter.on_cores(request)
         else:
             self.failed += outcome is not Outcome.FULL  # a tier that is merely full is not broken
             if self.failed == BREAK_AFTER and outcome is not Outcome.FULL:
@@ -723,11 +740,11 @@
                 self.controller.void(request)
             elif not request.answered:
                 pause = CALL_PAUSE_MS * request.tries * (0.5 + self.controller.chance(request.request_id))
-                self.controller.agenda.at(self.controller.now + pause, lambda: self.want(request))
+                self.controller.timers.at(self.controller.now + pause, lambda: self.want(request))
         self.pump()
 
 
-class Signals:
+class LoadReporter:
     """What callers are told: health, the free value, when to stay away. One timer an instance renews it."""
 
     def __init__(
@@ -744,9 +761,9 @@
         """Whether the caller should not try elsewhere, and how long it should keep away.
         If this server is itself slow, cold or going, others may have room. If it is full at its usual speed,
         the others are full as well, for callers spread their load: a further try would only cost a read."""
-        if gone or self.controller.expiry.is_shut():
+        if gone or self.controller.deadlines.is_shut():
             return False, self.controller.limits.max_retry_after_ms
-        alone = self.controller.slots.warmth() < 1.0 or self.controller.slots.pace > SLOW_PACE
+        alone = self.controller.limiter.warmth() < 1.0 or self.controller.limiter.pace > SLOW_PACE
         crowded = retry or self.retries > RETRIES_MOST
         if away_ms is None:  # else a level is in force, and knows how long it lasts at the least
             away_ms = math.inf if self.retries > STORM else STAY_AWAY_MS
@@ -773,10 +790,10 @@
         self.waits += GAIN * (part - self.waits)
 
     def renew(self) -> None:
-        slots, value, beyond = self.controller.slots, None, min(self.waits / WAIT_AIM - 1, BEYOND_MOST)
+        slots, value, beyond = self.controller.limiter, None, min(self.waits / WAIT_AIM - 1, BEYOND_MOST)
         change = PRESSURE_STEP * beyond * (1.0 if beyond > 0 else PRESSURE_EASE)
         self.pressure = min(max(self.pressure + change, 0.0), 1.0)
-        self.waits *= 1.0 if slots.in_hand else 1 - GAIN  # fades with nothing to hear from
+        self.waits *= 1.0 if slots.in_flight else 1 - GAIN  # fades with nothing to hear from
         if self.kind == "credit":
             least = slots.limit / self.callers
             most = min(slots.crowd(), max(CREDIT_TIMES * least, 1.0))
@@ -838,15 +855,15 @@
         self.limits = limits
         self.counter, self.commands = seed, list[Command]()
         self.requests: dict[int, Request] = {}  # everything in the hold, on the cores or at a call
-        self.agenda = Agenda()
-        self.expiry = Expiry(self, drain_grace_ms)
-        self.repeats = Repeats(self, idempotency_entry_kb, tick_ms)
-        self.memory = Memory(self, memory_kb, run_factor, max_idempotency_entries)
-        self.sessions = Sessions(self, tenants)
-        self.slots = Slots(
+        self.timers = TimerQueue()
+        self.deadlines = Deadlines(self, drain_grace_ms)
+        self.deduplication = Deduplication(self, idempotency_entry_kb, tick_ms)
+        self.memory_budget = MemoryBudget(self, memory_kb, run_factor, max_idempotency_entries)
+        self.sessions = SessionTable(self, tenants)
+        self.limiter = ConcurrencyLimiter(
             self,
-            self.memory,
-            self.repeats,
+            self.memory_budget,
+            self.deduplication,
             request_classes,
             cores,
             crowd_per_core,
@@ -854,22 +871,28 @@
             cold_from,
             now - uptime_ms if is_cold_start else -math.inf,
         )
-        self.calls = Calls(self, below, calls_span_ms, linger_ms)
-        self.holds = Holds(self, self.sessions, self.slots, self.calls)
-        self.levels = Levels(self)
-        self.chain: list[Stage] = [self.expiry, self.repeats, self.sessions, self.levels, self.memory]
-        self.chain += [self.holds, self.slots, self.calls]
-        self.signals = Signals(self, say, callers, idle_max_ms, marks_retry)
+        self.downstream_calls = DownstreamCalls(self, below, calls_span_ms, linger_ms)
+        self.queues = AdmissionQueues(self, self.sessions, self.limiter, self.downstream_calls)
+        self.service_level_stage = ServiceLevelStage(self)
+        self.chain: list[Stage] = [
+            self.deadlines,
+            self.deduplication,
+            self.sessions,
+            self.service_level_stage,
+            self.memory_budget,
+        ]
+        self.chain += [self.queues, self.limiter, self.downstream_calls]
+        self.load_reporter = LoadReporter(self, say, callers, idle_max_ms, marks_retry)
 
     @property
     def in_flight_count(self) -> int:
         """Requests that run or are out on downstream calls."""
-        return self.slots.in_hand
+        return self.limiter.in_flight
 
     @property
     def running_count(self) -> int:
         """Requests on the cores."""
-        return self.slots.running
+        return self.limiter.running
 
     @property
     def queued_count(self) -> int:
@@ -878,14 +901,14 @@
 
     def advance_to(self, now: float) -> None:
         self.now = now
-        self.agenda.play(now)
+        self.timers.play(now)
 
     def take_commands(self) -> list[Command]:
         commands, self.commands = self.commands, []
         return commands
 
     def start(self) -> None:
-        self.signals.renew()
+        self.load_reporter.renew()
         wake = TICK_MS * (0.5 + self.chance(self.instance) / 2)  # servers should not all ring in step
         self.commands += [SetHealth(True), ScheduleTick(wake)]
 
@@ -913,9 +936,9 @@
             earlier_attempt_id,
         )
         request.is_retry, request.criticality = is_retry, criticality
-        self.memory.txns_kb += request.size_kb
-        self.signals.arrived(is_retry)
-        self.expiry.times(request, time_left_ms)
+        self.memory_budget.requests_kb += request.size_kb
+        self.load_reporter.arrived(is_retry)
+        self.deadlines.times(request, time_left_ms)
         self.forward(request)
 
     def handle_finished(self, request_id: int, outcome: Outcome) -> None:
@@ -931,13 +954,13 @@
 
     def handle_call_needed(self, request_id: int) -> None:
         if (request := self.requests.get(request_id)) and request.place is RequestState.RUNNING:
-            self.slots.off_cores(request)
-            self.calls.want(request)
-            self.holds.refill()
+            self.limiter.off_cores(request)
+            self.downstream_calls.want(request)
+            self.queues.refill()
 
     def handle_call_ended(self, request_id: int, outcome: Outcome) -> None:
         if (request := self.requests.get(request_id)) and request.place is RequestState.CALLING:
-            self.calls.ended(request, outcome)
+            self.downstream_calls.ended(request, outcome)
 
     def handle_disconnect(self, request_id: int) -> None:
         if request := self.requests.get(request_id):
@@ -946,11 +969,11 @@
     def begin_graceful_shutdown(self, time_left_ms: float) -> None:
         log = f"draining: {len(self.requests)} in hand, {time_left_ms:.0f} ms to the stop"
         self.commands += [SetHealth(False), LogMessage(log)]
-        self.expiry.step_down(RequestScope(), time_left_ms, RETIRED)
+        self.deadlines.step_down(RequestScope(), time_left_ms, RETIRED)
 
     def set_service_level(self, relief: ServiceLevel | None) -> None:
         """The level of reduced service in force from now on; None: there are no levels."""
-        self.levels.take(relief)
+        self.service_level_stage.take(relief)
 
     def update_policy(
         self, request_classes: list[RequestClass], tenants: list[Tenant], limits: Limits
@@ -961,9 +984,9 @@
 
     def load_report(self) -> dict[str, float]:
         """What a ladder of levels goes by. With nothing in hand there is no run to be slow or late."""
-        slots, signals = self.slots, self.signals
-        stretch, given_up = (slots.stretch, slots.given_up) if slots.in_hand else (1.0, 0.0)
-        memory = self.memory.used / max(self.memory.run_room / MEMORY_RUN, 1.0)
+        slots, signals = self.limiter, self.load_reporter
+        stretch, given_up = (slots.stretch, slots.given_up) if slots.in_flight else (1.0, 0.0)
+        memory = self.memory_budget.used / max(self.memory_budget.run_room / MEMORY_RUN, 1.0)
         told = dict(
             pressure=signals.pressure,
             waits=signals.waits,
@@ -972,30 +995,30 @@
             given_up=given_up,
             memory=memory,
             busy=slots.busy,
-            demand=self.levels.demand,
+            demand=self.service_level_stage.demand,
         )
-        if not self.levels.is_known():
+        if not self.service_level_stage.is_known():
             del told["demand"]
         return told
 
     def drain(self, part: RequestScope, time_left_ms: float) -> None:
         """Another serves this part now: a drain with a way back. All read of it is answered in time."""
-        self.expiry.step_down(part, time_left_ms, part)
-        self.commands.append(SetHealth(not self.expiry.is_shut()))
+        self.deadlines.step_down(part, time_left_ms, part)
+        self.commands.append(SetHealth(not self.deadlines.is_shut()))
 
     def resume(self, part: RequestScope) -> None:
         """This part is served here again, from cold. What was started before is still in doubt."""
-        if self.expiry.shut.pop(part, None):
-            self.slots.cool()
-            self.commands.append(SetHealth(not self.expiry.is_shut()))
+        if self.deadlines.shut.pop(part, None):
+            self.limiter.cool()
+            self.commands.append(SetHealth(not self.deadlines.is_shut()))
 
     def tick(self, busy: float = 1.0, on_cores: float = 0.0) -> None:
-        self.slots.turn(busy, on_cores, self.sessions.held)
-        self.levels.turn()
-        self.holds.refill()
-        self.calls.pump()
-        self.repeats.unrun = (set(), self.repeats.unrun[0])
-        self.signals.renew()
+        self.limiter.turn(busy, on_cores, self.sessions.held)
+        self.service_level_stage.turn()
+        self.queues.refill()
+        self.downstream_calls.pump()
+        self.deduplication.unrun = (set(), self.deduplication.unrun[0])
+        self.load_reporter.renew()
         self.commands.append(ScheduleTick(TICK_MS))
 
     def chance(self, request_id: int) -> float:
@@ -1012,7 +1035,7 @@
             for stage in reversed(self.chain):
                 stage.freed(request)
             request.place = RequestState.FINISHED
-            self.holds.refill()
+            self.queues.refill()
 
     def _end(self, request: Request, finished: bool = False) -> None:
         """Its answer is given or its caller gone; what runs stays in every count until it is finished."""
@@ -1035,9 +1058,11 @@
         if request.ran:
             return self.void(request)
         if not request.answered:
-            self.signals.shed += SHED_GAIN
+            self.load_reporter.shed += SHED_GAIN
             self.commands.append(
-                RejectRequest(request.request_id, *self.signals.advice(room, request.is_retry, away_ms, gone))
+                RejectRequest(
+                    request.request_id, *self.load_reporter.advice(room, request.is_retry, away_ms, gone)
+                )
             )
             self._end(request)
         return False
@@ -1050,5 +1075,5 @@
 
     def reuse(self, request: Request) -> None:
         request.place = RequestState.REPLAYING
-        self.memory.run(request)
+        self.memory_budget.run(request)
         self.commands.append(ReplayResponse(request.request_id))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -201,7 +201,7 @@
         elif word == "at":
             self.at(float(rest[0]), rest[1:])
         elif word == "memory":
-            assert self.controller.memory.used <= float(rest[0]), self.controller.memory.used
+            assert self.controller.memory_budget.used <= float(rest[0]), self.controller.memory_budget.used
         else:
             count = int(rest.pop(0)) if rest[0].isdigit() else None
             found = sum(matches(command, rest) for command in self.commands)
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -64,18 +64,18 @@
     controller = create_controller(0.0, 1, 7, OLD)
     assert (
         controller.can_stop_requests,
-        controller.signals.marks,
+        controller.load_reporter.marks,
         controller.limits.over_quota_weight_factor,
     ) == (False, True, 0.1)
     assert controller.sessions.tenants[0].quota_per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
     assert create_controller(0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")).can_stop_requests
-    assert not create_controller(0.0, 1, 7, settings_with("clients.marksRetry", False)).signals.marks
+    assert not create_controller(0.0, 1, 7, settings_with("clients.marksRetry", False)).load_reporter.marks
 
 
 def test_what_is_absent_leaves_the_module_as_it_was() -> None:
     settings = {"classes": OLD["classes"], "realms": [{"name": "hill-country", "share": 0.6}]}
     controller = create_controller(0.0, 1, 7, settings)
-    assert (controller.can_stop_requests, controller.signals.marks) == (False, True)
+    assert (controller.can_stop_requests, controller.load_reporter.marks) == (False, True)
     assert controller.sessions.tenants[0].quota_per_ms == 0.0  # no share is known, so nobody is beyond it
 
 
@@ -108,9 +108,9 @@
     controller = create_controller(0.0, 1, 7, told["settings"])
     assert (
         controller.can_stop_requests
-        and controller.calls.shared
-        and not controller.signals.marks
-        and not controller.signals.kind
+        and controller.downstream_calls.shared
+        and not controller.load_reporter.marks
+        and not controller.load_reporter.kind
     )
     assert told["settings"]["classes"][1]["effect"] == "unsafe"
     assert told | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -214,8 +214,12 @@
         body=b"b",
     )
     bench.step(bench.core.left, "c")
-    slots = bench.core.controller.slots
-    assert (slots.in_hand, slots.running, bench.core.controller.memory.txns_kb) == (0, 0, 0.0)
+    limiter = bench.core.controller.limiter
+    assert (limiter.in_flight, limiter.running, bench.core.controller.memory_budget.requests_kb) == (
+        0,
+        0,
+        0.0,
+    )
     assert not bench.core.requests and not bench.core.controller.requests and not bench.words("start")
 
 
@@ -232,9 +236,9 @@
     bench = Bench()
     bench.step(bench.core.ask)
     bench.step(bench.core.gauged, bench.core.asked, [float("nan"), float("inf"), 0.0, 0.0])
-    limit = bench.core.controller.slots.limit
+    limit = bench.core.controller.limiter.limit
     bench.step(bench.core.ring, ms=40.0)
-    assert bench.core.controller.slots.busy == 1.0 and bench.core.controller.slots.limit == limit
+    assert bench.core.controller.limiter.busy == 1.0 and bench.core.controller.limiter.limit == limit
 
 
 def test_a_ring_that_fails_is_not_the_last() -> None:
@@ -243,7 +247,7 @@
     dispatcher.addresses |= {core.GATEWAYS: Mock(), core.RUNTIME: Mock()}
     dispatcher.tell("wake", 40.0)
     dispatcher.ring_at = dispatcher.ask_at = 0.0
-    bench.core.controller.holds = None  # the module is broken: whatever it is asked fails
+    bench.core.controller.queues = None  # the module is broken: whatever it is asked fails
     dispatcher.turn()
     assert 0.0 < dispatcher.ring_at < float("inf")
 
@@ -271,7 +275,7 @@
     bench.step(bench.core.linked)
     assert len(bench.words("start")) == 2  # it is over, so this only asks how it stands
     bench.step(bench.core.ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
-    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
 def test_a_failing_event_voids_its_txn_and_no_other() -> None:
@@ -284,7 +288,7 @@
         1: [("voided", "given up", bench.core.load)],
         2: [("settled", b"r", bench.core.load)],
     }
-    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -364,11 +368,11 @@
         the_core.references,
         the_core.lapses,
         controller.requests,
-        controller.repeats.refs,
+        controller.deduplication.entries,
     )
     assert not any(left), left
-    assert (controller.slots.running, controller.slots.in_hand, controller.sessions.held) == (0, 0, 0)
-    assert abs(controller.memory.txns_kb) < 1e-6 and controller.calls.out == 0
+    assert (controller.limiter.running, controller.limiter.in_flight, controller.sessions.held) == (0, 0, 0)
+    assert abs(controller.memory_budget.requests_kb) < 1e-6 and controller.downstream_calls.out == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
