--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -28,7 +28,7 @@
     for n in range(first, first + requests):
         controller.advance_to(n * 2.0)
         controller.handle_arrival(
-            n, n % products, tenant=n % tenants, key=n, size_kb=20.0, time_left_ms=2000.0
+            n, n % products, tenant=n % tenants, session_key=n, size_kb=20.0, time_left_ms=2000.0
         )
         controller.take_commands()
         controller.handle_finished(n, Outcome.OK)
@@ -42,10 +42,10 @@
         controller.take_commands()
 
 
-def txn_us(products: int, tenants: int, requests: int, relief: ServiceLevel | None = None) -> float:
+def txn_us(products: int, tenants: int, requests: int, level: ServiceLevel | None = None) -> float:
     controller = controller_of(settings_of(products, tenants))
-    if relief:
-        controller.set_service_level(relief)
+    if level:
+        controller.set_service_level(level)
     starts = iter(range(1, 1 << 40, requests))
 
     def act() -> None:
@@ -79,11 +79,13 @@
     def held() -> AdmissionController:
         controller = controller_of(settings)
         for n in range(1, sessions + 1):  # at one moment, so that none lapses
-            controller.handle_arrival(n, n % 10, tenant=n % 10, key=n, size_kb=20.0, time_left_ms=2000.0)
+            controller.handle_arrival(
+                n, n % 10, tenant=n % 10, session_key=n, size_kb=20.0, time_left_ms=2000.0
+            )
             controller.handle_finished(n, Outcome.OK)
             controller.take_commands()
         controller.advance_to(5_000.0)  # what was due for each request is over
-        assert len(controller.sessions.table) == sessions
+        assert len(controller.sessions) == sessions
         return controller
 
     return memory_of(held).kept_mb
--- /dev/null
+++ b/otterrudder/admission/admission_queues.py
@@ -0,0 +1,188 @@
+"""The admission queues: established requests first, newcomers once theirs is empty.
+
+Their bound is time, not count: a request is queued if the work ahead of it lets it be on time."""
+
+from collections import deque
+
+from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
+from otterrudder.admission.context import (
+    RECENT_WEIGHT,
+    AdmissionContext,
+    RejectionReason,
+    RequestFlow,
+    Stage,
+)
+from otterrudder.admission.downstream_calls import DownstreamCalls
+from otterrudder.admission.load_reporter import LoadReporter
+from otterrudder.admission.requests import Request
+from otterrudder.admission.tenant_quotas import TenantQuotas
+
+QUEUE_WAIT_SHARE = 0.4  # of the time left until late that may be spent queued; calls and errors need theirs
+MAX_QUEUE_WAIT_SHARE = 0.8  # the same for the requests of the greatest weight
+MIN_EXPECTED_SHARE = 0.45  # of the expected time that must be left, or the request is hopeless here
+MIN_NEWCOMER_SHARE = 0.1  # of the starts, taken to go to newcomers
+MAX_KEY_SHARE = 0.25  # of the queued requests, for one key or for all without a key
+MIN_KEY_ALLOWANCE = 3  # requests that any key may have queued
+
+
+class WorkQueue:
+    """A queue of requests and the work that they bring."""
+
+    def __init__(self) -> None:
+        self.requests: deque[Request] = deque()
+        self.work_ms = 0.0  # expected time on the cores
+
+    def append(self, request: Request) -> None:
+        """Queue the request behind the others."""
+        self.requests.append(request)
+        self.work_ms += request.cost_ms
+
+    def remove(self, request: Request) -> None:
+        """Take the request out, wherever it stands."""
+        self.requests.remove(request)
+        self.work_ms -= request.cost_ms
+
+
+class AdmissionQueues(Stage):
+    """The two FIFO queues in front of the concurrency limit."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        flow: RequestFlow,
+        quotas: TenantQuotas,
+        limiter: ConcurrencyLimiter,
+        downstream_calls: DownstreamCalls,
+        load_reporter: LoadReporter,
+    ) -> None:
+        self._context = context
+        self._flow = flow
+        self._quotas = quotas
+        self._limiter = limiter
+        self._downstream_calls = downstream_calls
+        self._load_reporter = load_reporter
+        self._established = WorkQueue()
+        self._newcomers = WorkQueue()
+        self._queued_by_key: dict[int, int] = {}
+        self.count = 0  # queued requests
+        self._newcomer_weight_per_ms = 0.0  # recent mean priority weight by time on the cores
+        self._established_share = 0.0  # of recent starts from the queues
+
+    def requests(self) -> list[Request]:
+        """All queued requests, newcomers first."""
+        return [*self._newcomers.requests, *self._established.requests]
+
+    def admit(self, request: Request) -> bool:
+        """Pass on what may start at once; queue what can still be on time; reject the rest."""
+        self.refill()
+        off_cores_ms = self._limiter.expected_off_cores_ms(request)
+        request.cost_ms = self._limiter.expected_cores_ms(request)
+        expected_ms = request.cost_ms + off_cores_ms
+        if self._is_hopeless(request, expected_ms):
+            self._load_reporter.record_wait(request, off_cores_ms)
+            return self._flow.reject(request, RejectionReason.LOCAL)
+        if self.is_free_for(request):
+            self._load_reporter.record_wait(request, 0.0)
+            return True
+        if not self._fits(request, expected_ms):
+            return self._flow.reject(request)
+        self._enqueue(request)
+        # Once it can't be on time any more it is given up: later it weighs little.
+        self._context.timers.schedule(
+            request.on_time_until - expected_ms * MIN_EXPECTED_SHARE, lambda: self._give_up(request)
+        )
+        return False
+
+    def is_free_for(self, request: Request) -> bool:
+        """Whether the request may start at once."""
+        if self._established.requests or self._newcomers.requests:
+            return False
+        return self._may_start(request)
+
+    def refill(self) -> None:
+        """Start queued requests while there is room."""
+        while queue := self._established.requests or self._newcomers.requests:
+            request = queue[0]
+            if not self._may_start(request):
+                return
+            self._dequeue(request)
+            self._established_share += RECENT_WEIGHT * (request.is_established - self._established_share)
+            self._flow.forward(request, after=self)
+
+    def on_answered(self, request: Request) -> None:
+        """A queued request that is answered leaves its queue."""
+        if request.is_queued:
+            self._dequeue(request)
+
+    def _may_start(self, request: Request) -> bool:
+        # One that needs a call while others wait for permission to call would run for nothing.
+        request_class = request.request_class
+        is_blocked = (
+            request_class.may_call and self._downstream_calls.waiting and not request_class.skip_weight_factor
+        )
+        return not is_blocked and self._limiter.may_start(request)
+
+    def _is_hopeless(self, request: Request, expected_ms: float) -> bool:
+        """Whether it would be late even if it started now, while a quicker server may yet be on time.
+
+        With nothing in flight it runs all the same, so that a server learns when it is slow no longer."""
+        left_ms = request.on_time_until - self._context.now
+        return left_ms < expected_ms * MIN_EXPECTED_SHARE and self._limiter.in_flight > 0
+
+    def _fits(self, request: Request, expected_ms: float) -> bool:
+        """Whether the request may be queued. One of a key with too many queued counts as a newcomer."""
+        weight_per_ms = self._quotas.priority_weight(request) / request.cost_ms
+        if not request.is_established:
+            self._record_newcomer(weight_per_ms)
+        is_over_key_share = self._is_over_key_share(request)
+        is_crowding = is_over_key_share and not request.is_established
+        request.is_established = request.is_established and not is_over_key_share
+        wait_ms = self._expected_wait_ms(request)
+        self._load_reporter.record_wait(request, wait_ms)
+        mean_weight_per_ms = self._newcomer_weight_per_ms or weight_per_ms or 1.0
+        wait_share = min(QUEUE_WAIT_SHARE * weight_per_ms / mean_weight_per_ms, MAX_QUEUE_WAIT_SHARE)
+        max_wait_ms = (request.on_time_until - self._context.now - expected_ms) * wait_share
+        return not is_crowding and wait_ms <= max_wait_ms
+
+    def _record_newcomer(self, weight_per_ms: float) -> None:
+        if self._newcomer_weight_per_ms:
+            self._newcomer_weight_per_ms += RECENT_WEIGHT * (weight_per_ms - self._newcomer_weight_per_ms)
+        else:
+            self._newcomer_weight_per_ms = weight_per_ms
+
+    def _is_over_key_share(self, request: Request) -> bool:
+        if not request.session_key and not request.has_side_effects:
+            return False
+        queued = self._queued_by_key.get(request.session_key, 0)
+        return queued >= max(MIN_KEY_ALLOWANCE, MAX_KEY_SHARE * self.count)
+
+    def _expected_wait_ms(self, request: Request) -> float:
+        if request.is_established:
+            return self._established.work_ms / self._limiter.limit
+        # Established requests yet to come go first: their share of the starts stretches a newcomer's wait.
+        work_ms = self._newcomers.work_ms + self._established.work_ms
+        newcomer_share = max(1 - self._established_share, MIN_NEWCOMER_SHARE)
+        return work_ms / newcomer_share / self._limiter.limit
+
+    def _queue_of(self, request: Request) -> WorkQueue:
+        return self._established if request.is_established else self._newcomers
+
+    def _enqueue(self, request: Request) -> None:
+        request.is_queued = True
+        self._queue_of(request).append(request)
+        self.count += 1
+        self._queued_by_key[request.session_key] = self._queued_by_key.get(request.session_key, 0) + 1
+
+    def _dequeue(self, request: Request) -> None:
+        request.is_queued = False
+        self._queue_of(request).remove(request)
+        self.count -= 1
+        queued = self._queued_by_key[request.session_key] - 1
+        if queued:
+            self._queued_by_key[request.session_key] = queued
+        else:
+            del self._queued_by_key[request.session_key]
+
+    def _give_up(self, request: Request) -> None:
+        if request.is_queued:
+            self._flow.reject(request)
--- /dev/null
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -0,0 +1,174 @@
+"""The concurrency limiter: how many requests run at once, from the latencies that they show.
+
+The limit counts requests on the cores. The ceiling counts all that are in flight, as those out on downstream
+calls come back unasked."""
+
+import math
+
+from otterrudder.admission.context import RECENT_WEIGHT, TICK_MS, AdmissionContext, Stage
+from otterrudder.admission.memory_budget import MemoryBudget
+from otterrudder.admission.requests import IN_FLIGHT_STATES, Request, RequestState
+
+CEILING_SHARE = 0.5  # of the concurrency that the server survives
+BUSY_CORES_SHARE = 0.9  # share of the cores in use from which they count as busy
+
+# How the limit moves.
+MAX_UNCROWDED_STRETCH = 2.0  # times the lowest latency up to which the limit may rise
+MIN_DECREASE_FACTOR = 0.9  # for one finished request
+LIMIT_STEP_PER_CORE = 0.04  # increase for one finished request
+EASY_RUNS_PER_CORE = 1.34  # up to which the limit rises by one a tick while cores have room
+SLOW_RAMP_MS = 2000.0  # time in which it rises by one run a core beyond that
+
+# How latencies are learned.
+MIN_LATENCY_MS = 0.1  # a run is never taken for shorter, as latencies are divided by
+LOWEST_LATENCY_GROWTH = 1.01  # factor for each run, so that one lucky run is forgotten
+MIN_MEAN_WEIGHT = 1 / 64  # weight of a new run in the long-term mean
+PACE_WEIGHT = 1 / 8  # weight of a new run in the pace
+MAX_PACE_SAMPLE = 3.0  # one run counts for no more, as a costly request doesn't make a slow server
+
+
+class ClassLatencies:
+    """Latencies by request class: a column each, for a server may have hundreds of thousands of classes."""
+
+    def __init__(self, class_count: int) -> None:
+        self.run_counts = [0] * class_count
+        self.lowest_ms = [math.inf] * class_count  # on the cores
+        self.mean_ms = [0.0] * class_count  # on the cores
+        self.mean_off_cores_ms = [0.0] * class_count
+
+    def restart(self) -> None:
+        """Take what was learned for a first guess."""
+        self.run_counts = [min(count, 1) for count in self.run_counts]
+
+    def add(self, request: Request, latency_ms: float) -> None:
+        """Learn from a run."""
+        n = request.class_index
+        self.run_counts[n] += 1
+        weight = max(MIN_MEAN_WEIGHT, 1 / self.run_counts[n])
+        self.mean_ms[n] += weight * (latency_ms - self.mean_ms[n])
+        if request.is_completed:
+            self.mean_off_cores_ms[n] += weight * (request.off_cores_ms - self.mean_off_cores_ms[n])
+        self.lowest_ms[n] = min(self.lowest_ms[n] * LOWEST_LATENCY_GROWTH, latency_ms)
+
+
+class ConcurrencyLimiter(Stage):
+    """Limits the requests that run. Guards against crowding, whatever is out on calls or runs for nobody."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        memory_budget: MemoryBudget,
+        *,
+        cores: int,
+        max_concurrency_per_core: float,
+        slow_start_ms: float,
+        slow_start_from: float,
+        started_at: float,
+    ) -> None:
+        self._context = context
+        self._memory_budget = memory_budget
+        self._cores = cores
+        self._max_concurrency_per_core = max_concurrency_per_core
+        self._slow_start_ms = slow_start_ms
+        self._slow_start_from = slow_start_from
+        self._started_at = started_at
+        self.latencies = ClassLatencies(len(context.request_classes))
+        self.limit = float(cores)
+        self.running = 0  # requests on the cores
+        self.in_flight = 0  # those, and requests that are out on downstream calls
+        self.busy_share = 0.0  # of the cores, as last measured
+        self.pace = 1.0  # recent latency by the mean, over all classes: shows a slowdown first
+        self.stretch = 1.0  # recent latency by the lowest
+        self.wasted_share = 0.0  # of recent runs: they ended without completing on time
+
+    def warm_share(self) -> float:
+        """How far the slow start has come: 1 for a warm server."""
+        elapsed = 1.0
+        if self._slow_start_ms:
+            elapsed = min((self._context.now - self._started_at) / self._slow_start_ms, 1.0)
+        return self._slow_start_from + (1 - self._slow_start_from) * elapsed
+
+    def restart_cold(self) -> None:
+        """Be as after a cold start; what still runs still counts."""
+        self._started_at = self._context.now
+        self.limit = float(self._cores)
+        self.pace = 1.0
+        self.stretch = 1.0
+        self.latencies.restart()
+
+    def ceiling(self) -> float:
+        """The most requests that may be in flight, as all of them may be on the cores together."""
+        per_core = 1 + (self._max_concurrency_per_core - 1) * self.warm_share()
+        return max(self._cores * per_core * CEILING_SHARE, 1.0)
+
+    def may_start(self, request: Request) -> bool:
+        """Whether there is room for the request to run."""
+        return (
+            self.running < int(self.limit)
+            and self.in_flight + 1 <= self.ceiling()
+            and self._memory_budget.may_start(request)
+        )
+
+    def expected_cores_ms(self, request: Request) -> float:
+        """Expected time of the request on the cores."""
+        return self.latencies.mean_ms[request.class_index] * self.pace or 1.0
+
+    def expected_off_cores_ms(self, request: Request) -> float:
+        """Expected time of the request at downstream calls."""
+        return self.latencies.mean_off_cores_ms[request.class_index]
+
+    def admit(self, request: Request) -> bool:
+        """Count a request that starts."""
+        request.state = RequestState.RUNNING
+        request.may_have_run = True
+        request.started_at = self._context.now
+        self.running += 1
+        self.in_flight += 1
+        return True
+
+    def leave_cores(self, request: Request) -> None:
+        """The request stands at a downstream call."""
+        request.state = RequestState.CALLING
+        request.left_cores_at = self._context.now
+        self.running -= 1
+
+    def return_to_cores(self, request: Request) -> None:
+        """The request's downstream call is over."""
+        request.state = RequestState.RUNNING
+        request.off_cores_ms += self._context.now - request.left_cores_at
+        self.running += 1
+
+    def on_released(self, request: Request) -> None:
+        """Learn from the end of a run."""
+        if request.state not in IN_FLIGHT_STATES:
+            return
+        self.in_flight -= 1
+        if request.state is RequestState.CALLING:  # its time at the call is not time on the cores
+            self.return_to_cores(request)
+        self.running -= 1
+        is_wasted = not request.is_completed or self._context.now > request.on_time_until
+        self.wasted_share += RECENT_WEIGHT * (is_wasted - self.wasted_share)
+        spent_ms = self._context.now - request.started_at - request.off_cores_ms
+        # One that was cut short shows the least it takes; without it only quick runs would count.
+        if request.is_completed or spent_ms > self.latencies.mean_ms[request.class_index]:
+            self._learn(request, max(spent_ms, MIN_LATENCY_MS))
+
+    def on_tick(self, busy_share: float, busy_cores: float, queued_count: int) -> None:
+        """Raise the limit while requests wait and cores are free."""
+        self.busy_share = busy_share
+        if queued_count > 0 and busy_share < BUSY_CORES_SHARE and self.running >= int(self.limit):
+            is_easy = self.limit + 1 <= EASY_RUNS_PER_CORE * self._cores or busy_cores < self._cores
+            self.limit += 1 if is_easy else self._cores * TICK_MS / SLOW_RAMP_MS
+        self.limit = min(self.limit, max(self.ceiling(), self._cores))
+
+    def _learn(self, request: Request, latency_ms: float) -> None:
+        mean_ms = self.latencies.mean_ms[request.class_index] or latency_ms
+        self.pace += PACE_WEIGHT * (min(latency_ms / mean_ms, MAX_PACE_SAMPLE) - self.pace)
+        self.latencies.add(request, latency_ms)
+        lowest_ms = self.latencies.lowest_ms[request.class_index]
+        self.stretch += RECENT_WEIGHT * (latency_ms / lowest_ms - self.stretch)
+        if self.stretch <= MAX_UNCROWDED_STRETCH:
+            if self.running + 1 >= int(self.limit):
+                self.limit += LIMIT_STEP_PER_CORE * self._cores
+        elif self.busy_share >= BUSY_CORES_SHARE:
+            self.limit = max(self.limit * max(1 / self.stretch, MIN_DECREASE_FACTOR), self._cores)
--- /dev/null
+++ b/otterrudder/admission/deduplication.py
@@ -0,0 +1,89 @@
+"""Deduplication: no request with side effects runs twice, however often its caller sends it."""
+
+from otterrudder.admission.commands import EvictKey, RetainKey
+from otterrudder.admission.context import TICK_MS, AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.requests import Request, RequestState
+
+_UNFINISHED_STATES = (RequestState.QUEUED, RequestState.RUNNING, RequestState.CALLING)
+
+
+class Deduplication(Stage):
+    """The table of idempotency keys. A key is retained from the first attempt's arrival on.
+
+    A later attempt waits behind an earlier one that is queued, and is answered with the response of one that
+    runs or ran."""
+
+    def __init__(self, context: AdmissionContext, flow: RequestFlow, clock_tick_ms: float) -> None:
+        self._context = context
+        self._flow = flow
+        self._clock_tick_ms = clock_tick_ms
+        self.entries: dict[int, Request] = {}  # by the id of the attempt that holds the key
+        # Attempts that were answered before they ran, in this tick's period and in the one before.
+        self._never_ran: set[int] = set()
+        self._never_ran_before: set[int] = set()
+
+    def admit(self, request: Request) -> bool:
+        """Pass on what is new; replay, queue up or fail what repeats an earlier attempt."""
+        earlier = self.entries.get(request.earlier_attempt_id)
+        if earlier is None:
+            request.may_have_run &= not self._is_known_not_to_have_run(request.earlier_attempt_id)
+            if not request.may_have_run:
+                return True
+            self._flow.replay(request)
+            return False
+        request.may_have_run &= earlier.may_have_run
+        if not request.may_have_run:
+            request.state = RequestState.FOLLOWING
+            earlier.followers.append(request)
+            return False
+        if earlier.state is RequestState.FINISHED and not earlier.is_completed:
+            return self._flow.fail(request)
+        self._flow.replay(request)
+        return False
+
+    def retain(self, request: Request) -> None:
+        """Retain the key of a first attempt for as long as later ones may come."""
+        now = self._context.now
+        left_ms = request.arrived_at + request.request_class.retention_ms - now
+        retention_ms = max(left_ms + self._clock_tick_ms, self._clock_tick_ms)
+        self.entries[request.request_id] = request
+        self._context.commands.append(RetainKey(request.request_id, retention_ms))
+        self._context.timers.schedule(now + retention_ms + self._clock_tick_ms, lambda: self._expire(request))
+
+    def on_started(self, request: Request) -> None:
+        """The attempt runs: those that wait behind it get its response."""
+        for follower in request.followers:
+            if not follower.is_answered:
+                follower.may_have_run = True
+                self._flow.replay(follower)
+        request.followers = []
+
+    def on_answered(self, request: Request) -> None:
+        """An attempt that never ran leaves its place to the next one, or its key is evicted."""
+        if request.may_have_run or not request.has_idempotency_key:
+            return
+        self._never_ran.add(request.request_id)
+        followers = [follower for follower in request.followers if not follower.is_answered]
+        request.followers = []
+        was_retained = self.entries.pop(request.request_id, None) is not None
+        if followers:
+            successor = followers[0]
+            successor.followers = followers[1:]
+            successor.state = RequestState.QUEUED
+            self._flow.forward(successor, after=self)
+        elif was_retained:
+            self._context.commands.append(EvictKey(request.request_id))
+
+    def on_tick(self) -> None:
+        """Forget which attempts never ran, after one to two ticks."""
+        self._never_ran_before = self._never_ran
+        self._never_ran = set()
+
+    def _is_known_not_to_have_run(self, request_id: int) -> bool:
+        return request_id in self._never_ran or request_id in self._never_ran_before
+
+    def _expire(self, request: Request) -> None:
+        if request.state in _UNFINISHED_STATES:  # the entry may not go before the request
+            self._context.timers.schedule(self._context.now + TICK_MS, lambda: self._expire(request))
+        else:
+            self.entries.pop(request.request_id, None)
--- /dev/null
+++ b/otterrudder/admission/downstream_calls.py
@@ -0,0 +1,133 @@
+"""Downstream calls: when a request may call, how long it waits, and whether a failed call is repeated."""
+
+from collections import deque
+
+from otterrudder.admission.circuit_breaker import CircuitBreaker
+from otterrudder.admission.commands import CallDownstream, SkipCall
+from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
+from otterrudder.admission.context import AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.interface import Outcome
+from otterrudder.admission.requests import Request, RequestState
+from otterrudder.admission.service_level import ActiveServiceLevel
+
+MAX_QUOTA_DEBT_SHARE = (
+    0.5  # of a window's quota that calls may be ahead; other servers may use theirs at once
+)
+RETRY_BACKOFF_MS = 60.0  # before a call is repeated, times the attempts made
+MIN_TIMEOUT_MS = 1.0
+
+
+class DownstreamQuota:
+    """This server's part of the mean calls outstanding at a downstream that all servers share."""
+
+    def __init__(self, context: AdmissionContext, window_ms: float) -> None:
+        self._context = context
+        self._max_debt_factor = window_ms * MAX_QUOTA_DEBT_SHARE
+        self._debt = 0.0  # calls outstanding beyond the quota, times ms
+        self._updated_at = context.now
+        self.outstanding = 0  # calls
+
+    def allows_call(self) -> bool:
+        """Whether one more call is within the quota."""
+        quota = self._context.limits.downstream_call_quota
+        return self.outstanding + 1 <= max(quota, 1) and self._debt <= quota * self._max_debt_factor
+
+    def add(self, calls: int) -> None:
+        """Count calls that begin, or end if negative."""
+        elapsed_ms = self._context.now - self._updated_at
+        excess = self.outstanding - self._context.limits.downstream_call_quota
+        self._debt = max(self._debt + excess * elapsed_ms, 0.0)
+        self._updated_at = self._context.now
+        self.outstanding += calls
+
+
+class DownstreamCalls(Stage):
+    """The calls that requests wait for.
+
+    A call of a request with side effects is repeated only if the one before is known not to have run."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        flow: RequestFlow,
+        limiter: ConcurrencyLimiter,
+        service_level: ActiveServiceLevel,
+        *,
+        is_shared: bool,
+        quota_window_ms: float,
+        linger_ms: float,
+    ) -> None:
+        self._context = context
+        self._flow = flow
+        self._limiter = limiter
+        self._service_level = service_level
+        self.is_shared = is_shared
+        self._linger_ms = linger_ms  # how long the downstream may work on after a call was given up
+        self.quota = DownstreamQuota(context, quota_window_ms)
+        self._breaker = CircuitBreaker(context, flow)
+        self.waiting: deque[Request] = deque()
+
+    def request_call(self, request: Request) -> None:
+        """A request stands at a call."""
+        self.waiting.append(request)
+        self.send_waiting()
+
+    def send_waiting(self) -> None:
+        """Send the calls that are allowed now; a request whose call may be skipped goes on without it."""
+        waiting = self.waiting
+        self.waiting = deque()
+        for request in waiting:
+            is_allowed = self._may_call() and not self._service_level.omits_call(request)
+            if request.state is not RequestState.CALLING or request.is_answered:
+                continue
+            if is_allowed:
+                self._send(request)
+            elif request.request_class.skip_weight_factor:
+                self._skip(request)
+            else:
+                self.waiting.append(request)
+
+    def handle_ended(self, request: Request, outcome: Outcome) -> None:
+        """The request's call has ended."""
+        self._close(request, 0.0 if outcome.is_over else self._linger_ms)
+        if outcome is Outcome.OK:
+            self._breaker.on_success()
+            request.call_attempts = 0
+            self._limiter.return_to_cores(request)
+        else:
+            self._breaker.on_failure(request, outcome)
+            self._retry_or_fail(request, outcome)
+        self.send_waiting()
+
+    def on_released(self, request: Request) -> None:
+        """The request ended before its call did: the downstream may still work on it."""
+        self._close(request, self._linger_ms)
+
+    def _may_call(self) -> bool:
+        self.quota.add(0)
+        return self._breaker.allows_call() and (not self.is_shared or self.quota.allows_call())
+
+    def _send(self, request: Request) -> None:
+        request.call_attempts += 1
+        request.is_call_open = True
+        self._breaker.on_call()
+        self.quota.add(1)
+        timeout_ms = max(request.deadline - self._context.now, MIN_TIMEOUT_MS)
+        self._context.commands.append(CallDownstream(request.request_id, timeout_ms))
+
+    def _skip(self, request: Request) -> None:
+        self._context.commands.append(SkipCall(request.request_id))
+        self._limiter.return_to_cores(request)
+
+    def _close(self, request: Request, linger_ms: float) -> None:
+        if request.is_call_open:
+            request.is_call_open = False
+            self._context.timers.schedule(self._context.now + linger_ms, lambda: self.quota.add(-1))
+
+    def _retry_or_fail(self, request: Request, outcome: Outcome) -> None:
+        if request.has_side_effects and not outcome.never_ran:
+            self._flow.fail(request)
+        elif not request.is_answered:
+            jitter = 0.5 + self._flow.random_share(request.request_id)
+            backoff_ms = RETRY_BACKOFF_MS * request.call_attempts * jitter
+            self._context.timers.schedule(self._context.now + backoff_ms, lambda: self.request_call(request))
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -1,103 +1,142 @@
-"""From the settings object, as a server is told it at its start, to an AdmissionController: for drill and
-server alike."""
+"""From the settings object that a server is given at its start to an admission controller.
+
+The settings' durations are microseconds; a key that is absent or null has its default."""
 
 from collections.abc import Mapping
+from dataclasses import replace
 from typing import Any
 
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
+from otterrudder.admission.interface import (
+    DownstreamKind,
+    Idempotency,
+    Limits,
+    LoadSignal,
+    RequestClass,
+    Tenant,
+)
+from otterrudder.admission.settings import ControllerSettings
+
+Settings = Mapping[str, Any]
+
+DEFAULT_DEADLINE_US = 1e6
+DEFAULT_CLOCK_TICK_US = 1000
+
+_IDEMPOTENCY = {
+    "safe": Idempotency.SAFE,
+    "keyed": Idempotency.IDEMPOTENT,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+_LOAD_SIGNALS = {"min_rank": LoadSignal.CRITICALITY, "tokens": LoadSignal.CREDIT}
+_DOWNSTREAM_KINDS = {"common": DownstreamKind.SHARED, "next_hop": DownstreamKind.TIER}
+_GAUGES = {"core_use": "busy", "on_cores": "on_cores"}  # the parameters of `AdmissionController.tick`
+_STOP_MODES = ("drop", "pause")  # in which a running request can be stopped
 
-_EFFECTS = {"safe": Idempotency.SAFE, "keyed": Idempotency.IDEMPOTENT, "unsafe": Idempotency.NON_IDEMPOTENT}
-_SAY = {"min_rank": "rank", "tokens": "credit"}  # a bias is left unsaid: no deployment has it
-_GAUGES = {"core_use": "busy", "on_cores": "on_cores"}
-_BELOW = {"common": "shared", "next_hop": "tier"}
 
+def create_controller(
+    now: float, instance: int, seed: int, settings: Settings, **overrides: Any
+) -> AdmissionController:
+    """A started controller. `overrides` are fields of `ControllerSettings` that this start knows better."""
+    controller_settings = replace(controller_settings_of(settings), **overrides)
+    controller = AdmissionController(now, controller_settings, instance=instance, seed=seed)
+    controller.start()
+    return controller
 
-def _ms(table: Mapping[str, Any], name: str, default_us: float = 0) -> float:
-    value = table.get(name)
-    return (default_us if value is None else value) / 1000
+
+def controller_settings_of(settings: Settings) -> ControllerSettings:
+    """The controller's settings by the settings object."""
+    family = _section(settings, "familyInfo")
+    rules = _section(settings, "rules")
+    return ControllerSettings(
+        request_classes=request_classes_of(settings),
+        tenants=tenants_of(settings),
+        limits=limits_of(settings),
+        cores=family.get("cores") or 1,
+        memory_kb=family.get("memoryKb") or 0.0,
+        run_memory_factor=family.get("runFactor") or 1.0,
+        idempotency_entry_kb=family.get("keyKb") or 0.0,
+        can_stop_requests=can_stop_requests(settings),
+        max_concurrency_per_core=rules.get("fallMultiple") or 1.0,
+        is_cold_start=bool(family.get("freshStart")),
+        slow_start_from=rules.get("coldFrom") or 0.0,
+        slow_start_ms=_ms(rules, "coldUs"),
+        clock_tick_ms=_ms(settings, "tickUs", DEFAULT_CLOCK_TICK_US),
+        drain_grace_ms=_ms(rules, "drainGraceUs"),
+        callers=family.get("callers") or 1,
+        load_signal=_LOAD_SIGNALS.get(family.get("say", ""), LoadSignal.NONE),
+        max_idle_timeout_ms=_ms(family, "callerIdleUs"),
+        are_retries_marked=_section(settings, "clients").get("marksRetry") is not False,
+        downstream=downstream_kind_of(settings),
+        downstream_quota_window_ms=_ms(family, "depWindowUs"),
+        downstream_linger_ms=_ms(family, "lingerUs"),
+    )
 
 
-def request_classes_of(settings: Mapping[str, Any]) -> list[RequestClass]:
-    info = settings.get("familyInfo") or {}
-    calls, omits = info.get("classCalls") or [], info.get("classSkipWorth") or []
+def request_classes_of(settings: Settings) -> list[RequestClass]:
+    """The request classes; a request names its class by the index."""
+    family = _section(settings, "familyInfo")
+    may_call = family.get("classCalls") or []
+    skip_weight_factors = family.get("classSkipWorth") or []
     return [
         RequestClass(
-            name=c.get("name") or str(n),
-            idempotency=_EFFECTS.get(c.get("effect", ""), Idempotency.NON_IDEMPOTENT),
-            priority_weight=c.get("worth") or 0.0,
-            latency_objective_ms=_ms(c, "promiseUs", c.get("hardLimitUs") or 1e6),
-            deadline_ms=_ms(c, "hardLimitUs", 1e6),
-            retention_ms=_ms(c, "windowUs"),
-            late_weight_factor=c.get("lateWorth") or 0.0,
-            may_call=bool(calls[n]) if n < len(calls) else False,
-            skip_weight_factor=(omits[n] or 0.0) if n < len(omits) else 0.0,
+            name=fields.get("name") or str(index),
+            idempotency=_IDEMPOTENCY.get(fields.get("effect", ""), Idempotency.NON_IDEMPOTENT),
+            priority_weight=fields.get("worth") or 0.0,
+            latency_objective_ms=_ms(fields, "promiseUs", fields.get("hardLimitUs") or DEFAULT_DEADLINE_US),
+            deadline_ms=_ms(fields, "hardLimitUs", DEFAULT_DEADLINE_US),
+            retention_ms=_ms(fields, "windowUs"),
+            late_weight_factor=fields.get("lateWorth") or 0.0,
+            may_call=bool(may_call[index]) if index < len(may_call) else False,
+            skip_weight_factor=(
+                skip_weight_factors[index] or 0.0 if index < len(skip_weight_factors) else 0.0
+            ),
         )
-        for n, c in enumerate(settings.get("classes") or [])
+        for index, fields in enumerate(settings.get("classes") or [])
     ]
 
 
-def tenants_of(settings: Mapping[str, Any]) -> list[Tenant]:
+def tenants_of(settings: Settings) -> list[Tenant]:
+    """The tenants; a request names its tenant by the index. A quota is divided evenly among the servers."""
     servers = max(settings.get("servers") or 1, 1)
     return [
-        Tenant(r.get("name") or "", r.get("share") or 0.0, (r.get("allowancePerS") or 0.0) / 1000 / servers)
-        for r in settings.get("realms") or []
+        Tenant(
+            name=fields.get("name") or "",
+            quota=fields.get("share") or 0.0,
+            quota_per_ms=(fields.get("allowancePerS") or 0.0) / 1000 / servers,
+        )
+        for fields in settings.get("realms") or []
     ]
 
 
-def limits_of(settings: Mapping[str, Any]) -> Limits:
-    told = settings.get("limits") or {}
+def limits_of(settings: Settings) -> Limits:
+    """The limits that a server starts with."""
+    limits = _section(settings, "limits")
     return Limits(
-        _ms(told, "maxRetryAfterUs") if told.get("retryAfter") else 0.0,
-        (settings.get("familyInfo") or {}).get("callsOut") or 0.0,
-        settings.get("overShareWorth") or 0.0,
+        max_retry_after_ms=_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
+        downstream_call_quota=_section(settings, "familyInfo").get("callsOut") or 0.0,
+        over_quota_weight_factor=settings.get("overShareWorth") or 0.0,
     )
 
 
-def downstream_kind_of(settings: Mapping[str, Any]) -> str:
-    """What lies below: "shared", one service for all servers; "tier"; "": nothing."""
-    return _BELOW.get((settings.get("familyInfo") or {}).get("below", ""), "")
+def downstream_kind_of(settings: Settings) -> DownstreamKind:
+    """What lies behind the server."""
+    return _DOWNSTREAM_KINDS.get(_section(settings, "familyInfo").get("below", ""), DownstreamKind.NONE)
 
 
-def can_stop_requests(settings: Mapping[str, Any]) -> bool:
-    """Whether running work can be stopped: a stop of an answered request ends it where work is paused as
-    well."""
-    return (settings.get("familyInfo") or {}).get("stopMode") in ("drop", "pause")
+def can_stop_requests(settings: Settings) -> bool:
+    """Whether a running request can be stopped."""
+    return _section(settings, "familyInfo").get("stopMode") in _STOP_MODES
 
 
-def gauge_names(settings: Mapping[str, Any]) -> list[str]:
-    """In the order in which a ring brings them; empty where the module has no use for one."""
-    return [_GAUGES.get(name, "") for name in (settings.get("familyInfo") or {}).get("gauges") or []]
+def gauge_names(settings: Settings) -> list[str]:
+    """The parameters of `tick` in the order in which gauges come; empty for one that is not used."""
+    return [_GAUGES.get(name, "") for name in _section(settings, "familyInfo").get("gauges") or []]
 
 
-def create_controller(
-    now: float, instance: int, seed: int, settings: Mapping[str, Any], **told: object
-) -> AdmissionController:
-    """`told`: what this start knows better than the settings, by the AdmissionController's own names."""
-    info, rules = settings.get("familyInfo") or {}, settings.get("rules") or {}
-    facts: dict[str, Any] = dict(
-        request_classes=request_classes_of(settings),
-        tenants=tenants_of(settings),
-        cores=info.get("cores") or 1,
-        callers=info.get("callers") or 1,
-        memory_kb=info.get("memoryKb") or 0.0,
-        run_factor=info.get("runFactor") or 1.0,
-        idempotency_entry_kb=info.get("keyKb") or 0.0,
-        crowd_per_core=rules.get("fallMultiple") or 1.0,
-        is_cold_start=bool(info.get("freshStart")),
-        cold_from=rules.get("coldFrom") or 0.0,
-        cold_ms=_ms(rules, "coldUs"),
-        drain_grace_ms=_ms(rules, "drainGraceUs"),
-        tick_ms=_ms(settings, "tickUs", 1000),
-        say=_SAY.get(info.get("say", ""), ""),
-        limits=limits_of(settings),
-        idle_max_ms=_ms(info, "callerIdleUs"),
-        can_stop_requests=can_stop_requests(settings),
-        below=downstream_kind_of(settings),
-        calls_span_ms=_ms(info, "depWindowUs"),
-        linger_ms=_ms(info, "lingerUs"),
-        marks_retry=(settings.get("clients") or {}).get("marksRetry") is not False,
-    )
-    controller = AdmissionController(now, instance=instance, seed=seed, **(facts | told))
-    controller.start()
-    return controller
+def _section(settings: Settings, name: str) -> Settings:
+    return settings.get(name) or {}
+
+
+def _ms(table: Settings, name: str, default_us: float = 0) -> float:
+    value_us = table.get(name)
+    return (default_us if value_us is None else value_us) / 1000
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -1,7 +1,7 @@
-"""Plain types shared by the decision module and whatever calls it (the drill, the server).
+"""Plain types shared by the admission controller and its callers.
 
 All times are milliseconds with fractions on the caller's clock. Ids are handed back exactly as given.
-What the module wants done after a call is a list of commands: `commands`.
+What the controller wants done after an event is a list of commands: `commands`.
 """
 
 import math
@@ -10,13 +10,31 @@
 
 
 class Idempotency(Enum):
+    """Whether a request may run again. The values are words of the lab's and the scenarios' files."""
+
     SAFE = "inquiry-like"  # may run again
-    IDEMPOTENT = "referenced"  # a repeat is known by its mark; runs once
+    IDEMPOTENT = "referenced"  # has an idempotency key, so that a repeat is known; runs once
     NON_IDEMPOTENT = "once-only"  # must never run twice
 
 
+class LoadSignal(Enum):
+    """What is advertised to callers. The values are words of the lab's and the scenarios' files."""
+
+    NONE = ""
+    CRITICALITY = "rank"  # hold back requests of a lower criticality
+    CREDIT = "credit"  # have no more requests outstanding than this
+
+
+class DownstreamKind(Enum):
+    """What lies behind a server. The values are words of the scenarios' files."""
+
+    NONE = ""
+    TIER = "tier"  # the next tier, with an admission control of its own
+    SHARED = "shared"  # one service for all servers, each with its part of it
+
+
 class Outcome(Enum):
-    """How a run or a call ended."""
+    """How a run or a call ended. The values are words of the runtime's protocol."""
 
     OK = "ok"
     ERROR = "error"
@@ -29,11 +47,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Nothing of it can still be going on below."""
+        """Nothing of it can still be going on downstream."""
         return self.never_ran or self in (Outcome.OK, Outcome.ERROR)
 
     @property
     def never_ran(self) -> bool:
+        """It is known not to have run."""
         return self in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_STARTED)
 
 
@@ -46,121 +65,86 @@
     priority_weight: float
     latency_objective_ms: float
     deadline_ms: float
-    retention_ms: float = 0.0  # how long a referenced request may come again
-    late_weight_factor: float = 0.0  # the share of the value left after the SLA time
-    may_call: bool = False  # may call what lies below
-    skip_weight_factor: float = 0.0  # the share of the value left when the call is omitted
+    retention_ms: float = 0.0  # for how long an idempotency key may come again
+    late_weight_factor: float = 0.0  # on the weight, for an answer that misses the latency objective
+    may_call: bool = False  # may call the downstream
+    skip_weight_factor: float = (
+        0.0  # on the weight, for a request whose downstream call is skipped; 0: never is
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A group of callers with a quota."""
+
     name: str
-    quota: float
-    quota_per_ms: float = 0.0  # requests of its share that are one server's part; 0: nobody says
+    quota: float  # share of the fleet's requests
+    quota_per_ms: float = 0.0  # requests that are this server's part of the quota; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What an operator may set anew while a server runs."""
+    """What an operator may change while a server runs."""
 
-    max_retry_after_ms: float = 0.0  # for how long callers may be asked to keep away; 0: they do not hear it
+    max_retry_after_ms: float = 0.0  # that callers heed; 0: they don't know of it
     downstream_call_quota: float = (
-        0.0  # mean calls in hand at a shared service below that are this server's part
-    )
-    over_quota_weight_factor: float = (
-        0.0  # share of its value that a request beyond its tenant's share is worth
+        0.0  # this server's part of the mean calls outstanding at a shared downstream
     )
+    over_quota_weight_factor: float = 0.0  # on the weight of a request beyond its tenant's quota
 
 
 class RestrictionKind(Enum):
-    """What a level of reduced service does with what it restricts, the mildest first."""
+    """What a level of reduced service does with the requests that it restricts, the mildest first."""
 
-    OMIT = "omit"  # it runs without its call
-    SPARE = "spare"  # it runs where a slot is free, and is never held
-    SHARE = "share"  # a share of it is admitted
-    ESTABLISHED = "established"  # newcomers are declined
-    DECLINE = "decline"  # all of it is declined
+    OMIT = "omit"  # they run without their downstream call
+    SPARE = "spare"  # they run where there is room, and are never queued
+    SHARE = "share"  # a share of them is admitted
+    ESTABLISHED = "established"  # newcomers are rejected
+    DECLINE = "decline"  # all are rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Restriction:
+    """A restriction of one request class."""
+
     kind: RestrictionKind
-    admitted_share: float = 0.0  # of those that come, admitted
-    criticality_below: float = math.inf  # only what ranks below this
-    tenants: frozenset[int] | None = None  # only what these send
+    admitted_share: float = 0.0  # for `RestrictionKind.SHARE`
+    criticality_below: float = math.inf  # only requests below this
+    tenants: frozenset[int] | None = None  # only requests of these; None: of all
 
-    def includes(self, request: "Request") -> bool:
-        return request.criticality < self.criticality_below and (
-            self.tenants is None or request.tenant in self.tenants
-        )
+    def applies_to(self, criticality: float, tenant: int) -> bool:
+        """Whether it restricts such a request of its class."""
+        return criticality < self.criticality_below and (self.tenants is None or tenant in self.tenants)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """A level of reduced service as the module is told it; full service is one that restricts nothing."""
+    """A level of reduced service; one without restrictions is full service."""
 
     name: str
     restrictions: tuple[
         tuple[Restriction, ...], ...
-    ] = ()  # by class, the strongest first; empty: nothing is trimmed
-    rejects_queued: bool = False  # what is held and would be declined is answered when the level starts
-    sends_retry_after: bool = False  # callers are asked to stay away until the level may end
-    min_duration_ms: float = 0.0  # how long it lasts at the least, from when it is told
-    served_elsewhere: bool = (
-        False  # others serve what is cut here: no refusal is final, and all keep away at length
-    )
+    ] = ()  # by class, the strongest first; empty: none at all
+    rejects_queued: bool = False  # queued requests that it restricts are rejected when it starts
+    sends_retry_after: bool = False  # callers are asked to stay away until it may end
+    min_duration_ms: float = 0.0
+    served_elsewhere: bool = False  # other servers serve what is restricted here, so no rejection is final
 
 
 @dataclass(frozen=True, slots=True)
 class RequestScope:
-    """The requests that are served or not together: of these classes, or of these tenants; None: of all."""
+    """Requests that are drained or restricted together: of these classes and tenants; None: of all."""
 
     request_classes: frozenset[int] | None = None
     tenants: frozenset[int] | None = None
 
-    def includes(self, request: "Request") -> bool:
-        mine = self.request_classes is None or request.class_index in self.request_classes
-        return mine and (self.tenants is None or request.tenant in self.tenants)
+    def includes(self, class_index: int, tenant: int) -> bool:
+        """Whether a request of this class and tenant belongs to it."""
+        return (self.request_classes is None or class_index in self.request_classes) and (
+            self.tenants is None or tenant in self.tenants
+        )
 
     @property
     def is_all(self) -> bool:
+        """Whether every request belongs to it."""
         return self.request_classes is None and self.tenants is None
-
-
-class RequestState(Enum):
-    QUEUED = "held"
-    FOLLOWING = "follows"  # held behind an earlier attempt that is held itself
-    RUNNING = "runs"
-    CALLING = "calls"  # off the cores, at or before a call
-    REPLAYING = "waits"  # to be answered from an earlier attempt
-    FINISHED = "over"
-
-
-class Request:
-    """One request with what this server knows of it."""
-
-    def __init__(
-        self, request_id: int, class_index: int, request_class: RequestClass, now: float, age: float
-    ) -> None:
-        self.request_id, self.class_index, self.request_class = request_id, class_index, request_class
-        self.arrived = now - age
-        self.due = self.in_time = 0.0  # when its answer is owed; until when it earns its full value
-        self.tenant = self.key = self.earlier_attempt_id = 0
-        self.criticality = 1.0  # 0 to 1: how dear it is to its caller
-        self.size_kb = 1.0  # memory while held
-        self.cost = 0.0  # expected ms on the cores, fixed when held
-        self.is_retry = self.old = self.queued = self.ran = self.answered = self.settled = self.calling = (
-            False
-        )
-        self.place = RequestState.QUEUED
-        self.started = self.off_cores = self.away = 0.0  # when it began, last left the cores; ms off them
-        self.tries = 0  # calls made at the present stop
-        self.followers: list[Request] = []
-
-    @property
-    def referenced(self) -> bool:
-        return self.request_class.idempotency is Idempotency.IDEMPOTENT
-
-    @property
-    def effectful(self) -> bool:
-        return self.request_class.idempotency is not Idempotency.SAFE
--- /dev/null
+++ b/otterrudder/admission/load_reporter.py
@@ -0,0 +1,165 @@
+"""What callers are told of the load: an advertised value, when to retry, and how long to stay connected."""
+
+import math
+from typing import NamedTuple
+
+from otterrudder.admission.commands import AdvertiseLoad, SetIdleTimeout
+from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
+from otterrudder.admission.context import RECENT_WEIGHT, AdmissionContext, RejectionReason
+from otterrudder.admission.draining import Draining
+from otterrudder.admission.interface import LoadSignal
+from otterrudder.admission.requests import Request
+
+DEFAULT_RETRY_AFTER_MS = 200.0  # about a run
+
+# Backpressure: 0 to 1, driven by the part of the latency objective that requests spend waiting.
+TARGET_WAIT_SHARE = 0.12  # above it callers are asked for less
+PRESSURE_STEP = 0.01  # a tick, for each TARGET_WAIT_SHARE above the target
+MAX_PRESSURE_EXCESS = 2.0  # such steps a tick, so that a burst doesn't fill the pressure at once
+PRESSURE_DECAY_FACTOR = 0.5  # of a step, below the target; slow, as all callers let go at once
+MAX_CREDIT_FACTOR = 8.0  # even shares of the limit that a caller may have outstanding at rest
+MAX_ADVERTISED_CRITICALITY = 0.3  # below which callers are asked to hold requests back
+
+# Rejections: whether the callers' other servers are likely to be full too.
+MIN_SLOW_PACE = 1.5  # pace from which this server is slow by itself, and not just full
+MAX_RETRY_SHARE = 0.15  # of the arrivals, beyond which other servers are taken to be full
+RETRY_STORM_SHARE = 0.5  # of the arrivals, beyond which callers are asked to stay away for long
+
+# Connections of callers.
+INITIAL_ARRIVAL_GAP_MS = 100.0
+MAX_CALLER_GAP_MS = 15_000.0  # between a caller's requests, up to which its connection is worth keeping
+HIGH_REJECTION_SHARE = 0.7  # of the arrivals, beyond which idle connections are kept longer
+LOW_REJECTION_SHARE = 0.4  # of the arrivals, below which they are closed earlier
+REJECTION_WEIGHT = 1 / 40  # weight of an arrival in the rejected share
+IDLE_TIMEOUT_GROWTH = 1.2  # factor a tick
+IDLE_TIMEOUT_DECAY = 0.95  # factor a tick
+MIN_IDLE_TIMEOUT_MS = 100.0
+MIN_IDLE_TIMEOUT_CHANGE = 1 / 8  # of the timeout in force, for a command
+
+
+class RejectionAdvice(NamedTuple):
+    """What a rejected caller is told."""
+
+    is_final: bool
+    retry_after_ms: float
+
+
+class LoadReporter:
+    """Measures how long requests wait and how many are rejected, and tells callers what to make of it."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        limiter: ConcurrencyLimiter,
+        draining: Draining,
+        *,
+        signal: LoadSignal,
+        callers: int,
+        max_idle_timeout_ms: float,
+        are_retries_marked: bool,
+    ) -> None:
+        self._context = context
+        self._limiter = limiter
+        self._draining = draining
+        self.signal = signal
+        self.are_retries_marked = are_retries_marked
+        self._callers = max(callers, 1)
+        self._arrival_gap_ms = INITIAL_ARRIVAL_GAP_MS  # mean time between arrivals
+        self._last_arrival_at = context.now
+        self._advertised: float | None = None
+        self._max_idle_timeout_ms = max_idle_timeout_ms
+        self._idle_timeout_ms = MIN_IDLE_TIMEOUT_MS if self._are_callers_rare() else max_idle_timeout_ms
+        self._sent_idle_timeout_ms = max_idle_timeout_ms
+        self._rejected_share = 0.0  # of recent arrivals
+        self.retry_share = 0.0  # of recent arrivals
+        self.wait_share = 0.0  # recent mean part of the latency objective that requests wait here
+        self.pressure = 0.0
+
+    def rejection_advice(
+        self, reason: RejectionReason, is_retry: bool, retry_after_ms: float | None
+    ) -> RejectionAdvice:
+        """Whether a rejected caller should not try elsewhere, and when it may come back.
+
+        A server that is slow, cold or draining by itself sends callers on. One that is full at its usual
+        speed takes the others to be full too, as callers spread their load: a retry would only cost a read.
+        `retry_after_ms` is given while a service level is in force, which knows how long it lasts."""
+        max_retry_after_ms = self._context.limits.max_retry_after_ms
+        if reason is RejectionReason.SERVED_ELSEWHERE or self._draining.covers_everything:
+            return RejectionAdvice(False, max_retry_after_ms)
+        if retry_after_ms is None:
+            retry_after_ms = math.inf if self.retry_share > RETRY_STORM_SHARE else DEFAULT_RETRY_AFTER_MS
+        is_alone = self._limiter.warm_share() < 1.0 or self._limiter.pace > MIN_SLOW_PACE
+        are_others_full = reason is RejectionReason.OVERLOAD and not is_alone
+        is_final = are_others_full or is_retry or self.retry_share > MAX_RETRY_SHARE
+        return RejectionAdvice(is_final, min(retry_after_ms, max_retry_after_ms))
+
+    def record_arrival(self, is_retry: bool) -> None:
+        """Count an arrival."""
+        # Where retries are not marked, rejections stand in for them: most come back somewhere.
+        sample = is_retry if self.are_retries_marked else self._rejected_share
+        self.retry_share += RECENT_WEIGHT * (sample - self.retry_share)
+        self._rejected_share -= REJECTION_WEIGHT * self._rejected_share
+        gap_ms = self._context.now - self._last_arrival_at
+        self._arrival_gap_ms += RECENT_WEIGHT * (gap_ms - self._arrival_gap_ms)
+        self._last_arrival_at = self._context.now
+
+    def record_rejection(self) -> None:
+        """Count a rejection."""
+        self._rejected_share += REJECTION_WEIGHT
+
+    def record_wait(self, request: Request, wait_ms: float) -> None:
+        """Count a request that waits here for so long.
+
+        Time before it was read counts as well: a server that reads late is short of cores."""
+        unread_ms = self._context.now - request.arrived_at
+        share = min((unread_ms + wait_ms) / request.request_class.latency_objective_ms, 1.0)
+        self.wait_share += RECENT_WEIGHT * (share - self.wait_share)
+
+    def on_tick(self) -> None:
+        """Update what callers are told."""
+        self._update_pressure()
+        self._update_idle_timeout()
+        self._advertise()
+
+    def _are_callers_rare(self) -> bool:
+        """Whether a caller's next request is so far off that its connection would only fill the table."""
+        return self._arrival_gap_ms * self._callers > MAX_CALLER_GAP_MS
+
+    def _update_pressure(self) -> None:
+        excess = min(self.wait_share / TARGET_WAIT_SHARE - 1, MAX_PRESSURE_EXCESS)
+        change = PRESSURE_STEP * excess * (1.0 if excess > 0 else PRESSURE_DECAY_FACTOR)
+        self.pressure = min(max(self.pressure + change, 0.0), 1.0)
+        if not self._limiter.in_flight:  # with nothing in flight there are no waits to learn from
+            self.wait_share *= 1 - RECENT_WEIGHT
+
+    def _update_idle_timeout(self) -> None:
+        # While most arrivals are rejected, a full connection table is the cheapest rejection there is. It
+        # changes by degrees, as callers that are all let go at once come back at once.
+        factor = 1.0
+        if self._rejected_share > HIGH_REJECTION_SHARE or not self._are_callers_rare():
+            factor = IDLE_TIMEOUT_GROWTH
+        elif self._rejected_share < LOW_REJECTION_SHARE:
+            factor = IDLE_TIMEOUT_DECAY
+        self._idle_timeout_ms = min(
+            max(self._idle_timeout_ms * factor, MIN_IDLE_TIMEOUT_MS), self._max_idle_timeout_ms
+        )
+        change_ms = abs(self._idle_timeout_ms - self._sent_idle_timeout_ms)
+        if change_ms > self._sent_idle_timeout_ms * MIN_IDLE_TIMEOUT_CHANGE:
+            self._sent_idle_timeout_ms = self._idle_timeout_ms
+            self._context.commands.append(SetIdleTimeout(self._idle_timeout_ms))
+
+    def _advertise(self) -> None:
+        value = self._advertised_value()
+        if value is not None and value != self._advertised:
+            self._advertised = value
+            self._context.commands.append(AdvertiseLoad(value))
+
+    def _advertised_value(self) -> float | None:
+        if self.signal is LoadSignal.CRITICALITY:
+            return round(MAX_ADVERTISED_CRITICALITY * self.pressure, 2)
+        if self.signal is LoadSignal.CREDIT:
+            even_share = self._limiter.limit / self._callers
+            max_credit = min(self._limiter.ceiling(), max(MAX_CREDIT_FACTOR * even_share, 1.0))
+            credit: float = max_credit * (even_share / max_credit) ** self.pressure
+            return round(credit, 2)
+        return None
--- /dev/null
+++ b/otterrudder/admission/memory_budget.py
@@ -0,0 +1,76 @@
+"""The memory budget: the server never dies for want of memory."""
+
+from otterrudder.admission.context import AdmissionContext, RejectionReason, RequestFlow, Stage
+from otterrudder.admission.deduplication import Deduplication
+from otterrudder.admission.requests import Request, RequestState
+
+MAX_QUEUED_MEMORY_SHARE = 0.85  # of the memory; the rest is for requests that are still being read
+MAX_RUN_MEMORY_SHARE = 0.92  # of the memory, up to which runs start
+
+_UNSTARTED_STATES = (RequestState.QUEUED, RequestState.FOLLOWING)
+
+
+class MemoryBudget(Stage):
+    """Counts the memory of queued and running requests and of retained idempotency keys."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        flow: RequestFlow,
+        deduplication: Deduplication,
+        *,
+        capacity_kb: float,
+        run_factor: float,
+        entry_kb: float,
+        max_entries: float,
+    ) -> None:
+        self._context = context
+        self._flow = flow
+        self._deduplication = deduplication
+        self._capacity_kb = capacity_kb
+        self._run_factor = run_factor  # memory of a running request by that of a queued one
+        self._entry_kb = entry_kb
+        self._max_entries = max_entries
+        self._queue_limit_kb = capacity_kb * MAX_QUEUED_MEMORY_SHARE
+        self._run_limit_kb = capacity_kb * MAX_RUN_MEMORY_SHARE
+        self.requests_kb = 0.0
+
+    @property
+    def used_kb(self) -> float:
+        """Memory in use, by this count."""
+        return self.requests_kb + len(self._deduplication.entries) * self._entry_kb
+
+    @property
+    def used_share(self) -> float:
+        """Share of the memory in use."""
+        return self.used_kb / max(self._capacity_kb, 1.0)
+
+    def add(self, request: Request) -> None:
+        """Count a request that was read."""
+        self.requests_kb += request.size_kb
+
+    def admit(self, request: Request) -> bool:
+        """Reject what has no room; retain the idempotency key of what has."""
+        needed_kb = 0.0
+        if request.has_idempotency_key:
+            if len(self._deduplication.entries) >= self._max_entries:
+                return self._flow.reject(request, RejectionReason.LOCAL)
+            needed_kb = self._entry_kb
+        if self.used_kb + needed_kb > self._queue_limit_kb:
+            return self._flow.reject(request, RejectionReason.LOCAL)
+        if request.has_idempotency_key:
+            self._deduplication.retain(request)
+        return True
+
+    def may_start(self, request: Request) -> bool:
+        """Whether there is room for the request to run."""
+        return self.used_kb + request.size_kb * (self._run_factor - 1) <= self._run_limit_kb
+
+    def on_started(self, request: Request) -> None:
+        """Count what a started request takes beyond a queued one."""
+        self.requests_kb += request.size_kb * (self._run_factor - 1)
+
+    def on_released(self, request: Request) -> None:
+        """The request's memory is free."""
+        factor = 1 if request.state in _UNSTARTED_STATES else self._run_factor
+        self.requests_kb -= request.size_kb * factor
--- /dev/null
+++ b/otterrudder/admission/request_starter.py
@@ -0,0 +1,52 @@
+"""The end of the admission chain: an admitted request starts."""
+
+from otterrudder.admission.admission_queues import AdmissionQueues
+from otterrudder.admission.commands import StartRequest
+from otterrudder.admission.context import AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.deduplication import Deduplication
+from otterrudder.admission.memory_budget import MemoryBudget
+from otterrudder.admission.requests import IN_FLIGHT_STATES, Request
+from otterrudder.admission.tenant_quotas import TenantQuotas
+
+
+class RequestStarter(Stage):
+    """Starts requests, and abandons those that became worthless while they ran."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        flow: RequestFlow,
+        memory_budget: MemoryBudget,
+        deduplication: Deduplication,
+        quotas: TenantQuotas,
+        queues: AdmissionQueues,
+        *,
+        can_stop_requests: bool,
+    ) -> None:
+        self._context = context
+        self._flow = flow
+        self._memory_budget = memory_budget
+        self._deduplication = deduplication
+        self._quotas = quotas
+        self._queues = queues
+        self._can_stop_requests = can_stop_requests
+
+    def admit(self, request: Request) -> bool:
+        """Start the request."""
+        self._memory_budget.on_started(request)
+        self._context.commands.append(StartRequest(request.request_id))
+        self._deduplication.on_started(request)
+        self._quotas.on_started(request)
+        if self._is_worthless_late(request):
+            self._context.timers.schedule(request.on_time_until, lambda: self._abandon(request))
+        return True
+
+    def _is_worthless_late(self, request: Request) -> bool:
+        """Whether a late run earns nothing and can be stopped."""
+        may_stop = self._can_stop_requests and not request.has_side_effects
+        return may_stop and not request.request_class.late_weight_factor
+
+    def _abandon(self, request: Request) -> None:
+        """Give the place of a late run to a queued request."""
+        if self._queues.count and request.state in IN_FLIGHT_STATES:
+            self._flow.fail(request)
--- /dev/null
+++ b/otterrudder/admission/requests.py
@@ -0,0 +1,97 @@
+"""The state of a request from its arrival to the end of its work."""
+
+from enum import Enum
+
+from otterrudder.admission.interface import Idempotency, RequestClass
+
+
+class RequestState(Enum):
+    """Where a request stands."""
+
+    QUEUED = "queued"
+    FOLLOWING = "following"  # waits behind an earlier attempt that is queued itself
+    RUNNING = "running"
+    CALLING = "calling"  # off the cores, at or before a downstream call
+    REPLAYING = "replaying"  # to be answered with the response of an earlier attempt
+    FINISHED = "finished"
+
+
+IN_FLIGHT_STATES = (RequestState.RUNNING, RequestState.CALLING)
+
+
+class Request:
+    """One request with what this server knows of it. Times are milliseconds on the adapter's clock."""
+
+    __slots__ = (
+        "arrived_at",
+        "call_attempts",
+        "class_index",
+        "cost_ms",
+        "criticality",
+        "deadline",
+        "earlier_attempt_id",
+        "followers",
+        "has_side_effects",
+        "has_idempotency_key",
+        "is_answered",
+        "is_call_open",
+        "is_completed",
+        "is_established",
+        "is_queued",
+        "is_retry",
+        "left_cores_at",
+        "may_have_run",
+        "off_cores_ms",
+        "on_time_until",
+        "request_class",
+        "request_id",
+        "session_key",
+        "size_kb",
+        "started_at",
+        "state",
+        "tenant",
+    )
+
+    def __init__(
+        self,
+        request_id: int,
+        class_index: int,
+        request_class: RequestClass,
+        *,
+        arrived_at: float,
+        tenant: int,
+        session_key: int,
+        size_kb: float,
+        earlier_attempt_id: int,
+        is_retry: bool,
+        criticality: float,
+    ) -> None:
+        self.request_id = request_id
+        self.class_index = class_index
+        self.request_class = request_class
+        self.arrived_at = arrived_at
+        self.tenant = tenant
+        self.session_key = session_key  # 0: none
+        self.size_kb = size_kb  # memory while queued
+        self.earlier_attempt_id = earlier_attempt_id  # 0: none
+        self.is_retry = is_retry
+        self.criticality = criticality  # 0 to 1
+        self.has_idempotency_key = request_class.idempotency is Idempotency.IDEMPOTENT
+        self.has_side_effects = request_class.idempotency is not Idempotency.SAFE
+
+        self.deadline = 0.0
+        self.on_time_until = 0.0  # an answer after this misses the latency objective
+        self.state = RequestState.QUEUED
+        self.is_queued = False
+        self.is_established = False  # of a known session; those are served before newcomers
+        self.may_have_run = False  # it, or an earlier attempt: it must not be rejected
+        self.is_answered = False
+        self.is_completed = False  # its run ended well
+        self.followers: list[Request] = []  # later attempts that wait for this one
+
+        self.cost_ms = 0.0  # expected time on the cores, fixed when queued
+        self.started_at = 0.0
+        self.left_cores_at = 0.0  # when it last left the cores for a call
+        self.off_cores_ms = 0.0
+        self.is_call_open = False
+        self.call_attempts = 0  # of the call that it waits for
--- /dev/null
+++ b/otterrudder/admission/service_level_stage.py
@@ -0,0 +1,108 @@
+"""Reduced service: while a level is in force, what it restricts is rejected ahead of the queues.
+
+What has run, or whose earlier attempt has, never gets here (see deduplication)."""
+
+from otterrudder.admission.admission_queues import AdmissionQueues
+from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
+from otterrudder.admission.context import AdmissionContext, RejectionReason, RequestFlow, Stage
+from otterrudder.admission.interface import Restriction, RestrictionKind, ServiceLevel
+from otterrudder.admission.load_reporter import DEFAULT_RETRY_AFTER_MS
+from otterrudder.admission.requests import Request
+from otterrudder.admission.service_level import ActiveServiceLevel
+
+DEMAND_WINDOW_MS = 2000.0  # over which the demand is averaged
+
+
+class ServiceLevelStage(Stage):
+    """Applies the level in force and measures the demand that it goes by."""
+
+    def __init__(
+        self,
+        context: AdmissionContext,
+        flow: RequestFlow,
+        active: ActiveServiceLevel,
+        queues: AdmissionQueues,
+        limiter: ConcurrencyLimiter,
+    ) -> None:
+        self._context = context
+        self._flow = flow
+        self._active = active
+        self._queues = queues
+        self._limiter = limiter
+        self._requested_ms = 0.0  # expected time on the cores of first attempts since `_measured_at`
+        self._measured_at = context.now
+        self.demand = 0.0  # recent work asked for by what the limit takes, rejected or not
+        self._share_credit = 0.0  # admissions that shares of this level have earned so far
+        self._ends_at = 0.0  # the earliest end of the level
+
+    def apply(self, level: ServiceLevel | None) -> None:
+        """Put a level in force; None ends the watch."""
+        self._active.level = level
+        self._share_credit = 0.0
+        self._ends_at = self._context.now + level.min_duration_ms if level else 0.0
+        if level and level.rejects_queued:
+            self._reject_queued(level)
+
+    def admit(self, request: Request) -> bool:
+        """Reject what the level restricts. It counts as demand all the same: load is shed, not gone."""
+        level = self._active.level
+        if not level:
+            return True
+        if not request.is_retry:  # retries ask for no new work
+            self._requested_ms += self._limiter.expected_cores_ms(request)
+        restriction = self._active.restriction_for(request)
+        if restriction and self._rejects(request, restriction):
+            return self._reject(request, level)
+        return True
+
+    def is_demand_known(self) -> bool:
+        """Whether it is; of a restricted class that never ran the work is not known."""
+        level = self._active.level
+        restrictions = level.restrictions if level else ()
+        run_counts = self._limiter.latencies.run_counts
+        return all(run_counts[n] for n, of_class in enumerate(restrictions) if of_class)
+
+    def on_tick(self) -> None:
+        """Update the demand."""
+        elapsed_ms = self._context.now - self._measured_at
+        if self._active.level and elapsed_ms > 0:
+            demand = self._requested_ms / elapsed_ms / self._limiter.limit
+            self.demand += min(elapsed_ms / DEMAND_WINDOW_MS, 1.0) * (demand - self.demand)
+        self._requested_ms = 0.0
+        self._measured_at = self._context.now
+
+    def _reject_queued(self, level: ServiceLevel) -> None:
+        for request in self._queues.requests():
+            restriction = self._active.restriction_for(request)
+            if not request.is_queued or not restriction or restriction.kind is RestrictionKind.SHARE:
+                continue
+            if self._rejects(request, restriction):
+                self._reject(request, level)
+
+    def _rejects(self, request: Request, restriction: Restriction) -> bool:
+        match restriction.kind:
+            case RestrictionKind.SHARE:
+                return not self._takes_share(restriction.admitted_share)
+            case RestrictionKind.SPARE:
+                return not self._queues.is_free_for(request)
+            case RestrictionKind.ESTABLISHED:
+                return not request.is_established
+            case RestrictionKind.DECLINE:
+                return True
+            case RestrictionKind.OMIT:
+                return False
+
+    def _takes_share(self, admitted_share: float) -> bool:
+        # By count, not by chance: the share is exact, and no lucky burst gets in.
+        self._share_credit += admitted_share
+        if self._share_credit < 1.0:
+            return False
+        self._share_credit -= 1.0
+        return True
+
+    def _reject(self, request: Request, level: ServiceLevel) -> bool:
+        retry_after_ms = 0.0
+        if level.sends_retry_after:
+            retry_after_ms = max(self._ends_at - self._context.now, DEFAULT_RETRY_AFTER_MS)
+        reason = RejectionReason.SERVED_ELSEWHERE if level.served_elsewhere else RejectionReason.OVERLOAD
+        return self._flow.reject(request, reason, retry_after_ms)
--- /dev/null
+++ b/otterrudder/admission/session_table.py
@@ -0,0 +1,44 @@
+"""The table of established sessions, which are served before newcomers (SBOC, see docs/design.md)."""
+
+from collections import OrderedDict
+
+from otterrudder.admission.context import AdmissionContext, Stage
+from otterrudder.admission.requests import Request
+
+SESSION_LIFETIME_FACTOR = (
+    10.0  # latency objectives for which a session lives after its last completed request
+)
+MAX_SESSIONS = 50_000  # entries of about 100 bytes, so 5 MB; the oldest is evicted
+
+
+class SessionTable(Stage):
+    """Sessions by key. One is entered when a request of it completes."""
+
+    def __init__(self, context: AdmissionContext) -> None:
+        self._context = context
+        self._expires_at: OrderedDict[int, float] = OrderedDict()
+
+    def __len__(self) -> int:
+        return len(self._expires_at)
+
+    def admit(self, request: Request) -> bool:
+        """Tell established requests from newcomers.
+
+        One with side effects counts as established whether or not it names its session, up to a share of the
+        queue: it stands for the step of a session that earns. Any other without a key is a newcomer."""
+        expires_at = self._expires_at.get(request.session_key, 0.0)
+        request.is_established = request.has_side_effects or expires_at > self._context.now
+        return True
+
+    def on_answered(self, request: Request) -> None:
+        """Enter or renew the session of a completed request; evict expired ones."""
+        now = self._context.now
+        if request.is_completed and request.session_key:
+            lifetime_ms = SESSION_LIFETIME_FACTOR * request.request_class.latency_objective_ms
+            self._expires_at[request.session_key] = now + lifetime_ms
+            self._expires_at.move_to_end(request.session_key)
+        while self._expires_at and self._is_oldest_evictable(now):
+            self._expires_at.popitem(last=False)
+
+    def _is_oldest_evictable(self, now: float) -> bool:
+        return len(self._expires_at) > MAX_SESSIONS or next(iter(self._expires_at.values())) <= now
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -49,7 +49,7 @@
                 ident,
                 product,
                 tenant=tenant,
-                key=key,
+                session_key=key,
                 size_kb=kb,
                 age_ms=age / 1000,
                 time_left_ms=left / 1000,
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from otterrudder.admission.factory import downstream_kind_of, limits_of, request_classes_of, tenants_of
-from otterrudder.admission.interface import Limits, RequestClass, Tenant
+from otterrudder.admission.interface import DownstreamKind, Limits, RequestClass, Tenant
 from otterrudder.files import convert
 from otterrudder.levels import LevelTable, LevelTableError, build_table
 
@@ -59,7 +59,7 @@
         tenants_of(settings),
         max(settings.get("servers") or 1, 1),
         limits_of(settings),
-        downstream_kind_of(settings) == "shared",
+        downstream_kind_of(settings) is DownstreamKind.SHARED,
     )
 
 
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -20,11 +20,11 @@
 
 import msgspec
 
-from otterrudder.admission import controller
 from otterrudder.files import load_toml, merged
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import BadInput, Site, convert, site_of
+from otterrudder.lab.tunables import TUNABLES
 from otterrudder.levels import LevelTable, LevelTableError, read_table
 
 LENGTH_MOST_S = 4 * 3600.0  # s of a day
@@ -124,7 +124,7 @@
     told: _Experiment = convert(load_toml(path, BadInput), _Experiment, where)
     for variant in told.variant:
         for constant in variant.module:
-            if not isinstance(getattr(controller, constant, None), float):
+            if constant not in TUNABLES:
                 raise BadInput(f"{where}: variant {variant.name}: the module has no constant {constant!r}")
     whole = load_toml(path.parent / told.site, BadInput)
     site_where = Path(told.site).name
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -6,10 +6,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from otterrudder.admission import controller
 from otterrudder.lab.claims import Verdict, judge
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
+from otterrudder.lab.tunables import tuned
 from otterrudder.levels import LevelSelector
 
 Progress = Callable[[int, int, Run, Result], None]
@@ -33,14 +33,8 @@
 def play(run: Run) -> Result:
     """One day; the same for the same run on every machine."""
     kind = Bare if run.bare else LevelSelector
-    before = {name: getattr(controller, name) for name, _ in run.module}
-    try:
-        for name, value in run.module:
-            setattr(controller, name, value)
+    with tuned(run.module):
         return Day(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).play()
-    finally:
-        for name, value in before.items():
-            setattr(controller, name, value)
 
 
 def perform(experiment: Experiment, workers: int = 0, progress: Progress | None = None) -> Outcome:
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -7,7 +7,15 @@
 import msgspec
 
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
+from otterrudder.admission.interface import (
+    DownstreamKind,
+    Idempotency,
+    Limits,
+    LoadSignal,
+    RequestClass,
+    Tenant,
+)
+from otterrudder.admission.settings import ControllerSettings
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
@@ -154,29 +162,31 @@
         def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
             controller = AdmissionController(
                 now,
+                ControllerSettings(
+                    request_classes=self.products,
+                    tenants=self.tenants,
+                    cores=s.cores,
+                    callers=self.gateways.count,
+                    memory_kb=s.memory_kb,
+                    run_memory_factor=s.run_factor,
+                    idempotency_entry_kb=s.ref_kb,
+                    max_concurrency_per_core=s.falls_at,
+                    is_cold_start=not warm,
+                    slow_start_from=s.cold_from,
+                    slow_start_ms=s.cold_s * 1000,
+                    drain_grace_ms=s.grace_ms,
+                    clock_tick_ms=4.0,
+                    load_signal=LoadSignal(s.say),
+                    limits=Limits(max_retry_after_ms=s.away_most_ms),
+                    max_idle_timeout_ms=math.inf,
+                    can_stop_requests=False,
+                    downstream=DownstreamKind.TIER,
+                    downstream_quota_window_ms=0.0,
+                    downstream_linger_ms=0.0,
+                    uptime_ms=up_ms,
+                ),
                 instance=instance,
                 seed=seed,
-                request_classes=self.products,
-                tenants=self.tenants,
-                cores=s.cores,
-                callers=self.gateways.count,
-                memory_kb=s.memory_kb,
-                run_factor=s.run_factor,
-                idempotency_entry_kb=s.ref_kb,
-                crowd_per_core=s.falls_at,
-                is_cold_start=not warm,
-                cold_from=s.cold_from,
-                cold_ms=s.cold_s * 1000,
-                drain_grace_ms=s.grace_ms,
-                tick_ms=4.0,
-                say=s.say,
-                limits=Limits(max_retry_after_ms=s.away_most_ms),
-                idle_max_ms=math.inf,
-                can_stop_requests=False,
-                below="tier",
-                calls_span_ms=0.0,
-                linger_ms=0.0,
-                uptime_ms=up_ms,
             )
             controller.start()
             return controller
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -214,7 +214,7 @@
             request.number,
             product,
             tenant=tenant,
-            key=key,
+            session_key=key,
             size_kb=kb,
             age_ms=age,
             time_left_ms=left,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -29,8 +29,10 @@
 from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
+    DownstreamKind,
     Idempotency,
     Limits,
+    LoadSignal,
     Outcome,
     RequestClass,
     RequestScope,
@@ -39,6 +41,7 @@
     ServiceLevel,
     Tenant,
 )
+from otterrudder.admission.settings import ControllerSettings
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]  # how the operators start it
@@ -73,6 +76,7 @@
     "age": "age_ms",
     "earlier": "earlier_attempt_id",
     "kb": "size_kb",
+    "key": "session_key",
     "left": "time_left_ms",
     "rank": "criticality",
     "retry": "is_retry",
@@ -100,32 +104,30 @@
 
     def start(self, now: float) -> AdmissionController:
         t = self.told
-        controller = AdmissionController(
-            now,
-            instance=1,
-            seed=1,
+        settings = ControllerSettings(
             request_classes=self.products,
             tenants=self.tenants,
+            limits=Limits(t["away"], t["share"], t["over"]),
             cores=int(t["cores"]),
-            callers=int(t["callers"]),
             memory_kb=t["memory"],
-            run_factor=t["factor"],
+            run_memory_factor=t["factor"],
             idempotency_entry_kb=t["ref"],
-            crowd_per_core=t["crowd"],
+            can_stop_requests=bool(t["stop"]),
+            max_concurrency_per_core=t["crowd"],
             is_cold_start=bool(t["fresh"]),
-            cold_from=t["cold_from"],
-            cold_ms=t["cold"],
+            slow_start_from=t["cold_from"],
+            slow_start_ms=t["cold"],
+            clock_tick_ms=t["tick"],
             drain_grace_ms=t["grace"],
-            tick_ms=t["tick"],
-            say=t["say"],
-            limits=Limits(t["away"], t["share"], t["over"]),
-            idle_max_ms=t["idle"],
-            can_stop_requests=bool(t["stop"]),
-            below=t["below"],
-            calls_span_ms=t["span"],
-            linger_ms=t["linger"],
-            marks_retry=bool(t["marks"]),
+            callers=int(t["callers"]),
+            load_signal=LoadSignal(t["say"]),
+            max_idle_timeout_ms=t["idle"],
+            are_retries_marked=bool(t["marks"]),
+            downstream=DownstreamKind(t["below"]),
+            downstream_quota_window_ms=t["span"],
+            downstream_linger_ms=t["linger"],
         )
+        controller = AdmissionController(now, settings, instance=1, seed=1)
         controller.start()
         self.take(now, controller.take_commands())
         return controller
@@ -201,7 +203,9 @@
         elif word == "at":
             self.at(float(rest[0]), rest[1:])
         elif word == "memory":
-            assert self.controller.memory_budget.used <= float(rest[0]), self.controller.memory_budget.used
+            assert self.controller.memory_budget.used_kb <= float(
+                rest[0]
+            ), self.controller.memory_budget.used_kb
         else:
             count = int(rest.pop(0)) if rest[0].isdigit() else None
             found = sum(matches(command, rest) for command in self.commands)
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -1,11 +1,16 @@
 """The checker of the four rules sees what it is for: a seeded fault in the server for each rule is found, and
 the server as it is breaks none on days with every kind of trouble."""
 
+from dataclasses import replace
+
 import msgspec
 import pytest
 
-from otterrudder.admission import commands, controller
-from otterrudder.admission.controller import AdmissionQueues, ConcurrencyLimiter, Deadlines, Deduplication
+from otterrudder.admission import commands, memory_budget
+from otterrudder.admission.admission_queues import AdmissionQueues
+from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
+from otterrudder.admission.deduplication import Deduplication
+from otterrudder.admission.draining import Draining
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
 from otterrudder.lab.day import Bare, Day
@@ -74,7 +79,7 @@
 
 
 def test_a_decline_of_what_has_run_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Deduplication, "started", lambda *_: None)
+    monkeypatch.setattr(Deduplication, "on_started", lambda *_: None)
 
     def declines(at: Core, request) -> None:
         at._decline(request, False, 0.0)
@@ -85,13 +90,13 @@
 
 
 def test_a_run_past_the_grace_of_a_drain_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    step_down = Deadlines.step_down
+    begin = Draining._begin
 
-    def never_stops_taking(self: Deadlines, part, left_ms: float, key) -> None:
-        step_down(self, part, left_ms, key)
-        self.shut[key] = (part, float("inf"), self.shut[key][2])
+    def never_stops_taking(self: Draining, key, scope, time_left_ms: float) -> None:
+        begin(self, key, scope, time_left_ms)
+        self.drains[key] = replace(self.drains[key], admits_until=float("inf"))
 
-    monkeypatch.setattr(Deadlines, "step_down", never_stops_taking)
+    monkeypatch.setattr(Draining, "_begin", never_stops_taking)
     late = msgspec.structs.replace(SITE.gateways, notice_ms=9000.0)
     site = msgspec.structs.replace(SITE, gateways=late)
     found = day([Fault(kind="release", at_s=8, for_s=1)], site=site).broken
@@ -100,8 +105,8 @@
 
 def test_a_server_that_takes_everything_falls_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ConcurrencyLimiter, "may_start", lambda *_: True)
-    monkeypatch.setattr(AdmissionQueues, "_hopeless", lambda *_: False)
-    monkeypatch.setattr(controller, "MEMORY_READ", 9.0)
+    monkeypatch.setattr(AdmissionQueues, "_is_hopeless", lambda *_: False)
+    monkeypatch.setattr(memory_budget, "MAX_QUEUED_MEMORY_SHARE", 9.0)
     assert any("rule 4" in what for what in day([], None, load=[Part(shape="constant", at=2.5)]).broken)
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,8 +5,9 @@
 import pytest
 from helpers import SETTINGS
 
+from otterrudder.admission.circuit_breaker import OPEN_INTERVAL_MS
 from otterrudder.admission.commands import CallDownstream, ScheduleTick, StartRequest
-from otterrudder.admission.controller import BREAK_MS, AdmissionController
+from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller
 from otterrudder.admission.interface import Outcome
 
@@ -54,5 +55,5 @@
     """All once sent all that waited within 100 ms: trials were in step, and one good one was enough."""
     sent = calls_after_return(servers)
     assert len(sent) == WAITING * servers and max(sent) < 2000.0  # all have gone out, each once
-    assert sum(at < BREAK_MS for at in sent) <= 2 * servers
+    assert sum(at < OPEN_INTERVAL_MS for at in sent) <= 2 * servers
     assert max(sum(begins <= at < begins + 100 for at in sent) for begins in range(2000)) <= 2 * servers + 6
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -10,6 +10,7 @@
 from helpers import ROOT
 
 from otterrudder.admission.factory import create_controller
+from otterrudder.admission.interface import LoadSignal
 from otterrudder.cli.migrate import migrate_settings
 from otterrudder.configuration import BadConfiguration, read_configuration
 
@@ -63,20 +64,29 @@
 def test_the_module_is_told_what_the_settings_say() -> None:
     controller = create_controller(0.0, 1, 7, OLD)
     assert (
-        controller.can_stop_requests,
-        controller.load_reporter.marks,
+        controller.settings.can_stop_requests,
+        controller.load_reporter.are_retries_marked,
         controller.limits.over_quota_weight_factor,
     ) == (False, True, 0.1)
-    assert controller.sessions.tenants[0].quota_per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
-    assert create_controller(0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")).can_stop_requests
-    assert not create_controller(0.0, 1, 7, settings_with("clients.marksRetry", False)).load_reporter.marks
+    assert controller.tenant_quotas.tenants[0].quota_per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
+    assert create_controller(
+        0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")
+    ).settings.can_stop_requests
+    assert not create_controller(
+        0.0, 1, 7, settings_with("clients.marksRetry", False)
+    ).load_reporter.are_retries_marked
 
 
 def test_what_is_absent_leaves_the_module_as_it_was() -> None:
     settings = {"classes": OLD["classes"], "realms": [{"name": "hill-country", "share": 0.6}]}
     controller = create_controller(0.0, 1, 7, settings)
-    assert (controller.can_stop_requests, controller.load_reporter.marks) == (False, True)
-    assert controller.sessions.tenants[0].quota_per_ms == 0.0  # no share is known, so nobody is beyond it
+    assert (controller.settings.can_stop_requests, controller.load_reporter.are_retries_marked) == (
+        False,
+        True,
+    )
+    assert (
+        controller.tenant_quotas.tenants[0].quota_per_ms == 0.0
+    )  # no share is known, so nobody is beyond it
 
 
 @pytest.mark.parametrize(
@@ -107,10 +117,10 @@
     told = read_configuration(str(new)).document
     controller = create_controller(0.0, 1, 7, told["settings"])
     assert (
-        controller.can_stop_requests
-        and controller.downstream_calls.shared
-        and not controller.load_reporter.marks
-        and not controller.load_reporter.kind
+        controller.settings.can_stop_requests
+        and controller.downstream_calls.is_shared
+        and not controller.load_reporter.are_retries_marked
+        and controller.load_reporter.signal is LoadSignal.NONE
     )
     assert told["settings"]["classes"][1]["effect"] == "unsafe"
     assert told | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -238,7 +238,7 @@
     bench.step(bench.core.gauged, bench.core.asked, [float("nan"), float("inf"), 0.0, 0.0])
     limit = bench.core.controller.limiter.limit
     bench.step(bench.core.ring, ms=40.0)
-    assert bench.core.controller.limiter.busy == 1.0 and bench.core.controller.limiter.limit == limit
+    assert bench.core.controller.limiter.busy_share == 1.0 and bench.core.controller.limiter.limit == limit
 
 
 def test_a_ring_that_fails_is_not_the_last() -> None:
@@ -371,8 +371,11 @@
         controller.deduplication.entries,
     )
     assert not any(left), left
-    assert (controller.limiter.running, controller.limiter.in_flight, controller.sessions.held) == (0, 0, 0)
-    assert abs(controller.memory_budget.requests_kb) < 1e-6 and controller.downstream_calls.out == 0
+    assert (controller.limiter.running, controller.limiter.in_flight, controller.queues.count) == (0, 0, 0)
+    assert (
+        abs(controller.memory_budget.requests_kb) < 1e-6
+        and controller.downstream_calls.quota.outstanding == 0
+    )
 
 
 @pytest.mark.parametrize("seed", range(4))
