--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -12,7 +12,7 @@
 from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Restriction, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
-from otterrudder.configuration import CONFIGURATION_VARIABLE, BadConfiguration, read_configuration
+from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.levels import Level, LevelSelector, LevelTable, LevelTableError, Transition, read_table
 from otterrudder.levels.facts import FACTS
 
@@ -155,7 +155,7 @@
         return _names_in_table(file)
     try:
         settings = read_configuration(path).settings
-    except BadConfiguration as error:
+    except ConfigurationError as error:
         give_up(error)
     return request_classes_of(settings), tenants_of(settings)
 
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -8,10 +8,10 @@
 import click
 
 from otterrudder.cli.common import give_up
-from otterrudder.durable import Busy
+from otterrudder.durable import DirectoryInUseError
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.configuration import BadFleet, Fleet, read_fleet
-from otterrudder.log import log, set_up
+from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
+from otterrudder.log import configure_logging, log
 from otterrudder.net import control
 
 FILE = click.option(
@@ -35,10 +35,10 @@
     from otterrudder.fleet.cell.service import TooFewDescriptors
     from otterrudder.net import relay as process
 
-    set_up(process.control_name(role))
+    configure_logging(process.control_name(role))
     try:
         process.run(fleet, role)
-    except (Busy, TooFewDescriptors) as trouble:
+    except (DirectoryInUseError, TooFewDescriptors) as trouble:
         give_up(trouble)
     except OSError as trouble:
         log.error("cannot start", why=str(trouble))
@@ -54,9 +54,9 @@
     _, role = _read(file)
     name = control_name(role)
     try:
-        told = control.ask(name, "relay")
+        told = control.query(name, "relay")
     except (OSError, ValueError) as why:
-        give_up(f"no relay answers at {control.path_of(name)}: {why}")
+        give_up(f"no relay answers at {control.socket_path(name)}: {why}")
     click.echo(json.dumps(told.get("relay", told), indent=1))
 
 
@@ -65,7 +65,7 @@
         raise click.UsageError("Missing option '--fleet'.")
     try:
         fleet = read_fleet(file)
-    except BadFleet as trouble:
+    except InvalidFleetError as trouble:
         give_up(trouble)
     if not fleet.relay:
         give_up(f"{file}: relay: the file has no such table, so it is no relay's")
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -135,7 +135,7 @@
         self._come()
         self._sweep()
         self.engine.run(self.length_ms + AFTER_MS)
-        self.checker.end(self.engine.now)
+        self.checker.check_overdue(self.engine.now)
         return self._result()
 
     def _come(self) -> None:
@@ -151,10 +151,10 @@
         self._come()
 
     def _sweep(self) -> None:
-        self.checker.sweep(self.engine.now)
+        self.checker.check_overdue(self.engine.now)
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
-            name = server.core.levels.name if server.is_up and server.core.levels else ""
+            name = server.core.service.levels.name if server.is_up and server.core.service.levels else ""
             self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
         if self.engine.now < self.length_ms:
             self.engine.after(SWEEP_MS, self._sweep)
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from otterrudder.lab.claims import Verdict, judge
+from otterrudder.lab.claims import Verdict, evaluate
 from otterrudder.lab.day import Bare, Day, Result
 from otterrudder.lab.plan import Experiment, Run
 from otterrudder.lab.tunables import tuned
@@ -51,7 +51,7 @@
         for run, result in results
         for what in result.broken
     ]
-    verdicts = [judge(claim, figures) for claim in experiment.claims]
+    verdicts = [evaluate(claim, figures) for claim in experiment.claims]
     return Outcome(experiment, results, verdicts, broken, time.monotonic() - began)
 
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -429,7 +429,7 @@
     bad.sock.sendall(b"x" * 40000)
     assert bad.line() == b""  # a line without end ends its peer
     settles(runtime, good, C)
-    assert 1 <= server.log.read_text().count("trouble with a gateway") <= 30  # some 45 bad peers, seconds
+    assert 1 <= server.log.read_text().count("connection error") <= 30  # some 45 bad peers, seconds
 
 
 def test_a_mark_with_another_body_or_method_is_never_served(server: Server) -> None:
@@ -668,7 +668,9 @@
 
 def new_shape() -> dict:
     """The stand-ins' settings as the migration makes them."""
-    return migrate_settings(SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}})[0]
+    return migrate_settings(
+        SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}}
+    ).settings
 
 
 def test_a_migrated_server_serves_and_says_only_what_the_runtime_knows(tmp_path: Path) -> None:
