--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -301,7 +301,7 @@
             request.number,
             request.class_index,
             tenant=fields.tenant_index,
-            key=fields.session_key,
+            session_key=fields.session_key,
             size_kb=fields.size_kb,
             age_ms=age_ms,
             time_left_ms=time_left_ms,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -219,8 +219,12 @@
     bench = Bench()
     bench.core.handle_arrival("connection", 1, product, fields_of("c", bench.now + 1e12, idempotency_key="m"))
     bench.step(bench.core.handle_disconnect, "c")
-    slots = bench.core.controller.slots
-    assert (slots.in_hand, slots.running, bench.core.controller.memory.txns_kb) == (0, 0, 0.0)
+    limiter = bench.core.controller.limiter
+    assert (limiter.in_flight, limiter.running, bench.core.controller.memory_budget.requests_kb) == (
+        0,
+        0,
+        0.0,
+    )
     assert not bench.core.requests and not bench.core.controller.requests and not bench.sent_of(StartRun)
 
 
@@ -241,9 +245,9 @@
     bench.step(
         bench.core.handle_gauges, bench.core.delivery.last_query, [float("nan"), float("inf"), 0.0, 0.0]
     )
-    limit = bench.core.controller.slots.limit
+    limit = bench.core.controller.limiter.limit
     bench.step(bench.core.tick, ms=40.0)
-    assert bench.core.controller.slots.busy == 1.0 and bench.core.controller.slots.limit == limit
+    assert bench.core.controller.limiter.busy_share == 1.0 and bench.core.controller.limiter.limit == limit
 
 
 def test_a_ring_that_fails_is_not_the_last() -> None:
@@ -252,7 +256,7 @@
     dispatcher.recipients |= {Destination.GATEWAYS: Mock(), Destination.RUNTIME: Mock()}
     dispatcher.send(ScheduleTick(40.0))
     dispatcher.tick_at = dispatcher.gauge_query_at = 0.0
-    bench.core.controller.holds = None  # the module is broken: whatever it is asked fails
+    bench.core.controller.queues = None  # the module is broken: whatever it is asked fails
     dispatcher.run_batch()
     assert 0.0 < dispatcher.tick_at < float("inf")
 
@@ -280,7 +284,7 @@
     bench.step(bench.core.handle_link_established)
     assert len(bench.sent_of(StartRun)) == 2  # it is over, so this only asks how it stands
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
-    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
 def test_a_failing_event_voids_its_txn_and_no_other() -> None:
@@ -293,7 +297,7 @@
         1: [RequestFailed(1, "given up", bench.load)],
         2: [RequestCompleted(2, b"r", bench.load)],
     }
-    assert not bench.core.requests and bench.core.controller.slots.in_hand == 0
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -374,11 +378,14 @@
         the_core.idempotency.entries,
         the_core.idempotency.expirations,
         controller.requests,
-        controller.repeats.refs,
+        controller.deduplication.entries,
     )
     assert not any(left), left
-    assert (controller.slots.running, controller.slots.in_hand, controller.sessions.held) == (0, 0, 0)
-    assert abs(controller.memory.txns_kb) < 1e-6 and controller.calls.out == 0
+    assert (controller.limiter.running, controller.limiter.in_flight, controller.queues.count) == (0, 0, 0)
+    assert (
+        abs(controller.memory_budget.requests_kb) < 1e-6
+        and controller.downstream_calls.quota.outstanding == 0
+    )
 
 
 @pytest.mark.parametrize("seed", range(4))
