--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -17,6 +17,8 @@
     read_configuration,
 )
 from otterrudder.net import serve as server
+from otterrudder.net.controller_setup import unsupported_settings
+from otterrudder.net.server_files import ServerFiles
 
 LEVELS_OPTION = click.option(
     "--levels",
@@ -62,7 +64,7 @@
     configuration, path = _read_named_configuration()
     log.configure_logging(configuration.name)
     try:
-        sys.exit(server.run(configuration, server.Files(path, levels, vrrp, fleet)))
+        sys.exit(server.run(configuration, ServerFiles(path, levels, vrrp, fleet)))
     except ConfigurationError as error:
         give_up(error)
 
@@ -76,7 +78,7 @@
     configuration, path = _read_named_configuration()
     settings = configuration.settings
     try:
-        files = server.Files(path, levels, vrrp, fleet)
+        files = ServerFiles(path, levels, vrrp, fleet)
         table = files.read_levels(settings)
         vrrp_configuration = files.read_vrrp(settings)
         fleet_configuration = files.read_fleet()
@@ -90,5 +92,5 @@
     if fleet_configuration:
         parts.append(f"of the fleet {fleet_configuration.name}")
     click.echo(f"{configuration.name}: the configuration is good: {', '.join(parts)}")
-    for line in server.unsupported_settings(settings):
+    for line in unsupported_settings(settings):
         click.echo(f"{configuration.name}: {line}")
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from otterrudder.configuration import ConfigurationError, address
+from otterrudder.configuration import ConfigurationError, parse_address
 from otterrudder.fleet.cell.relay import SESSIONS_MOST
-from otterrudder.fleet.records import NAME_MOST, Absent
+from otterrudder.fleet.records import MAX_NAME_LENGTH, Absent
 
 SERVER_LEASE_MS = 3000.0  # ms of a server's lease from its relay
 SERVER_LEASE_LEAST_MS = 1000.0  # ms; below it a lost renewal or two would end a lease
@@ -48,7 +48,7 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        return address(self.listen, "relay.listen")
+        return parse_address(self.listen, "relay.listen")
 
 
 def check_server_lease(server_lease_ms: float, bound_ms: float) -> None:
@@ -68,7 +68,7 @@
         raise BadRelay(f"{key}: an address is there twice")
     for relay in relays:
         try:
-            _, port = address(relay, key)
+            _, port = parse_address(relay, key)
         except ConfigurationError as trouble:
             raise BadRelay(str(trouble)) from None
         if not port:
@@ -77,7 +77,7 @@
 
 def role_of(table: RelayTable, absent: Absent) -> RelayRole:
     """The checked table."""
-    if not table.cell or "/" in table.cell or len(table.cell) > NAME_MOST:
+    if not table.cell or "/" in table.cell or len(table.cell) > MAX_NAME_LENGTH:
         raise BadRelay(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
     check_relays("relay.address", [table.address])
     listen = table.listen or table.address
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -1,11 +1,11 @@
-"""The relay's process: its service on the wire, its control socket, and its end at a signal."""
+"""A relay's process: its service on the wire, its control socket, and its end at a signal."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
 
 import anyio
 
-from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.service import RelayService, check_descriptors
 from otterrudder.fleet.client import Client
@@ -20,26 +20,26 @@
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and Busy
-    if the folder is another process's."""
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and
+    DirectoryInUseError if the folder is another process's."""
     anyio.run(_serve, fleet, role)
 
 
 async def _serve(fleet: Fleet, role: RelayRole) -> None:
     check_descriptors(role.sessions_most)
     store = Client(fleet)
-    folder, record = open_folder(fleet, role.cell)
+    folder, record = open_state_directory(fleet, role.cell)
     service = RelayService(fleet, role, store, folder, record)
     service.listen()
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_at_signal, signals, service.stop)
-            group.start_soon(control.Control(control_name(role), {"relay": service.shown}).run)
+            group.start_soon(control.ControlSocket(control_name(role), {"relay": service.shown}).run)
             await service.run()
             group.cancel_scope.cancel()
 
 
 async def _stop_at_signal(signals: AsyncIterator[signal.Signals], stop: Callable[[], None]) -> None:
     async for number in signals:
-        log.info("told to stop", by=number.name)
+        log.info("stopping", signal=number.name)
         stop()
