--- a/otterrudder/lab/arrivals.py
+++ b/otterrudder/lab/arrivals.py
@@ -10,12 +10,12 @@
 from otterrudder.lab.streams import Streams, lognormal
 
 SLOT_MS = 50.0  # ms in which the rate is taken to be even
-TXNS_MOST = 2_000_000  # of a day: past that the file asks for something else than it means
+MAX_REQUESTS = 2_000_000  # of a day: past that the file offered_requests for something else than it means
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request as a caller asks for it, whatever becomes of its tries."""
+class OfferedRequest:
+    """One request as a caller offered_requests for it, whatever becomes of its tries."""
 
     number: int
     at: float  # ms
@@ -32,7 +32,7 @@
 
 
 class Arrivals:
-    """The day's asks in order of time."""
+    """The day's offered_requests in order of time."""
 
     def __init__(self, site: Site, demand: Shape, streams: Streams, length_ms: float) -> None:
         self.site = site
@@ -46,20 +46,20 @@
         self._tenants = np.array(tenants) / sum(tenants)
         ranks = np.arange(1, site.keys + 1, dtype=float) ** -site.zipf
         self._keys = ranks / ranks.sum()
-        self.asks = self._draw(demand, streams.of("times"), length_ms)
+        self.offered_requests = self._draw(demand, streams.of("times"), length_ms)
 
-    def _draw(self, demand: Shape, times: np.random.Generator, length_ms: float) -> list[Ask]:
+    def _draw(self, demand: Shape, times: np.random.Generator, length_ms: float) -> list[OfferedRequest]:
         """A Poisson process whose rate follows the demand; whole sessions where the site has them."""
         starts = np.arange(0.0, length_ms, SLOT_MS)
         each = self.site.capacity / (self.site.session_mean or 1.0)
         rates = np.array([demand(float(s) / 1000) for s in starts]) * each * SLOT_MS
-        if rates.sum() > TXNS_MOST:
-            raise ValueError(f"a day of {rates.sum():.0f} txns is more than {TXNS_MOST}")
+        if rates.sum() > MAX_REQUESTS:
+            raise ValueError(f"a day of {rates.sum():.0f} txns is more than {MAX_REQUESTS}")
         counts = times.poisson(rates)
         at = np.sort(np.repeat(starts, counts) + times.random(int(counts.sum())) * SLOT_MS)
         return list(self._asks(at))
 
-    def _asks(self, at: np.ndarray) -> Iterator[Ask]:
+    def _asks(self, at: np.ndarray) -> Iterator[OfferedRequest]:
         n, site = len(at), self.site
         products = self._marks.choice(len(site.product), n, p=self._shares)
         tenants = self._marks.choice(len(self._tenants), n, p=self._tenants)
@@ -70,33 +70,37 @@
         for k in range(n):
             self._count += 1
             product = int(products[k])
-            spec = site.product[product]
+            request_class = site.product[product]
             left = int(more[k])
             # Users of sessions are all different: a session is one, and none goes on in another's name.
             key = self._count + site.keys if site.session_mean else int(keys[k])
-            yield Ask(
+            yield OfferedRequest(
                 self._count,
                 float(at[k]),
                 product,
                 int(tenants[k]),
-                key if spec.has_key and site.keys_known else 0,
+                key if request_class.has_key and site.keys_known else 0,
                 float(ranks[k]),
                 int(gateways[k]),
                 self._draw_work(product),
-                spec.calls,
-                float(part[k]) * spec.expiry_ms if leaves[k] < site.gateways.leaves else float("inf"),
+                request_class.calls,
+                float(part[k]) * request_class.expiry_ms
+                if leaves[k] < site.gateways.leaves
+                else float("inf"),
                 left,
                 self._count,
             )
 
     def _draw_work(self, product: int) -> float:
-        spec = self.site.product[product]
-        if spec.cv < 1e-3:  # constant, as in the source's own model
-            return spec.work_ms
-        return float(self._work.lognormal(*lognormal(spec.work_ms, spec.cv)))
+        request_class = self.site.product[product]
+        if request_class.cv < 1e-3:  # constant, as in the source's own model
+            return request_class.work_ms
+        return float(self._work.lognormal(*lognormal(request_class.work_ms, request_class.cv)))
 
-    def next_of(self, ask: Ask, now: float) -> Ask:
+    def next_of(self, offered: OfferedRequest, now: float) -> OfferedRequest:
         """The next request of a session, asked for as soon as the last has settled."""
         self._count += 1
-        work = self._draw_work(ask.product)
-        return replace(ask, number=self._count, at=now, work=work, patience=float("inf"), left=ask.left - 1)
+        work = self._draw_work(offered.product)
+        return replace(
+            offered, number=self._count, at=now, work=work, patience=float("inf"), left=offered.left - 1
+        )
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -6,13 +6,13 @@
 
 import numpy as np
 
-from otterrudder.lab.arrivals import Arrivals, Ask
+from otterrudder.lab.arrivals import Arrivals, OfferedRequest
 from otterrudder.lab.checker import Checker
 from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.faults import EndpointNotifier, Fault, FaultTimeline
 from otterrudder.lab.gateways import Gateway
-from otterrudder.lab.ledger import Ledger, Session
+from otterrudder.lab.outcome_statistics import OutcomeStatistics, Session
 from otterrudder.lab.server import Server
 from otterrudder.lab.shapes import Part, demand
 from otterrudder.lab.site import Site
@@ -20,14 +20,14 @@
 from otterrudder.levels import Damping, Level, LevelSelector, LevelTable, Threshold
 from otterrudder.levels.selector import FULL_SERVICE
 
-SWEEP_MS = 1000.0  # ms between looks of the checker for what is overdue
-AFTER_MS = 12_000.0  # ms played past the last arrival: longer than any expiry, so that nothing is left open
-BARE_MS = 1000.0  # ms of the windows of a bare ladder: the shortest there are
+CHECK_INTERVAL_MS = 1000.0  # between checks for overdue answers
+RUN_OUT_MS = 12_000.0  # played past the last arrival: longer than any deadline, so that nothing is left open
+BARE_WINDOW_MS = 1000.0  # of the windows of bare thresholds: the shortest there are
 
 
 @dataclass(slots=True)
-class Move:
-    """A transition of one server, as its log told it."""
+class Transition:
+    """A change of one server's service level, as it logged it."""
 
     at_s: float
     server: int
@@ -41,7 +41,7 @@
     """Figures of one day, and what charts need. Times in s."""
 
     figures: dict[str, float]
-    moves: list[Move]
+    moves: list[Transition]
     broken: list[str]
     series: dict[str, list[float]] = field(default_factory=dict)
 
@@ -51,17 +51,26 @@
 
     def __init__(self, levels: tuple[Level, ...], damping: Damping, **more: Any) -> None:
         bare = (
-            replace(level, entry_ms=BARE_MS, exit_ms=BARE_MS, min_stay_ms=1.0, trial_ms=1.0, exit=level.entry)
+            replace(
+                level,
+                entry_ms=BARE_WINDOW_MS,
+                exit_ms=BARE_WINDOW_MS,
+                min_stay_ms=1.0,
+                trial_ms=1.0,
+                exit=level.entry,
+            )
             for level in levels
         )
         super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **more)
 
     def _is_calm(self, threshold: Threshold, now: float) -> bool:
-        window = self._windows.get(threshold.fact, BARE_MS)
+        window = self._windows.get(threshold.fact, BARE_WINDOW_MS)
         return window.is_full(now) and window.mean() < threshold.value
 
 
 class Day:
+    """A site's servers, gateways and downstream service, played once."""
+
     def __init__(
         self,
         site: Site,
@@ -76,117 +85,131 @@
         self.site, self.levels = site, levels
         self.engine = Engine()
         self.checker = Checker()
-        self.ledger = Ledger(site.products, int(length_s))
+        self.statistics = OutcomeStatistics(site.products, int(length_s))
         self.demand = demand(load, streams, length_s)
         self.arrivals = Arrivals(site, self.demand, streams, self.length_ms)
-        b = site.below
-        self.below = Downstream(self.engine, b.slots, b.line, b.call_ms, b.cv, streams.of("below"))
-        self.moves: list[Move] = []
+        part = site.below
+        self.downstream = Downstream(
+            self.engine, part.slots, part.line, part.call_ms, part.cv, streams.of("below")
+        )
+        self.moves: list[Transition] = []
         self.logged: dict[str, int] = {}
-        lives = count(1)
+        incarnations = count(1)
         self.servers = [
             Server(
                 n,
                 site,
                 self.engine,
-                self.below,
+                self.downstream,
                 self.checker,
                 seed=seed,
-                lives=lives,
+                incarnations=incarnations,
                 levels=levels,
                 kind=kind,
                 logged=self._log,
             )
             for n in range(site.server.count)
         ]
-        self.tries = 0
+        self._attempts = 0
         self.gateways = [
             Gateway(
-                n, site, self.engine, self.checker, self.ledger, self.servers, self._number, self._goes_on
+                n,
+                site,
+                self.engine,
+                self.checker,
+                self.statistics,
+                self.servers,
+                self._next_number,
+                self._continue_session,
             )
             for n in range(site.gateways.count)
         ]
         notifier = EndpointNotifier(self.engine, list(self.gateways), site.gateways.notice_ms)
-        self.fault_timeline = FaultTimeline(self.engine, self.servers, self.below, notifier)
+        self.fault_timeline = FaultTimeline(self.engine, self.servers, self.downstream, notifier)
         self.fault_timeline.schedule(faults)
         self.heights: list[list[float]] = [[] for _ in self.servers]
-        self._coming = iter(self.arrivals.asks)
+        self._to_come = iter(self.arrivals.offered_requests)
 
-    def _number(self) -> int:
-        self.tries += 1
-        return self.tries
+    def _next_number(self) -> int:
+        self._attempts += 1
+        return self._attempts
 
-    def _goes_on(self, ask: Ask) -> None:
+    def _continue_session(self, offered: OfferedRequest) -> None:
         if self.engine.now < self.length_ms:
-            following = self.arrivals.next_of(ask, self.engine.now)
+            following = self.arrivals.next_of(offered, self.engine.now)
             self.engine.after(0.0, self.gateways[following.gateway].take, following)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         self.logged[text] = self.logged.get(text, 0) + 1
         if text in ("less service", "more service"):
-            told = (str(facts[key]) for key in ("left", "entered", "why"))
-            self.moves.append(Move(now / 1000, server, *told))
+            left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
+            self.moves.append(Transition(now / 1000, server, left, entered, why))
 
     def play(self) -> Result:
+        """Plays the whole day; the same for the same arguments on every machine."""
         for server in self.servers:
             server.start(warm=True)
         for gateway in self.gateways:
             gateway.listed = list(range(len(self.servers)))
-        self._come()
-        self._sweep()
-        self.engine.run(self.length_ms + AFTER_MS)
+        self._schedule_next_arrival()
+        self._check()
+        self.engine.run(self.length_ms + RUN_OUT_MS)
         self.checker.check_overdue(self.engine.now)
         return self._result()
 
-    def _come(self) -> None:
+    def _schedule_next_arrival(self) -> None:
         """The next arrival: one at a time in the heap, however long the day."""
-        ask = next(self._coming, None)
-        if ask:
-            self.engine.at(ask.at, self._arrives, ask)
+        offered = next(self._to_come, None)
+        if offered:
+            self.engine.at(offered.at, self._arrive, offered)
 
-    def _arrives(self, ask: Ask) -> None:
+    def _arrive(self, offered: OfferedRequest) -> None:
         if self.site.session_mean:
-            self.ledger.sessions[ask.session] = Session()
-        self.gateways[ask.gateway].take(ask)
-        self._come()
+            self.statistics.sessions[offered.session] = Session()
+        self.gateways[offered.gateway].take(offered)
+        self._schedule_next_arrival()
 
-    def _sweep(self) -> None:
+    def _check(self) -> None:
         self.checker.check_overdue(self.engine.now)
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.service.levels.name if server.is_up and server.core.service.levels else ""
             self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
         if self.engine.now < self.length_ms:
-            self.engine.after(SWEEP_MS, self._sweep)
+            self.engine.after(CHECK_INTERVAL_MS, self._check)
 
     def _result(self) -> Result:
-        told, checker, length_s = self.ledger, self.checker, self.length_ms / 1000
-        asked = told.table("asked").sum()
+        statistics = self.statistics
+        checker = self.checker
+        length_s = self.length_ms / 1000
+        asked = statistics.table("asked").sum()
         figures: dict[str, float] = dict(
-            value=told.value(),
+            value=statistics.value(),
             txns=float(asked),  # a name that experiments read
-            tries=told.tries / max(float(asked), 1.0),
+            tries=statistics.attempts / max(float(asked), 1.0),
             broken=float(checker.broken_count),
             read_late=float(checker.counts["read late"]),
             lost_with_server=float(checker.lost_with_server),
             worst_10s=self._worst(10),
             memory_peak=max(s.memory_peak for s in self.servers),
-            crowd_peak=max(s.crowd_peak for s in self.servers),
-            below_full=self.below.full / max(self.below.calls, 1),
-            p50_ms=_quantile(told.times, 0.5),
-            p99_ms=_quantile(told.times, 0.99),
+            crowd_peak=max(s.contention_peak for s in self.servers),
+            below_full=self.downstream.full / max(self.downstream.calls, 1),
+            p50_ms=_quantile(statistics.times, 0.5),
+            p99_ms=_quantile(statistics.times, 0.99),
             failed_steps=float(self.logged.get("a command failed", 0)),
         )
-        for n, product in enumerate(told.products):
-            figures[f"served.{product.name}"] = told.served(n)
-        whole = sum(told.ends.values()) or 1
-        figures |= {f"share.{how}": count / whole for how, count in told.ends.items()}
+        for n, product in enumerate(statistics.products):
+            figures[f"served.{product.name}"] = statistics.served(n)
+        ended = sum(statistics.ends.values()) or 1
+        figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.ends.items()}
         figures |= self._of_levels(length_s) | self._of_sessions(length_s)
         return Result(figures, self.moves, checker.broken, self._series())
 
     def _worst(self, span: int) -> float:
-        seconds = len(told) if (told := self.ledger.seconds) else 0
-        return min((self.ledger.value(s, s + span) for s in range(0, max(seconds - span, 1), 2)), default=1.0)
+        seconds = len(self.statistics.seconds)
+        return min(
+            (self.statistics.value(s, s + span) for s in range(0, max(seconds - span, 1), 2)), default=1.0
+        )
 
     def _of_levels(self, length_s: float) -> dict[str, float]:
         if not self.levels:
@@ -196,8 +219,8 @@
         for moves in self._by_server():
             mine = [move for move in moves if move.why != "table"]
             for before, after in zip(mine, mine[1:], strict=False):
-                least = stays.get(before.entered, stays.get(after.entered, 0.0))
-                breaks += after.at_s - before.at_s < least - 1e-6
+                min_stay_s = stays.get(before.entered, stays.get(after.entered, 0.0))
+                breaks += after.at_s - before.at_s < min_stay_s - 1e-6
         heights = np.array([row[: int(length_s)] for row in self.heights])
         return dict(
             moves_per_min=len(self.moves) / len(self.servers) / (length_s / 60),
@@ -208,7 +231,7 @@
             home_spread_s=self._home_spread(),
         )
 
-    def _by_server(self) -> list[list[Move]]:
+    def _by_server(self) -> list[list[Transition]]:
         return [[move for move in self.moves if move.server == n] for n in range(len(self.servers))]
 
     def _first(self) -> float:
@@ -234,11 +257,11 @@
         """Of whole sessions, as the source counts: its equation 2 is `power`."""
         if not self.site.session_mean:
             return {}
-        over = [session for session in self.ledger.sessions.values() if session.is_over]
-        begun = [session for session in over if session.settled]  # one that never got in is not broken
+        over = [session for session in self.statistics.sessions.values() if session.is_over]
+        begun = [session for session in over if session.completed]  # one that never got in is not broken
         ended = sum(not session.is_broken for session in over)
         error = 1 - ended / len(begun) if begun else 0.0
-        time_s = float(np.mean(self.ledger.times)) / 1000 if self.ledger.times else float("inf")
+        time_s = float(np.mean(self.statistics.times)) / 1000 if self.statistics.times else float("inf")
         throughput = ended / length_s
         return dict(
             session_throughput=throughput,
@@ -250,18 +273,18 @@
 
     def _series(self) -> dict[str, list[float]]:
         """By second: demand, value asked for and settled in time, the mean and the highest level."""
-        worth = np.array([p.priority_weight for p in self.ledger.products])
-        asked, in_time = (self.ledger.table(name) for name in ("asked", "in_time"))
+        weights = np.array([p.priority_weight for p in self.statistics.products])
+        asked, in_time = (self.statistics.table(name) for name in ("asked", "in_time"))
         length = int(self.length_ms / 1000)
         heights = np.array([row[:length] + [0.0] * (length - len(row)) for row in self.heights])
         series = dict(
             demand=[self.demand(float(s)) for s in range(length)],
-            asked=(asked @ worth)[:length].tolist(),
-            in_time=(in_time @ worth)[:length].tolist(),
+            asked=(asked @ weights)[:length].tolist(),
+            in_time=(in_time @ weights)[:length].tolist(),
             level=heights.mean(0).tolist(),
             level_most=heights.max(0).tolist(),
         )
-        for n, product in enumerate(self.ledger.products):
+        for n, product in enumerate(self.statistics.products):
             series[f"asked.{product.name}"] = asked[:length, n].astype(float).tolist()
             series[f"in_time.{product.name}"] = in_time[:length, n].astype(float).tolist()
         return series
--- a/otterrudder/lab/faults.py
+++ b/otterrudder/lab/faults.py
@@ -103,7 +103,7 @@
 
     def _replace(self, server: Server, span: float) -> None:
         """A release: the old process drains, the new one starts cold once it is gone."""
-        server.retire()
+        server.begin_shutdown()
         self.notifier.removed(server)
         self.engine.after(server.site.server.stop_ms + span, self._restart, server)
 
--- a/otterrudder/lab/ledger.py
+++ b/otterrudder/lab/outcome_statistics.py
@@ -1,4 +1,4 @@
-"""The ledger of a day: what callers got, second by second. Its figures come from here, from no server."""
+"""What callers of a day got, second by second. A day's figures come from here, and from no server."""
 
 from dataclasses import dataclass, field
 
@@ -6,7 +6,12 @@
 
 from otterrudder.admission.interface import RequestClass
 
-SETTLED, LATE, DECLINED, VOIDED, UNREACHED = "settled", "late", "declined", "voided", "unreached"
+# Outcomes by the names that experiments read.
+COMPLETED = "settled"
+LATE = "late"
+REJECTED = "declined"
+FAILED = "voided"
+UNREACHABLE = "unreached"
 
 
 @dataclass(slots=True)
@@ -20,23 +25,23 @@
 
 @dataclass(slots=True)
 class Session:
-    """How a session of requests goes: one that does not settle breaks it."""
+    """How a session of requests goes: one that does not complete breaks it."""
 
-    settled: int = 0
+    completed: int = 0
     is_broken: bool = False
     is_over: bool = False
 
 
 @dataclass(slots=True)
-class Ledger:
+class OutcomeStatistics:
     """What was asked for in a day of `length_s`, and how each request ended for its caller."""
 
     products: list[RequestClass]
     length_s: int
     seconds: list[SecondCounts] = field(init=False)
     ends: dict[str, int] = field(default_factory=dict)
-    tries: int = 0
-    times: list[float] = field(default_factory=list)  # ms to the answer of what settled
+    attempts: int = 0
+    times: list[float] = field(default_factory=list)  # ms to the answer of what completed
     sessions: dict[int, Session] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -50,31 +55,32 @@
         """A caller asks for a request at `at`."""
         self._second(at).asked[product] += 1
 
-    def ended(self, at: float, now: float, product: int, how: str) -> None:
+    def ended(self, at: float, now: float, product: int, outcome: str) -> None:
         """The end of a request asked for at `at`, as its caller saw it."""
-        spec = self.products[product]
-        if how == SETTLED:
+        request_class = self.products[product]
+        if outcome == COMPLETED:
             self.times.append(now - at)
-            if now - at <= spec.latency_objective_ms:
+            if now - at <= request_class.latency_objective_ms:
                 self._second(at).in_time[product] += 1
             else:
-                how = LATE
+                outcome = LATE
                 self._second(at).late[product] += 1
-        self.ends[how] = self.ends.get(how, 0) + 1
+        self.ends[outcome] = self.ends.get(outcome, 0) + 1
 
     def table(self, name: str) -> np.ndarray:
         """One of the counts as an array: seconds by products."""
         return np.array([getattr(second, name) for second in self.seconds])
 
     def value(self, from_s: int = 0, to_s: int | None = None) -> float:
-        """Value settled within the SLA time (late settles at their late share) over the value asked for."""
+        """Priority weight completed within the latency objective (late: at its late share) over that asked
+        for."""
         asked, in_time, late = (self.table(n)[from_s:to_s].sum(0) for n in ("asked", "in_time", "late"))
-        worth = np.array([p.priority_weight for p in self.products])
-        kept = np.array([p.late_weight_factor for p in self.products])
-        whole = float((asked * worth).sum())
-        return float((in_time * worth + late * worth * kept).sum()) / whole if whole else 1.0
+        weights = np.array([p.priority_weight for p in self.products])
+        late_shares = np.array([p.late_weight_factor for p in self.products])
+        offered = float((asked * weights).sum())
+        return float((in_time * weights + late * weights * late_shares).sum()) / offered if offered else 1.0
 
     def served(self, product: int, from_s: int = 0, to_s: int | None = None) -> float:
-        """Share of a product settled within its SLA time."""
+        """Share of a request class completed within its latency objective."""
         asked = int(self.table("asked")[from_s:to_s, product].sum())
         return int(self.table("in_time")[from_s:to_s, product].sum()) / asked if asked else 1.0
