--- /dev/null
+++ b/tests/scenario_player.py
@@ -0,0 +1,312 @@
+"""Plays a scenario: a text file of our own notation against one server's admission controller.
+
+Names and values are those of `ControllerSettings`, `Limits`, `RequestClass` and `handle_arrival`.
+
+server cores=2 callers=4            what the server is told at its start; busy and on_cores go into each tick
+class pay idempotent latency_objective_ms=1000 deadline_ms=3000 retention_ms=9000 may_call=1
+tenant north 0.5 1.2                its quota, and how many requests/s of it are one server's part, if known
+at 10 arrive a pay session_key=7    an event at 10 ms, after due ticks; a1..a9: nine requests; *: all running
+at 50 finished a ok                 also call_needed a, call_ended a full, disconnect a, shutdown 5000, nothing
+at 55 drain pay 2000                a class (-: all) is drained with so long to answer; resume pay
+at 60 level - look=decline          a level in force; also =share:0.5, =omit, and fields of `ServiceLevel`
+  sees start a                      command since the last `at`, by its first words (<3: less); also `sees 2 start`
+  lacks reject a                    no such command
+memory_kb 100                       the memory in use, by the controller's own count, is no more than this
+"""
+
+import re
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from otterrudder.admission import commands
+from otterrudder.admission.commands import Command
+from otterrudder.admission.controller import AdmissionController
+from otterrudder.admission.interface import (
+    DownstreamKind,
+    Idempotency,
+    Limits,
+    LoadSignal,
+    Outcome,
+    RequestClass,
+    RequestScope,
+    Restriction,
+    RestrictionKind,
+    ServiceLevel,
+    Tenant,
+)
+from otterrudder.admission.settings import ControllerSettings
+
+DEFAULT_SETTINGS: dict[str, Any] = {
+    "cores": 2,
+    "memory_kb": 1e6,
+    "run_memory_factor": 4.0,
+    "idempotency_entry_kb": 10.0,
+    "can_stop_requests": False,
+    "max_concurrency_per_core": 4.0,
+    "is_cold_start": False,
+    "slow_start_from": 0.2,
+    "slow_start_ms": 10_000.0,
+    "clock_tick_ms": 4.0,
+    "drain_grace_ms": 1000.0,
+    "callers": 2,
+    "load_signal": LoadSignal.NONE,
+    "max_idle_timeout_ms": 30_000.0,
+    "are_retries_marked": True,
+    "downstream": DownstreamKind.NONE,
+    "downstream_quota_window_ms": 5000.0,
+    "downstream_linger_ms": 200.0,
+}
+DEFAULT_LIMITS = {
+    "max_retry_after_ms": 1000.0,
+    "downstream_call_quota": 0.0,
+    "over_quota_weight_factor": 0.05,
+}
+DEFAULT_TICK = {"busy": 1.0, "on_cores": 0.0}
+DEFAULT_LEVEL: dict[str, Any] = {
+    "rejects_queued": False,
+    "sends_retry_after": False,
+    "min_duration_ms": 1000.0,
+}
+DEFAULT_SIZE_KB = 10.0
+
+COMMAND_WORDS: dict[type[Command], str] = {
+    commands.StartRequest: "start",
+    commands.ReplayResponse: "replay",
+    commands.StopRequest: "stop",
+    commands.RejectRequest: "reject",
+    commands.FailRequest: "fail",
+    commands.RetainKey: "retain",
+    commands.EvictKey: "evict",
+    commands.CallDownstream: "call",
+    commands.SkipCall: "skip",
+    commands.ScheduleTick: "tick",
+    commands.AdvertiseLoad: "advertise",
+    commands.SetHealth: "health",
+    commands.SetIdleTimeout: "idle",
+    commands.LogMessage: "log",
+    commands.CloseConnections: "close",
+}
+IDEMPOTENCY_WORDS = {member.name.lower(): member for member in Idempotency}
+OUTCOME_WORDS = {member.name.lower(): member for member in Outcome}
+LOAD_SIGNAL_WORDS = {member.name.lower(): member for member in LoadSignal}
+DOWNSTREAM_WORDS = {member.name.lower(): member for member in DownstreamKind}
+
+VALUE_READERS: dict[str, Callable[[str], Any]] = {
+    "cores": int,
+    "callers": int,
+    "tenant": int,
+    "session_key": int,
+    "earlier_attempt_id": str,
+    "load_signal": LOAD_SIGNAL_WORDS.__getitem__,
+    "downstream": DOWNSTREAM_WORDS.__getitem__,
+}
+FLAG_PREFIXES = ("is_", "are_", "can_", "may_", "rejects_", "sends_")
+
+
+def read_value(name: str, word: str) -> Any:
+    """The value of a `name=word`."""
+    if name in VALUE_READERS:
+        return VALUE_READERS[name](word)
+    return bool(int(word)) if name.startswith(FLAG_PREFIXES) else float(word)
+
+
+def read_values(words: list[str]) -> dict[str, Any]:
+    """The values of words of the form `name=word`."""
+    pairs = (word.split("=") for word in words)
+    return {name: read_value(name, word) for name, word in pairs}
+
+
+class ScenarioPlayer:
+    """One scenario in progress."""
+
+    def __init__(self) -> None:
+        self.settings = dict(DEFAULT_SETTINGS)
+        self.limits = dict(DEFAULT_LIMITS)
+        self.tick_values = dict(DEFAULT_TICK)
+        self.request_classes: list[RequestClass] = []
+        self.tenants: list[Tenant] = []
+        self.controller: AdmissionController | None = None
+        self.commands: list[Command] = []
+        self.running: list[str] = []
+        self.next_tick_at = 0.0
+
+    def play_line(self, text: str) -> None:
+        """Play a line without its comment; AssertionError if the line expects something else."""
+        word, *words = text.split()
+        lines = {
+            "server": self._server,
+            "class": self._request_class,
+            "tenant": self._tenant,
+            "at": self._at,
+            "memory_kb": self._memory,
+            "sees": self._sees,
+            "lacks": self._lacks,
+        }
+        lines[word](words)
+
+    # What the server is told at its start.
+
+    def _server(self, words: list[str]) -> None:
+        for name, value in read_values(words).items():
+            tables = (self.settings, self.limits, self.tick_values)
+            table = next((table for table in tables if name in table), None)
+            assert table is not None, f"{name}: no such setting"
+            table[name] = value
+
+    def _request_class(self, words: list[str]) -> None:
+        name, idempotency, *values = words
+        fields = {"priority_weight": 1.0} | read_values(values)
+        self.request_classes.append(RequestClass(name, IDEMPOTENCY_WORDS[idempotency], **fields))
+
+    def _tenant(self, words: list[str]) -> None:
+        name, quota, *per_s = words
+        self.tenants.append(Tenant(name, float(quota), float(per_s[0]) / 1000 if per_s else 0.0))
+
+    # Events.
+
+    def _at(self, words: list[str]) -> None:
+        now = float(words[0])
+        self.commands = []
+        self.controller = self.controller or self._start(now)
+        while self.next_tick_at <= now:
+            tick_at = self.next_tick_at
+            self.controller.advance_to(tick_at)
+            self.controller.tick(**self.tick_values)
+            self._take_commands(tick_at)
+        if len(words) > 1:
+            self._play_event(now, *words[1:])
+
+    def _start(self, now: float) -> AdmissionController:
+        settings = ControllerSettings(
+            request_classes=self.request_classes,
+            tenants=self.tenants,
+            limits=Limits(**self.limits),
+            **self.settings,
+        )
+        self.controller = AdmissionController(now, settings, instance=1, seed=1)
+        self.controller.start()
+        self._take_commands(now)
+        return self.controller
+
+    def _take_commands(self, now: float) -> None:
+        taken = self.controller.take_commands()
+        self.commands += taken
+        for command in taken:
+            if isinstance(command, commands.ScheduleTick):
+                self.next_tick_at = now + command.delay_ms
+            elif isinstance(command, commands.StartRequest):
+                self.running.append(command.request_id)
+
+    def _play_event(self, now: float, verb: str, target: str, *words: str) -> None:
+        for name in list(self.running) if target == "*" else names(target):
+            self.controller.advance_to(now)
+            self._send_event(verb, name, list(words))
+            self._take_commands(now)
+
+    def _send_event(self, verb: str, target: str, words: list[str]) -> None:
+        """`target` is a request's name; a class's, if the event is about one; or its time."""
+        controller = self.controller
+        match verb:
+            case "arrive":
+                self._arrive(target, words)
+            case "finished":
+                if target in self.running:
+                    self.running.remove(target)
+                controller.handle_finished(target, OUTCOME_WORDS[words[0]])
+            case "call_needed":
+                controller.handle_call_needed(target)
+            case "call_ended":
+                controller.handle_call_ended(target, OUTCOME_WORDS[words[0]])
+            case "disconnect":
+                controller.handle_disconnect(target)
+            case "shutdown":
+                controller.begin_graceful_shutdown(float(target))
+            case "drain":
+                controller.drain(self._scope(target), float(words[0]))
+            case "resume":
+                controller.resume(self._scope(target))
+            case "level":
+                controller.set_service_level(self._service_level(words))
+            case _:
+                raise AssertionError(f"{verb}: no such event")
+
+    def _arrive(self, name: str, words: list[str]) -> None:
+        request_class, *values = words
+        fields = {"size_kb": DEFAULT_SIZE_KB} | read_values(values)
+        self.controller.handle_arrival(name, self._class_names().index(request_class), **fields)
+
+    def _class_names(self) -> list[str]:
+        return [request_class.name for request_class in self.request_classes]
+
+    def _scope(self, name: str) -> RequestScope:
+        if name == "-":
+            return RequestScope()
+        return RequestScope(frozenset({self._class_names().index(name)}))
+
+    def _service_level(self, words: list[str]) -> ServiceLevel:
+        told = dict(word.split("=") for word in words)
+        fields = {name: read_value(name, told.pop(name)) for name in DEFAULT_LEVEL if name in told}
+        restrictions = tuple(read_restrictions(told.pop(name, "")) for name in self._class_names())
+        assert not told, f"{', '.join(told)}: neither a class nor a field of a level"
+        return ServiceLevel("level", restrictions, **(DEFAULT_LEVEL | fields))
+
+    # What is expected.
+
+    def _memory(self, words: list[str]) -> None:
+        used_kb = self.controller.memory_budget.used_kb
+        assert used_kb <= float(words[0]), used_kb
+
+    def _sees(self, words: list[str]) -> None:
+        if words[0].isdigit():
+            found = self._count(words[1:])
+            assert found == int(words[0]), f"sees {' '.join(words)}: got {self.commands}"
+        else:
+            assert self._count(words) > 0, f"sees {' '.join(words)}: got {self.commands}"
+
+    def _lacks(self, words: list[str]) -> None:
+        assert self._count(words) == 0, f"lacks {' '.join(words)}: got {self.commands}"
+
+    def _count(self, words: list[str]) -> int:
+        return sum(matches(command, words) for command in self.commands)
+
+
+def read_restrictions(word: str) -> tuple[Restriction, ...]:
+    """The restrictions of a class by the word of a scenario, for example `share:0.5`."""
+    kind, _, admitted_share = word.partition(":")
+    return (Restriction(RestrictionKind(kind), float(admitted_share or 0)),) if kind else ()
+
+
+def matches(command: Command, words: list[str]) -> bool:
+    """Whether a command begins with these words."""
+    values = (COMMAND_WORDS[type(command)], *command)
+    return len(values) >= len(words) and all(map(fits, values, words))
+
+
+def fits(value: object, word: str) -> bool:
+    """Whether a value is the word's, or below or above it."""
+    if word[0] == "<":
+        return value < float(word[1:])
+    if word[0] == ">":
+        return value > float(word[1:])
+    if isinstance(value, float):
+        return value == float(word)
+    return str(value) == word
+
+
+def names(word: str) -> list[str]:
+    """The names that a word stands for: `a1..a3` are three."""
+    if span := re.fullmatch(r"([a-z]+)(\d+)\.\.[a-z]*(\d+)", word):
+        return [f"{span[1]}{n}" for n in range(int(span[2]), int(span[3]) + 1)]
+    return [word]
+
+
+def play(path: Path) -> None:
+    """Play a scenario's file; AssertionError names the line that expects something else."""
+    player = ScenarioPlayer()
+    for number, line in enumerate(path.read_text().splitlines(), 1):
+        if text := line.split("#")[0].strip():
+            try:
+                player.play_line(text)
+            except AssertionError as error:
+                raise AssertionError(f"{path.name}:{number}: {error}") from None
