--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -6,10 +6,10 @@
 class pay idempotent latency_objective_ms=1000 deadline_ms=3000 retention_ms=9000 may_call=1
 tenant north 0.5 1.2                its quota, and how many requests/s of it are one server's part, if known
 at 10 arrive a pay session_key=7    an event at 10 ms, after due ticks; a1..a9: nine requests; *: all running
-at 50 finished a ok                 also call_needed a, call_ended a full, disconnect a, shutdown 5000, nothing
+at 50 finished a ok                 also call_needed a, call_ended a full, disconnect a, shutdown 5000
 at 55 drain pay 2000                a class (-: all) is drained with so long to answer; resume pay
 at 60 level - look=decline          a level in force; also =share:0.5, =omit, and fields of `ServiceLevel`
-  sees start a                      command since the last `at`, by its first words (<3: less); also `sees 2 start`
+  sees start a                      a command since the last `at`, by its first words; also `sees 2 start`, <3
   lacks reject a                    no such command
 memory_kb 100                       the memory in use, by the controller's own count, is no more than this
 """
