--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -94,13 +94,15 @@
 
 
 class RestrictionKind(Enum):
-    """What a level of reduced service does with the requests that it restricts, the mildest first."""
+    """What a level of reduced service does with the requests that it restricts, the mildest first.
+
+    The values are words of the level tables."""
 
     OMIT = "omit"  # they run without their downstream call
     SPARE = "spare"  # they run where there is room, and are never queued
     SHARE = "share"  # a share of them is admitted
     ESTABLISHED = "established"  # newcomers are rejected
-    DECLINE = "decline"  # all are rejected
+    REJECT = "decline"  # all are rejected
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/admission/service_level_stage.py
+++ b/otterrudder/admission/service_level_stage.py
@@ -87,7 +87,7 @@
                 return not self._queues.is_free_for(request)
             case RestrictionKind.ESTABLISHED:
                 return not request.is_established
-            case RestrictionKind.DECLINE:
+            case RestrictionKind.REJECT:
                 return True
             case RestrictionKind.OMIT:
                 return False
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -27,7 +27,7 @@
     RestrictionKind.OMIT: "runs without its call",
     RestrictionKind.SPARE: "runs where a slot is free, and is never held",
     RestrictionKind.ESTABLISHED: "newcomers are declined",
-    RestrictionKind.DECLINE: "declined",
+    RestrictionKind.REJECT: "declined",
 }
 
 
--- a/otterrudder/net/service_state.py
+++ b/otterrudder/net/service_state.py
@@ -33,7 +33,7 @@
         self._policy: tuple[list[RequestClass], list[Tenant], Limits] | None = None
         self._controller: AdmissionController | None = None
         self._suspended_level = ServiceLevel(
-            "aside", ((Restriction(RestrictionKind.DECLINE),),) * class_count, served_elsewhere=True
+            "aside", ((Restriction(RestrictionKind.REJECT),),) * class_count, served_elsewhere=True
         )
 
     def attach(self, controller: AdmissionController) -> None:
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -45,8 +45,8 @@
     assert (first[0], first[1][0].kind, first[2]) == ((), RestrictionKind.SPARE, ())
     assert (second[0][0].kind, second[1][0].kind) == (
         RestrictionKind.SPARE,
-        RestrictionKind.DECLINE,
-    ) and third[0][0].kind is RestrictionKind.DECLINE
+        RestrictionKind.REJECT,
+    ) and third[0][0].kind is RestrictionKind.REJECT
     assert not third[2] and parsed.levels[0].min_stay_ms == 8000.0 and not parsed.is_shadow
 
 
@@ -54,7 +54,7 @@
     cuts = SHARE + ', { do = "decline", products = ["addr-lookup"], rank_below = 0.3, tenants = ["south"] }'
     trims = parse_table(table(cuts), PRODUCTS, TENANTS).levels[0].service_level.restrictions[0]
     assert [(trim.kind, trim.criticality_below, trim.tenants) for trim in trims] == [
-        (RestrictionKind.DECLINE, 0.3, frozenset({1})),
+        (RestrictionKind.REJECT, 0.3, frozenset({1})),
         (RestrictionKind.SHARE, float("inf"), None),
     ]
 
