--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -10,19 +10,21 @@
 TENANT_PER_S = 5.0  # requests a second that each tenant is entitled to, in the whole fleet
 
 
-def settings_of(products: int, tenants: int) -> dict[str, Any]:
+def settings_of(class_count: int, tenant_count: int) -> dict[str, Any]:
     """The platform's settings with so many classes and tenants."""
     classes = [
         {"name": f"route-{n}", "effect": "safe", "worth": 1, "promiseUs": 2e6, "hardLimitUs": 4e6}
-        for n in range(products)
+        for n in range(class_count)
     ]
     realms = [
-        {"name": f"tenant-{n}", "share": 1.0 / tenants, "allowancePerS": TENANT_PER_S} for n in range(tenants)
+        {"name": f"tenant-{n}", "share": 1.0 / tenant_count, "allowancePerS": TENANT_PER_S}
+        for n in range(tenant_count)
     ]
     return dict(SETTINGS) | {"classes": classes, "realms": realms}
 
 
-def configuration_text(products: int, tenants: int) -> str:
+def configuration_text(class_count: int, tenant_count: int) -> str:
+    """A server's configuration with such settings."""
     told = {
         "name": "n1",
         "listen": "127.0.0.1:1",
@@ -31,26 +33,27 @@
         "seed": "1",
         "stop_ms": 2000,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-        "settings": settings_of(products, tenants),
+        "settings": settings_of(class_count, tenant_count),
     }
     return json.dumps(told)
 
 
 def controller_of(settings: dict[str, Any]) -> AdmissionController:
+    """A started controller."""
     return create_controller(0.0, 1, 7, settings)
 
 
-def policy_text(tenants: int) -> str:
+def policy_text(tenant_count: int) -> str:
     """A policy that says what each tenant is entitled to."""
     lines = ["version = 1"]
-    for n in range(tenants):
+    for n in range(tenant_count):
         lines += [f"[tenants.tenant-{n}]", f"per_s = {TENANT_PER_S}"]
     return "\n".join(lines) + "\n"
 
 
-def levels_text(products: int) -> str:
-    """A table with two levels, each of which names every product."""
-    names = json.dumps([f"route-{n}" for n in range(products)])
+def levels_text(class_count: int) -> str:
+    """A table with two levels, each of which name every class."""
+    names = json.dumps([f"route-{n}" for n in range(class_count)])
     parts = ["version = 1"]
     for name, cut, entry_busy, exit_busy in (("one", "spare", 0.9, 0.5), ("two", "decline", 0.95, 0.6)):
         parts += [
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from benchmarks.capacity import size
-from benchmarks.capacity.decisions import FEW, txn_us
+from benchmarks.capacity.decisions import FEW, request_us
 from benchmarks.capacity.inputs import configuration_text, levels_text, policy_text, settings_of
 from benchmarks.capacity.limits import (
     ADDED_US,
@@ -27,7 +27,7 @@
 CONFIGURATION_SIZES = (1_000, 3_000, 10_000, 30_000, 100_000)
 POLICY_SIZES = (1_000, 3_000, 10_000, 30_000, 100_000)
 SIZES_QUICK = (20, 40, 80, 160)
-TXNS = 4_000
+REQUESTS = 4_000
 
 
 def _table(products: int, tenants: int) -> LevelTable:
@@ -51,9 +51,9 @@
 
 
 def levels(quick: bool) -> list[Slope]:
-    sizes, requests = (SIZES_QUICK, 20) if quick else (TABLE_SIZES, TXNS)
+    sizes, requests = (SIZES_QUICK, 20) if quick else (TABLE_SIZES, REQUESTS)
     found = [*_levels_of("products", sizes, size.ROUTES), *_levels_of("tenants", sizes, size.TENANTS)]
-    request = [txn_us(n, FEW, requests, _table(n, FEW).levels[0].service_level) for n in sizes]
+    request = [request_us(n, FEW, requests, _table(n, FEW).levels[0].service_level) for n in sizes]
     series = Series("levels", f"products, with {FEW} tenants", sizes, size.ROUTES)
     series.add(
         "txn by products", "arrival to done with a level in force, us", PROCESS_TIME, request, ADDED_US
