--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -23,7 +23,7 @@
 def play_requests(
     controller: AdmissionController, requests: int, class_count: int, tenant_count: int, first: int = 1
 ) -> None:
-    """So many requests, one in flight at a time, each class and tenant in turn; each is a session of its own."""
+    """So many requests, one in flight at a time, each class and tenant in turn, a session each."""
     for n in range(first, first + requests):
         controller.advance_to(n * 2.0)
         controller.handle_arrival(
