--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/double.py
@@ -86,9 +86,9 @@
     real = RequestTable._answer
 
     def answer(self: RequestTable, request: PendingRequest, *rest: object) -> None:
-        sent = len(self._outbox.messages)
+        sent = len(self._outbox)
         real(self, request, *rest)  # type: ignore[arg-type]
-        self._outbox.messages += self._outbox.messages[sent:]
+        self._outbox += self._outbox[sent:]
 
     setattr(RequestTable, "_answer", answer)  # noqa: B010
 
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -16,18 +16,18 @@
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import Idempotency, Limits, Outcome, RequestClass, RequestScope, Tenant
 from otterrudder.net.downstream import DownstreamCalls
-from otterrudder.net.idempotency import IdempotencyEntry, IdempotencyTable, request_digest
+from otterrudder.net.idempotency import IdempotencyTable, request_digest
 from otterrudder.net.messages import (
     DeliverReply,
     Destination,
     HealthStatus,
+    LogEntry,
     Outgoing,
     RequestInvalid,
     RequestRejected,
     RuntimeMessage,
     StartRun,
 )
-from otterrudder.net.outbox import Outbox
 from otterrudder.net.request_table import RequestTable
 from otterrudder.net.requests import PendingRequest, RequestFields
 from otterrudder.net.run_delivery import RunDelivery
@@ -59,7 +59,7 @@
         self._create_controller = create_controller
         self.unix_ms = 0.0
         self.now = 0.0
-        self.outbox = Outbox()
+        self.outbox: list[Outgoing] = []  # shared with the parts below
         self.idempotency = IdempotencyTable()
         self.delivery = RunDelivery(self.outbox, [one.name for one in request_classes], gauge_names)
         self.calls = DownstreamCalls(self.outbox)
@@ -82,7 +82,8 @@
         """The batch's time: `now` is monotonic, in ms. What was due by then happens first."""
         self.unix_ms = unix_ms
         self.now = now
-        self.idempotency.expire(now, self.requests.deadline_of)
+        if self.idempotency.expirations:
+            self.idempotency.expire(now, self.requests.deadline_of)
         if self.controller:
             self.controller.advance_to(now)
 
@@ -94,11 +95,13 @@
                 try:
                     self._carry_out(command)
                 except Exception as error:  # one request's failure is not the others'
-                    self.outbox.log("a command failed", {"command": command, "error": repr(error)})
+                    self._log("a command failed", {"command": command, "error": repr(error)})
                     if request := self.requests.by_number.get(getattr(command, "request_id", 0)):
                         self.requests.fail(request)
-        self.idempotency.end_batch()
-        return self.outbox.take()
+        self.idempotency.batch_entries.clear()
+        messages = self.outbox[:]
+        self.outbox.clear()
+        return messages
 
     # Events of gateways.
 
@@ -107,10 +110,11 @@
     ) -> None:
         """A request has come on a connection; exactly one answer goes back."""
         if fields.request_id in self.requests.by_id:
-            self.outbox.send(connection, RequestInvalid(rpc_id, "this call is open already"))
+            self.outbox.append((connection, RequestInvalid(rpc_id, "this call is open already")))
             return
         if not self.controller:  # nothing can run yet
-            self.outbox.send(connection, RequestRejected(rpc_id, False, 0.0, self.requests.advertised_load))
+            load = self.requests.advertised_load
+            self.outbox.append((connection, RequestRejected(rpc_id, False, 0.0, load)))
             return
         key = ""
         digest = b""
@@ -121,14 +125,26 @@
             digest = request_digest(class_index, fields.body)
             earlier = self.idempotency.find(key)
             if earlier and earlier.digest != digest:  # its response would be served to another request
-                self.outbox.send(
-                    connection, RequestInvalid(rpc_id, "this mark came with another body or method")
-                )
+                reason = "this mark came with another body or method"
+                self.outbox.append((connection, RequestInvalid(rpc_id, reason)))
                 return
         request = self.requests.add(connection, rpc_id, class_index, fields, key, digest)
         if key and not earlier:
             self.idempotency.add_to_batch(key, request.number, digest)
-        self._admit(request, fields, earlier)
+        age_ms = max(self.unix_ms - fields.received_at, 0.0)
+        ttl_ms = fields.ttl_ms
+        self.controller.handle_arrival(
+            request.number,
+            class_index,
+            tenant=fields.tenant_index,
+            key=fields.session_key,
+            size_kb=fields.size_kb,
+            age_ms=age_ms,
+            time_left_ms=0.0 if ttl_ms is None else max(ttl_ms - age_ms, MIN_TIME_LEFT_MS),
+            earlier_attempt_id=earlier.holder if earlier else 0,
+            is_retry=fields.is_retry,
+            criticality=fields.criticality,
+        )
 
     def handle_disconnect(self, request_id: str) -> None:
         """The caller waits no more, or its connection has gone: no answer is owed."""
@@ -140,7 +156,7 @@
 
     def handle_health_check(self, connection: Hashable, rpc_id: int) -> None:
         """A gateway asks whether requests are served here."""
-        self.outbox.send(connection, HealthStatus(rpc_id, self.is_healthy, self.requests.advertised_load))
+        self.outbox.append((connection, HealthStatus(rpc_id, self.is_healthy, self.requests.advertised_load)))
 
     # Events of the runtime.
 
@@ -200,7 +216,7 @@
         if command is StartRun and request.is_running and self.delivery.was_sent(request):
             if not request.is_answered:
                 reason = "the runtime does not know this request"
-                self.outbox.send(request.connection, RequestInvalid(request.rpc_id, reason))
+                self.outbox.append((request.connection, RequestInvalid(request.rpc_id, reason)))
                 self.requests.close(request)
             self.requests.finish_run(request, Outcome.NEVER_STARTED)
         elif command is DeliverReply:
@@ -260,7 +276,7 @@
     def begin_graceful_shutdown(self, time_left_ms: float) -> None:
         """Answers all that is here within `time_left_ms`, then closes the connections."""
         if not self.service.is_shutting_down and not self.service.begin_shutdown(time_left_ms):
-            self.outbox.send(Destination.GATEWAYS, commands.CloseConnections())
+            self.outbox.append((Destination.GATEWAYS, commands.CloseConnections()))
 
     def fail_request(self, request_id: str) -> None:
         """An event of this request could not be handled: it fails, the others go on."""
@@ -287,29 +303,6 @@
             fields |= levels.log_fields(self.now)
         return fields
 
-    # Arrivals.
-
-    def _admit(
-        self, request: PendingRequest, fields: RequestFields, earlier: IdempotencyEntry | None
-    ) -> None:
-        """Asks the controller, whose commands say what becomes of the request."""
-        age_ms = max(self.unix_ms - fields.received_at, 0.0)
-        time_left_ms = 0.0
-        if fields.ttl_ms is not None:
-            time_left_ms = max(fields.ttl_ms - age_ms, MIN_TIME_LEFT_MS)
-        self._admission.handle_arrival(
-            request.number,
-            request.class_index,
-            tenant=fields.tenant_index,
-            key=fields.session_key,
-            size_kb=fields.size_kb,
-            age_ms=age_ms,
-            time_left_ms=time_left_ms,
-            earlier_attempt_id=earlier.holder if earlier else 0,
-            is_retry=fields.is_retry,
-            criticality=fields.criticality,
-        )
-
     # Commands of the admission controller.
 
     def _carry_out(self, command: Command) -> None:
@@ -322,15 +315,15 @@
             return
         match command:
             case commands.ScheduleTick():
-                self.outbox.send(Destination.DISPATCHER, command)
+                self.outbox.append((Destination.DISPATCHER, command))
             case commands.AdvertiseLoad():
                 self.requests.advertised_load = command.value
             case commands.SetHealth():
                 self.is_healthy = command.is_healthy
             case commands.LogMessage():
-                self.outbox.log(command.text, {})
+                self._log(command.text, {})
             case commands.SetIdleTimeout() | commands.CloseConnections():
-                self.outbox.send(Destination.GATEWAYS, command)
+                self.outbox.append((Destination.GATEWAYS, command))
 
     def _start(self, request: PendingRequest, _: commands.StartRequest) -> None:
         self.delivery.start(request)
@@ -366,9 +359,12 @@
     def _skip_call(self, request: PendingRequest, _: commands.SkipCall) -> None:
         self.delivery.skip_call(request)
 
+    def _log(self, text: str, fields: dict[str, Any]) -> None:
+        self.outbox.append((Destination.DISPATCHER, LogEntry(text, fields)))
+
     def _log_update(self, update: "LevelUpdate | None") -> None:
         if update:
-            self.outbox.log(update.text, update.facts)
+            self._log(update.text, update.facts)
 
 
 _REQUEST_COMMANDS: dict[type[Command], Callable[[RequestCore, PendingRequest, Any], None]] = {
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -8,9 +8,10 @@
 
 import math
 from collections.abc import Callable, Hashable
-from typing import Any, NamedTuple, Protocol
+from typing import Any, Protocol
 
 import anyio
+import msgspec
 
 from otterrudder import clock
 from otterrudder.admission.commands import ScheduleTick
@@ -22,7 +23,7 @@
 GAUGE_QUERY_LEAD_MS = 6.0  # ahead of a tick: a round trip, and a busy loop
 
 
-class MailboxEvent(NamedTuple):
+class MailboxEvent(msgspec.Struct, frozen=True, gc=False):
     """A call of the core that waits for the next batch."""
 
     handler: Callable[..., object]
--- a/otterrudder/net/idempotency.py
+++ b/otterrudder/net/idempotency.py
@@ -32,7 +32,8 @@
     def __init__(self) -> None:
         self.entries: dict[str, IdempotencyEntry] = {}
         self.expirations: list[tuple[float, str]] = []  # a heap: when to look at which key
-        self.batch_entries: dict[str, IdempotencyEntry] = {}  # of keys that came in the current batch
+        # Of keys that came in the current batch; cleared at its end.
+        self.batch_entries: dict[str, IdempotencyEntry] = {}
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -45,10 +46,6 @@
         """Links a request with later attempts in the same batch, before anything is decided on it."""
         self.batch_entries[key] = IdempotencyEntry(number, digest)
 
-    def end_batch(self) -> None:
-        """The batch is decided: what was to be retained is."""
-        self.batch_entries.clear()
-
     def retain(
         self, key: str, number: int, digest: bytes, now: float, retention_ms: float, deadline_ms: float
     ) -> None:
--- a/otterrudder/net/messages.py
+++ b/otterrudder/net/messages.py
@@ -7,7 +7,9 @@
 
 from collections.abc import Hashable
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import Any
+
+import msgspec
 
 from otterrudder.admission.commands import CloseConnections, ScheduleTick, SetIdleTimeout
 
@@ -26,7 +28,7 @@
 # To the connection that a request came on.
 
 
-class RequestCompleted(NamedTuple):
+class RequestCompleted(msgspec.Struct, frozen=True, gc=False):
     """The request ran, and this is its response."""
 
     rpc_id: int
@@ -34,7 +36,7 @@
     load: float | None
 
 
-class RequestRejected(NamedTuple):
+class RequestRejected(msgspec.Struct, frozen=True, gc=False):
     """The request was not admitted and never ran."""
 
     rpc_id: int
@@ -43,7 +45,7 @@
     load: float | None
 
 
-class RequestFailed(NamedTuple):
+class RequestFailed(msgspec.Struct, frozen=True, gc=False):
     """The request has no response; it may have run."""
 
     rpc_id: int
@@ -51,14 +53,14 @@
     load: float | None
 
 
-class RequestInvalid(NamedTuple):
+class RequestInvalid(msgspec.Struct, frozen=True, gc=False):
     """The request can't be accepted as it is."""
 
     rpc_id: int
     reason: str
 
 
-class HealthStatus(NamedTuple):
+class HealthStatus(msgspec.Struct, frozen=True, gc=False):
     """The answer to a health check."""
 
     rpc_id: int
@@ -69,7 +71,7 @@
 # To the runtime.
 
 
-class StartRun(NamedTuple):
+class StartRun(msgspec.Struct, frozen=True, gc=False):
     """Run the request; nothing happens if it runs already."""
 
     request_id: str
@@ -77,32 +79,32 @@
     body: bytes
 
 
-class DeliverReply(NamedTuple):
+class DeliverReply(msgspec.Struct, frozen=True, gc=False):
     """The reply to the downstream call that the run waits at."""
 
     request_id: str
     body: bytes
 
 
-class StopRun(NamedTuple):
+class StopRun(msgspec.Struct, frozen=True, gc=False):
     """Stop the run."""
 
     request_id: str
 
 
-class SkipDownstreamCall(NamedTuple):
+class SkipDownstreamCall(msgspec.Struct, frozen=True, gc=False):
     """Let the run go on without the downstream call that it waits at."""
 
     request_id: str
 
 
-class QueryGauges(NamedTuple):
+class QueryGauges(msgspec.Struct, frozen=True, gc=False):
     """Ask for the gauges; the answer carries the tag."""
 
     tag: int
 
 
-class LeaveLink(NamedTuple):
+class LeaveLink(msgspec.Struct, frozen=True, gc=False):
     """Ask for the gauges a last time, and give the link up once they are answered."""
 
     tag: int
@@ -111,7 +113,7 @@
 # To the records service.
 
 
-class SendCall(NamedTuple):
+class SendCall(msgspec.Struct, frozen=True, gc=False):
     """Make the request's downstream call."""
 
     request_id: str
@@ -119,7 +121,7 @@
     body: bytes
 
 
-class CancelCall(NamedTuple):
+class CancelCall(msgspec.Struct, frozen=True, gc=False):
     """Nobody waits for the reply to the request's downstream call any more."""
 
     request_id: str
@@ -128,7 +130,7 @@
 # To the dispatcher.
 
 
-class LogEntry(NamedTuple):
+class LogEntry(msgspec.Struct, frozen=True, gc=False):
     """A line for the log."""
 
     text: str
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -194,8 +194,9 @@
             self._report(CallReply(request_id, Outcome.UNREACHABLE, b""))
 
     def _report(self, reply: CallReply) -> None:
+        request_id = reply.request_id
         handler = self._dispatcher.core.handle_call_ended
-        self._dispatcher.post(handler, *reply, request_id=reply.request_id)
+        self._dispatcher.post(handler, request_id, reply.outcome, reply.body, request_id=request_id)
 
     def _choose(
         self, request_id: str, address: tuple[str, int], group: anyio.abc.TaskGroup
--- a/otterrudder/net/records_codec.py
+++ b/otterrudder/net/records_codec.py
@@ -1,7 +1,8 @@
 """The codec of the records service's protocol: calls out, replies in. No I/O."""
 
 import math
-from typing import NamedTuple
+
+import msgspec
 
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import lines
@@ -22,7 +23,7 @@
 }
 
 
-class CallReply(NamedTuple):
+class CallReply(msgspec.Struct, frozen=True, gc=False):
     """The end of a downstream call."""
 
     request_id: str
--- a/otterrudder/net/request_table.py
+++ b/otterrudder/net/request_table.py
@@ -10,9 +10,8 @@
 from otterrudder.admission.interface import Outcome, RequestClass
 from otterrudder.net.downstream import DownstreamCalls
 from otterrudder.net.idempotency import IdempotencyEntry, IdempotencyTable
-from otterrudder.net.messages import RequestCompleted, RequestFailed, RequestRejected
-from otterrudder.net.outbox import Outbox
-from otterrudder.net.requests import PendingRequest, RequestFields
+from otterrudder.net.messages import Outgoing, RequestCompleted, RequestFailed, RequestRejected
+from otterrudder.net.requests import UNCERTAIN, PendingRequest, RequestFields
 from otterrudder.net.run_delivery import RunDelivery
 
 
@@ -22,7 +21,7 @@
     def __init__(
         self,
         request_classes: list[RequestClass],
-        outbox: Outbox,
+        outbox: list[Outgoing],
         idempotency: IdempotencyTable,
         delivery: RunDelivery,
         calls: DownstreamCalls,
@@ -89,7 +88,7 @@
         """Answers that the request never ran."""
         if not request.is_answered:
             answer = RequestRejected(request.rpc_id, is_final, retry_after_ms, self.advertised_load)
-            self._outbox.send(request.connection, answer)
+            self._outbox.append((request.connection, answer))
             self.close(request)
         self.release(request)
 
@@ -97,7 +96,7 @@
         """Answers that the request is given up; a run goes on."""
         if not request.is_answered:
             answer = RequestFailed(request.rpc_id, "given up", self.advertised_load)
-            self._outbox.send(request.connection, answer)
+            self._outbox.append((request.connection, answer))
             self.close(request)
         self.release(request)
 
@@ -117,15 +116,19 @@
         if request.replayed_entry:
             request.replayed_entry.waiting.remove(request.number)
             request.replayed_entry = None
-        self._calls.cancel(request)
-        self._delivery.confirm_answered(request)
+        if request.is_calling:
+            self._calls.cancel(request)
+        if request.delivery == UNCERTAIN:
+            self._delivery.confirm_answered(request)
 
     # The ends of runs.
 
     def finish_run(self, request: PendingRequest, outcome: Outcome, body: bytes = b"") -> None:
         """The run is over: answers the request and those that wait for its response."""
         request.is_running = False
-        entry = self._idempotency.held_by(request.idempotency_key, request.number)
+        entry = None
+        if request.idempotency_key:
+            entry = self._idempotency.held_by(request.idempotency_key, request.number)
         if entry:
             entry.is_finished = True
             entry.response = body if outcome is Outcome.OK else None
@@ -133,7 +136,8 @@
                 self._idempotency.evict(request.idempotency_key, request.number)
         if outcome in (Outcome.OK, Outcome.ERROR):
             self._answer(request, outcome, body)
-        self._calls.cancel(request)
+        if request.is_calling:
+            self._calls.cancel(request)
         self.controller.handle_finished(request.number, outcome)
         if entry:
             self._answer_waiting(entry)
@@ -154,7 +158,7 @@
             answer = RequestCompleted(request.rpc_id, body, self.advertised_load)
         else:
             answer = RequestFailed(request.rpc_id, "failed", self.advertised_load)
-        self._outbox.send(request.connection, answer)
+        self._outbox.append((request.connection, answer))
         self.close(request)
 
     def _answer_from(self, request: PendingRequest, response: bytes | None) -> None:
--- a/otterrudder/net/run_delivery.py
+++ b/otterrudder/net/run_delivery.py
@@ -10,19 +10,19 @@
     DeliverReply,
     Destination,
     LeaveLink,
+    Outgoing,
     QueryGauges,
     SkipDownstreamCall,
     StartRun,
     StopRun,
 )
-from otterrudder.net.outbox import Outbox
 from otterrudder.net.requests import CONFIRMED, NOT_SENT, UNCERTAIN, PendingRequest
 
 
 class RunDelivery:
     """Sends commands on runs to the runtime, and sends again on a new link what the old one lost."""
 
-    def __init__(self, outbox: Outbox, method_names: list[str], gauge_names: list[str]) -> None:
+    def __init__(self, outbox: list[Outgoing], method_names: list[str], gauge_names: list[str]) -> None:
         """`method_names`: by class index; `gauge_names`: in the order of the answers, "": unused."""
         self._outbox = outbox
         self._method_names = method_names
@@ -39,7 +39,7 @@
         self.last_query += 1
         self._gauges = {}
         if self.is_linked:
-            self._outbox.send(Destination.RUNTIME, QueryGauges(self.last_query))
+            self._outbox.append((Destination.RUNTIME, QueryGauges(self.last_query)))
 
     def handle_gauges(self, tag: int, values: list[float]) -> None:
         """An older answer confirms what was read, but its values are out of date."""
@@ -72,12 +72,12 @@
 
     def stop(self, request: PendingRequest) -> None:
         """Stops the run."""
-        self._outbox.send(Destination.RUNTIME, StopRun(request.request_id))
+        self._outbox.append((Destination.RUNTIME, StopRun(request.request_id)))
 
     def skip_call(self, request: PendingRequest) -> None:
         """Lets the run go on without its downstream call."""
         request.pending_call = None
-        self._outbox.send(Destination.RUNTIME, SkipDownstreamCall(request.request_id))
+        self._outbox.append((Destination.RUNTIME, SkipDownstreamCall(request.request_id)))
 
     # Links.
 
@@ -94,7 +94,7 @@
         """What is decided from now on goes out on the link to another address. A last query on the old link
         confirms what was read there."""
         self.last_query += 1
-        self._outbox.send(Destination.RUNTIME, LeaveLink(self.last_query))
+        self._outbox.append((Destination.RUNTIME, LeaveLink(self.last_query)))
         self.handle_unlinked()
 
     def resume(self, request: PendingRequest, is_safe: bool) -> bool:
@@ -122,8 +122,9 @@
         return True
 
     def confirm_answered(self, request: PendingRequest) -> None:
-        """No answer is owed any more: nothing would start, so a start now only reports whether it runs."""
-        if request.delivery == UNCERTAIN and request.is_running and self.is_linked:
+        """The answer to a request whose delivery is uncertain is not owed any more: nothing would start, so a
+        start now only reports whether it runs."""
+        if request.is_running and self.is_linked:
             self._send_start(request)
 
     def was_sent(self, request: PendingRequest) -> bool:
@@ -143,9 +144,9 @@
     def _send_start(self, request: PendingRequest) -> None:
         request.delivery = self.last_query + 1  # the next query
         method = self._method_names[request.class_index]
-        self._outbox.send(Destination.RUNTIME, StartRun(request.request_id, method, request.body))
+        self._outbox.append((Destination.RUNTIME, StartRun(request.request_id, method, request.body)))
 
     def _send_reply(self, request: PendingRequest) -> None:
         assert request.reply is not None
         request.delivery = self.last_query + 1
-        self._outbox.send(Destination.RUNTIME, DeliverReply(request.request_id, request.reply))
+        self._outbox.append((Destination.RUNTIME, DeliverReply(request.request_id, request.reply)))
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -128,10 +128,11 @@
         core = self._dispatcher.core
         event = runtime_codec.decode(words, body)
         match event:
-            case runtime_codec.RunEnded():
-                self._dispatcher.post(core.handle_run_ended, *event, request_id=event.request_id)
-            case runtime_codec.CallNeeded():
-                self._dispatcher.post(core.handle_call_needed, *event, request_id=event.request_id)
+            case runtime_codec.RunEnded(request_id, outcome, response):
+                arguments = (request_id, outcome, response)
+                self._dispatcher.post(core.handle_run_ended, *arguments, request_id=request_id)
+            case runtime_codec.CallNeeded(request_id, call):
+                self._dispatcher.post(core.handle_call_needed, request_id, call, request_id=request_id)
             case runtime_codec.GaugesReported():
                 self._handle_gauges(event)
             case runtime_codec.ReplayFinished():
--- a/otterrudder/net/runtime_codec.py
+++ b/otterrudder/net/runtime_codec.py
@@ -4,7 +4,9 @@
 again on a new link from the number that `sync` names."""
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
+
+import msgspec
 
 from otterrudder.admission.interface import Outcome
 from otterrudder.net import lines
@@ -41,7 +43,7 @@
 }
 
 
-class RunEnded(NamedTuple):
+class RunEnded(msgspec.Struct, frozen=True, gc=False):
     """A run has ended; `body` is its response."""
 
     request_id: str
@@ -49,36 +51,36 @@
     body: bytes
 
 
-class CallNeeded(NamedTuple):
+class CallNeeded(msgspec.Struct, frozen=True, gc=False):
     """A run waits at a downstream call."""
 
     request_id: str
     body: bytes
 
 
-class Information(NamedTuple):
+class Information(msgspec.Struct, frozen=True, gc=False):
     """A notice without consequence."""
 
 
-class GaugesReported(NamedTuple):
+class GaugesReported(msgspec.Struct, frozen=True, gc=False):
     """The answer to a gauges query."""
 
     tag: int
     values: list[float]
 
 
-class ReplayFinished(NamedTuple):
+class ReplayFinished(msgspec.Struct, frozen=True, gc=False):
     """All notices missed on earlier links have come."""
 
 
-class RuntimeReady(NamedTuple):
+class RuntimeReady(msgspec.Struct, frozen=True, gc=False):
     """The runtime is up."""
 
     is_warm: bool
     uptime_ms: float
 
 
-class CommandRefused(NamedTuple):
+class CommandRefused(msgspec.Struct, frozen=True, gc=False):
     """The runtime did not carry out a command."""
 
     word: str
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -52,7 +52,7 @@
     close, lost = RequestTable.close, []
 
     def forgets(at: RequestTable, request: PendingRequest) -> None:
-        messages = at._outbox.messages
+        messages = at._outbox
         if request.number % 40 == 0 and messages and messages[-1][0] is request.connection:
             lost.append(messages.pop())
         close(at, request)
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -165,13 +165,13 @@
     module.known |= {"pressure": 0.9, "demand": 2.0}
     rings(8)
     enforced = ["full", "l1", "l2"] if mode == "enforce" else ["full"]
-    assert module.told == enforced and [facts["entered"] for _, facts in logged] == ["l1", "l2"]
-    text, facts = logged[0]
+    assert module.told == enforced and [entry.fields["entered"] for entry in logged] == ["l1", "l2"]
+    text, facts = logged[0].text, logged[0].fields
     assert text == "less service" and facts["pressure_bound"] == 0.2 and facts["why"] == "entry"
     assert facts["pressure"] > 0.2 and facts.get("shadow", False) == (mode == "shadow")
     core.replace_level_table(parse_table(table(SHARE), PRODUCTS, TENANTS))
     rings(1)
-    assert module.told[-1] == "l1" and logged[-1][1]["why"] == "table"
+    assert module.told[-1] == "l1" and logged[-1].fields["why"] == "table"
     shadow = 'version = 1\nmode = "shadow"\n'
     core.replace_level_table(parse_table(table(SHARE, top=shadow), PRODUCTS, TENANTS))
     assert module.told[-1] == "full"  # a shadow enforces nothing, whatever was in force
