--- a/otterrudder/net/fleet_setup.py
+++ b/otterrudder/net/fleet_setup.py
@@ -3,12 +3,12 @@
 from dataclasses import replace
 
 from otterrudder.configuration import Configuration, ConfigurationError
-from otterrudder.durable import Busy
+from otterrudder.durable import DirectoryInUseError
 from otterrudder.fleet.agent import Agent
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.policy import Content, own_of
+from otterrudder.fleet.policy import Content, local_configuration_of
 from otterrudder.levels import LevelController
 from otterrudder.net.dispatcher import Dispatcher
 
@@ -19,7 +19,7 @@
     """The fleet's agent. What it decides goes to the core by the dispatcher, ahead of what arrives.
     ConfigurationError: the state directory is another process's, or a file of keys can't be read."""
     core = dispatcher.core
-    own = replace(own_of(configuration.settings), products=core.request_classes)
+    own = replace(local_configuration_of(configuration.settings), products=core.request_classes)
 
     def apply_policy(content: Content) -> None:
         dispatcher.post(
@@ -39,7 +39,7 @@
 
     try:
         agent = make_agent(fleet, configuration.name, own, apply_policy, set_suspended, load_report)
-    except (Busy, OSError) as error:
+    except (DirectoryInUseError, OSError) as error:
         raise ConfigurationError(f"fleet: {error}") from None
     dispatcher.batch_hooks.append(agent.pulse)
     return agent
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from otterrudder.fleet.agent import open_folder
+from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.service import RelayService, check_descriptors
 from otterrudder.fleet.client import Client
@@ -20,15 +20,15 @@
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and Busy
-    if the folder is another process's."""
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and
+    DirectoryInUseError if the folder is another process's."""
     anyio.run(_serve, fleet, role)
 
 
 async def _serve(fleet: Fleet, role: RelayRole) -> None:
     check_descriptors(role.sessions_most)
     store = Client(fleet)
-    folder, record = open_folder(fleet, role.cell)
+    folder, record = open_state_directory(fleet, role.cell)
     service = RelayService(fleet, role, store, folder, record)
     service.listen()
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/otterrudder/net/server_files.py
+++ b/otterrudder/net/server_files.py
@@ -54,11 +54,11 @@
             raise ConfigurationError(
                 f"--levels {self.levels}: in a fleet the table of levels is the policy's"
             )
-        from otterrudder.fleet.configuration import BadFleet, read_fleet
+        from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
 
         try:
             fleet = read_fleet(self.fleet)
-        except BadFleet as error:
+        except InvalidFleetError as error:
             raise ConfigurationError(str(error)) from None
         if fleet.relay:
             raise ConfigurationError(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
