--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -137,7 +137,7 @@
             request.number,
             class_index,
             tenant=fields.tenant_index,
-            key=fields.session_key,
+            session_key=fields.session_key,
             size_kb=fields.size_kb,
             age_ms=age_ms,
             time_left_ms=0.0 if ttl_ms is None else max(ttl_ms - age_ms, MIN_TIME_LEFT_MS),
