--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -15,24 +15,25 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from helpers import Runtime, Server  # noqa: E402
+from fake_runtime import FakeRuntime  # noqa: E402
+from server_process import ServerProcess  # noqa: E402
 
 READY_S = 10.0  # s within which nine in ten are to be ready
 PAUSE_S = 0.02  # s between checks
 
 
-def answer_gauges(runtime: Runtime) -> None:
+def answer_gauges(runtime: FakeRuntime) -> None:
     with contextlib.suppress(AssertionError, OSError):  # until the server has gone
-        runtime.idle(10**6)
+        runtime.answer_gauges(10**6)
 
 
-def ready_after(server: Server, began: float, took: list[float]) -> None:
-    runtime = Runtime(server.runtimes.accept()[0])
+def ready_after(server: ServerProcess, began: float, took: list[float]) -> None:
+    runtime = FakeRuntime(server.runtimes.accept()[0])
     threading.Thread(target=answer_gauges, args=(runtime,), daemon=True).start()
-    gateway = server.gateway()
+    gateway = server.connect_gateway()
     while True:
-        gateway.ask("check")
-        if gateway.answer()["result"]["pass"]:
+        gateway.send_message("check")
+        if gateway.read_answer()["result"]["pass"]:
             took.append(time.monotonic() - began)
             return
         time.sleep(PAUSE_S)
@@ -42,10 +43,10 @@
     everywhere, took = os.sched_getaffinity(0), list[float]()
     with tempfile.TemporaryDirectory() as folder:
         os.sched_setaffinity(0, {core})  # children inherit it
-        began, started = time.monotonic(), list[Server]()
+        began, started = time.monotonic(), list[ServerProcess]()
         for n in range(servers):
             (at := Path(folder) / str(n)).mkdir()
-            started.append(Server(at))
+            started.append(ServerProcess(at))
         os.sched_setaffinity(0, everywhere - {core} or everywhere)
         waiting = [threading.Thread(target=ready_after, args=(server, began, took)) for server in started]
         for thread in waiting:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -20,7 +20,10 @@
 
 import anyio
 import pytest
-from helpers import SETTINGS, Gateway, Server, listener
+from fake_gateway import FakeGateway
+from helpers import SETTINGS
+from line_connection import listen
+from server_process import ServerProcess
 
 from otterrudder import clock
 from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
@@ -82,10 +85,10 @@
         self.dispatcher.post(the_core.handle_link_established)
         self.dispatcher.run_batch()
 
-    async def connect(self, small: bool = False) -> tuple[Gateway, GatewayConnection]:
+    async def connect(self, small: bool = False) -> tuple[FakeGateway, GatewayConnection]:
         """A connection, and its peer once it is served; `small`: the system holds next to nothing for it."""
         before = set(self.gateways.connections)
-        gateway = Gateway(self.gateways.sock.getsockname(), room=2048 if small else 0)
+        gateway = FakeGateway(self.gateways.sock.getsockname(), receive_buffer=2048 if small else 0)
         self.gateways._accept_some(self.group)
         (peer,) = self.gateways.connections - before
         if small:
@@ -93,7 +96,7 @@
         await rest()
         return gateway, peer
 
-    async def served(self, gateway: Gateway, call: str, body: bytes = b"done", **more: object) -> dict:
+    async def served(self, gateway: FakeGateway, call: str, body: bytes = b"done", **more: object) -> dict:
         """Takes the one start that is there or to come, ends it, and hands over the answer."""
         await until(lambda: self.turned() and call in self.runtime.started)
         self.dispatcher.post(self.dispatcher.core.handle_run_ended, call, Outcome.OK, body)
@@ -130,15 +133,15 @@
         await anyio.sleep(0.001)
 
 
-async def line(gateway: Gateway) -> bytes:
-    return await anyio.to_thread.run_sync(gateway.line)
+async def line(gateway: FakeGateway) -> bytes:
+    return await anyio.to_thread.run_sync(gateway.read_line)
 
 
-async def answer(gateway: Gateway) -> dict:
-    return await anyio.to_thread.run_sync(gateway.answer)
+async def answer(gateway: FakeGateway) -> dict:
+    return await anyio.to_thread.run_sync(gateway.read_answer)
 
 
-async def end(gateway: Gateway) -> bytes:
+async def end(gateway: FakeGateway) -> bytes:
     """The rest up to an orderly end; a reset raises."""
 
     def read() -> bytes:
@@ -178,7 +181,7 @@
     async def play(rig: Inside) -> None:
         gateway, peer = await rig.connect()
         due = at_rest(peer)
-        gateway.sock.sendall(gateway.txn_message(A))  # in the queue, for the loop does not run
+        gateway.sock.sendall(gateway.request_message(A))  # in the queue, for the loop does not run
         ends(peer, due)
         assert "result" in await rig.served(gateway, A)
 
@@ -191,7 +194,7 @@
 ) -> None:
     async def play(rig: Inside) -> None:
         gateway, peer = await rig.connect()
-        due, data = at_rest(peer), gateway.txn_message(A)
+        due, data = at_rest(peer), gateway.request_message(A)
         gateway.sock.sendall(data[:40])
         ends(peer, due)
         await rest()
@@ -206,10 +209,10 @@
     async def play(rig: Inside) -> None:
         monkeypatch.setattr(connection_reaper, "PARTIAL_MESSAGE_TIMEOUT_MS", 50.0)
         gateway, peer = await rig.connect()
-        gateway.sock.sendall(gateway.txn_message(A))
+        gateway.sock.sendall(gateway.request_message(A))
         await rig.served(gateway, A)
         await anyio.sleep(0.06)  # the rest, longer than a half may last
-        data, before = gateway.txn_message(B), peer.last_activity
+        data, before = gateway.request_message(B), peer.last_activity
         gateway.sock.sendall(data[:40])
         await until(lambda: peer.last_activity > before)
         close_if_silent(peer, peer.last_activity, Timeouts(1e9))  # in the moment in which it came
@@ -224,7 +227,7 @@
     async def play(rig: Inside) -> None:
         gateway, peer = await rig.connect()
         at_rest(peer)
-        data = gateway.txn_message(A)
+        data = gateway.request_message(A)
         gateway.sock.sendall(data[:40])
         await until(lambda: peer.partial_since < 1e300)
         gateway.sock.sendall(data[40:50])
@@ -270,9 +273,9 @@
     # 30 KB of wrong lines: most of them lie unread as the sixth ends the connection.
     async def play(rig: Inside) -> None:
         gateway, _ = await rig.connect()
-        gateway.sock.sendall(gateway.txn_message(A) + b"{\n" * 15_000)
+        gateway.sock.sendall(gateway.request_message(A) + b"{\n" * 15_000)
         await until(lambda: rig.turned() and rig.runtime.started == [A])
-        gateway.sock.sendall(gateway.txn_message(B))  # after the last wrong one: never heard
+        gateway.sock.sendall(gateway.request_message(B))  # after the last wrong one: never heard
         rig.dispatcher.post(rig.dispatcher.core.handle_run_ended, A, Outcome.OK, b"r" * 4096)
         rig.dispatcher.run_batch()
         lines = (await end(gateway)).splitlines()
@@ -308,7 +311,7 @@
         floods[0][1].stream.close("test", 0.1)
         floods[1][1].stream.close("test", 60.0)  # the bound of bytes ends it
 
-        async def pour(flood: Gateway, peer: GatewayConnection) -> None:
+        async def pour(flood: FakeGateway, peer: GatewayConnection) -> None:
             flood.sock.setblocking(False)
             while peer in rig.gateways.connections:
                 with contextlib.suppress(BlockingIOError):
@@ -329,13 +332,13 @@
     # It is on its way out as long as its request runs; the others were once not asked meanwhile.
     async def play(rig: Inside) -> None:
         owed, owed_peer = await rig.connect()
-        owed.sock.sendall(owed.txn_message(A) + b"{\n" * 6)
+        owed.sock.sendall(owed.request_message(A) + b"{\n" * 6)
         await until(lambda: owed_peer.stream.end_reason and rig.turned() and rig.runtime.started)
         resting = [await rig.connect() for _ in range(rig.gateways.max_connections - 1)]
         for _, peer in resting:
             peer.last_activity = -1e9
-        newcomer = Gateway(rig.gateways.sock.getsockname())
-        newcomer.sock.sendall(newcomer.txn_message(B))
+        newcomer = FakeGateway(rig.gateways.sock.getsockname())
+        newcomer.sock.sendall(newcomer.request_message(B))
         rig.group.start_soon(rig.gateways._accept, rig.group)
         assert "result" in await rig.served(newcomer, B)
         assert owed_peer in rig.gateways.connections
@@ -351,7 +354,7 @@
         gc.disable()
         try:
             gateway, peer = await rig.connect()
-            gateway.sock.sendall(gateway.txn_message(A))
+            gateway.sock.sendall(gateway.request_message(A))
             await rig.served(gateway, A)
             gateway.close()
             gone = weakref.ref(peer)
@@ -369,7 +372,7 @@
 def test_what_comes_with_the_last_look_is_answered_and_what_comes_after_is_not_begun() -> None:
     async def play(rig: Inside) -> None:
         resting, half, busy = [(await rig.connect())[0] for _ in range(3)]
-        data = half.txn_message(B)
+        data = half.request_message(B)
         half.sock.sendall(data[:30])
         left = rig.gateways._wait_until_closed
 
@@ -378,9 +381,9 @@
             try:
                 await left()
             finally:  # the time that peers have is over; nothing runs from here to the last look
-                resting.sock.sendall(resting.txn_message(A))
+                resting.sock.sendall(resting.request_message(A))
                 half.sock.sendall(data[30:])
-                busy.sock.sendall(busy.txn_message(C)[:50])
+                busy.sock.sendall(busy.request_message(C)[:50])
 
         rig.gateways._wait_until_closed = last_moment
         rig.dispatcher.post(rig.dispatcher.core.begin_graceful_shutdown, 0.0)  # the stop is now
@@ -400,29 +403,29 @@
     # The table is full of connections with an open request until the stop, so those behind wait in the
     # backlog.
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 48}
-    with Server(tmp_path, limits=limits) as server:
-        runtime = server.runtime()
-        runtime.idle(2)
+    with ServerProcess(tmp_path, limits=limits) as server:
+        runtime = server.accept_runtime()
+        runtime.answer_gauges(2)
         room = 48 - 48 // 8 - gateway_listener.SPARE_DESCRIPTORS
-        busy = [server.gateway() for _ in range(room)]
+        busy = [server.connect_gateway() for _ in range(room)]
         for n, gateway in enumerate(busy):
-            gateway.request(f"{n:016x}")
-        while not server.logged("cannot accept"):  # full, and none may go: those behind wait
-            server.wires.append(waiting := Gateway(server.address))
-            waiting.request(os.urandom(8).hex())
+            gateway.send_request(f"{n:016x}")
+        while not server.has_logged("cannot accept"):  # full, and none may go: those behind wait
+            server.connections.append(waiting := FakeGateway(server.address))
+            waiting.send_request(os.urandom(8).hex())
             busy.append(waiting)
-            runtime.idle(1) if len(runtime.data) else time.sleep(0.01)
+            runtime.answer_gauges(1) if len(runtime.data) else time.sleep(0.01)
             assert len(busy) < 3 * room
         server.process.terminate()
         answered = 0
         for gateway in busy:
-            told = gateway.answer()
+            told = gateway.read_answer()
             assert "error" in told
             answered += 1
-        assert answered == len(busy) and server.ends() == 0
+        assert answered == len(busy) and server.wait_for_exit() == 0
 
 
-def stopped(server: Server) -> None:
+def stopped(server: ServerProcess) -> None:
     """Held still, so that what comes now comes in one turn."""
     server.process.send_signal(signal.SIGSTOP)
     while Path(f"/proc/{server.process.pid}/stat").read_text().rsplit(")")[1].split()[0] != "T":
@@ -430,22 +433,22 @@
 
 
 def test_sigterm_in_the_turn_of_ready_drains_what_it_admits(tmp_path: Path) -> None:
-    with Server(tmp_path) as server:
-        gateway = server.gateway()
-        runtime = server.runtime(ready="")
-        gateway.ask("check")
-        gateway.answer()
+    with ServerProcess(tmp_path) as server:
+        gateway = server.connect_gateway()
+        runtime = server.accept_runtime(ready="")
+        gateway.send_message("check")
+        gateway.read_answer()
         stopped(server)
-        runtime.say("ready hot 60000")
-        gateway.request(A), gateway.request(B, "pay", dedupe=MARK)
+        runtime.send("ready hot 60000")
+        gateway.send_request(A), gateway.send_request(B, "pay", dedupe=MARK)
         server.process.terminate()
         server.process.send_signal(signal.SIGCONT)
         answers = {}
         for _ in range(2):  # admitted or declined, each has its answer
-            told = gateway.answer()
+            told = gateway.read_answer()
             answers[told["id"]] = told
         assert len(answers) == 2
-        assert server.ends() == 0 and server.logged("event=left unanswered=0")
+        assert server.wait_for_exit() == 0 and server.has_logged("event=left unanswered=0")
 
 
 def test_a_runtime_that_comes_up_in_a_drain_finds_nobody() -> None:
@@ -460,7 +463,7 @@
         rig.dispatcher.post(the_core.begin_graceful_shutdown, 1500.0)
         rig.dispatcher.post(the_core.handle_runtime_ready, True, 60_000.0)
         rig.dispatcher.post(the_core.handle_link_established)
-        gateway.sock.sendall(gateway.txn_message(A))
+        gateway.sock.sendall(gateway.request_message(A))
         await rest()
         rig.group.start_soon(rig.dispatcher.run)
         await rig.gateways.run(rig.group)  # it ends by itself
@@ -499,7 +502,7 @@
         rig.group.start_soon(run)
         rig.group.start_soon(rig.dispatcher.run)
         gateway, _ = await rig.connect()
-        gateway.sock.sendall(gateway.txn_message(A))
+        gateway.sock.sendall(gateway.request_message(A))
         await until(lambda: rig.runtime.started)
         shutdown_s = gateway_listener.GOAWAY_GRACE_S + gateway_listener.LAST_WRITES_S
         await anyio.sleep(2 * shutdown_s)  # longer than a way out takes
@@ -511,20 +514,20 @@
 
 
 def test_signals_in_any_order_end_in_one_drain(tmp_path: Path) -> None:
-    with Server(tmp_path) as server:
-        runtime, gateway = server.up()
-        gateway.request(A)
-        runtime.expect("start", A)
+    with ServerProcess(tmp_path) as server:
+        runtime, gateway = server.connect_all()
+        gateway.send_request(A)
+        runtime.expect_command("start", A)
         stopped(server)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
             server.process.send_signal(number)
         server.process.send_signal(signal.SIGCONT)
-        server.until("draining: 1 in hand", lambda: runtime.idle(1))
+        server.wait_for_log("draining: 1 in hand", lambda: runtime.answer_gauges(1))
         server.process.send_signal(signal.SIGHUP)  # while it drains
         server.process.terminate()
-        runtime.ends(A)
-        assert gateway.result() == b"done"
-        assert server.ends() == 0 and server.logged("event=left unanswered=0")
+        runtime.end_run(A)
+        assert gateway.read_result() == b"done"
+        assert server.wait_for_exit() == 0 and server.has_logged("event=left unanswered=0")
 
 
 def test_sighup_while_the_program_starts_neither_ends_it_nor_is_missed(
@@ -544,46 +547,46 @@
         "sys.addaudithook(hook)\n"
     )
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
-    moved = listener()
+    moved = listen()
     new = tmp_path / "config.json.new"
 
-    class Starts(Server):
+    class Starts(ServerProcess):
         def start(self) -> None:
-            new.write_text(json.dumps(self.told | {"runtime": "{}:{}".format(*moved.getsockname())}))
+            new.write_text(json.dumps(self.document | {"runtime": "{}:{}".format(*moved.getsockname())}))
             super().start()
 
     with Starts(tmp_path) as server:
-        server.until("moved=['runtime']")
+        server.wait_for_log("moved=['runtime']")
         server.runtimes.close()
         server.runtimes = moved
-        runtime = server.runtime()
-        runtime.idle(2)
-        gateway = server.gateway()
-        gateway.request(A)
-        runtime.expect("start", A)
-        runtime.ends(A)
-        assert gateway.result() == b"done"
+        runtime = server.accept_runtime()
+        runtime.answer_gauges(2)
+        gateway = server.connect_gateway()
+        gateway.send_request(A)
+        runtime.expect_command("start", A)
+        runtime.end_run(A)
+        assert gateway.read_result() == b"done"
 
 
 BAD_FILES = ["[" * 200_000, "\x00", "{}", '{"settings": {"classes": [{}]}}', '{"limits": 7}', "\ud800"]
 
 
 def test_no_file_that_sighup_brings_ends_the_server(tmp_path: Path) -> None:
-    with Server(tmp_path) as server:
-        runtime, gateway = server.up()
+    with ServerProcess(tmp_path) as server:
+        runtime, gateway = server.connect_all()
         for bad in BAD_FILES:
             server.log.write_text("")
             server.configuration.write_bytes(bad.encode("utf-8", "surrogatepass"))
             server.process.send_signal(signal.SIGHUP)
-            server.until("configuration not taken", lambda: runtime.idle(1))
+            server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
         server.configuration.unlink()
         server.log.write_text("")
         server.process.send_signal(signal.SIGHUP)
-        server.until("configuration not taken", lambda: runtime.idle(1))
-        gateway.request(A)
-        runtime.expect("start", A)
-        runtime.ends(A)
-        assert gateway.result() == b"done"
+        server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
+        gateway.send_request(A)
+        runtime.expect_command("start", A)
+        runtime.end_run(A)
+        assert gateway.read_result() == b"done"
 
 
 def test_a_count_of_the_process_that_fails_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -596,7 +599,7 @@
         rig.dispatcher.statistics.next_report = 0.0
         rig.dispatcher.run_batch()
         gateway, _ = await rig.connect()
-        gateway.sock.sendall(gateway.txn_message(A))
+        gateway.sock.sendall(gateway.request_message(A))
         assert "result" in await rig.served(gateway, A)
 
     inside(play)
@@ -605,26 +608,26 @@
 def test_those_who_ask_get_in_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
     """Nobody leaves by a new list. All fill the table after a word each, and rest until they are ended."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-    with Server(tmp_path, descriptors=64, limits=limits) as server:
-        runtime = server.runtime()
-        runtime.idle(2)
+    with ServerProcess(tmp_path, descriptors=64, limits=limits) as server:
+        runtime = server.accept_runtime()
+        runtime.answer_gauges(2)
         idle = []
         for _ in range(150):
-            gateway = server.gateway()
-            gateway.ask("check")
+            gateway = server.connect_gateway()
+            gateway.send_message("check")
             idle.append(gateway)
         for n in range(5):
-            call, gateway = f"{n:016x}", server.gateway()
+            call, gateway = f"{n:016x}", server.connect_gateway()
             began = time.monotonic()
-            gateway.request(call, ttl=4000)
-            runtime.expect("start", call)
+            gateway.send_request(call, ttl=4000)
+            runtime.expect_command("start", call)
             if not n:  # descriptors for the service below are there
-                runtime.tell(f"wants {call}", b"?")
-                server.called(call, b"?").say(f"{call} DONE", b"!")
-                runtime.expect("give", call)
-            runtime.ends(call)
-            assert gateway.result() == b"done" and time.monotonic() - began < 4.0
-        assert not server.logged("Too many open files")
+                runtime.send_notice(f"wants {call}", b"?")
+                server.accept_call(call, b"?").send(f"{call} DONE", b"!")
+                runtime.expect_command("give", call)
+            runtime.end_run(call)
+            assert gateway.read_result() == b"done" and time.monotonic() - began < 4.0
+        assert not server.has_logged("Too many open files")
 
 
 def told(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[RecordsPool, list[tuple]]:
@@ -646,7 +649,7 @@
 
 def test_a_call_never_goes_out_on_a_connection_that_the_service_has_ended() -> None:
     async def play(rig: Inside) -> None:
-        service = listener()
+        service = listen()
         pool, heard = told(rig.group, service.getsockname())
         pool.send(SendCall(A, 500.0, b"?"))
         first = await anyio.to_thread.run_sync(lambda: service.accept()[0])
@@ -668,7 +671,7 @@
 
 def test_the_end_of_an_earlier_calls_connection_is_not_that_of_the_call_now_out() -> None:
     async def play(rig: Inside) -> None:
-        service = listener()
+        service = listen()
         pool, heard = told(rig.group, service.getsockname())
         ends = []
         for _ in range(2):
@@ -691,7 +694,7 @@
     """Replies, copies, strangers', halves, closes, resets, moves and given-up calls in drawn orders."""
 
     async def play(rig: Inside) -> None:
-        chance, services = random.Random(seed), [listener(), listener()]
+        chance, services = random.Random(seed), [listen(), listen()]
         pool, heard = told(rig.group, services[0].getsockname())
         pool.max_connections = 3  # so that calls share connections too
         for service in services:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,7 +13,10 @@
 from pathlib import Path
 
 import pytest
-from helpers import ROOT, RUN, SETTINGS, Gateway, Runtime, Server
+from fake_gateway import FakeGateway
+from fake_runtime import FakeRuntime
+from helpers import ROOT, RUN, SETTINGS
+from server_process import ServerProcess
 
 from otterrudder.cli.migrate import migrate_settings
 
@@ -21,89 +24,91 @@
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[Server]:
-    with Server(tmp_path) as server:
+def server(tmp_path: Path) -> Iterator[ServerProcess]:
+    with ServerProcess(tmp_path) as server:
         yield server
 
 
-def settles(runtime: Runtime, gateway: Gateway, call: str, body: bytes = b"ask") -> None:
+def settles(runtime: FakeRuntime, gateway: FakeGateway, call: str, body: bytes = b"ask") -> None:
     """A request from end to end, byte for byte: the server is well."""
-    rpc = gateway.request(call, body=body)
-    words, got = runtime.expect("start", call, "look")
+    rpc = gateway.send_request(call, body=body)
+    words, got = runtime.expect_command("start", call, "look")
     assert got == body
-    runtime.ends(call, body[::-1])
-    answer = gateway.answer()
+    runtime.end_run(call, body[::-1])
+    answer = gateway.read_answer()
     assert answer["id"] == rpc and "load" in answer["result"]
     assert base64.b64decode(answer["result"]["blob"]) == body[::-1]
 
 
-def test_a_txn_settles_byte_for_byte_and_answers_come_in_any_order(server: Server) -> None:
-    runtime, gateway = server.up()
+def test_a_txn_settles_byte_for_byte_and_answers_come_in_any_order(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
     settles(runtime, gateway, A, bytes(range(256)) * 8)
-    first, second = gateway.request(B), gateway.request(C)
-    runtime.expect("start", B), runtime.expect("start", C)
-    runtime.ends(C, b""), runtime.ends(B, b"x", how="error")
-    answer = gateway.answer()
+    first, second = gateway.send_request(B), gateway.send_request(C)
+    runtime.expect_command("start", B), runtime.expect_command("start", C)
+    runtime.end_run(C, b""), runtime.end_run(B, b"x", how="error")
+    answer = gateway.read_answer()
     assert (answer["id"], answer["result"]["blob"]) == (second, "")
-    failed = gateway.answer()
+    failed = gateway.read_answer()
     assert failed["id"] == first and failed["error"]["code"] not in (-32014, -32700)
 
 
-def test_a_repeat_is_answered_from_the_first_run(server: Server) -> None:
-    runtime, gateway = server.up()
-    other = server.gateway()
-    gateway.request(A, "pay", dedupe=MARK)
-    runtime.expect("start", A, "pay")
-    other.request(B, "pay", dedupe=MARK, rep=1)  # while it runs
-    runtime.idle()
-    runtime.ends(A, b"paid")
-    assert gateway.result() == other.result() == b"paid"
-    other.request(C, "pay", dedupe=MARK, rep=1)  # afterwards
-    assert other.result() == b"paid"
-    runtime.idle()
-
-
-def test_calls_are_made_repeated_given_up_and_late_replies_dropped(server: Server) -> None:
-    runtime, gateway = server.up()
-    rpc = gateway.request(A, "pay", dedupe=MARK)
-    runtime.expect("start", A)
-    runtime.tell(f"wants {A}", b"row?")
-    records = server.record()
-    op, call, wait, size = records.line().decode().split()
-    assert (op, call, records.body(int(size))) == ("OP", A, b"row?") and 0 < int(wait) <= 15000
-    records.say(f"{A} WAIT")  # proves that nothing ran, so it may go again, effect or not
-    records = server.called(A, b"row?")
-    records.say(f"{A} DONE", b"row!")
-    assert runtime.expect("give", A)[1] == b"row!"
-    runtime.tell(f"wants {A}", b"more?")
-    old, records = records, server.called(A, b"more?")
-    old.say(f"{A} DONE", b"row!")  # a second copy is no reply to the next call, and ends its connection
-    assert old.line() == b"" and not runtime.idle()
-    gateway.ask("interrupt", call=A)
-    assert records.line() == b""  # its close gives up its only call; a late reply meets nobody
-    runtime.ends(A, b"", how="cancelled")
-    gateway.request(B)
-    assert runtime.next()[0][:2] == ["start", B]  # no `give` of the late reply before it
-    runtime.ends(B)
-    assert gateway.answer()["id"] == rpc + 2
-
-
-def test_a_broken_records_link_proves_nothing_and_a_refused_one_that_nothing_ran(server: Server) -> None:
-    runtime, gateway = server.up()
+def test_a_repeat_is_answered_from_the_first_run(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    other = server.connect_gateway()
+    gateway.send_request(A, "pay", dedupe=MARK)
+    runtime.expect_command("start", A, "pay")
+    other.send_request(B, "pay", dedupe=MARK, rep=1)  # while it runs
+    runtime.answer_gauges()
+    runtime.end_run(A, b"paid")
+    assert gateway.read_result() == other.read_result() == b"paid"
+    other.send_request(C, "pay", dedupe=MARK, rep=1)  # afterwards
+    assert other.read_result() == b"paid"
+    runtime.answer_gauges()
+
+
+def test_calls_are_made_repeated_given_up_and_late_replies_dropped(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    rpc = gateway.send_request(A, "pay", dedupe=MARK)
+    runtime.expect_command("start", A)
+    runtime.send_notice(f"wants {A}", b"row?")
+    records = server.accept_records()
+    op, call, wait, size = records.read_line().decode().split()
+    assert (op, call, records.read_body(int(size))) == ("OP", A, b"row?") and 0 < int(wait) <= 15000
+    records.send(f"{A} WAIT")  # proves that nothing ran, so it may go again, effect or not
+    records = server.accept_call(A, b"row?")
+    records.send(f"{A} DONE", b"row!")
+    assert runtime.expect_command("give", A)[1] == b"row!"
+    runtime.send_notice(f"wants {A}", b"more?")
+    old, records = records, server.accept_call(A, b"more?")
+    old.send(f"{A} DONE", b"row!")  # a second copy is no reply to the next call, and ends its connection
+    assert old.read_line() == b"" and not runtime.answer_gauges()
+    gateway.send_message("interrupt", call=A)
+    assert records.read_line() == b""  # its close gives up its only call; a late reply meets nobody
+    runtime.end_run(A, b"", how="cancelled")
+    gateway.send_request(B)
+    assert runtime.read_command()[0][:2] == ["start", B]  # no `give` of the late reply before it
+    runtime.end_run(B)
+    assert gateway.read_answer()["id"] == rpc + 2
+
+
+def test_a_broken_records_link_proves_nothing_and_a_refused_one_that_nothing_ran(
+    server: ServerProcess,
+) -> None:
+    runtime, gateway = server.connect_all()
     links = {}
-    gateway.request(A, "pay", dedupe=MARK), gateway.request(B, "look")
+    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B, "look")
     for call in (A, B):
-        runtime.expect("start", call)
-        runtime.tell(f"wants {call}", b"?")
-        links[call] = server.called(call, b"?")
+        runtime.expect_command("start", call)
+        runtime.send_notice(f"wants {call}", b"?")
+        links[call] = server.accept_call(call, b"?")
     links[A].close()
-    assert gateway.answer()["error"]["code"] not in (-32014,)  # the effect may have happened: voided
+    assert gateway.read_answer()["error"]["code"] not in (-32014,)  # the effect may have happened: voided
     links[B].close()
-    records = server.called(B, b"?")  # inquiry-like: again, on a new connection
+    records = server.accept_call(B, b"?")  # inquiry-like: again, on a new connection
     server.records.close()
     records.close()  # the next tries are refused: B waits on and tries again until somebody listens
-    runtime.idle(20)
-    server.until("records service refuses")
+    runtime.answer_gauges(20)
+    server.wait_for_log("records service refuses")
     settles(runtime, gateway, C)
 
 
@@ -111,175 +116,184 @@
           b"%s DONE 1\r\nabc\r\n", b"%s DONE 50\r\nabc\r\n"]  # fmt: skip
 
 
-def test_a_spoilt_reply_costs_its_call_and_no_other(server: Server) -> None:
+def test_a_spoilt_reply_costs_its_call_and_no_other(server: ServerProcess) -> None:
     # One connection for all calls lost all of them with each spoilt reply.
-    runtime, gateway = server.up()
-    gateway.request(B), runtime.expect("start", B)
-    runtime.tell(f"wants {B}", b"?")
-    good = server.called(B, b"?")
-    gateway.request(A), runtime.expect("start", A)
-    runtime.tell(f"wants {A}", b"?")
+    runtime, gateway = server.connect_all()
+    gateway.send_request(B), runtime.expect_command("start", B)
+    runtime.send_notice(f"wants {B}", b"?")
+    good = server.accept_call(B, b"?")
+    gateway.send_request(A), runtime.expect_command("start", A)
+    runtime.send_notice(f"wants {A}", b"?")
     for spoilt in SPOILT:
-        records = server.called(A, b"?")
+        records = server.accept_call(A, b"?")
         records.sock.sendall(spoilt.replace(b"%s", A.encode()))
-        assert records.line() == b""  # left at once, or when the rest does not come
-    server.called(A, b"?").say(f"{C} DONE 1\r\n?\r\n{A} DONE", b"yes")  # a stranger's ahead of the good one
-    assert runtime.expect("give", A)[1] == b"yes"
-    good.say(f"{B} DONE", b"row!")
-    assert runtime.expect("give", B)[1] == b"row!"
+        assert records.read_line() == b""  # left at once, or when the rest does not come
+    server.accept_call(A, b"?").send(f"{C} DONE 1\r\n?\r\n{A} DONE", b"yes")  # a stranger's comes first
+    assert runtime.expect_command("give", A)[1] == b"yes"
+    good.send(f"{B} DONE", b"row!")
+    assert runtime.expect_command("give", B)[1] == b"row!"
 
 
-def test_an_idle_records_connection_is_used_again_while_fresh(server: Server) -> None:
-    runtime, gateway = server.up()
+def test_an_idle_records_connection_is_used_again_while_fresh(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
     calls = (A, B)
     for call in calls:
-        gateway.request(call), runtime.expect("start", call)
-        runtime.tell(f"wants {call}", b"?")
+        gateway.send_request(call), runtime.expect_command("start", call)
+        runtime.send_notice(f"wants {call}", b"?")
         if call == calls[0]:
-            records = server.called(call, b"?")
+            records = server.accept_call(call, b"?")
         else:
-            assert records.line().startswith(f"OP {call} ".encode()) and records.body(1)
-        records.say(f"{call} DONE", b"!")
-        runtime.expect("give", call)
-    assert records.line() == b""  # unused, it is left: the service forgets such ones and resets the next call
-
-
-def test_a_new_configuration_moves_runtime_records_and_registry(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
-    gateway.request(C), runtime.expect("start", C)
-    runtime.tell(f"wants {C}", b"?")
-    old_records = server.called(C, b"?")
+            assert records.read_line().startswith(f"OP {call} ".encode()) and records.read_body(1)
+        records.send(f"{call} DONE", b"!")
+        runtime.expect_command("give", call)
+    assert (
+        records.read_line() == b""
+    )  # unused, it is left: the service forgets such ones and resets the next call
+
+
+def test_a_new_configuration_moves_runtime_records_and_registry(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    gateway.send_request(C), runtime.expect_command("start", C)
+    runtime.send_notice(f"wants {C}", b"?")
+    old_records = server.accept_call(C, b"?")
     for bad in ("{", '{"name": "n3"}'):  # half written, or lacking the rest: the old one stays in force
         server.reload(bad)
-        server.until("configuration not taken", lambda: runtime.idle(1))
+        server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
         server.log.write_text("")
-    old_registry = server.move()
+    old_reports = server.move_addresses()
     while True:  # its last question proves what it has read; nothing else comes on it
-        words = runtime.line().decode().split()
+        words = runtime.read_line().decode().split()
         if not words:
             break
         assert words[0] == "gauges"
-        runtime.say(f"load {words[1]} 0.2 1 0.1 5")
-    new = server.runtime()
+        runtime.send(f"load {words[1]} 0.2 1 0.1 5")
+    new = server.accept_runtime()
     assert new.synced == 1
-    gateway.request(B), new.expect("start", B)  # not A again: its start was read
-    new.tell(f"wants {B}", b"?")
-    server.called(B, b"?").say(f"{B} DONE", b"!")
-    new.expect("give", B)
-    old_records.say(f"{C} DONE", b"old!")
-    assert new.expect("give", C)[1] == b"old!"
-    new.ends(A, b"paid")
-    assert gateway.result() == b"paid"
-    assert server.registry.recv(100) == b"BEAT n3 ready"
+    gateway.send_request(B), new.expect_command("start", B)  # not A again: its start was read
+    new.send_notice(f"wants {B}", b"?")
+    server.accept_call(B, b"?").send(f"{B} DONE", b"!")
+    new.expect_command("give", B)
+    old_records.send(f"{C} DONE", b"old!")
+    assert new.expect_command("give", C)[1] == b"old!"
+    new.end_run(A, b"paid")
+    assert gateway.read_result() == b"paid"
+    assert server.reports.recv(100) == b"BEAT n3 ready"
     server.process.send_signal(signal.SIGHUP)  # nothing has changed
-    server.until("moved=[]", lambda: new.idle(1))
-    old_registry.close()
-
-
-def test_new_configurations_may_come_early_and_in_a_row(server: Server) -> None:
-    server.gateway()
-    server.runtime(ready="")  # the link stands, the runtime is not up
-    server.move().close()
-    runtime = server.runtime()
-    runtime.idle(2)
-    settles(runtime, server.gateway(), A)
-    server.move().close(), server.move().close()  # nobody answers the last question, nor in between
-    new = server.runtime()
-    new.idle(2)
-    settles(new, server.gateway(), B)
-
-
-def test_a_runtime_that_comes_up_late_refuses_the_gauges_and_starts_cold(server: Server) -> None:
+    server.wait_for_log("moved=[]", lambda: new.answer_gauges(1))
+    old_reports.close()
+
+
+def test_new_configurations_may_come_early_and_in_a_row(server: ServerProcess) -> None:
+    server.connect_gateway()
+    server.accept_runtime(ready="")  # the link stands, the runtime is not up
+    server.move_addresses().close()
+    runtime = server.accept_runtime()
+    runtime.answer_gauges(2)
+    settles(runtime, server.connect_gateway(), A)
+    (
+        server.move_addresses().close(),
+        server.move_addresses().close(),
+    )  # nobody answers the last question, nor in between
+    new = server.accept_runtime()
+    new.answer_gauges(2)
+    settles(new, server.connect_gateway(), B)
+
+
+def test_a_runtime_that_comes_up_late_refuses_the_gauges_and_starts_cold(server: ServerProcess) -> None:
     # A restarted server once ran nothing: its question for the end of the replay came before `ready`.
-    gateway = server.gateway()
-    check = gateway.ask("check")
-    assert gateway.answer() == {"jsonrpc": "2.0", "id": check, "result": {"pass": False}}
-    gateway.request(A)
-    assert gateway.answer()["error"]["code"] == -32014
-    runtime = server.runtime(ready="")
+    gateway = server.connect_gateway()
+    check = gateway.send_message("check")
+    assert gateway.read_answer() == {"jsonrpc": "2.0", "id": check, "result": {"pass": False}}
+    gateway.send_request(A)
+    assert gateway.read_answer()["error"]["code"] == -32014
+    runtime = server.accept_runtime(ready="")
     runtime.sock.settimeout(0.3)
     with pytest.raises(TimeoutError):
-        runtime.line()  # nothing is asked before `ready`
+        runtime.read_line()  # nothing is asked before `ready`
     runtime.sock.settimeout(20)
-    runtime.say("ready chilly 0")
-    runtime.idle(3)
-    gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is True
+    runtime.send("ready chilly 0")
+    runtime.answer_gauges(3)
+    gateway.send_message("check")
+    assert gateway.read_answer()["result"]["pass"] is True
     settles(runtime, gateway, B)
 
 
 @pytest.mark.parametrize("cut", [b"end 2 ", f"end 2 {A} complete 3.5 40\r\nhalf of".encode()])
-def test_a_lost_runtime_link_is_made_anew_and_replayed(server: Server, cut: bytes) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A, "pay", dedupe=MARK), gateway.request(B)
-    runtime.expect("start", A), runtime.expect("start", B)
-    runtime.idle()  # proves that both starts were read
-    runtime.tell("info hello there")
+def test_a_lost_runtime_link_is_made_anew_and_replayed(server: ServerProcess, cut: bytes) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B)
+    runtime.expect_command("start", A), runtime.expect_command("start", B)
+    runtime.answer_gauges()  # proves that both starts were read
+    runtime.send_notice("info hello there")
     runtime.sock.sendall(cut)
     runtime.close()
-    runtime = server.runtime(missed=[(f"end {A} complete 3.5", b"a" * 40)])
-    assert runtime.synced == 1 and gateway.result() == b"a" * 40
-    runtime.idle()
-    runtime.ends(B, b"b")  # it ran on and was not started again
-    assert gateway.result() == b"b"
+    runtime = server.accept_runtime(missed=[(f"end {A} complete 3.5", b"a" * 40)])
+    assert runtime.synced == 1 and gateway.read_result() == b"a" * 40
+    runtime.answer_gauges()
+    runtime.end_run(B, b"b")  # it ran on and was not started again
+    assert gateway.read_result() == b"b"
     settles(runtime, gateway, C)
 
 
-def test_after_a_lost_link_only_what_has_no_effect_is_started_again(server: Server) -> None:
-    runtime, gateway = server.up()
-    runtime.unanswered = True  # so nothing proves that the starts were read
-    gateway.request(A, "pay", dedupe=MARK), gateway.request(B)
-    runtime.expect("start", A), runtime.expect("start", B)
+def test_after_a_lost_link_only_what_has_no_effect_is_started_again(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    runtime.ignores_gauges = True  # so nothing proves that the starts were read
+    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B)
+    runtime.expect_command("start", A), runtime.expect_command("start", B)
     runtime.close()
-    runtime = server.runtime()
-    runtime.expect("start", B)
-    runtime.idle()
-    runtime.ends(B)
-    assert gateway.answer()["id"] == 2
-    gateway.ask("interrupt", call=A)  # answered or left, a start tells how it stands and does no harm
-    runtime.expect("start", A)
-    runtime.ends(A, b"", how="unknown")
+    runtime = server.accept_runtime()
+    runtime.expect_command("start", B)
+    runtime.answer_gauges()
+    runtime.end_run(B)
+    assert gateway.read_answer()["id"] == 2
+    gateway.send_message(
+        "interrupt", call=A
+    )  # answered or left, a start tells how it stands and does no harm
+    runtime.expect_command("start", A)
+    runtime.end_run(A, b"", how="unknown")
     settles(runtime, gateway, C)
 
 
-def test_a_reply_that_comes_without_a_link_is_given_on_the_next(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A)
-    runtime.expect("start", A)
-    runtime.tell(f"wants {A}", b"?")
-    records = server.record()
-    records.line(), records.body(1)
+def test_a_reply_that_comes_without_a_link_is_given_on_the_next(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A)
+    runtime.expect_command("start", A)
+    runtime.send_notice(f"wants {A}", b"?")
+    records = server.accept_records()
+    records.read_line(), records.read_body(1)
     server.runtimes.close()
     runtime.close()
-    server.until("no link to the runtime")
-    records.say(f"{A} DONE", b"row!")
-    gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is True
-    server.runtimes = socket.create_server(server.runtimes_at)
+    server.wait_for_log("no link to the runtime")
+    records.send(f"{A} DONE", b"row!")
+    gateway.send_message("check")
+    assert gateway.read_answer()["result"]["pass"] is True
+    server.runtimes = socket.create_server(server.runtime_address)
     server.runtimes.settimeout(20)
-    runtime = server.runtime()
-    runtime.say("nack gauges replayed")  # refused once more: a link of its own is made for it
-    runtime = server.runtime()
-    assert runtime.expect("give", A)[1] == b"row!"
-    runtime.ends(A)
-    assert gateway.result() == b"done"
+    runtime = server.accept_runtime()
+    runtime.send("nack gauges replayed")  # refused once more: a link of its own is made for it
+    runtime = server.accept_runtime()
+    assert runtime.expect_command("give", A)[1] == b"row!"
+    runtime.end_run(A)
+    assert gateway.read_result() == b"done"
 
 
-def test_starts_decided_without_a_link_go_out_with_the_next(server: Server) -> None:
-    runtime, gateway = server.up()
+def test_starts_decided_without_a_link_go_out_with_the_next(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
     server.runtimes.close()
     runtime.close()
-    server.until("runtime link lost")  # a start on a link that dies unseen is in doubt, which is another test
-    gateway.request(A, "pay", dedupe=MARK)
-    gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is True  # it has read the request before
-    server.runtimes = socket.create_server(server.runtimes_at)
+    server.wait_for_log(
+        "runtime link lost"
+    )  # a start on a link that dies unseen is in doubt, which is another test
+    gateway.send_request(A, "pay", dedupe=MARK)
+    gateway.send_message("check")
+    assert gateway.read_answer()["result"]["pass"] is True  # it has read the request before
+    server.runtimes = socket.create_server(server.runtime_address)
     server.runtimes.settimeout(20)
-    runtime = server.runtime()
-    runtime.expect("start", A, "pay")
-    runtime.ends(A)
-    assert gateway.result() == b"done"
+    runtime = server.accept_runtime()
+    runtime.expect_command("start", A, "pay")
+    runtime.end_run(A)
+    assert gateway.read_result() == b"done"
 
 
 @pytest.mark.parametrize(
@@ -295,96 +309,98 @@
     ],
     ids=range(7),
 )
-def test_a_runtime_that_speaks_nonsense_loses_its_link_only(server: Server, junk: str) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A)
-    runtime.expect("start", A)
-    runtime.idle()
+def test_a_runtime_that_speaks_nonsense_loses_its_link_only(server: ServerProcess, junk: str) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A)
+    runtime.expect_command("start", A)
+    runtime.answer_gauges()
     runtime.sock.sendall(junk.encode("latin-1") + b"\r\n")
-    runtime = server.runtime()
-    runtime.idle()
-    runtime.ends(A)
-    assert gateway.result() == b"done"
-    runtime.tell(f"end {C} complete 1", b"of no txn")
-    runtime.say(f"end 1 {A} complete 1", b"heard before")
-    runtime.say(f"nack stop {C}")
+    runtime = server.accept_runtime()
+    runtime.answer_gauges()
+    runtime.end_run(A)
+    assert gateway.read_result() == b"done"
+    runtime.send_notice(f"end {C} complete 1", b"of no txn")
+    runtime.send(f"end 1 {A} complete 1", b"heard before")
+    runtime.send(f"nack stop {C}")
     settles(runtime, gateway, B)
 
 
-def test_a_nack_and_an_unknown_end_a_txn(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A), gateway.request(B)
-    runtime.expect("start", A), runtime.expect("start", B)
-    runtime.say(f"nack start {A}")
-    assert gateway.answer()["error"]["code"] == -32602
-    runtime.ends(B, b"", how="unknown")
-    assert gateway.answer()["error"]["code"] == -32000
+def test_a_nack_and_an_unknown_end_a_txn(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A), gateway.send_request(B)
+    runtime.expect_command("start", A), runtime.expect_command("start", B)
+    runtime.send(f"nack start {A}")
+    assert gateway.read_answer()["error"]["code"] == -32602
+    runtime.end_run(B, b"", how="unknown")
+    assert gateway.read_answer()["error"]["code"] == -32000
 
 
-def test_a_drain_answers_all_and_ends_with_0(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A, "pay", dedupe=MARK), gateway.request(B), gateway.request(C)
+def test_a_drain_answers_all_and_ends_with_0(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B), gateway.send_request(C)
     for call in (A, B, C):
-        runtime.expect("start", call)
-    runtime.tell(f"wants {C}", b"?")
-    records = server.record()
-    assert records.line().startswith(b"OP ")
+        runtime.expect_command("start", call)
+    runtime.send_notice(f"wants {C}", b"?")
+    records = server.accept_records()
+    assert records.read_line().startswith(b"OP ")
     server.process.terminate()
-    server.until("draining: 3 in hand", lambda: runtime.idle(1))
-    gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is False
+    server.wait_for_log("draining: 3 in hand", lambda: runtime.answer_gauges(1))
+    gateway.send_message("check")
+    assert gateway.read_answer()["result"]["pass"] is False
     server.process.terminate()  # a second one changes nothing
-    runtime.ends(B)
-    assert gateway.result() == b"done"
-    assert {gateway.answer()["error"]["code"] for _ in "AC"} == {-32000}  # they ran, so never "declined"
+    runtime.end_run(B)
+    assert gateway.read_result() == b"done"
+    assert {gateway.read_answer()["error"]["code"] for _ in "AC"} == {-32000}  # they ran, so never "declined"
     with pytest.raises(AssertionError, match="closed"):
         while True:  # what crosses the end is answered as long as the connection stands
-            gateway.request(os.urandom(8).hex())
-            assert gateway.answer()["error"]["code"] == -32014
-    assert server.ends() == 0
-    assert server.logged("event=left unanswered=0")
+            gateway.send_request(os.urandom(8).hex())
+            assert gateway.read_answer()["error"]["code"] == -32014
+    assert server.wait_for_exit() == 0
+    assert server.has_logged("event=left unanswered=0")
 
 
-def test_a_drain_before_the_runtime_is_up_ends_at_once(server: Server) -> None:
-    server.gateway()
+def test_a_drain_before_the_runtime_is_up_ends_at_once(server: ServerProcess) -> None:
+    server.connect_gateway()
     server.process.terminate()
-    assert server.ends() == 0
+    assert server.wait_for_exit() == 0
 
 
-def test_reports_go_on_and_say_when_it_drains(server: Server) -> None:
-    server.up()
-    assert {server.registry.recv(100) for _ in range(3)} == {b"BEAT n3 ready"}
+def test_reports_go_on_and_say_when_it_drains(server: ServerProcess) -> None:
+    server.connect_all()
+    assert {server.reports.recv(100) for _ in range(3)} == {b"BEAT n3 ready"}
     server.process.terminate()
-    while (told := server.registry.recv(100)) == b"BEAT n3 ready":
+    while (told := server.reports.recv(100)) == b"BEAT n3 ready":
         pass
     assert told == b"BEAT n3 draining"
 
 
-def test_a_restart_takes_the_same_address_from_nothing(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A)
-    runtime.expect("start", A)
+def test_a_restart_takes_the_same_address_from_nothing(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A)
+    runtime.expect_command("start", A)
     server.process.kill()
     server.process.wait()
-    assert gateway.line() == b""
+    assert gateway.read_line() == b""
     server.start()
-    runtime = server.runtime(ready="chilly 0")
+    runtime = server.accept_runtime(ready="chilly 0")
     assert runtime.synced == 0
-    runtime.idle()
-    settles(runtime, server.gateway(), B)
+    runtime.answer_gauges()
+    settles(runtime, server.connect_gateway(), B)
 
 
-def test_a_stall_of_the_process_is_dealt_with_before_new_work(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(A, ttl=400)
-    runtime.expect("start", A)
+def test_a_stall_of_the_process_is_dealt_with_before_new_work(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A, ttl=400)
+    runtime.expect_command("start", A)
     server.process.send_signal(signal.SIGSTOP)
-    gateway.request(B, ttl=300), gateway.request(C)
+    gateway.send_request(B, ttl=300), gateway.send_request(C)
     time.sleep(0.6)  # longer than the first two may wait: what makes them late, not what the test waits for
     server.process.send_signal(signal.SIGCONT)
-    assert gateway.answer()["error"]["code"] == -32000  # it ran
-    assert gateway.answer()["error"]["code"] == -32014  # its age counts from `recv`: none of its time is left
-    runtime.expect("start", C)
+    assert gateway.read_answer()["error"]["code"] == -32000  # it ran
+    assert (
+        gateway.read_answer()["error"]["code"] == -32014
+    )  # its age counts from `recv`: none of its time is left
+    runtime.expect_command("start", C)
 
 
 BAD_FIELDS = [
@@ -404,127 +420,129 @@
 }  # fmt: skip
 
 
-def test_bad_input_is_answered_and_harms_nobody(server: Server) -> None:
-    runtime, good = server.up()
-    bad = server.gateway()
+def test_bad_input_is_answered_and_harms_nobody(server: ServerProcess) -> None:
+    runtime, good = server.connect_all()
+    bad = server.connect_gateway()
     for fields in BAD_FIELDS:
-        rude = server.gateway()
-        rude.request(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
-        assert rude.answer()["error"]["code"] == -32602, fields
+        rude = server.connect_gateway()
+        rude.send_request(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
+        assert rude.read_answer()["error"]["code"] == -32602, fields
         rude.close()
     for line, code in BAD_LINES.items():
-        rude = server.gateway()
+        rude = server.connect_gateway()
         rude.sock.sendall(line + b"\n")
-        assert rude.answer()["error"]["code"] == code, line
+        assert rude.read_answer()["error"]["code"] == code, line
         rude.close()
     bad.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # no id to answer under
-    assert bad.answer() == {"jsonrpc": "2.0", "id": None, "error": {"code": -32600, "message": "no id"}}
+    assert bad.read_answer() == {"jsonrpc": "2.0", "id": None, "error": {"code": -32600, "message": "no id"}}
     settles(runtime, bad, A)
-    bad.request(B)
-    runtime.expect("start", B)
-    bad.request(B)  # open already
-    assert "error" in bad.answer()
-    runtime.ends(B)
-    assert bad.result() == b"done"
+    bad.send_request(B)
+    runtime.expect_command("start", B)
+    bad.send_request(B)  # open already
+    assert "error" in bad.read_answer()
+    runtime.end_run(B)
+    assert bad.read_result() == b"done"
     bad.sock.sendall(b"x" * 40000)
-    assert bad.line() == b""  # a line without end ends its peer
+    assert bad.read_line() == b""  # a line without end ends its peer
     settles(runtime, good, C)
     assert 1 <= server.log.read_text().count("connection error") <= 30  # some 45 bad peers, seconds
 
 
-def test_a_mark_with_another_body_or_method_is_never_served(server: Server) -> None:
+def test_a_mark_with_another_body_or_method_is_never_served(server: ServerProcess) -> None:
     # Its result was once given to whoever named the mark.
-    runtime, gateway = server.up()
-    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
-    gateway.request(B, "pay", dedupe=MARK, body=b"other")
-    assert gateway.answer()["error"]["code"] == -32602
-    runtime.ends(A, b"paid")
-    assert gateway.result() == b"paid"
-    gateway.request(B, "pay", dedupe=MARK, body=b"other")
-    assert gateway.answer()["error"]["code"] == -32602
-    gateway.request(C, "pay", dedupe=MARK)
-    assert gateway.result() == b"paid"
-
-
-def test_a_start_that_the_runtime_would_not_make_leaves_its_mark_free(server: Server) -> None:
-    runtime, gateway = server.up()
-    gateway.request(B, "pay", dedupe=MARK, body=b"other"), runtime.expect("start", B)
-    runtime.say(f"nack start {B}")
-    assert gateway.answer()["error"]["code"] == -32602
-    gateway.request(A, "pay", dedupe=MARK), runtime.expect("start", A)
-    runtime.ends(A, b"paid")
-    assert gateway.result() == b"paid"
-
-
-def test_peers_without_a_word_or_with_too_many_wrong_ones_are_closed(server: Server) -> None:
-    runtime, _ = server.up()
-    silent, half, back = server.gateway(), server.gateway(), server.gateway()
+    runtime, gateway = server.connect_all()
+    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    gateway.send_request(B, "pay", dedupe=MARK, body=b"other")
+    assert gateway.read_answer()["error"]["code"] == -32602
+    runtime.end_run(A, b"paid")
+    assert gateway.read_result() == b"paid"
+    gateway.send_request(B, "pay", dedupe=MARK, body=b"other")
+    assert gateway.read_answer()["error"]["code"] == -32602
+    gateway.send_request(C, "pay", dedupe=MARK)
+    assert gateway.read_result() == b"paid"
+
+
+def test_a_start_that_the_runtime_would_not_make_leaves_its_mark_free(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    gateway.send_request(B, "pay", dedupe=MARK, body=b"other"), runtime.expect_command("start", B)
+    runtime.send(f"nack start {B}")
+    assert gateway.read_answer()["error"]["code"] == -32602
+    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    runtime.end_run(A, b"paid")
+    assert gateway.read_result() == b"paid"
+
+
+def test_peers_without_a_word_or_with_too_many_wrong_ones_are_closed(server: ServerProcess) -> None:
+    runtime, _ = server.connect_all()
+    silent, half, back = server.connect_gateway(), server.connect_gateway(), server.connect_gateway()
     half.sock.sendall(b'{"jsonrpc":"2.0","id":1,')
-    back.request(A), back.ask("interrupt", call=A)
-    wrong = server.gateway()
+    back.send_request(A), back.send_message("interrupt", call=A)
+    wrong = server.connect_gateway()
     wrong.sock.sendall(b"{\n" * 500)
-    assert [json.loads(wrong.line())["id"] for _ in range(6)] == [None] * 6
+    assert [json.loads(wrong.read_line())["id"] for _ in range(6)] == [None] * 6
     began = time.monotonic()
     for peer in (wrong, silent, half, back):
-        assert peer.line() == b""
+        assert peer.read_line() == b""
     assert time.monotonic() - began < 3  # owed within 3 s of connecting
-    settles(runtime, server.gateway(), B)
+    settles(runtime, server.connect_gateway(), B)
 
 
 def test_peers_that_hold_on_make_room_for_others(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 48}
-    with Server(tmp_path, limits=limits) as server:
-        runtime, gateway = server.up()
+    with ServerProcess(tmp_path, limits=limits) as server:
+        runtime, gateway = server.connect_all()
         settles(runtime, gateway, A)
         many = [socket.create_connection(server.address) for _ in range(200)]
-        settles(runtime, server.gateway(), B)  # though all came before it
+        settles(runtime, server.connect_gateway(), B)  # though all came before it
         began = time.monotonic()  # at the bound one once made room each 50 ms, and only after 1 s of quiet
-        asked = [server.gateway() for _ in range(160)]
+        asked = [server.connect_gateway() for _ in range(160)]
         for peer in asked:
-            peer.ask("check")
-        settles(runtime, server.gateway(), C)
+            peer.send_message("check")
+        settles(runtime, server.connect_gateway(), C)
         assert time.monotonic() - began < 4
         for sock in many:
             sock.close()
 
 
-def test_a_33rd_open_request_is_turned_away(server: Server) -> None:
-    runtime, gateway = server.up()
+def test_a_33rd_open_request_is_turned_away(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
     for n in range(33):
-        gateway.request(f"{n:016x}", "pay", dedupe=MARK)
-    answer = gateway.answer()
+        gateway.send_request(f"{n:016x}", "pay", dedupe=MARK)
+    answer = gateway.read_answer()
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
 
-def test_a_reset_and_a_peer_that_never_reads_harm_nobody(server: Server) -> None:
-    runtime, gateway = server.up()
-    rude = server.gateway()
-    rude.request(A)
-    runtime.expect("start", A)
+def test_a_reset_and_a_peer_that_never_reads_harm_nobody(server: ServerProcess) -> None:
+    runtime, gateway = server.connect_all()
+    rude = server.connect_gateway()
+    rude.send_request(A)
+    runtime.expect_command("start", A)
     rude.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     rude.close()
-    runtime.idle()
-    runtime.ends(A)  # its caller has gone: the run is over, and nobody is told
-    deaf = server.gateway()
+    runtime.answer_gauges()
+    runtime.end_run(A)  # its caller has gone: the run is over, and nobody is told
+    deaf = server.connect_gateway()
     with pytest.raises(ConnectionError):  # closed from the other side, though it never reads that
         while True:
             deaf.sock.sendall(b'{"jsonrpc":"2.0","id":1,"method":"check"}\n' * 500)
-    server.until("reads too slowly")
+    server.wait_for_log("reads too slowly")
     settles(runtime, gateway, B)
 
 
 def test_descriptors_run_out_without_a_spin_or_a_loss(tmp_path: Path) -> None:
-    with Server(tmp_path, descriptors=40) as server:  # fewer than the configuration says
-        runtime, gateway = server.up()
+    with ServerProcess(tmp_path, descriptors=40) as server:  # fewer than the configuration says
+        runtime, gateway = server.connect_all()
         many = [socket.create_connection(server.address) for _ in range(60)]
-        server.until("cannot accept", lambda: runtime.idle(1))
+        server.wait_for_log("cannot accept", lambda: runtime.answer_gauges(1))
         before = cpu_ticks(server.process.pid)
-        runtime.idle(25)  # about a second of rings
+        runtime.answer_gauges(25)  # about a second of rings
         assert cpu_ticks(server.process.pid) - before < 60  # of 100 a second
-        settles(runtime, server.gateway(), A)  # somebody who asks gets in beside all those that only hold on
+        settles(
+            runtime, server.connect_gateway(), A
+        )  # somebody who asks gets in beside all those that only hold on
         for sock in many:
             sock.close()
-        settles(runtime, server.gateway(), B)
+        settles(runtime, server.connect_gateway(), B)
 
 
 def cpu_ticks(pid: int) -> int:
@@ -533,22 +551,22 @@
 
 def test_idle_connections_are_told_and_closed(tmp_path: Path) -> None:
     rare = SETTINGS["familyInfo"] | {"callers": 1000}  # none of them is back soon
-    with Server(tmp_path, settings=SETTINGS | {"familyInfo": rare}) as server:
-        _, gateway = server.up()
-        assert b"noMore" in gateway.line() and gateway.line() == b""
+    with ServerProcess(tmp_path, settings=SETTINGS | {"familyInfo": rare}) as server:
+        _, gateway = server.connect_all()
+        assert b"noMore" in gateway.read_line() and gateway.read_line() == b""
 
 
 def test_no_room_for_references_is_declined(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # room for one result
-    with Server(tmp_path, limits=limits) as server:
-        runtime, gateway = server.up()
-        gateway.request(A, "pay", dedupe=MARK)
-        runtime.expect("start", A)
-        gateway.request(B, "pay", dedupe=MARK[::-1])
-        assert gateway.answer()["error"]["code"] == -32014
-        gateway.request(C, "pay", dedupe=MARK)  # the one that is kept is still known
-        runtime.ends(A, b"paid")
-        assert {gateway.result(), gateway.result()} == {b"paid"}
+    with ServerProcess(tmp_path, limits=limits) as server:
+        runtime, gateway = server.connect_all()
+        gateway.send_request(A, "pay", dedupe=MARK)
+        runtime.expect_command("start", A)
+        gateway.send_request(B, "pay", dedupe=MARK[::-1])
+        assert gateway.read_answer()["error"]["code"] == -32014
+        gateway.send_request(C, "pay", dedupe=MARK)  # the one that is kept is still known
+        runtime.end_run(A, b"paid")
+        assert {gateway.read_result(), gateway.read_result()} == {b"paid"}
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]", "{}", '{"name":"n","listen":"x"}'])
@@ -620,7 +638,7 @@
     assert str(path) in text and named in text, text
 
 
-def test_check_and_version_say_what_is_good(server: Server) -> None:
+def test_check_and_version_say_what_is_good(server: ServerProcess) -> None:
     for word, told in (
         ("check", b"n3: the configuration is good"),
         ("version", b"otterrudder "),
@@ -645,25 +663,25 @@
     file = tmp_path / "levels.toml"
     file.write_text(table.format(start="no-look", product="look"))
     monkeypatch.setenv("OTTERRUDDER_LEVELS", str(file))
-    with Server(tmp_path) as server:
-        runtime, gateway = server.up()
-        gateway.request(A)
-        error = gateway.answer()["error"]
+    with ServerProcess(tmp_path) as server:
+        runtime, gateway = server.connect_all()
+        gateway.send_request(A)
+        error = gateway.read_answer()["error"]
         assert error["code"] == -32014
-        gateway.request(B, "pay", dedupe=MARK), runtime.expect("start", B, "pay")
+        gateway.send_request(B, "pay", dedupe=MARK), runtime.expect_command("start", B, "pay")
         file.write_text("version = 1\nlevel = 7")
         server.process.send_signal(signal.SIGHUP)
-        server.until("levels not taken", lambda: runtime.idle(1))
+        server.wait_for_log("levels not taken", lambda: runtime.answer_gauges(1))
         file.write_text(table.format(start="no-pay", product="pay"))
         server.process.send_signal(signal.SIGHUP)
-        server.until("entered=no-pay", lambda: runtime.idle(1))
-        gateway.request(A), runtime.expect("start", A, "look")
-        gateway.request(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
-        runtime.idle()
-        runtime.ends(B, b"paid")
-        assert gateway.result() == gateway.result() == b"paid"
-        gateway.request("00000000000000dd", "pay", dedupe="d" * 32)
-        assert gateway.answer()["error"]["code"] == -32014
+        server.wait_for_log("entered=no-pay", lambda: runtime.answer_gauges(1))
+        gateway.send_request(A), runtime.expect_command("start", A, "look")
+        gateway.send_request(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
+        runtime.answer_gauges()
+        runtime.end_run(B, b"paid")
+        assert gateway.read_result() == gateway.read_result() == b"paid"
+        gateway.send_request("00000000000000dd", "pay", dedupe="d" * 32)
+        assert gateway.read_answer()["error"]["code"] == -32014
 
 
 def new_shape() -> dict:
@@ -674,17 +692,17 @@
 
 
 def test_a_migrated_server_serves_and_says_only_what_the_runtime_knows(tmp_path: Path) -> None:
-    with Server(tmp_path, settings=new_shape()) as server:
-        runtime, gateway = server.up()
-        gateway.request(A)
-        runtime.expect("start", A)
+    with ServerProcess(tmp_path, settings=new_shape()) as server:
+        runtime, gateway = server.connect_all()
+        gateway.send_request(A)
+        runtime.expect_command("start", A)
         gateway.close()  # under `pause` the module would stop it: a line that is no command ends the link
-        runtime.idle()
-        gateway = server.gateway()
-        gateway.request(B)
-        runtime.expect("start", B)
-        runtime.ends(B, b"b")
-        assert gateway.result() == b"b"
+        runtime.answer_gauges()
+        gateway = server.connect_gateway()
+        gateway.send_request(B)
+        runtime.expect_command("start", B)
+        runtime.end_run(B, b"b")
+        assert gateway.read_result() == b"b"
         done = subprocess.run(
             ["/bin/sh", "-c", f"{RUN} check"],
             cwd=ROOT,
@@ -696,15 +714,15 @@
 
 
 def test_a_once_only_txn_is_not_started_again_on_a_new_link(tmp_path: Path) -> None:
-    with Server(tmp_path, settings=new_shape()) as server:
-        runtime, gateway = server.up()
-        runtime.unanswered = True  # so nothing proves that the starts were read
-        gateway.request(A, "pay"), gateway.request(B)
-        runtime.expect("start", A), runtime.expect("start", B)
+    with ServerProcess(tmp_path, settings=new_shape()) as server:
+        runtime, gateway = server.connect_all()
+        runtime.ignores_gauges = True  # so nothing proves that the starts were read
+        gateway.send_request(A, "pay"), gateway.send_request(B)
+        runtime.expect_command("start", A), runtime.expect_command("start", B)
         runtime.close()
-        runtime = server.runtime()
-        runtime.expect("start", B)  # what has no effect is; A is in doubt and waits for its end
-        runtime.idle()
-        runtime.ends(B, b"b")
-        runtime.ends(A, b"a")
-        assert {gateway.result(), gateway.result()} == {b"a", b"b"}
+        runtime = server.accept_runtime()
+        runtime.expect_command("start", B)  # what has no effect is; A is in doubt and waits for its end
+        runtime.answer_gauges()
+        runtime.end_run(B, b"b")
+        runtime.end_run(A, b"a")
+        assert {gateway.read_result(), gateway.read_result()} == {b"a", b"b"}
