--- a/benchmarks/capacity/settling.py
+++ b/benchmarks/capacity/settling.py
@@ -39,7 +39,7 @@
 
 def answer_bytes(view: FleetSnapshot) -> float:
     """Of the store's answer, without what the transport adds."""
-    return float(sum(len(key) + len(e.value) + ENTRY_BYTES for key, e in view.snapshot.entries.items()))
+    return float(sum(len(key) + len(e.value) + ENTRY_BYTES for key, e in view.raw.entries.items()))
 
 
 def settling(quick: bool) -> list[Slope]:
--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -86,8 +86,8 @@
         )
     return dict(
         fleet=view.keys.fleet,
-        store_id=f"{view.snapshot.cluster:x}",
-        revision=view.snapshot.revision,
+        store_id=f"{view.raw.cluster:x}",
+        revision=view.raw.revision,
         policy=dict(
             version=head.version,
             digest=head.digest,
--- a/otterrudder/cli/fleet_change.py
+++ b/otterrudder/cli/fleet_change.py
@@ -147,6 +147,6 @@
         return
     end_with(
         ABORTED,
-        f"nobody is of {view.keys.fleet} yet on the store {view.snapshot.cluster:x}: is it "
+        f"nobody is of {view.keys.fleet} yet on the store {view.raw.cluster:x}: is it "
         "the right one? --first puts a policy in force for servers to come",
     )
--- a/otterrudder/fleet/change/coordinator.py
+++ b/otterrudder/fleet/change/coordinator.py
@@ -1,407 +1,188 @@
-"""A change of policy: proposed, settled, undone; and a name struck off the roster. Pure: a whole view of the
-store in, one commit out.
-
-Whoever settles decides nothing: the votes do. A change is committed once every name on the roster has said
-yes, or was left out by its own rule with its lease lapsed; it is aborted at the first no and at its deadline.
-All of these are one commit that compares the open change as it was read, and who had registered by then; so
-of any number of settlers at any time, dead or alive, one commit takes effect and the others fall. A vote,
-once in the store, stays until the change ends: what was counted at a read still stands at the commit.
-
-A commit has a handful of writes and compares at any size of the fleet, for engines bound them (etcd: 128)."""
+"""Who sees to it that changes end: reads the votes, commits what they decide, opens the next in the queue."""
 
 import math
 import zlib
-from dataclasses import dataclass
 from typing import TypeVar
 
+from otterrudder.fleet.change.finish import finish_change
+from otterrudder.fleet.change.trial import evaluate_trial, trial_key
+from otterrudder.fleet.change.votes import coordination_keys
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, Read
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.queue import PolicyInForce, append_finished, open_next
-from otterrudder.fleet.records import (
-    MAX_NOTE_LENGTH,
-    MAX_TEXT_BYTES,
-    Change,
-    FinishedChange,
-    FleetSnapshot,
-    Keys,
-    PolicyHead,
-    Trial,
-    digest_of,
-    encode,
-)
-from otterrudder.fleet.store import CommitResult, Compare, Delete, Put, Snapshot, Write
+from otterrudder.fleet.queue import PolicyInForce, open_next
+from otterrudder.fleet.records import FleetSnapshot, Keys
+from otterrudder.fleet.store import CommitResult, Compare, Put, Snapshot
 
-LEADER_SPREAD_MS = 1500.0  # ms over which members come forward to settle a change: one does
-COUNT_MS = 250.0  # ms between counts of the votes by whoever settles
-QUEUE_POLL_MS = 2000.0  # ms between looks for a change that waits, where no hint came
-MAX_LATENCY_MS = 100.0  # ms to the store's answer, from which on a coordinator comes forward as late as any
+LEADER_SPREAD_MS = 1500.0  # ms over which members come forward to coordinate a change: one does
+COUNT_MS = 250.0  # ms between counts of the votes by whoever coordinates
 MAX_COUNT_MS = 2000.0  # ms between them once a change has been open for long
-STRIKES = 3  # counts in a row at which a figure on trial has to be too high: one may be a moment's
-MAX_REASONS = 8  # noes that are kept with an end: one has a file and a key to look at, not a thousand
-
+COUNT_AGE_SHARE = 1 / 8  # of the change's age, between counts
+QUEUE_POLL_MS = 2000.0  # ms between looks for a change that waits, where no watch event came
+MAX_LATENCY_MS = 100.0  # ms to the store's answer, from which on a coordinator comes forward as late as any
 
 _Begun = TypeVar("_Begun", Read, Commit)
 
 
-class ChangeRejectedError(Exception):
-    """What was asked for can't be done now, in one line."""
-
-
-@dataclass(frozen=True, slots=True)
-class Count:
-    """How the votes stand."""
-
-    accepted: tuple[str, ...]
-    rejections: tuple[tuple[str, str], ...]  # name and reason
-    pending: tuple[str, ...]
-    left_out: tuple[str, ...]
-
-
-def coordination_keys(keys: Keys) -> tuple[str, ...]:
-    """What a coordinator and an operator read."""
-    return (keys.head, keys.joined, keys.rosters, keys.statuses, keys.votes, keys.queue)
-
-
-def count_votes(view: FleetSnapshot) -> Count:
-    """Who of the roster has voted, and who need not."""
-    votes, statuses = view.votes, view.statuses
-    accepted, rejections, pending, left_out = [], [], [], []
-    for name, roster in view.rosters.items():
-        vote = votes.get(name)
-        if vote and vote.accepted:
-            accepted.append(name)
-        elif vote:
-            rejections.append((name, vote.reason))
-        elif roster.absent == "leave-out" and name not in statuses:
-            left_out.append(name)
-        else:
-            pending.append(name)
-    return Count(tuple(accepted), tuple(rejections), tuple(pending), tuple(left_out))
-
-
-def propose(
-    view: FleetSnapshot,
-    ident: str,
-    text: str,
-    author: str,
-    note: str,
-    at: float,
-    deadline_ms: float,
-    trial_ms: float = 0.0,
-    conditions: tuple[tuple[str, float], ...] = (),
-) -> Commit:
-    """Opens a change; Refused says by whom another one is open. `ident`: the proposer's own, never used
-    before. `trial_ms` and `conditions`: what it is on trial for once it is in force."""
-    if len(text.encode()) > MAX_TEXT_BYTES:
-        raise ChangeRejectedError(f"a policy may have {MAX_TEXT_BYTES} bytes, not {len(text.encode())}")
-    digest, head = digest_of(text), view.policy
-    version = head.version + 1 if head else 1
-    if conditions and not head:
-        raise ChangeRejectedError("a trial needs an earlier policy to go back to, and none was ever in force")
-    back = head.digest if head else ""
-    trial = Trial(ident, version, back, trial_ms, conditions) if conditions else None
-    change = Change(
-        ident, version, digest, author[:MAX_NOTE_LENGTH], note[:MAX_NOTE_LENGTH], at, deadline_ms, trial
-    )
-    texts = (Put(view.keys.text(digest), text.encode()), Put(view.keys.opening, text.encode()))
-    return _open(view, change, texts)
-
-
-def _open(view: FleetSnapshot, change: Change, more: tuple[Write, ...] = ()) -> Commit:
-    keys = view.keys
-    if waiting := len(view.queue):
-        raise ChangeRejectedError(f"{waiting} changes wait in the queue, and come first")
-    if opened := view.change:
-        raise ChangeRejectedError(
-            f"a change to version {opened.version} is open: {opened.author or 'unnamed'}, "
-            f"{opened.note or 'no note'} ({opened.id})"
-        )
-    compares = (
-        Compare(keys.change, "created", 0),
-        Compare(keys.policy, "modified", view.snapshot.modified(keys.policy)),
-    )
-    return Commit("propose", compares, (Put(keys.change, encode(change)), *more), Lane.COORDINATE)
-
-
-def trial_metrics(view: FleetSnapshot, trial: Trial) -> dict[str, float]:
-    """The trial's figures in the mean of those who serve under it and tell them; nothing until half do."""
-    statuses = view.statuses.values()
-    telling = [
-        dict(status.figures) for status in statuses if status.version == trial.version and status.figures
-    ]
-    if not telling or 2 * len(telling) < len(statuses):
-        return {}
-    found = {}
-    for fact, _ in trial.conditions:
-        told = [figures[fact] for figures in telling if math.isfinite(figures.get(fact, math.nan))]
-        if told:
-            found[fact] = sum(told) / len(told)
-    return found
-
-
-def evaluate_trial(view: FleetSnapshot, age_ms: float, strikes: int) -> tuple[Commit | None, int]:
-    """What is to be done about a policy on trial, and how many counts in a row a figure has been too high.
-    The way back is a change like any other, with a name that any two who come to it share."""
-    keys, trial, head = view.keys, view.trial, view.policy
-    if not trial or not head or view.change:
-        return None, strikes
-    figures = trial_metrics(view, trial)
-    over = [
-        f"{fact} {figures[fact]:.3g} > {bound:g}"
-        for fact, bound in trial.conditions
-        if figures.get(fact, -math.inf) > bound
-    ]
-    ident = f"back-{trial.change}"
-    is_tried = find_change(view, ident) is not None  # and was aborted: an operator has to look
-    if is_tried or head.version != trial.version or age_ms >= trial.span_ms:
-        compares = (Compare(keys.trial, "modified", view.snapshot.modified(keys.trial)),)
-        return Commit("trial over", compares, (Delete(keys.trial),), Lane.COORDINATE), 0
-    if not over or strikes + 1 < STRIKES:
-        return None, strikes + 1 if over else 0
-    note = f"trial of version {trial.version} ended: {', '.join(over)}"
-    change = Change(
-        ident,
-        head.version + 1,
-        trial.rollback_digest,
-        "the fleet",
-        note[:MAX_NOTE_LENGTH],
-        head.proposed_at_ms,
-    )
-    return _open(view, change), 0
-
-
-def find_change(view: FleetSnapshot, ident: str) -> FinishedChange | Change | None:
-    """What became of a change: its end, itself while it is open, or None: it never took effect (or is out of
-    the list of ends)."""
-    if view.change and view.change.id == ident:
-        return view.change
-    return next((end for end in view.finished if end.id == ident), None)
-
-
-def finish_change(view: FleetSnapshot, is_late: bool) -> Commit | None:
-    """The end of the open change, if it can be told. `is_late`: its deadline has passed."""
-    change = view.change
-    if not change:
-        return None
-    told = count_votes(view)
-    if told.rejections:
-        named = [f"{name}: {why}" for name, why in told.rejections[:MAX_REASONS]]
-        more = len(told.rejections) - len(named)
-        return _end(view, change, False, "; ".join(named) + (f"; and {more} more" if more else ""))
-    if not told.pending:
-        return _end(view, change, True, "", told.left_out)
-    if is_late:
-        named = list(told.pending[:MAX_REASONS])
-        if more := len(told.pending) - len(named):
-            named.append(f"{more} more")
-        return _end(view, change, False, f"no word in time from {', '.join(named)}")
-    return None
-
-
-def withdraw(view: FleetSnapshot, ident: str, why: str) -> Commit:
-    """Ends an open change on its proposer's word; Refused where it is open no more."""
-    if not view.change or view.change.id != ident:
-        raise ChangeRejectedError("it is open no more")
-    return _end(view, view.change, False, why)
-
-
-def remove_member(view: FleetSnapshot, name: str) -> Commit:
-    """Takes a server that is gone for good off the roster: no change waits for it any more. Refused while it
-    is alive or unknown."""
-    keys = view.keys
-    if name not in view.rosters:
-        raise ChangeRejectedError(f"{name} is not on the roster")
-    if name in view.statuses:
-        raise ChangeRejectedError(f"{name} lives: its lease has not lapsed")
-    compares = (
-        Compare(keys.roster(name), "modified", view.snapshot.modified(keys.roster(name))),
-        Compare(keys.status(name), "created", 0),
-    )
-    return Commit("gone", compares, (Delete(keys.roster(name)),), Lane.COORDINATE)
-
-
-def _end(
-    view: FleetSnapshot, change: Change, committed: bool, why: str, left_out: tuple[str, ...] = ()
-) -> Commit:
-    keys, entries = view.keys, view.snapshot.entries
-    end = FinishedChange(
-        change.id,
-        change.version,
-        change.digest,
-        committed,
-        why[:MAX_NOTE_LENGTH],
-        change.author,
-        change.note,
-        left_out[:MAX_REASONS],
-    )
-    head = view.policy
-    in_force = change.digest if committed else head.digest if head else ""
-    ended, compared = append_finished(view, end, in_force)
-    struck = (Delete(keys.change), Delete(keys.opening), Delete(keys.votes, is_prefix=True))
-    writes: list[Write] = [*ended, *struck]
-    if committed:
-        new = PolicyHead(
-            change.version, change.id, change.digest, change.author, change.note, change.proposed_at_ms
-        )
-        writes.append(Put(keys.policy, encode(new)))
-        writes.append(Put(keys.trial, encode(change.trial)) if change.trial else Delete(keys.trial))
-    compares = [Compare(keys.change, "modified", entries[keys.change].modified), *compared]
-    if committed and not compared:  # nobody has come since whose vote was not counted
-        compares.append(Compare(keys.joined, "modified", view.snapshot.modified(keys.joined)))
-    return Commit("commit" if committed else "abort", tuple(compares), tuple(writes), Lane.COORDINATE)
-
-
-def trial_key(trial: Trial) -> str:
-    """What a coordinator knows a trial by."""
-    return f"trial of {trial.change}"
-
-
 class ChangeCoordinator:
     """Sees to it that an open change ends, whoever proposed it, and that the next in the queue is opened.
-    Members take turns by a key that hangs on their lease: it saves the others the counting, and no promise
-    rests on it.
+    Members take turns by a leader key that depends on their lease: it saves the others the counting, and no
+    promise rests on it.
 
     `effects` is asked with what the member has last seen; a proposer's own program counts without the
-    leadership. `retains_leadership`: it leads and looks after the queue also while nothing is open, as relays
-    do; who hears the store soonest comes forward first, for each change costs the leader several answers of
-    the store."""
+    leadership. With `retains_leadership`, it leads and looks after the queue also while nothing is open, as
+    relays do; whoever hears the store soonest comes forward first, for each change costs the leader several
+    answers of the store."""
 
     __slots__ = (
-        "_at",
         "_busy",
+        "_due_at",
         "_ended",
         "_forward_at",
-        "_is_hinted",
-        "_next_text",
+        "_has_event",
         "_is_leader",
+        "_next_text",
         "_seen_since",
         "_sent",
         "_strikes",
         "change",
-        "retains_leadership",
         "keys",
         "latency_ms",
         "name",
         "requires_leadership",
+        "retains_leadership",
     )
 
     def __init__(
         self, keys: Keys, name: str, requires_leadership: bool = True, retains_leadership: bool = False
     ) -> None:
-        self.keys, self.name, self.requires_leadership = keys, name, requires_leadership
+        self.keys = keys
+        self.name = name
+        self.requires_leadership = requires_leadership
         self.retains_leadership = retains_leadership
-        self.change = ""
+        self.change = ""  # the open change's id, or the key of the trial that is on
         self.latency_ms = MAX_LATENCY_MS  # to the store's answer, as far as seen
-        self._seen_since = self._at = 0.0
-        self._busy = False
-        self._is_hinted = False
+        self._seen_since = 0.0  # when that change was first seen
+        self._due_at = 0.0
+        self._busy = False  # an effect is under way
+        self._sent = 0.0  # when it was begun
+        self._has_event = False  # a watch event came since the last read
         self._is_leader = False  # as its member last said
         self._next_text = ""  # the digest of the text of the first that waits
-        self._sent = 0.0
         self._forward_at = math.inf  # when it takes the leadership, if nobody has it by then
         self._ended: FleetSnapshot | None = None  # of the change whose end is being committed
-        self._strikes = 0  # counts in a row at which a figure on trial was too high
+        self._strikes = 0  # counts in a row at which a metric on trial was above its bound
 
     def due(self) -> float:
+        """When `effects` may next return something by itself."""
         if self._busy or not self.change and not self.retains_leadership:
-            return float("inf")
-        return self._at
+            return math.inf
+        return self._due_at
 
     def handle_watch_event(self, now: float) -> None:
         """Votes or the queue have changed: they are read now."""
-        self._is_hinted = True
-        self._at = min(self._at, now)
+        self._has_event = True
+        self._due_at = min(self._due_at, now)
 
     def effects(
-        self, now: float, opened: str, is_leader: bool, has_leader: bool, lease: int, registered: int
+        self, now: float, change: str, is_leader: bool, has_leader: bool, lease: int, registered: int
     ) -> Read | Commit | None:
-        """`opened`: the open change's id, or the trial's that is on; "": neither; `is_leader`: it is this
-        member's; `has_leader`: somebody is; `lease` and `registered`: what the leadership hangs on, and the
-        life it is taken for."""
-        if opened != self.change:
-            self.change, self._seen_since = opened, now
-            if not (is_leader and self.retains_leadership):
-                self._at = now + (self._delay() if self.requires_leadership else 0.0)
-        if is_leader and not self._is_leader:
-            self._at = now  # it has just become the leader
-        self._is_leader = is_leader
-        if self._busy or now < self._at or not opened and not self.retains_leadership:
+        """What is to be begun now; it owes `handle_result` one outcome. `change`: the open change's id, or
+        the key of the trial that is on; "": neither. `is_leader`: the leadership is this member's;
+        `has_leader`: somebody's. `lease` and `registered`: what the leadership depends on, and the revision
+        of the status key of the process that takes it."""
+        self._follow_member(now, change, is_leader)
+        if self._busy or now < self._due_at or not change and not self.retains_leadership:
             return None
         if self.requires_leadership and not is_leader:
             may_lead = not has_leader and lease > 0 and registered > 0
             return self._come_forward(now, may_lead, lease, registered)
         self._forward_at = math.inf
-        self._is_hinted = False
+        self._has_event = False
         names = coordination_keys(self.keys)
         if self._next_text:
             names = (*names, self.keys.text(self._next_text))
         return self._begin(now, Read(names, Lane.COORDINATE))
 
     def effects_for(self, now: float, member: Member) -> Read | Commit | None:
-        """By what the member has last seen; nothing is settled on an engine that it doubts."""
+        """By what the member has last seen; nothing is coordinated on a store that it does not trust."""
         observed = member.observed
-        opened = ""
+        change = ""
         if observed and not member.mistrust:
-            opened = (
-                observed.open.id if observed.open else trial_key(observed.trial) if observed.trial else ""
-            )
+            trial = trial_key(observed.trial) if observed.trial else ""
+            change = observed.open.id if observed.open else trial
         elif self.retains_leadership:
-            self._at = max(self._at, now + COUNT_MS)
+            self._due_at = max(self._due_at, now + COUNT_MS)
             return None
         has_leader = bool(observed and observed.has_leader)
-        return self.effects(now, opened, member.is_leader, has_leader, member.lease, member.registered)
+        return self.effects(now, change, member.is_leader, has_leader, member.lease, member.registered)
 
     def handle_result(self, now: float, effect: Effect, outcome: Outcome) -> Commit | None:
-        """What is to be done upon that, if anything: its outcome is owed as well."""
+        """How an effect ended. Returns what follows at once, if anything: its outcome is owed as well."""
         self._busy = False
         if outcome is not None:
             self.latency_ms = now - self._sent
         age = now - self._seen_since
-        self._at = now + self._pause(age)
+        self._due_at = now + self._pause(age)
         ended, self._ended = self._ended, None
         if isinstance(outcome, CommitResult) and isinstance(effect, Commit):
             # Whether it leads now, its member knows once it has read.
-            self._at = now + COUNT_MS if effect.purpose == "lead" else now
+            self._due_at = now + COUNT_MS if effect.purpose == "lead" else now
             if outcome.succeeded and ended:
-                return self._follow(now, ended, effect, outcome)
+                return self._open_next(now, ended, effect, outcome)
         if not isinstance(outcome, Snapshot):
             return None
         return self._begin_commit(now, FleetSnapshot(self.keys, outcome), age)
 
-    def _pause(self, age: float) -> float:
-        if self._is_hinted:
+    def _follow_member(self, now: float, change: str, is_leader: bool) -> None:
+        """What the member has seen of the change and of the leadership since it was last asked."""
+        if change != self.change:
+            self.change, self._seen_since = change, now
+            if not (is_leader and self.retains_leadership):
+                self._due_at = now + (self._delay() if self.requires_leadership else 0.0)
+        if is_leader and not self._is_leader:
+            self._due_at = now  # it has just become the leader
+        self._is_leader = is_leader
+
+    def _pause(self, age_ms: float) -> float:
+        """ms until the next read."""
+        if self._has_event:
             return 0.0
         if not self.change:
             return QUEUE_POLL_MS
-        return min(max(COUNT_MS, age / 8), MAX_COUNT_MS)
+        return min(max(COUNT_MS, age_ms * COUNT_AGE_SHARE), MAX_COUNT_MS)
 
-    def _begin_commit(self, now: float, view: FleetSnapshot, age: float) -> Commit | None:
-        change, trial, commit = view.change, view.trial, None
+    def _begin_commit(self, now: float, snapshot: FleetSnapshot, age_ms: float) -> Commit | None:
+        """What follows from a read: the end of the open change, the next in the queue, the end of a trial."""
+        change, trial = snapshot.change, snapshot.trial
         if change and change.id != self.change:  # the member has not seen it yet
-            self.change, self._seen_since, age = change.id, now, 0.0
-            self._at = now if self._is_hinted else now + COUNT_MS
-        lacks_next_text = self._lacks_next_text(view)
+            self.change, self._seen_since, age_ms = change.id, now, 0.0
+            self._due_at = now if self._has_event else now + COUNT_MS
+        lacks_next_text = self._lacks_next_text(snapshot)
+        commit: Commit | None = None
         if change:
-            commit = finish_change(view, age >= change.deadline_ms)
-            self._ended = view if commit and not lacks_next_text else None
+            commit = finish_change(snapshot, age_ms >= change.deadline_ms)
+            self._ended = snapshot if commit and not lacks_next_text else None
         elif lacks_next_text:
-            self._at = now  # it is opened with its text, which is read first
-        elif commit := open_next(view):
-            pass
-        elif trial and trial_key(trial) == self.change:
-            commit, self._strikes = evaluate_trial(view, age, self._strikes)
+            self._due_at = now  # it is opened with its text, which is read first
+        else:
+            commit = open_next(snapshot)
+            if not commit and trial and trial_key(trial) == self.change:
+                commit, self._strikes = evaluate_trial(snapshot, age_ms, self._strikes)
         return self._begin(now, commit) if commit else None
 
-    def _lacks_next_text(self, view: FleetSnapshot) -> bool:
-        """Whether the text of the first that waits was not asked for in the read that gave this view."""
-        asked, self._next_text = self._next_text, view.queue[0].digest if view.queue else ""
+    def _lacks_next_text(self, snapshot: FleetSnapshot) -> bool:
+        """Whether the text of the first that waits was not asked for in the read that gave this snapshot."""
+        asked = self._next_text
+        self._next_text = snapshot.queue[0].digest if snapshot.queue else ""
         return self._next_text not in ("", asked)
 
-    def _follow(self, now: float, ended: FleetSnapshot, effect: Commit, done: CommitResult) -> Commit | None:
+    def _open_next(
+        self, now: float, ended: FleetSnapshot, effect: Commit, result: CommitResult
+    ) -> Commit | None:
         """The next in the queue is opened at once, by what was read before the end was committed."""
         in_force = PolicyInForce.of(ended)
         if effect.purpose == "commit" and ended.change:
-            in_force = PolicyInForce(ended.change.version, ended.change.digest, done.revision)
+            in_force = PolicyInForce(ended.change.version, ended.change.digest, result.revision)
         commit = open_next(ended, in_force)
         return self._begin(now, commit) if commit else None
 
@@ -409,31 +190,35 @@
         self._busy, self._sent = True, now
         return effect
 
-    def _lead(self, lease: int, registered: int) -> Commit:
-        compares = (
-            Compare(self.keys.leader, "created", 0),
-            Compare(self.keys.status(self.name), "created", registered),
-        )
-        return Commit("lead", compares, (Put(self.keys.leader, self.name.encode(), lease),), Lane.COORDINATE)
+    # Leadership.
 
     def _come_forward(self, now: float, may_lead: bool, lease: int, registered: int) -> Commit | None:
-        """Takes the leadership where nobody has it. A relay, which keeps it, lets nearer ones go first."""
+        """Takes the leadership where nobody has it. A relay, which retains it, lets nearer ones go first."""
         if may_lead and self.retains_leadership:
             if self._forward_at == math.inf:
                 self._forward_at = now + self._delay()
             if now < self._forward_at:
-                self._at = self._forward_at
+                self._due_at = self._forward_at
                 return None
         self._forward_at = math.inf
-        self._at = now + LEADER_SPREAD_MS * (0.5 + self._chance())
+        self._due_at = now + LEADER_SPREAD_MS * (0.5 + self._draw())
         return self._begin(now, self._lead(lease, registered)) if may_lead else None
 
+    def _lead(self, lease: int, registered: int) -> Commit:
+        keys = self.keys
+        compares = (
+            Compare(keys.leader, "created", 0),
+            Compare(keys.status(self.name), "created", registered),
+        )
+        return Commit("lead", compares, (Put(keys.leader, self.name.encode(), lease),), Lane.COORDINATE)
+
     def _delay(self) -> float:
         """ms until it comes forward: less where the store is near."""
         if not self.retains_leadership:
-            return self._chance() * LEADER_SPREAD_MS
+            return self._draw() * LEADER_SPREAD_MS
         nearness = min(self.latency_ms / MAX_LATENCY_MS, 1.0)
-        return nearness * LEADER_SPREAD_MS * (0.5 + self._chance() / 2)
+        return nearness * LEADER_SPREAD_MS * (0.5 + self._draw() / 2)
 
-    def _chance(self) -> float:
+    def _draw(self) -> float:
+        """A number from 0 to 1 that differs between members and changes: no randomness inside."""
         return zlib.crc32(f"{self.name}/{self.change}/leader".encode()) / 2**32
--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -170,7 +170,7 @@
 
     def _accept(self, now: float, sent: float, snapshot: FleetSnapshot) -> None:
         """A read that is trusted."""
-        raw = snapshot.snapshot
+        raw = snapshot.raw
         self.trust.accept(raw.cluster, raw.revision)
         self.observed = observed = self._observe(snapshot)
         registration = self.registration
@@ -190,7 +190,7 @@
 
     def _observe(self, snapshot: FleetSnapshot) -> ObservedState:
         """What the read shows of what concerns this member."""
-        keys, name, raw, change = self.keys, self.name, snapshot.snapshot, snapshot.change
+        keys, name, raw, change = self.keys, self.name, snapshot.raw, snapshot.change
         entry = raw.entries.get(keys.change)
         vote = snapshot.vote(name)
         return ObservedState(
--- a/otterrudder/fleet/member/store_trust.py
+++ b/otterrudder/fleet/member/store_trust.py
@@ -29,7 +29,7 @@
 
     def check_snapshot(self, snapshot: FleetSnapshot, version: int, change: str) -> str:
         """Why a read is not trusted; "": it is. `version` and `change`: of the newest policy in force."""
-        raw = snapshot.snapshot
+        raw = snapshot.raw
         if mistrust := self._check_engine(raw.cluster, raw.revision, self.floor):
             return mistrust
         head = snapshot.policy
--- a/otterrudder/fleet/queue.py
+++ b/otterrudder/fleet/queue.py
@@ -42,7 +42,7 @@
     @staticmethod
     def of(view: FleetSnapshot) -> "PolicyInForce":
         head = view.policy
-        modified = view.snapshot.modified(view.keys.policy)
+        modified = view.raw.modified(view.keys.policy)
         return PolicyInForce(head.version if head else 0, head.digest if head else "", modified)
 
 
@@ -94,7 +94,7 @@
     compares = (
         Compare(keys.change, "created", 0),
         Compare(keys.policy, "modified", in_force.modified),
-        Compare(key, "modified", view.snapshot.modified(key)),
+        Compare(key, "modified", view.raw.modified(key)),
     )
     if entry.base and entry.base != in_force.digest:
         why = f"it was made from policy {entry.base[:12]}, which is not in force at its turn"
@@ -124,7 +124,7 @@
     for entry in view.queue:
         if entry.id == ident:
             key = view.keys.queued(ident)
-            compares = (Compare(key, "modified", view.snapshot.modified(key)),)
+            compares = (Compare(key, "modified", view.raw.modified(key)),)
             return _end("unqueue", view, entry, compares, "withdrawn before its turn")
     raise QueueRejectedError("it does not wait")
 
@@ -143,7 +143,7 @@
     gone = sorted({one.digest for one in ends} - needed)
     writes: list[Write] = [Put(keys.finished, msgspec.json.encode(kept))]
     writes += [Delete(keys.text(digest)) for digest in gone]
-    return writes, [Compare(keys.joined, "modified", view.snapshot.modified(keys.joined))] if gone else []
+    return writes, [Compare(keys.joined, "modified", view.raw.modified(keys.joined))] if gone else []
 
 
 def _end(
@@ -154,5 +154,5 @@
     end = FinishedChange(entry.id, 0, entry.digest, False, why, entry.author, entry.note)
     in_force = view.policy.digest if view.policy else ""
     writes, more = append_finished(view, end, in_force)
-    compares = (*compares, Compare(keys.finished, "modified", view.snapshot.modified(keys.finished)), *more)
+    compares = (*compares, Compare(keys.finished, "modified", view.raw.modified(keys.finished)), *more)
     return Commit(what, compares, (*writes, Delete(keys.queued(entry.id))), Lane.COORDINATE)
--- a/otterrudder/fleet/records.py
+++ b/otterrudder/fleet/records.py
@@ -110,7 +110,9 @@
     digest: str = ""
     state: str = ""
     products: tuple[str, ...] = ()
-    figures: tuple[tuple[str, float], ...] = ()  # that a trial asks for
+    metrics: tuple[tuple[str, float], ...] = msgspec.field(
+        default=(), name="figures"
+    )  # that a trial asks for
     relay: str = ""  # the address of the relay that leads, where the member is a cell
 
 
@@ -193,10 +195,10 @@
     """A snapshot as records; what was not asked for looks absent."""
 
     keys: Keys
-    snapshot: Snapshot
+    raw: Snapshot
 
     def _one(self, key: str, kind: type[_T]) -> _T | None:
-        entry = self.snapshot.entries.get(key)
+        entry = self.raw.entries.get(key)
         try:
             return decode(entry.value, kind) if entry else None
         except (ValueError, msgspec.MsgspecError) as why:
@@ -205,7 +207,7 @@
     def _under(self, prefix: str, kind: type[_T], unread: _T | None = None) -> dict[str, _T]:
         """By what follows the prefix. `unread`: what stands for a record that can't be read."""
         found: dict[str, _T] = {}
-        for key in sorted(key for key in self.snapshot.entries if key.startswith(prefix)):
+        for key in sorted(key for key in self.raw.entries if key.startswith(prefix)):
             try:
                 record = self._one(key, kind)
             except InvalidRecordError:
@@ -231,7 +233,7 @@
     @property
     def finished(self) -> list[FinishedChange]:
         """The oldest first."""
-        entry = self.snapshot.entries.get(self.keys.finished)
+        entry = self.raw.entries.get(self.keys.finished)
         try:
             return msgspec.json.decode(entry.value, type=list[FinishedChange]) if entry else []
         except (ValueError, msgspec.MsgspecError) as why:
@@ -240,7 +242,7 @@
     @property
     def queue(self) -> list[QueuedChange]:
         """In the order of their turns. An entry that can't be read is passed over."""
-        entries = self.snapshot.entries
+        entries = self.raw.entries
         keys = [key for key in entries if key.startswith(self.keys.queue)]
         waiting = []
         for key in sorted(keys, key=lambda key: entries[key].created):
@@ -253,7 +255,7 @@
     @property
     def leader(self) -> str:
         """Whose it is; "": nobody's."""
-        entry = self.snapshot.entries.get(self.keys.leader)
+        entry = self.raw.entries.get(self.keys.leader)
         return entry.value.decode("utf-8", "replace") if entry else ""
 
     def roster(self, name: str) -> RosterEntry | None:
@@ -282,7 +284,7 @@
     def text(self, digest: str) -> str | None:
         """A text whose digest is not the one it is named by is none."""
         for key in (self.keys.text(digest), self.keys.opening):
-            entry = self.snapshot.entries.get(key)
+            entry = self.raw.entries.get(key)
             text = entry.value.decode("utf-8", "replace") if entry else None
             if text is not None and digest_of(text) == digest:
                 return text
--- a/otterrudder/lab/fleet/cell_doubles.py
+++ b/otterrudder/lab/fleet/cell_doubles.py
@@ -333,8 +333,8 @@
     __slots__ = ()
 
     def _begin_commit(self, now: float, view: FleetSnapshot, age: float) -> Commit | None:
-        entries = {k: e for k, e in view.snapshot.entries.items() if k != view.keys.change}
-        commit = open_next(FleetSnapshot(view.keys, view.snapshot._replace(entries=entries)))
+        entries = {k: e for k, e in view.raw.entries.items() if k != view.keys.change}
+        commit = open_next(FleetSnapshot(view.keys, view.raw._replace(entries=entries)))
         if view.change and commit:
             kept = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
             return self._begin(now, replace(commit, compares=kept))
@@ -379,7 +379,7 @@
         wanted = super().effects(*arguments)
         if self.change or not isinstance(wanted, Read):
             return wanted
-        self._busy, self._at = False, math.inf
+        self._busy, self._due_at = False, math.inf
         return None
 
 
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -58,7 +58,7 @@
 def freeze(value: Any) -> Any:
     """A hashable value; equal for two states that behave alike from here on."""
     if isinstance(value, FleetSnapshot):
-        return ("view", value.snapshot.revision)
+        return ("view", value.raw.revision)
     if names := _attributes(type(value)):
         parts = tuple(freeze(getattr(value, name)) for name in names)
         return (type(value).__name__, parts, freeze(getattr(value, "__dict__", None)))
--- a/otterrudder/lab/fleet/mutants.py
+++ b/otterrudder/lab/fleet/mutants.py
@@ -297,5 +297,5 @@
 
 
 def _without_keys(snapshot: FleetSnapshot, keys: set[str]) -> FleetSnapshot:
-    entries = {key: entry for key, entry in snapshot.snapshot.entries.items() if key not in keys}
-    return FleetSnapshot(snapshot.keys, snapshot.snapshot._replace(entries=entries))
+    entries = {key: entry for key, entry in snapshot.raw.entries.items() if key not in keys}
+    return FleetSnapshot(snapshot.keys, snapshot.raw._replace(entries=entries))
--- a/otterrudder/lab/processes/rig.py
+++ b/otterrudder/lab/processes/rig.py
@@ -298,7 +298,7 @@
                     view = FleetSnapshot(
                         keys, await client.read([keys.policy, keys.change, keys.votes], 1000.0)
                     )
-                    if view.snapshot.cluster != CLUSTER:  # what another engine is told is not the fleet's
+                    if view.raw.cluster != CLUSTER:  # what another engine is told is not the fleet's
                         continue
                     head = view.policy
                     if head and head.version > self.versions[-1].version:
