--- a/otterrudder/fleet/change/__init__.py
+++ b/otterrudder/fleet/change/__init__.py
@@ -6,10 +6,10 @@
 
 A coordinator decides nothing: the votes do. A change is committed once every member on the roster has
 accepted it, or was left out by its own rule with its lease lapsed; it is aborted at the first rejection and
-at its deadline. Each of these is one commit that compares the open change as it was read, and who had registered
-by then; so of any number of coordinators at any time, dead or alive, one commit takes effect and the others
-fail. A vote, once in the store, stays until the change ends: what was counted at a read still stands at the
-commit.
+at its deadline. Each of these is one commit that compares the open change as it was read, and who had
+registered by then; so of any number of coordinators at any time, dead or alive, one commit takes effect and
+the others fail. A vote, once in the store, stays until the change ends: what was counted at a read still
+stands at the commit.
 
 A commit has a handful of writes and compares at any size of the fleet, for engines bound them (etcd: 128)."""
 
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -53,7 +53,7 @@
 from otterrudder.fleet.records import MAX_TEXT_BYTES, FleetSnapshot, Keys
 from otterrudder.fleet.server_control import ServerControl
 from otterrudder.lab.processes.link import Harm, Link, free_port
-from otterrudder.net.serve import Files
+from otterrudder.net.server_files import ServerFiles
 
 WAIT_S = 8.0
 KIND = "k"
@@ -543,4 +543,4 @@
         found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
         assert found.exit_code == 2 and says in found.output, found.output
     with pytest.raises(ConfigurationError, match="this file is a relay's"):
-        Files(None, fleet=str(example)).read_fleet()
+        ServerFiles(None, fleet=str(example)).read_fleet()
