--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.limits import CALLER_BYTES, EACH_SECOND, STAND_IN_CORE
 from benchmarks.capacity.measure import PROCESS_TIME, cpu_s
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.lab.processes.standins import Listing
+from otterrudder.lab.processes.fake_gateway import Listing
 from otterrudder.net.registry import PERIOD_S, Registry
 
 SERVERS = (50, 100, 200, 400)
--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -144,7 +144,7 @@
     """The store, and no member yet."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     with tempfile.TemporaryDirectory() as folder:
-        line = [sys.executable, "-m", "otterrudder.lab.processes.etcd", "0"]
+        line = [sys.executable, "-m", "otterrudder.lab.processes.fake_etcd", "0"]
         store = subprocess.Popen(line, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         try:
             assert store.stdout
--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from otterrudder.lab.processes.fake_gateway import SETTINGS
 from otterrudder.lab.processes.link import free_port
-from otterrudder.lab.processes.standins import SETTINGS
 
 ROOT = Path(__file__).parents[2]
 BODY = b"b" * 256  # bytes of a request, of a call, of its reply and of a result
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -25,7 +25,7 @@
 from otterrudder.fleet.configuration import read_fleet  # noqa: E402
 from otterrudder.fleet.orders import Orders  # noqa: E402
 from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace  # noqa: E402
-from otterrudder.lab.processes.rig import Rig  # noqa: E402
+from otterrudder.lab.processes.cluster import Rig  # noqa: E402
 
 SETTLE_S = 8.0  # s from the start until figures are taken
 SPAN_S = 30.0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from otterrudder.lab.processes.rig import Rig  # noqa: E402
+from otterrudder.lab.processes.cluster import Rig  # noqa: E402
 
 PACE_MS = 5.0  # 200 requests a second: what a server of the platform gets
 SKIPPED = 1  # the first line of turns: the start is in it
--- a/otterrudder/lab/keyspace.py
+++ b/otterrudder/lab/keyspace.py
@@ -1,6 +1,6 @@
 """A key space with revisions, compares, leases, history and compaction, in whatever time it is told: the
 stand-in's heart, from etcd's published v3 API. Lab and model search hold it as it is; on sockets a server of
-that API is put round it (`lab/processes/etcd.py`).
+that API is put round it (`lab/processes/fake_etcd.py`).
 
 One step of it is one call. It draws no chance and knows no clock. Its history is bounded: what lies before
 `compacted` can't be watched any more."""
--- a/otterrudder/lab/processes/cell_experiment.py
+++ b/otterrudder/lab/processes/cell_experiment.py
@@ -13,13 +13,13 @@
 
 from otterrudder.files import convert, load_toml
 from otterrudder.lab.processes.cell_faults import CellRound, draw
-from otterrudder.lab.processes.cell_ledger import Aside, asides, spread, switches
-from otterrudder.lab.processes.cell_play import CellPlayer, CellsPlayed
-from otterrudder.lab.processes.cell_rig import LinkedCellRig
+from otterrudder.lab.processes.cell_history import Aside, asides, spread, switches
+from otterrudder.lab.processes.cell_runner import CellPlayer, CellsPlayed
 from otterrudder.lab.processes.cells import CellPlan
+from otterrudder.lab.processes.cluster import STOP_MS
 from otterrudder.lab.processes.experiment import RULES
-from otterrudder.lab.processes.ledger import Verdict, judge
-from otterrudder.lab.processes.rig import STOP_MS
+from otterrudder.lab.processes.history_checker import Verdict, judge
+from otterrudder.lab.processes.linked_cells import LinkedCellRig
 from otterrudder.lab.site import BadInput
 
 VERSION = 1
--- a/otterrudder/lab/processes/cell_faults.py
+++ b/otterrudder/lab/processes/cell_faults.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass
 
-from otterrudder.lab.processes.link import Harm
-from otterrudder.lab.processes.plan import (
+from otterrudder.lab.processes.fake_gateway import PRODUCTS
+from otterrudder.lab.processes.fault_schedule import (
     COMMIT,
     DUTY,
     NO_VOTES,
@@ -16,7 +16,7 @@
     STORE_DOWN,
     STORE_FAULTS,
 )
-from otterrudder.lab.processes.standins import PRODUCTS
+from otterrudder.lab.processes.link import Harm
 
 CUT, HELD_THERE, HELD_BACK = Harm(is_cut=True), Harm(holds_there=True), Harm(holds_back=True)
 # Of a relay: which of its links, and what is done to it. "peer": from the other relay of its cell.
--- a/otterrudder/lab/processes/cell_ledger.py
+++ b/otterrudder/lab/processes/cell_history.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from statistics import median
 
-from otterrudder.lab.processes.cell_rig import LinkedCellRig, QuietWindow
-from otterrudder.lab.processes.ledger import InForce
-from otterrudder.lab.processes.standins import Asked
+from otterrudder.lab.processes.fake_gateway import Asked
+from otterrudder.lab.processes.history_checker import InForce
+from otterrudder.lab.processes.linked_cells import LinkedCellRig, QuietWindow
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/lab/processes/cell_hollow.py
+++ b/otterrudder/lab/processes/cell_hollow.py
@@ -12,8 +12,8 @@
 import anyio
 import msgspec
 
-from otterrudder.lab.processes.ledger import SLACK_MS, InForce
-from otterrudder.lab.processes.rig import ROOT, environment
+from otterrudder.lab.processes.cluster import ROOT, environment
+from otterrudder.lab.processes.history_checker import SLACK_MS, InForce
 from otterrudder.lab.scale.hollow import Switched
 
 CHUNK = 65536  # bytes that are read in one go
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -1,7 +1,7 @@
 """The program with one rule of cells left out, for the rig: the ledger has to find each from the wire.
 
-python -m otterrudder.lab.processes.cell_double server "ignores its lease's end"
-python -m otterrudder.lab.processes.cell_double relay "grants past its authority" relay.toml"""
+python -m otterrudder.lab.processes.cell_mutants server "ignores its lease's end"
+python -m otterrudder.lab.processes.cell_mutants relay "grants past its authority" relay.toml"""
 
 import math
 import sys
@@ -17,7 +17,7 @@
 from otterrudder.fleet.cell.relay import Relay, Session
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import Standing
-from otterrudder.lab.processes.double import serve_as_told
+from otterrudder.lab.processes.mutants import serve_as_told
 from otterrudder.net import relay
 
 
--- a/otterrudder/lab/processes/cell_play.py
+++ b/otterrudder/lab/processes/cell_runner.py
@@ -22,9 +22,9 @@
     CellFault,
     CellRound,
 )
-from otterrudder.lab.processes.cell_rig import ONLY_MOST, LinkedCellRig, LinkedRelay, QuietWindow
-from otterrudder.lab.processes.link import Harm
-from otterrudder.lab.processes.plan import (
+from otterrudder.lab.processes.cluster import FLEET, Place, policy_text
+from otterrudder.lab.processes.fake_gateway import PRODUCTS
+from otterrudder.lab.processes.fault_schedule import (
     DUTY,
     PROPOSER_POINTS,
     STORE_DOWN,
@@ -35,8 +35,8 @@
     proposer_halts,
     until,
 )
-from otterrudder.lab.processes.rig import FLEET, Place, policy_text
-from otterrudder.lab.processes.standins import PRODUCTS
+from otterrudder.lab.processes.link import Harm
+from otterrudder.lab.processes.linked_cells import ONLY_MOST, LinkedCellRig, LinkedRelay, QuietWindow
 
 DEADLINE_S = 14.0  # of a change: a cell votes again within some 6 s of its leader's death
 SETTLE_S = 25.0  # s in which a change must have ended once all is mended
--- a/otterrudder/lab/processes/cells.py
+++ b/otterrudder/lab/processes/cells.py
@@ -13,9 +13,9 @@
 import anyio
 import anyio.to_thread
 
-from otterrudder.lab.processes.etcd import CLUSTER
+from otterrudder.lab.processes.cluster import FLEET, FOLDER, ROOT, Place, Rig, environment
+from otterrudder.lab.processes.fake_etcd import CLUSTER
 from otterrudder.lab.processes.link import free_port
-from otterrudder.lab.processes.rig import FLEET, FOLDER, ROOT, Place, Rig, environment
 from otterrudder.net import control
 
 RELAY_UP_S = 20.0  # s that a relay may take until it answers, as a server may until it admits
--- a/otterrudder/lab/processes/rig.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -28,10 +28,10 @@
 from otterrudder.fleet.records import Keys, View, digest_of
 from otterrudder.fleet.store import StoreAway
 from otterrudder.lab.processes.counters import StoreReport
-from otterrudder.lab.processes.etcd import CLUSTER
-from otterrudder.lab.processes.ledger import DRAIN_MS, Drain, InForce, Listed
+from otterrudder.lab.processes.fake_etcd import CLUSTER
+from otterrudder.lab.processes.fake_gateway import LONG_RUN_MS, SETTINGS, Gateway, Listing, Runtime, Wire
+from otterrudder.lab.processes.history_checker import DRAIN_MS, Drain, InForce, Listed
 from otterrudder.lab.processes.link import Datagrams, Harm, Link, free_port
-from otterrudder.lab.processes.standins import LONG_RUN_MS, SETTINGS, Gateway, Listing, Runtime, Wire
 
 ROOT = Path(__file__).parents[3]
 FLEET = "rig"  # its name
@@ -167,7 +167,7 @@
         self.store_at = free_port() if with_fleet else 0
         run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.run_line = run if (ROOT / ".venv").exists() else f"exec {sys.executable} -m otterrudder"
-        spoilt = f'exec {sys.executable} -m otterrudder.lab.processes.double "{double}"'
+        spoilt = f'exec {sys.executable} -m otterrudder.lab.processes.mutants "{double}"'
         self.double_line = spoilt if double else ""
 
     @contextlib.asynccontextmanager
@@ -217,7 +217,7 @@
     async def _start_store(self, state: str = "store", cluster: int = 0) -> None:
         """The engine, with what the file of that name holds."""
         words = [str(self.store_at), "--state", str(self.folder / state), "--cluster", f"{cluster:x}"]
-        line = [sys.executable, "-m", "otterrudder.lab.processes.etcd", *words]
+        line = [sys.executable, "-m", "otterrudder.lab.processes.fake_etcd", *words]
         self.store = subprocess.Popen(line, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         assert self.store.stdout
         self.store_at = int(await anyio.to_thread.run_sync(self.store.stdout.readline))
--- a/otterrudder/lab/processes/demo.py
+++ b/otterrudder/lab/processes/demo.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from otterrudder.lab.processes.plan import Fault, Played, Round, conclude, play
-from otterrudder.lab.processes.rig import Rig
+from otterrudder.lab.processes.cluster import Rig
+from otterrudder.lab.processes.fault_schedule import Fault, Played, Round, conclude, play
 
 SERVERS = 6
 ROUNDS = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("kill at point", 3, "after save"),), 1.5)]
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from otterrudder.files import convert, load_toml
-from otterrudder.lab.processes.ledger import InForce
-from otterrudder.lab.processes.plan import Played, Round, conclude, draw, play
-from otterrudder.lab.processes.rig import Rig
+from otterrudder.lab.processes.cluster import Rig
+from otterrudder.lab.processes.fault_schedule import Played, Round, conclude, draw, play
+from otterrudder.lab.processes.history_checker import InForce
 from otterrudder.lab.site import BadInput
 
 VERSION = 1
--- a/otterrudder/lab/processes/etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -1,5 +1,6 @@
 """Our stand-in for the store, on sockets: the part of etcd's published v3 API that the fleet uses, round a
-`KeySpace`. In a process of its own (`python -m otterrudder.lab.processes.etcd`), for tests and `make demo`.
+`KeySpace`. In a process of its own (`python -m otterrudder.lab.processes.fake_etcd`), for tests and
+`make demo`.
 
 It prints the port it got, then takes lines of JSON on standard input, each a fault or its end:
 
--- a/otterrudder/lab/processes/plan.py
+++ b/otterrudder/lab/processes/fault_schedule.py
@@ -16,10 +16,10 @@
 
 from otterrudder.clock import monotonic as clock
 from otterrudder.fleet.records import Keys
-from otterrudder.lab.processes.ledger import Verdict, judge
+from otterrudder.lab.processes.cluster import FLEET, STOP_MS, Place, Rig, policy_text
+from otterrudder.lab.processes.fake_gateway import PRODUCTS
+from otterrudder.lab.processes.history_checker import Verdict, judge
 from otterrudder.lab.processes.link import Harm
-from otterrudder.lab.processes.rig import FLEET, STOP_MS, Place, Rig, policy_text
-from otterrudder.lab.processes.standins import PRODUCTS
 
 DEADLINE_S = 6.0  # of a change, in a run: beyond the longest fault
 SETTLE_S = 20.0  # s in which a change must have ended once all is mended
--- a/otterrudder/lab/processes/ledger.py
+++ b/otterrudder/lab/processes/history_checker.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from otterrudder.lab.processes.standins import TTL_MS, Asked, Wire
+from otterrudder.lab.processes.fake_gateway import TTL_MS, Asked, Wire
 
 SLACK_MS = 60.0  # of the bound: the rig's look at the store, a turn of a server's loop, the way there
 STALLED_MS = 50.0  # after the rig stood still, until it has read what lay about
--- a/otterrudder/lab/processes/cell_rig.py
+++ b/otterrudder/lab/processes/linked_cells.py
@@ -17,9 +17,9 @@
 from otterrudder.clock import monotonic as clock
 from otterrudder.lab.processes.cell_hollow import HollowServers
 from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace
+from otterrudder.lab.processes.cluster import CLAIM_S, Place
+from otterrudder.lab.processes.fake_gateway import SETTINGS
 from otterrudder.lab.processes.link import Harm, Link, free_port
-from otterrudder.lab.processes.rig import CLAIM_S, Place
-from otterrudder.lab.processes.standins import SETTINGS
 
 ONLY_MOST = "refund"  # the product that all servers know but the last one
 CALM_S = 25.0  # s in which all relays and servers must be at work again once all is mended
@@ -81,7 +81,7 @@
         self.relay_double = relay_double
         self.hollow = HollowServers()
         if server_double:
-            module = "otterrudder.lab.processes.cell_double"
+            module = "otterrudder.lab.processes.cell_mutants"
             self.double_line = f'exec {sys.executable} -m {module} server "{server_double}"'
 
     # The parts.
@@ -290,7 +290,7 @@
     def _relay_line(self, relay: RelayPlace, path: Path) -> list[str]:
         if not self.relay_double:
             return super()._relay_line(relay, path)
-        module = "otterrudder.lab.processes.cell_double"
+        module = "otterrudder.lab.processes.cell_mutants"
         return [sys.executable, "-m", module, "relay", self.relay_double, str(path)]
 
     def _relay_halts(self, relay: RelayPlace) -> tuple[Path, ...]:
--- a/otterrudder/lab/processes/double.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -1,4 +1,5 @@
-"""The program with one fault put in, for the rig: `python -m otterrudder.lab.processes.double "never aside"`.
+"""The program with one fault put in, for the rig:
+`python -m otterrudder.lab.processes.mutants "never aside"`.
 
 Each claim of the checker has a fault here that it finds. The fleet's are the doubles of the search; the four
 rules' are spoilt on the way out."""
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -17,17 +17,17 @@
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.records import Absent, Keys, View
+from otterrudder.lab.processes.cluster import levels_text
 from otterrudder.lab.processes.counters import StoreReport
+from otterrudder.lab.processes.fake_gateway import SETTINGS
 from otterrudder.lab.processes.link import free_port
-from otterrudder.lab.processes.rig import levels_text
-from otterrudder.lab.processes.standins import SETTINGS
 from otterrudder.lab.scale.hollow import Counted, Switched
 from otterrudder.lab.scale.processes.children import Child, running
 from otterrudder.lab.scale.processes.tcp import Connections, connections_to
 from otterrudder.lab.scale.processes.usage import Usage
 from otterrudder.net import control
 
-STORE_MODULE = "otterrudder.lab.processes.etcd"
+STORE_MODULE = "otterrudder.lab.processes.fake_etcd"
 HOLLOW_MODULE = "otterrudder.lab.scale.hollow"
 TIMEOUT_MS = 2000.0  # of the operator's requests
 DEADLINE_MS = 30_000.0  # of a change
--- a/tests/engine.py
+++ b/tests/engine.py
@@ -21,7 +21,7 @@
             [
                 sys.executable,
                 "-m",
-                "otterrudder.lab.processes.etcd",
+                "otterrudder.lab.processes.fake_etcd",
                 str(self.port),
                 "--state",
                 str(self.folder / f"store-{self.cluster}"),
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -14,11 +14,11 @@
 import msgspec
 import pytest
 
+from otterrudder.lab.processes.cluster import ROOT, Rig
 from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table
-from otterrudder.lab.processes.ledger import InForce, Verdict, judge
-from otterrudder.lab.processes.plan import DECK, Fault, Played, Round, conclude, draw
-from otterrudder.lab.processes.rig import ROOT, Rig
-from otterrudder.lab.processes.standins import Wire
+from otterrudder.lab.processes.fake_gateway import Wire
+from otterrudder.lab.processes.fault_schedule import DECK, Fault, Played, Round, conclude, draw
+from otterrudder.lab.processes.history_checker import InForce, Verdict, judge
 
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/fleet-policy.toml")
 CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -24,8 +24,8 @@
 from otterrudder.fleet.state import Rules
 from otterrudder.fleet.store import Changed, Compare, Delete, Done, Leased, Put, Snapshot, StoreAway
 from otterrudder.lab.keyspace import KeySpace
+from otterrudder.lab.processes.cluster import ROOT
 from otterrudder.lab.processes.link import Harm, Link
-from otterrudder.lab.processes.rig import ROOT
 
 TIMEOUT_MS = 1000.0  # longer than a loaded machine takes to make a channel
 
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -6,9 +6,9 @@
 import anyio
 
 from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace
-from otterrudder.lab.processes.ledger import Verdict
-from otterrudder.lab.processes.plan import Played, conclude
-from otterrudder.lab.processes.rig import Place
+from otterrudder.lab.processes.cluster import Place
+from otterrudder.lab.processes.fault_schedule import Played, conclude
+from otterrudder.lab.processes.history_checker import Verdict
 
 ABORTED = 3
 DEADLINE_S, WAIT_S = 8.0, 12.0
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -14,8 +14,8 @@
 import pytest
 
 from otterrudder.lab.processes.cells import CellPlan, CellRig
+from otterrudder.lab.processes.cluster import FLEET, Rig
 from otterrudder.lab.processes.counters import StoreReport
-from otterrudder.lab.processes.rig import FLEET, Rig
 from otterrudder.lab.scale.processes.bench import (
     FleetSettings,
     Layout,
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -175,7 +175,7 @@
         ("otterrudder.vrrp.admission_gate", "otterrudder.levels.table", True),  # beside it
         ("otterrudder.net.core", "otterrudder.vrrp.admission_gate", False),
         ("otterrudder.net.core", "otterrudder.net.serve", False),  # of one package: the circles are looked at
-        ("otterrudder.lab.processes.double", "otterrudder.cli.serve", True),
+        ("otterrudder.lab.processes.mutants", "otterrudder.cli.serve", True),
     ],
 )
 def test_what_counts_as_upward(importer: str, imported: str, upward: bool) -> None:
