--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -5,7 +5,7 @@
 
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller
-from otterrudder.lab.processes.fake_gateway import SETTINGS
+from otterrudder.lab.processes.fake_settings import SETTINGS
 
 TENANT_PER_S = 5.0  # requests a second that each tenant is entitled to, in the whole fleet
 
--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.limits import CALLER_BYTES, EACH_SECOND, STAND_IN_CORE
 from benchmarks.capacity.measure import PROCESS_TIME, cpu_s
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.lab.processes.fake_gateway import Listing
+from otterrudder.lab.processes.fake_discovery import FakeDiscovery
 from otterrudder.net.registry import PERIOD_S, Registry
 
 SERVERS = (50, 100, 200, 400)
@@ -39,7 +39,7 @@
 async def _reporting_core(servers: int, span_s: float, is_heard: bool) -> float:
     """The share of a core that so many servers' reports take, with the list's stand-in or with a socket that
     nobody reads in its place."""
-    listing = Listing()
+    listing = FakeDiscovery()
     async with anyio.create_task_group() as group:
         if is_heard:
             group.start_soon(listing.run)
--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from otterrudder.lab.processes.fake_gateway import SETTINGS
+from otterrudder.lab.processes.fake_settings import SETTINGS
 from otterrudder.lab.processes.link import free_port
 
 ROOT = Path(__file__).parents[2]
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -12,7 +12,6 @@
 import tempfile
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import anyio
 import anyio.abc
@@ -24,13 +23,16 @@
 from otterrudder.fleet.cell.agent import CellAgent  # noqa: E402
 from otterrudder.fleet.configuration import read_fleet  # noqa: E402
 from otterrudder.fleet.orders import Orders  # noqa: E402
-from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace  # noqa: E402
-from otterrudder.lab.processes.cluster import Rig  # noqa: E402
+from otterrudder.lab.processes.cells import CellCluster, CellLayout, RelayProcess  # noqa: E402
+from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster  # noqa: E402
+from otterrudder.lab.processes.server_process import ServerProcess  # noqa: E402
 
 SETTLE_S = 8.0  # s from the start until figures are taken
 SPAN_S = 30.0
 TICKS = os.sysconf("SC_CLK_TCK")
 LEASE_MS = 3000.0  # the default of a server's lease
+BOUND_MS = 3000.0
+STORE_LEASE_MS = 6000.0
 
 
 class CountingProxy:
@@ -62,14 +64,14 @@
             return
 
 
-class ProxiedRig(CellRig):
+class ProxiedCluster(CellCluster):
     """The servers find the first relay by the proxy."""
 
     proxy_address = ""
 
-    def write_fleet(self, place: Any) -> None:
-        super().write_fleet(place)
-        path = place.folder / "fleet.toml"
+    def write_fleet_file(self, server: ServerProcess) -> None:
+        super().write_fleet_file(server)
+        path = server.directory / "fleet.toml"
         path.write_text(path.read_text().replace(self.relays[0].address, self.proxy_address))
 
 
@@ -98,27 +100,29 @@
 async def measure_server(kind: str) -> dict[str, float]:
     """`kind`: "alone", "member", or "cell"."""
     with tempfile.TemporaryDirectory() as folder:
-        plan = CellPlan({"z": 2}, server_lease_ms=LEASE_MS)
+        layout = CellLayout({"z": 2}, server_lease_ms=LEASE_MS)
         proxy = CountingProxy()
-        rig: Rig
+        cluster: ProcessCluster
         if kind == "cell":
-            rig = ProxiedRig(Path(folder), 1, plan, lease_ms=6000.0)
-            proxy.target = _endpoint(rig.relays[0])
+            options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
+            cluster = ProxiedCluster(Path(folder), 1, layout, options)
+            proxy.target = _endpoint(cluster.relays[0])
         else:
-            rig = Rig(Path(folder), 1, bound_ms=3000.0, lease_ms=6000.0, with_fleet=kind == "member")
+            options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS, with_fleet=kind == "member")
+            cluster = ProcessCluster(Path(folder), 1, options)
         async with anyio.create_task_group() as group:
-            if isinstance(rig, ProxiedRig):
-                rig.proxy_address = await proxy.listen(group)
-            async with rig.running():
-                place = rig.places[0]
-                place.gateway.is_asking = False
-                assert place.process
-                found = await over_span(place.process.pid, lambda: proxy.count)
+            if isinstance(cluster, ProxiedCluster):
+                cluster.proxy_address = await proxy.listen(group)
+            async with cluster.running():
+                server = cluster.servers[0]
+                server.gateway.is_sending = False
+                assert server.process
+                found = await over_span(server.process.pid, lambda: proxy.count)
             group.cancel_scope.cancel()
         return found
 
 
-def _endpoint(relay: RelayPlace) -> tuple[str, int]:
+def _endpoint(relay: RelayProcess) -> tuple[str, int]:
     host, _, port = relay.address.rpartition(":")
     return host, int(port)
 
@@ -136,16 +140,17 @@
 
 async def measure_relay(sessions: int) -> dict[str, float]:
     with tempfile.TemporaryDirectory() as folder:
-        plan = CellPlan({"z": 1}, server_lease_ms=LEASE_MS, sessions_most=max(sessions, 1))
-        rig = CellRig(Path(folder), 0, plan, lease_ms=6000.0)
-        rig.count = 1  # the relays are started for a server that is not
+        layout = CellLayout({"z": 1}, server_lease_ms=LEASE_MS, max_sessions=max(sessions, 1))
+        options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
+        cluster = CellCluster(Path(folder), 0, layout, options)
+        cluster.server_count = 1  # the relays are started for a server that is not
         children: list[subprocess.Popen[bytes]] = []
         try:
-            await rig._start_store()
-            relay = rig.relays[0]
+            await cluster.start_fleet()
+            relay = cluster.relays[0]
             assert relay.process
             with anyio.fail_after(10.0):
-                while not (await rig.relay_status(relay))["authority_left_ms"]:
+                while not (await cluster.relay_status(relay))["authority_left_ms"]:
                     await anyio.sleep(0.05)
             empty = rss_mb(relay.process.pid)
             path = Path(folder) / "servers.toml"
@@ -153,11 +158,11 @@
             line = [sys.executable, __file__, "hold", str(path), str(sessions)]
             children.append(subprocess.Popen(line, cwd=ROOT))
             with anyio.fail_after(60.0):
-                while (await rig.relay_status(relay))["sessions"] < sessions:
+                while (await cluster.relay_status(relay))["sessions"] < sessions:
                     await anyio.sleep(0.1)
-            before, began = (await rig.relay_status(relay))["received"], clock.monotonic()
+            before, began = (await cluster.relay_status(relay))["received"], clock.monotonic()
             found = await over_span(relay.process.pid)
-            status = await rig.relay_status(relay)
+            status = await cluster.relay_status(relay)
             renewals_per_s = (status["received"] - before) / (clock.monotonic() - began) * 1000
             found["sessions"] = status["sessions"]
             found["renewals_per_s"] = round(renewals_per_s, 1)
@@ -168,7 +173,7 @@
             for child in children:
                 child.kill()
                 child.wait()
-            rig._end_all()
+            cluster.end_processes()
 
 
 async def main() -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from otterrudder.lab.processes.cluster import Rig  # noqa: E402
+from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster  # noqa: E402
+from otterrudder.lab.processes.server_process import LOG_FILE  # noqa: E402
 
 PACE_MS = 5.0  # 200 requests a second: what a server of the platform gets
 SKIPPED = 1  # the first line of turns: the start is in it
@@ -31,17 +32,18 @@
 async def measure(name: str) -> dict[str, float]:
     """The server's own last report, by its words."""
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(Path(folder), 1, with_fleet=name != "off", pace_ms=PACE_MS)
-        rig.run_line = f"exec {sys.executable} -m benchmarks.turns"
-        async with rig.running():
+        options = ClusterOptions(with_fleet=name != "off", pace_ms=PACE_MS)
+        cluster = ProcessCluster(Path(folder), 1, options)
+        cluster.server_command = f"exec {sys.executable} -m benchmarks.turns"
+        async with cluster.running():
             if FAULTS[name]:
-                await rig.tell_store(**FAULTS[name])
+                await cluster.store.inject(**FAULTS[name])
             with anyio.move_on_after(SPAN_S):
                 while True:
                     await anyio.sleep(0.5)
                     if name == "flood":
-                        await rig.tell_store(**FAULTS[name])
-        log = (rig.places[0].folder / "log.txt").read_text()
+                        await cluster.store.inject(**FAULTS[name])
+        log = (cluster.servers[0].directory / LOG_FILE).read_text()
         turns = [
             dict(re.findall(r"(\w+)=([\d.]+)", line))
             for line in log.splitlines()
@@ -49,7 +51,7 @@
         ][SKIPPED:]
         last = [line for line in log.splitlines() if "event=doing" in line][-1]
         told = dict(re.findall(r"(\w+)=([\d.]+)", last))
-        requests = sum(a.answered > 0 for a in rig.wire.asked) / SPAN_S * 10
+        requests = sum(request.answered_at > 0 for request in cluster.wire.requests) / SPAN_S * 10
         wanted = ("cpu_s", "rss_mb", "worst_turn_ms", "worst_ring_late_ms")
         found = {word: float(told[word]) for word in wanted} | {"txns": requests}
         found |= {word: sum(float(one[word]) for one in turns) for word in ("over_1ms", "turns")}
--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -128,7 +128,7 @@
     for run in runs if shrink else ():
         if run.broken:
             click.echo(f"{run.variant}, seed {run.seed}, cut down:")
-            for this in of.cut_down(what, run, click.echo):
+            for this in of.shrink_run(what, run, click.echo):
                 click.echo(f"  {this}")
     sys.exit(1 if broken else 0)
 
--- a/otterrudder/lab/processes/cell_experiment.py
+++ b/otterrudder/lab/processes/cell_experiment.py
@@ -4,7 +4,6 @@
 import shutil
 import tempfile
 import tomllib
-from collections.abc import Callable
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
@@ -12,29 +11,67 @@
 import msgspec
 
 from otterrudder.files import convert, load_toml
-from otterrudder.lab.processes.cell_faults import CellRound, draw
-from otterrudder.lab.processes.cell_history import Aside, asides, spread, switches
-from otterrudder.lab.processes.cell_runner import CellPlayer, CellsPlayed
-from otterrudder.lab.processes.cells import CellPlan
-from otterrudder.lab.processes.cluster import STOP_MS
-from otterrudder.lab.processes.experiment import RULES
-from otterrudder.lab.processes.history_checker import Verdict, judge
-from otterrudder.lab.processes.linked_cells import LinkedCellRig
+from otterrudder.lab.processes.cell_fault_schedule import draw
+from otterrudder.lab.processes.cell_faults import CellRound
+from otterrudder.lab.processes.cell_history import Suspension, spread, suspensions, switch_times
+from otterrudder.lab.processes.cell_runner import CellRunner, CellRunResult
+from otterrudder.lab.processes.cells import CellLayout
+from otterrudder.lab.processes.cluster import ClusterOptions
+from otterrudder.lab.processes.experiment import (
+    MAX_SERVERS,
+    broken_rules,
+    markdown_table,
+    marks_of,
+)
+from otterrudder.lab.processes.history import ClusterEvent
+from otterrudder.lab.processes.history_checker import CheckResult, Rule, check_history
+from otterrudder.lab.processes.linked_cells import CellMutants, LinkedCellCluster
+from otterrudder.lab.processes.round_runner import Report
+from otterrudder.lab.processes.server_process import LOG_FILE
 from otterrudder.lab.site import BadInput
 
-VERSION = 1
-SERVERS_MOST = 24  # processes of one machine; more of them measure its scheduler
-CELLS_MOST = 8
+VERSION = 1  # of the format
+MAX_CELLS = 8
+RELAYS_OF_CELL = 2
+TABLE_HEADINGS = (
+    "variant",
+    "seed",
+    "changes",
+    "in force",
+    "aborted",
+    "store unheard",
+    "odd after a round",
+    "not at work after one",
+    "wrong version",
+    "lost",
+    "run twice",
+    "quiet rounds",
+    "aside in them",
+    "faults",
+    "missed",
+    "txns",
+    "aside of all",
+    "commit to last server, ms",
+    "without a fault",
+    "hollow servers",
+    "commit to last of them, ms",
+    "without a fault",
+    "leader's death to vote, ms",
+)
+
+
+class CellVariantSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """`[[variant]]` of the file."""
 
-
-class _Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     name: str
     absent: str = "wait"
     names_store: bool = False
-    hollow: int = 0  # hollow servers a cell
+    hollow: int = 0  # hollow servers of each cell
 
 
 class CellExperiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """The file; its fields are the keys."""
+
     version: int
     name: str
     title: str
@@ -49,23 +86,16 @@
     sessions_most: int
     pace_ms: float
     cells: dict[str, int]
-    variant: list[_Variant]
+    variant: list[CellVariantSection]
 
-    def variant_named(self, name: str) -> _Variant:
+    def variant_named(self, name: str) -> CellVariantSection:
+        """The variant of that name."""
         return next(variant for variant in self.variant if variant.name == name)
 
 
-@dataclass(frozen=True, slots=True)
-class Doubles:
-    """Faults that are put into the program: of all relays, and of the first server."""
-
-    relay: str = ""
-    server: str = ""
-
-
 @dataclass(frozen=True, slots=True)
 class HollowFigures:
-    """What the hollow servers of a run have told."""
+    """What the hollow servers of a run have reported; the fields are keys of results.json."""
 
     servers: int
     overdue: int
@@ -79,46 +109,42 @@
 
     variant: str
     seed: int
-    played: CellsPlayed
-    verdict: Verdict
-    asides: list[Aside]
-    switches: dict[int, float]  # by version
-    marks: list[tuple[float, int, str]]
+    result: CellRunResult
+    check: CheckResult
+    suspensions: list[Suspension]
+    switch_times: dict[int, float]  # by version
+    events: list[ClusterEvent]
     quiet_rounds: int
     hollow: HollowFigures
 
     @property
-    def calm_switches(self) -> list[float]:
+    def faultless_switch_times(self) -> list[float]:
         """Of versions that came into force in rounds without a fault."""
-        return [ms for version, ms in self.switches.items() if version in self._calm_versions()]
+        return self._of_faultless_rounds(self.switch_times)
 
     @property
-    def calm_hollow_switches(self) -> list[float]:
+    def faultless_hollow_switch_times(self) -> list[float]:
         """The same, of the hollow servers."""
-        return [ms for version, ms in self.hollow.switches.items() if version in self._calm_versions()]
+        return self._of_faultless_rounds(self.hollow.switches)
 
-    def _calm_versions(self) -> set[int]:
-        return {this.version for this in self.played.rounds if not this.faults and this.in_force}
+    def _of_faultless_rounds(self, times: dict[int, float]) -> list[float]:
+        versions = {result.version for result in self.result.rounds if not result.faults and result.in_force}
+        return [ms for version, ms in times.items() if version in versions]
 
     @property
     def broken(self) -> list[str]:
         """Claims that did not hold."""
-        figures, played = self.verdict.figures, self.played
-        found = [
-            f"{rule}: {figures[f'breaches of {rule!r}']:.0f}"
-            for rule in RULES
-            if f"breaches of {rule!r}" in figures
-        ]
         counts = {
-            "servers went by another policy after a round": played.odd,
-            "relays, cells or servers were not at work after a round": played.troubled,
-            "changes had no end": played.undecided,
-            "policies came into force that a kind refuses": played.refused_in_force,
-            "servers stood aside in a quiet round": len(self.asides),
+            "servers went by another policy after a round": self.result.outliers,
+            "relays, cells or servers were not at work after a round": self.result.not_serving,
+            "changes had no end": self.result.undecided,
+            "policies came into force that a kind refuses": self.result.refused_in_force,
+            "servers stood aside in a quiet round": len(self.suspensions),
             "hollow servers admitted past the bound": self.hollow.overdue,
             "hollow servers stood aside in a quiet round": self.hollow.asides,
         }
-        return found + [f"{count} {what}" for what, count in counts.items() if count]
+        claims = [f"{count} {claim}" for claim, count in counts.items() if count]
+        return broken_rules(self.check.figures) + claims
 
 
 def is_of_cells(path: Path) -> bool:
@@ -126,197 +152,179 @@
     try:
         return "cells" in tomllib.loads(path.read_text())
     except (OSError, ValueError):
-        return False  # whoever reads it as another one says why
+        return False  # reading it as another experiment gives the reason
 
 
 def read(path: Path) -> CellExperiment:
-    """BadInput names the file and the key."""
-    told: CellExperiment = convert(load_toml(path, BadInput), CellExperiment, f"{path.name}: ", BadInput)
-    if told.version != VERSION:
-        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {told.version}")
+    """The experiment in a file; BadInput names the file and the key."""
+    experiment = convert(load_toml(path, BadInput), CellExperiment, f"{path.name}: ", BadInput)
+    if experiment.version != VERSION:
+        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {experiment.version}")
+    cells = experiment.cells
     for key in ("servers", "quick_servers"):
-        if not len(told.cells) <= getattr(told, key) <= SERVERS_MOST:
-            raise BadInput(f"{path.name}: {key}: not from one a cell to {SERVERS_MOST}")
-    if not 1 <= len(told.cells) <= CELLS_MOST or set(told.cells.values()) != {2}:
-        raise BadInput(f"{path.name}: cells: from 1 to {CELLS_MOST} of two relays each are wanted")
-    if not told.seeds or not told.variant:
+        if not len(cells) <= getattr(experiment, key) <= MAX_SERVERS:
+            raise BadInput(f"{path.name}: {key}: not from one a cell to {MAX_SERVERS}")
+    if not 1 <= len(cells) <= MAX_CELLS or set(cells.values()) != {RELAYS_OF_CELL}:
+        raise BadInput(f"{path.name}: cells: from 1 to {MAX_CELLS} of two relays each are wanted")
+    if not experiment.seeds or not experiment.variant:
         raise BadInput(f"{path.name}: seeds, variant: one of each is wanted at least")
-    return told
+    return experiment
 
 
 def only(experiment: CellExperiment, names: tuple[str, ...]) -> CellExperiment:
-    """With these variants, or all where none is named; BadInput: there is none of that name."""
-    there = [variant.name for variant in experiment.variant]
-    if missing := [name for name in names if name not in there]:
-        raise BadInput(f"--variant: {missing[0]!r} is none of {', '.join(there)}")
-    kept = [experiment.variant_named(name) for name in names] or experiment.variant
-    return msgspec.structs.replace(experiment, variant=kept)
+    """The experiment with these variants, or all if none is named; BadInput: there is none of that name."""
+    known = [variant.name for variant in experiment.variant]
+    if unknown := [name for name in names if name not in known]:
+        raise BadInput(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+    variants = [experiment.variant_named(name) for name in names] or experiment.variant
+    return msgspec.structs.replace(experiment, variant=variants)
 
 
 def perform(
     experiment: CellExperiment,
     seeds: list[int],
     servers: int,
-    rounds: int,
-    tell: Callable[[str], None],
+    round_count: int,
+    report: Report,
     logs: Path | None = None,
 ) -> list[CellRun]:
-    """All variants under all seeds, one at a time: they share the cores."""
+    """Plays all variants under all seeds, one at a time: they share the cores."""
     runs = []
     for seed in seeds:
         for variant in experiment.variant:
-            tell(f"{variant.name}, seed {seed}: {servers} servers, {rounds} rounds")
-            plan = draw(seed, tuple(experiment.cells), servers, rounds, variant.absent)
-            runs.append(perform_one(experiment, variant.name, seed, plan, servers, tell, logs=logs))
+            report(f"{variant.name}, seed {seed}: {servers} servers, {round_count} rounds")
+            rounds = draw(seed, tuple(experiment.cells), servers, round_count, variant.absent)
+            runs.append(perform_one(experiment, variant.name, seed, rounds, servers, report, logs=logs))
     return runs
 
 
 def perform_one(
     experiment: CellExperiment,
-    name: str,
+    variant_name: str,
     seed: int,
     rounds: list[CellRound],
     servers: int,
-    tell: Callable[[str], None] = lambda line: None,
-    doubles: Doubles | None = None,
+    report: Report = lambda line: None,
+    mutants: CellMutants | None = None,
     logs: Path | None = None,
 ) -> CellRun:
-    """One variant with a plan as it is. `logs`: where the processes' logs go if a claim does not hold."""
-    variant, doubles = experiment.variant_named(name), doubles or Doubles()
-    sessions_most = experiment.sessions_most + 2 * variant.hollow
-    with tempfile.TemporaryDirectory() as folder:
-        rig = LinkedCellRig(
-            Path(folder),
-            servers,
-            CellPlan(dict(experiment.cells), experiment.server_lease_ms, sessions_most),
-            absent=variant.absent,
-            bound_ms=experiment.bound_ms,
-            lease_ms=experiment.lease_ms,
-            pace_ms=experiment.pace_ms,
-            names_store=variant.names_store,
-            relay_double=doubles.relay,
-            server_double=doubles.server,
-        )
-        played = anyio.run(_perform, rig, variant.hollow, rounds, tell)
-        run = _concluded(rig, name, seed, played)
+    """Plays one variant through these rounds. `logs`: where the processes' logs go if a claim does not
+    hold."""
+    variant = experiment.variant_named(variant_name)
+    max_sessions = experiment.sessions_most + RELAYS_OF_CELL * variant.hollow
+    layout = CellLayout(dict(experiment.cells), experiment.server_lease_ms, max_sessions)
+    options = ClusterOptions(
+        absent=variant.absent,
+        bound_ms=experiment.bound_ms,
+        lease_ms=experiment.lease_ms,
+        pace_ms=experiment.pace_ms,
+        names_store=variant.names_store,
+    )
+    with tempfile.TemporaryDirectory() as directory:
+        cluster = LinkedCellCluster(Path(directory), servers, layout, options, mutants or CellMutants())
+        result = anyio.run(_perform, cluster, variant.hollow, rounds, report)
+        run = _check(cluster, variant_name, seed, result)
         if run.broken and logs:
-            _keep_logs(Path(folder), logs / f"{name}-{seed}")
+            _copy_logs(Path(directory), logs / f"{variant_name}-{seed}")
     return run
 
 
-def _concluded(rig: LinkedCellRig, name: str, seed: int, played: CellsPlayed) -> CellRun:
-    """What the ledger says of a run that is over."""
-    verdict = judge(rig.wire, rig.versions, rig.bound_ms, rig.harmed(), rig.listed(), rig.drains, STOP_MS)
-    return CellRun(
-        name, seed, played, verdict, asides(rig), switches(rig), rig.marks, len(rig.quiet), _hollow(rig)
-    )
+async def _perform(
+    cluster: LinkedCellCluster, hollow_of_cell: int, rounds: list[CellRound], report: Report
+) -> CellRunResult:
+    async with cluster.running():
+        await cluster.start_hollow(hollow_of_cell)
+        return await CellRunner(cluster, report).play(rounds)
 
 
-def _hollow(rig: LinkedCellRig) -> HollowFigures:
-    hollow = rig.hollow
-    aside = sum(len(hollow.aside_ms(window.since, window.to)) for window in rig.quiet)
-    overdue = hollow.overdue(rig.versions, rig.bound_ms)
-    return HollowFigures(hollow.count, overdue, aside, hollow.switches(rig.versions))
+def _check(cluster: LinkedCellCluster, variant: str, seed: int, result: CellRunResult) -> CellRun:
+    """The run with what the history checker finds."""
+    return CellRun(
+        variant,
+        seed,
+        result,
+        check_history(cluster.history()),
+        suspensions(cluster),
+        switch_times(cluster),
+        cluster.events.events,
+        len(cluster.quiet_windows),
+        _hollow_figures(cluster),
+    )
 
 
-def _keep_logs(folder: Path, to: Path) -> None:
-    to.mkdir(parents=True, exist_ok=True)
-    for log in folder.glob("*/log.txt"):
-        shutil.copy(log, to / f"{log.parent.name}.txt")
+def _hollow_figures(cluster: LinkedCellCluster) -> HollowFigures:
+    hollow = cluster.hollow
+    versions = cluster.observer.versions
+    suspended = [hollow.suspended_ms(window.start, window.end) for window in cluster.quiet_windows]
+    return HollowFigures(
+        hollow.count,
+        hollow.overdue(versions, cluster.options.bound_ms),
+        sum(map(len, suspended)),
+        hollow.switch_times(versions),
+    )
 
 
-async def _perform(
-    rig: LinkedCellRig, hollow: int, rounds: list[CellRound], tell: Callable[[str], None]
-) -> CellsPlayed:
-    async with rig.running():
-        await rig.start_hollow(hollow)
-        return await CellPlayer(rig, tell).play(rounds)
+def _copy_logs(source: Path, target: Path) -> None:
+    target.mkdir(parents=True, exist_ok=True)
+    for log in source.glob(f"*/{LOG_FILE}"):
+        shutil.copy(log, target / f"{log.parent.name}.txt")
 
 
 def table(runs: list[CellRun]) -> str:
-    """Markdown, a line a run."""
-    head = [
-        "variant",
-        "seed",
-        "changes",
-        "in force",
-        "aborted",
-        "store unheard",
-        "odd after a round",
-        "not at work after one",
-        "wrong version",
-        "lost",
-        "run twice",
-        "quiet rounds",
-        "aside in them",
-        "faults",
-        "missed",
-        "txns",
-        "aside of all",
-        "commit to last server, ms",
-        "without a fault",
-        "hollow servers",
-        "commit to last of them, ms",
-        "without a fault",
-        "leader's death to vote, ms",
-    ]
-    rows = ["| " + " | ".join(head) + " |", "| --- |" + " ---: |" * (len(head) - 1)]
-    rows += ["| " + " | ".join(map(str, _row(run))) + " |" for run in runs]
-    return "\n".join(rows)
+    """The runs as a Markdown table, a line a run."""
+    return markdown_table(TABLE_HEADINGS, [_row(run) for run in runs])
 
 
 def _row(run: CellRun) -> list[object]:
-    played, figures = run.played, run.verdict.figures
-    deaths = [death.voted_at - death.at for death in played.deaths]
+    result = run.result
+    figures = run.check.figures
+    deaths_to_vote = [death.voted_at - death.at for death in result.leader_deaths]
     return [
         run.variant,
         run.seed,
-        played.changes,
-        played.committed,
-        played.aborted,
-        played.unheard,
-        played.odd,
-        played.troubled,
+        result.changes,
+        result.committed,
+        result.aborted,
+        result.unanswered,
+        result.outliers,
+        result.not_serving,
         f"{figures['wrong_version']:.0f}",
-        f"{figures.get(_breaches('lost'), 0):.0f}",
-        f"{figures.get(_breaches('run twice'), 0):.0f}",
+        f"{figures.get(Rule.LOST.figure, 0):.0f}",
+        f"{figures.get(Rule.RUN_TWICE.figure, 0):.0f}",
         run.quiet_rounds,
-        len(run.asides),
-        played.dealt,
-        played.missed,
+        len(run.suspensions),
+        result.injected,
+        result.missed,
         f"{figures['txns']:.0f}",
         f"{figures['aside_share']:.1%}",
-        spread(list(run.switches.values())),
-        spread(run.calm_switches),
+        spread(list(run.switch_times.values())),
+        spread(run.faultless_switch_times),
         run.hollow.servers,
         spread(list(run.hollow.switches.values())),
-        spread(run.calm_hollow_switches),
-        ", ".join(f"{ms:.0f}" for ms in deaths) or "none",
+        spread(run.faultless_hollow_switch_times),
+        ", ".join(f"{ms:.0f}" for ms in deaths_to_vote) or "none",
     ]
 
 
-def _breaches(rule: str) -> str:
-    return f"breaches of {rule!r}"
-
-
-def write(runs: list[CellRun], folder: Path) -> None:
-    """results.json and the table."""
-    folder.mkdir(parents=True, exist_ok=True)
-    told = [
-        dict(
-            variant=run.variant,
-            seed=run.seed,
-            figures=run.verdict.figures,
-            breaches=run.verdict.breaches,
-            broken=run.broken,
-            asides=[asdict(aside) for aside in run.asides],
-            hollow=asdict(run.hollow),
-            switches={version: round(ms) for version, ms in run.switches.items()},
-            deaths=[asdict(death) for death in run.played.deaths],
-            rounds=[asdict(this) for this in run.played.rounds],
-            marks=[(round(at), server, what) for at, server, what in run.marks],
-        )
-        for run in runs
-    ]
-    (folder / "results.json").write_text(json.dumps(told, indent=1))
-    (folder / "table.md").write_text(table(runs) + "\n")
+def write(runs: list[CellRun], directory: Path) -> None:
+    """Writes results.json and the table."""
+    directory.mkdir(parents=True, exist_ok=True)
+    results = [_as_json(run) for run in runs]
+    (directory / "results.json").write_text(json.dumps(results, indent=1))
+    (directory / "table.md").write_text(table(runs) + "\n")
+
+
+def _as_json(run: CellRun) -> dict[str, object]:
+    return dict(
+        variant=run.variant,
+        seed=run.seed,
+        figures=run.check.figures,
+        breaches=run.check.violations,
+        broken=run.broken,
+        asides=[asdict(suspension) for suspension in run.suspensions],
+        hollow=asdict(run.hollow),
+        switches={version: round(ms) for version, ms in run.switch_times.items()},
+        deaths=[asdict(death) for death in run.result.leader_deaths],
+        rounds=[result.as_json() for result in run.result.rounds],
+        marks=marks_of(run.events),
+    )
--- a/otterrudder/lab/processes/cell_hollow.py
+++ b/otterrudder/lab/processes/cell_hollow.py
@@ -1,115 +1,137 @@
-"""Hollow servers beside the real ones of a rig of cells: some hundreds in a few processes, with the agent
-and the stream of a server and no requests. They tell at once what they go by and whether they admit, by the
-clock that all processes of a machine share; so a switch is timed exactly, and who stands aside is seen."""
+"""Hollow servers beside the real ones of a cluster of cells: some hundreds in a few processes, with the agent
+and the stream of a server and no requests.
+
+They report at once which version they go by and whether they admit, by the clock that all processes of a
+machine share. So a switch is timed exactly, and a suspension is seen."""
 
 import os
 import subprocess
 import sys
 from collections import defaultdict
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 
 import anyio
 import msgspec
 
-from otterrudder.lab.processes.cluster import ROOT, environment
-from otterrudder.lab.processes.history_checker import SLACK_MS, InForce
+from otterrudder.lab.processes.history import VersionInForce
+from otterrudder.lab.processes.history_checker import BOUND_SLACK_MS
+from otterrudder.lab.processes.launch import ROOT, child_environment
+from otterrudder.lab.processes.server_process import LOG_FILE
 from otterrudder.lab.scale.hollow import Switched
 
-CHUNK = 65536  # bytes that are read in one go
+MAX_CHUNK = 65536  # bytes that are read in one go
 _DECODER = msgspec.json.Decoder(Switched)
 
 
+@dataclass(frozen=True, slots=True)
+class _ReportSpan:
+    """A report, and until when it was so."""
+
+    report: Switched
+    end: float
+
+    def overlap_ms(self, start: float, end: float) -> float:
+        """The time that it has in common with another span; negative if none."""
+        return min(self.end, end) - max(self.report.at_ms, start)
+
+
 @dataclass(slots=True)
 class HollowServers:
-    """The processes, and all that their servers have told, in the order of their times."""
+    """The processes, and all reports of their servers in the order of their times."""
 
-    told: list[Switched] = field(default_factory=list)
+    reports: list[Switched] = field(default_factory=list)
     count: int = 0
     processes: list[subprocess.Popen[bytes]] = field(default_factory=list)
-    _present: dict[str, Switched] = field(default_factory=dict)
-
-    def start(self, fleet: Path, configuration: Path, prefix: str, count: int) -> subprocess.Popen[bytes]:
-        """A process of so many servers; its folder is that of the fleet's file."""
-        words = [str(fleet), str(configuration), "--count", str(count), "--prefix", prefix]
-        line = [sys.executable, "-m", "otterrudder.lab.scale.hollow", *words, "--folder", str(fleet.parent)]
-        with (fleet.parent / "log.txt").open("ab") as log:
+    _latest: dict[str, Switched] = field(default_factory=dict)
+
+    def start(
+        self, fleet_file: Path, configuration: Path, prefix: str, count: int
+    ) -> subprocess.Popen[bytes]:
+        """Starts a process of so many servers, in the directory of the fleet's file."""
+        directory = fleet_file.parent
+        arguments = [str(fleet_file), str(configuration), "--count", str(count), "--prefix", prefix]
+        arguments += ["--folder", str(directory)]
+        with (directory / LOG_FILE).open("ab") as log:
             process = subprocess.Popen(
-                line, cwd=ROOT, env=environment({}), stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log
+                [sys.executable, "-m", "otterrudder.lab.scale.hollow", *arguments],
+                cwd=ROOT,
+                env=child_environment({}),
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=log,
             )
         self.processes.append(process)
         self.count += count
         return process
 
     async def listen(self, process: subprocess.Popen[bytes]) -> None:
-        """Takes down what they tell, until cancelled."""
+        """Records the reports of a process until it ends, or this is cancelled."""
         assert process.stdout
-        number, rest = process.stdout.fileno(), b""
-        os.set_blocking(number, False)
+        descriptor = process.stdout.fileno()
+        os.set_blocking(descriptor, False)
+        rest = b""
         while True:
-            await anyio.wait_readable(number)
-            data = os.read(number, CHUNK)
+            await anyio.wait_readable(descriptor)
+            data = os.read(descriptor, MAX_CHUNK)
             if not data:
                 return
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
                 self._note(_DECODER.decode(line))
 
-    def _note(self, told: Switched) -> None:
-        self.told.append(told)
-        self._present[told.server] = told
+    def _note(self, report: Switched) -> None:
+        self.reports.append(report)
+        self._latest[report.server] = report
 
-    def behind(self, version: int) -> int:
+    def outdated(self, version: int) -> int:
         """How many do not admit under that version now."""
-        at_work = sum(told.admits and told.version == version for told in self._present.values())
-        return self.count - at_work
+        current = sum(report.admits and report.version == version for report in self._latest.values())
+        return self.count - current
 
-    # What it comes to.
-
-    def switches(self, versions: list[InForce]) -> dict[int, float]:
+    def switch_times(self, versions: list[VersionInForce]) -> dict[int, float]:
         """By version: ms from its commit until the last server that switched to it had done so."""
         first: dict[tuple[int, str], float] = {}
-        for told in self.told:
-            first.setdefault((told.version, told.server), told.at_ms)
+        for report in self.reports:
+            first.setdefault((report.version, report.server), report.at_ms)
         last: dict[int, float] = {}
-        for (number, _), at_ms in first.items():
-            last[number] = max(last.get(number, 0.0), at_ms)
-        return {v.version: max(0.0, last[v.version] - v.by) for v in versions[1:] if v.version in last}
+        for (version_number, _), at_ms in first.items():
+            last[version_number] = max(last.get(version_number, 0.0), at_ms)
+        return {
+            version.version: max(0.0, last[version.version] - version.by)
+            for version in versions[1:]
+            if version.version in last
+        }
 
-    def overdue(self, versions: list[InForce], bound_ms: float) -> int:
+    def overdue(self, versions: list[VersionInForce], bound_ms: float) -> int:
         """Spans in which a server admitted under a version that had been out of force for longer than the
         bound."""
         ends = {
-            old.version: new.by + bound_ms + SLACK_MS
-            for old, new in zip(versions, versions[1:], strict=False)
+            earlier.version: later.by + bound_ms + BOUND_SLACK_MS
+            for earlier, later in zip(versions, versions[1:], strict=False)
         }
-        found = 0
-        for spans in self._spans().values():
-            found += sum(told.admits and until > ends.get(told.version, until) for told, until in spans)
-        return found
+        return sum(
+            span.report.admits and span.end > ends.get(span.report.version, span.end)
+            for span in self._spans()
+        )
 
-    def aside_ms(self, since: float, to: float) -> dict[str, float]:
-        """By server: how long it did not admit between these times."""
+    def suspended_ms(self, start: float, end: float) -> dict[str, float]:
+        """By server: how long it did not admit within a span; servers that always did are left out."""
         found: dict[str, float] = defaultdict(float)
-        for server, spans in self._spans().items():
-            for told, until in spans:
-                overlap = min(until, to) - max(told.at_ms, since)
-                if not told.admits and overlap > 0:
-                    found[server] += overlap
+        for span in self._spans():
+            overlap_ms = span.overlap_ms(start, end)
+            if not span.report.admits and overlap_ms > 0:
+                found[span.report.server] += overlap_ms
         return dict(found)
 
-    def _spans(self) -> dict[str, list[tuple[Switched, float]]]:
-        """By server: what it told, and until when that was so."""
+    def _spans(self) -> Iterator[_ReportSpan]:
+        """Each report with the time of its server's next one, or of the last of all."""
         by_server: dict[str, list[Switched]] = defaultdict(list)
-        for told in self.told:
-            by_server[told.server].append(told)
-        end = max((told.at_ms for told in self.told), default=0.0)
-        return {
-            server: [
-                (told, after.at_ms)
-                for told, after in zip(
-                    all_told, [*all_told[1:], Switched(server, 0, False, end)], strict=True
-                )
-            ]
-            for server, all_told in by_server.items()
-        }
+        for report in self.reports:
+            by_server[report.server].append(report)
+        last_ms = max((report.at_ms for report in self.reports), default=0.0)
+        for reports in by_server.values():
+            ends = [*(report.at_ms for report in reports[1:]), last_ms]
+            for report, end in zip(reports, ends, strict=True):
+                yield _ReportSpan(report, end)
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -1,4 +1,4 @@
-"""The program with one rule of cells left out, for the rig: the ledger has to find each from the wire.
+"""The program with one rule of cells left out: the history checker has to find each from the wire.
 
 python -m otterrudder.lab.processes.cell_mutants server "ignores its lease's end"
 python -m otterrudder.lab.processes.cell_mutants relay "grants past its authority" relay.toml"""
@@ -17,12 +17,12 @@
 from otterrudder.fleet.cell.relay import Relay, Session
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import Standing
-from otterrudder.lab.processes.mutants import serve_as_told
+from otterrudder.lab.processes.mutants import serve_from_environment
 from otterrudder.net import relay
 
 
 class IgnoresLeaseEnd(Participant):
-    """Admits by what it last heard, for as long as it hears nothing."""
+    """Admits by what it last received, for as long as it receives nothing."""
 
     def standing(self, now: float) -> Standing:
         standing = super().standing(now)
@@ -30,22 +30,22 @@
 
 
 class GrantsPastAuthority(Relay):
-    """Grants for as long as it believes that it leads, with or without the store's lease or a consent."""
+    """Grants for as long as it believes that it leads, without the store's lease or an endorsement."""
 
     def authority_until(self, now: float) -> float:
         return math.inf if self.leads() else -math.inf
 
 
-class TellsNobody(Relay):
-    """Sends a newer text only to servers that have none."""
+class PushesToNobody(Relay):
+    """Sends a newer policy only to servers that have none."""
 
     def _push(self, now: float, session: Session) -> None:
         if not session.version:
             super()._push(now, session)
 
 
-def _consents_always() -> None:
-    """Consents also while it leads, or hears the store, and takes part all the same."""
+def _endorses_always() -> None:
+    """Endorses also while it leads, or reaches the store, and takes part all the same."""
 
     def answer(self: Promise, _now: float, request: AskConsent, _leads: bool, _hears_store: bool) -> Consent:
         return Consent(request.sequence, self.name, CONSENT_MS)
@@ -54,7 +54,7 @@
 
 
 def _votes_without_asking() -> None:
-    """Says yes for its servers."""
+    """Votes yes for its servers."""
 
     def ask(_self: Poll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
@@ -66,21 +66,21 @@
     setattr(Poll, "decided", decided)  # noqa: B010
 
 
-def _with_relay(kind: type[Relay]) -> Callable[[], None]:
-    return lambda: setattr(service, "Relay", kind)
+def _with_relay(relay_class: type[Relay]) -> Callable[[], None]:
+    return lambda: setattr(service, "Relay", relay_class)
 
 
-def _with_participant(kind: type[Participant]) -> Callable[[], None]:
-    return lambda: setattr(agent, "Participant", kind)
+def _with_participant(participant_class: type[Participant]) -> Callable[[], None]:
+    return lambda: setattr(agent, "Participant", participant_class)
 
 
-SERVER_FAULTS: dict[str, Callable[[], None]] = {
+SERVER_MUTANTS: dict[str, Callable[[], None]] = {
     "ignores its lease's end": _with_participant(IgnoresLeaseEnd),
 }
-RELAY_FAULTS: dict[str, Callable[[], None]] = {
+RELAY_MUTANTS: dict[str, Callable[[], None]] = {
     "grants past its authority": _with_relay(GrantsPastAuthority),
-    "tells nobody": _with_relay(TellsNobody),
-    "consents while it leads": _consents_always,
+    "tells nobody": _with_relay(PushesToNobody),
+    "consents while it leads": _endorses_always,
     "votes without asking": _votes_without_asking,
 }
 
@@ -94,9 +94,9 @@
 
 
 if __name__ == "__main__":
-    what, name, *rest = sys.argv[1:]
-    if what == "server":
-        SERVER_FAULTS[name]()
-        serve_as_told()
-    RELAY_FAULTS[name]()
-    _run_relay(Path(rest[0]))
+    program, name, *files = sys.argv[1:]
+    if program == "server":
+        SERVER_MUTANTS[name]()
+        serve_from_environment()
+    RELAY_MUTANTS[name]()
+    _run_relay(Path(files[0]))
--- a/otterrudder/lab/processes/cells.py
+++ b/otterrudder/lab/processes/cells.py
@@ -1,7 +1,7 @@
-"""A rig whose servers are of cells: relays as processes beside the servers and the store.
+"""A process cluster whose servers belong to cells: relays as processes beside the servers and the store.
 
-A cell of several relays keeps nothing; a cell of one has a folder, as a plain member has. Servers that are
-not listed as of a cell stay plain members."""
+A cell of several relays keeps no state; a cell of one has a state directory, as a plain member has. Servers
+can also be plain members."""
 
 import json
 import subprocess
@@ -13,167 +13,164 @@
 import anyio
 import anyio.to_thread
 
-from otterrudder.lab.processes.cluster import FLEET, FOLDER, ROOT, Place, Rig, environment
-from otterrudder.lab.processes.fake_etcd import CLUSTER
+from otterrudder.lab.processes.cluster import FLEET, POLL_S, ClusterOptions, ProcessCluster
+from otterrudder.lab.processes.launch import ROOT, child_environment
 from otterrudder.lab.processes.link import free_port
+from otterrudder.lab.processes.server_process import LOG_FILE, STATE_DIRECTORY, ServerProcess
 from otterrudder.net import control
 
-RELAY_UP_S = 20.0  # s that a relay may take until it answers, as a server may until it admits
+RELAY_START_TIMEOUT_S = 20.0  # until it answers
 
 
 @dataclass(slots=True)
-class RelayPlace:
-    """Where a relay runs."""
+class RelayProcess:
+    """A relay: it outlives its processes."""
 
     cell: str
     address: str
-    candidates: tuple[str, ...]
-    folder: Path
+    candidates: tuple[str, ...]  # the addresses of all relays of its cell
+    directory: Path
     process: subprocess.Popen[bytes] | None = None
 
     @property
     def is_up(self) -> bool:
+        """Whether its process runs."""
         return self.process is not None and self.process.poll() is None
 
+    @property
+    def control_socket(self) -> Path:
+        """Where its process answers."""
+        return self.directory / f"otterrudder-relay-{self.address}.sock"
+
 
 @dataclass(frozen=True, slots=True)
-class CellPlan:
+class CellLayout:
     """Which cells there are, and how long their leases last."""
 
-    relays: dict[str, int] = field(default_factory=lambda: {"z": 2})  # by cell: how many relays
+    relays: dict[str, int] = field(default_factory=lambda: {"z": 2})  # by cell: how many
     server_lease_ms: float = 2000.0
-    sessions_most: int = 100
+    max_sessions: int = 100  # of a relay
 
 
-class CellRig(Rig):
-    """`plain`: the numbers of servers that are plain members; it is read as a server's file is written."""
+class CellCluster(ProcessCluster):
+    """Servers of cells, their relays, and the store."""
 
     def __init__(
         self,
-        folder: Path,
-        servers: int,
-        plan: CellPlan,
-        *,
-        absent: str = "wait",
-        bound_ms: float = 3000.0,
-        lease_ms: float = 3000.0,
-        pace_ms: float = 40.0,
-        names_store: bool = False,
+        directory: Path,
+        server_count: int,
+        layout: CellLayout,
+        options: ClusterOptions | None = None,
     ) -> None:
-        super().__init__(
-            folder,
-            servers,
-            absent=absent,
-            bound_ms=bound_ms,
-            lease_ms=lease_ms,
-            pace_ms=pace_ms,
-            names_store=names_store,
-        )
-        self.plan = plan
-        self.plain: set[int] = set()
-        self.relays = [place for cell, count in plan.relays.items() for place in self._relays_of(cell, count)]
-
-    def relay_of(self, address: str) -> RelayPlace:
-        return next(relay for relay in self.relays if relay.address == address)
+        super().__init__(directory, server_count, options or ClusterOptions(bound_ms=3000.0))
+        self.layout = layout
+        self.plain_servers: set[int] = set()  # plain members, as of the next write of their fleet's file
+        self.relays: list[RelayProcess] = []
+        for cell, count in layout.relays.items():
+            self.relays += self._create_relays(cell, count)
+
+    async def start_fleet(self) -> None:
+        """Starts the store, and the relays if there are servers for them."""
+        await super().start_fleet()
+        if len(self.plain_servers) < self.server_count:
+            await self.start_relays()
 
     async def start_relays(self) -> None:
-        """All that are not up; once this returns, each answers its control socket."""
+        """Starts all that are not up; once this returns, each answers its control socket."""
         for relay in self.relays:
             if not relay.is_up:
                 self.start_relay(relay)
         for relay in self.relays:
-            await self.until_answering(relay)
+            await self.wait_answering(relay)
 
-    def start_relay(self, relay: RelayPlace) -> None:
-        """A new process at that place."""
-        relay.folder.mkdir(exist_ok=True)
-        path = relay.folder / "relay.toml"
+    def start_relay(self, relay: RelayProcess) -> None:
+        """Starts a new process of a relay."""
+        relay.directory.mkdir(exist_ok=True)
+        path = relay.directory / "relay.toml"
         path.write_text(self._relay_file(relay))
-        env = environment({"TMPDIR": str(relay.folder)}, *self._relay_halts(relay))
-        with (relay.folder / "log.txt").open("ab") as log:
-            relay.process = subprocess.Popen(self._relay_line(relay, path), cwd=ROOT, env=env, stderr=log)
-        self.extra.append(relay.process)
-        self.note(-1, f"relay {relay.address} starts")
-
-    def kill_relay(self, relay: RelayPlace) -> None:
+        variables = {"TMPDIR": str(relay.directory)}
+        environment = child_environment(variables, *self._relay_failpoints(relay))
+        with (relay.directory / LOG_FILE).open("ab") as log:
+            command = self._relay_command(relay, path)
+            relay.process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=log)
+        self.other_processes.append(relay.process)
+        self.events.add_fleet_wide(f"relay {relay.address} starts")
+
+    def kill_relay(self, relay: RelayProcess) -> None:
+        """Kills the process of a relay."""
         if relay.process:
             relay.process.kill()
             relay.process.wait()
-            self.note(-1, f"relay {relay.address} killed")
+            self.events.add_fleet_wide(f"relay {relay.address} killed")
 
-    async def stop_relay(self, relay: RelayPlace) -> int:
-        """The operators' way; its exit code."""
+    async def stop_relay(self, relay: RelayProcess) -> int:
+        """Stops a relay as operators do; its exit code."""
         assert relay.process
         relay.process.terminate()
-        self.note(-1, f"relay {relay.address} told to stop")
+        self.events.add_fleet_wide(f"relay {relay.address} told to stop")
         return await anyio.to_thread.run_sync(relay.process.wait)
 
-    async def until_answering(self, relay: RelayPlace) -> None:
-        """TimeoutError: it does not come up."""
-        with anyio.fail_after(RELAY_UP_S):
+    async def wait_answering(self, relay: RelayProcess) -> None:
+        """Waits until a relay answers; TimeoutError: it does not."""
+        with anyio.fail_after(RELAY_START_TIMEOUT_S):
             while not await self.relay_status(relay):
-                await anyio.sleep(0.05)
+                await anyio.sleep(POLL_S)
 
-    async def relay_status(self, relay: RelayPlace) -> dict[str, Any]:
-        """What it says of itself; empty: it does not answer."""
-        return await _asked(relay.folder / f"otterrudder-relay-{relay.address}.sock", "relay")
+    async def relay_status(self, relay: RelayProcess) -> dict[str, Any]:
+        """What a relay answers on its control socket; empty: it does not answer."""
+        return await _ask_control_socket(relay.control_socket, "relay")
 
-    async def server_status(self, place: Place) -> dict[str, Any]:
-        """What a server says of its part in the fleet; empty: it does not answer."""
-        return await _asked(place.folder / f"otterrudder-{place.name}.sock", "fleet")
+    async def server_status(self, server: ServerProcess) -> dict[str, Any]:
+        """What a server answers on its control socket about the fleet; empty: it does not answer."""
+        return await _ask_control_socket(server.directory / f"otterrudder-{server.name}.sock", "fleet")
 
-    def write_fleet(self, place: Place) -> None:
-        if place.number in self.plain:
-            super().write_fleet(place)
+    def write_fleet_file(self, server: ServerProcess) -> None:
+        """Writes the fleet's file of a server of a cell, or of a plain member."""
+        if server.number in self.plain_servers:
+            super().write_fleet_file(server)
             return
         relays = json.dumps([relay.address for relay in self.relays])
-        text = f"{self._common_part()}relays = {relays}\n"
-        (place.folder / "fleet.toml").write_text(text)
-
-    async def _start_store(self, state: str = "store", cluster: int = 0) -> None:
-        is_first = self.store is None and not any(relay.process for relay in self.relays)
-        await super()._start_store(state, cluster)
-        if is_first and len(self.plain) < self.count:
-            await self.start_relays()
+        text = f"{self._common_section()}relays = {relays}\n"
+        (server.directory / "fleet.toml").write_text(text)
 
-    def _relays_of(self, cell: str, count: int) -> list[RelayPlace]:
+    def _create_relays(self, cell: str, count: int) -> list[RelayProcess]:
         addresses = tuple(f"127.0.0.1:{free_port()}" for _ in range(count))
         return [
-            RelayPlace(cell, address, addresses, self.folder / f"{cell}{number}")
+            RelayProcess(cell, address, addresses, self.directory / f"{cell}{number}")
             for number, address in enumerate(addresses)
         ]
 
-    def _relay_line(self, _relay: RelayPlace, path: Path) -> list[str]:
+    def _relay_command(self, _relay: RelayProcess, path: Path) -> list[str]:
         """The command of a relay whose file is at that path."""
         return [sys.executable, "-m", "otterrudder", "fleet", "relay", "--fleet", str(path)]
 
-    def _relay_halts(self, _relay: RelayPlace) -> tuple[Path, ...]:
-        """The folders in which points are armed for a relay."""
+    def _relay_failpoints(self, _relay: RelayProcess) -> tuple[Path, ...]:
+        """The directories in which failpoints are armed for a relay."""
         return ()
 
-    def _common_part(self, store_port: int = 0) -> str:
-        """`store_port`: 0: the store's own."""
-        store_id = f'store_id = "{CLUSTER:x}"\n' if self.names_store else ""
+    def _common_section(self, store_port: int = 0) -> str:
+        """The keys that relays' and servers' files share; `store_port` 0: the store's own."""
+        options = self.options
         return (
-            f'version = 1\nfleet = "{FLEET}"\nstore = ["127.0.0.1:{store_port or self.store_at}"]\n'
-            f'absent = "{self.absent}"\n{store_id}'
-            f"bound_ms = {self.bound_ms}\nlease_ms = {self.lease_ms}\n"
-            f"server_lease_ms = {self.plan.server_lease_ms}\n"
+            f'version = 1\nfleet = "{FLEET}"\nstore = ["127.0.0.1:{store_port or self.store.port}"]\n'
+            f'absent = "{options.absent}"\n{options.store_id_line}'
+            f"bound_ms = {options.bound_ms}\nlease_ms = {options.lease_ms}\n"
+            f"server_lease_ms = {self.layout.server_lease_ms}\n"
         )
 
-    def _relay_file(self, relay: RelayPlace) -> str:
-        folder = f'folder = "{FOLDER}"\n' if len(relay.candidates) == 1 else ""
+    def _relay_file(self, relay: RelayProcess) -> str:
+        directory = f'folder = "{STATE_DIRECTORY}"\n' if len(relay.candidates) == 1 else ""
         return (
-            f'{self._common_part()}[relay]\ncell = "{relay.cell}"\naddress = "{relay.address}"\n'
+            f'{self._common_section()}[relay]\ncell = "{relay.cell}"\naddress = "{relay.address}"\n'
             f"candidates = {json.dumps(relay.candidates)}\n"
-            f"sessions_most = {self.plan.sessions_most}\n{folder}"
+            f"sessions_most = {self.layout.max_sessions}\n{directory}"
         )
 
 
-async def _asked(path: Path, what: str) -> dict[str, Any]:
+async def _ask_control_socket(path: Path, subject: str) -> dict[str, Any]:
     try:
-        told = await anyio.to_thread.run_sync(control.ask_at, path, what)
+        response = await anyio.to_thread.run_sync(control.ask_at, path, subject)
     except (OSError, ValueError):
         return {}
-    answer = told.get(what)
-    return answer if isinstance(answer, dict) else {}
+    status = response.get(subject)
+    return status if isinstance(status, dict) else {}
--- a/otterrudder/lab/processes/demo.py
+++ b/otterrudder/lab/processes/demo.py
@@ -1,47 +1,56 @@
-"""For a newcomer: a change of policy across six processes, while one is killed between its promise and its
-vote, and returns."""
+"""A demonstration: a change of policy across six processes, while one is killed between its prepared vote and
+its vote, and returns."""
 
 import tempfile
-from collections.abc import Callable
 from pathlib import Path
 
 import anyio
 
-from otterrudder.lab.processes.cluster import Rig
-from otterrudder.lab.processes.fault_schedule import Fault, Played, Round, conclude, play
+from otterrudder.lab.processes.cluster import ProcessCluster
+from otterrudder.lab.processes.fake_settings import KEYED_PRODUCT, SAFE_PRODUCT
+from otterrudder.lab.processes.faults import Fault, Round
+from otterrudder.lab.processes.history import FLEET_WIDE
+from otterrudder.lab.processes.round_runner import Report, RunResult, check_run, play
 
 SERVERS = 6
-ROUNDS = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("kill at point", 3, "after save"),), 1.5)]
-
-
-async def _play(folder: Path, say: Callable[[str], None]) -> Played:
-    rig = Rig(folder, SERVERS)
-    say(f"{SERVERS} servers, a store, gateways; policy 1 declines 'look', policy 2 declines 'pay'")
-    async with rig.running():
-        start = rig.marks[0][0]
-        played = await play(rig, ROUNDS[:1])
-        say("policy 1 is in force on all; now policy 2: n3 is killed when it has promised and not yet voted")
-        later = await play(rig, ROUNDS[1:])
-    played.rounds += later.rounds
-    played.odd, played.undecided = played.odd + later.odd, played.undecided + later.undecided
-    for at, server, what in rig.marks:
-        if server in (-1, 3):
-            say(f"{(at - start) / 1000:6.1f} s  {'the fleet' if server < 0 else 'n3'}: {what}")
-    for version in rig.versions[1:]:
-        at = (version.by - start) / 1000
-        say(f"{at:6.1f} s  version {version.version} in force: no '{version.declines}'")
-    return conclude(rig, played)
-
-
-def show(say: Callable[[str], None]) -> bool:
-    """Whether all that is promised held."""
-    with tempfile.TemporaryDirectory() as folder:
-        played = anyio.run(_play, Path(folder), say)
-    figures = played.verdict.figures
-    say(
-        f"{figures['txns']:.0f} txns, {figures['settled']:.0f} settled; under a wrong version "
-        f"{figures['wrong_version']:.0f}; servers that went by another policy {played.odd}"
+KILLED_SERVER = 3
+QUIET_ROUND = Round(1, SAFE_PRODUCT, (), 0.3)
+KILL_ROUND = Round(2, KEYED_PRODUCT, (Fault("kill at point", KILLED_SERVER, "after save"),), 1.5)
+
+
+def show(report: Report) -> bool:
+    """Plays the demonstration; whether all that is promised held."""
+    with tempfile.TemporaryDirectory() as directory:
+        result = anyio.run(_play, Path(directory), report)
+    figures = result.check.figures
+    report(
+        f"{figures['txns']:.0f} requests, {figures['settled']:.0f} completed; under a wrong version "
+        f"{figures['wrong_version']:.0f}; servers that went by another policy {result.outliers}"
     )
-    for breach in played.verdict.breaches:
-        say(breach)
-    return not played.verdict.breaches and not played.odd and not played.undecided
+    for violation in result.check.violations:
+        report(violation)
+    return not result.check.violations and not result.outliers and not result.undecided
+
+
+async def _play(directory: Path, report: Report) -> RunResult:
+    cluster = ProcessCluster(directory, SERVERS)
+    report(f"{SERVERS} servers, a store, gateways; policy 1 rejects 'look', policy 2 rejects 'pay'")
+    async with cluster.running():
+        start = cluster.events.events[0].at
+        result = await play(cluster, [QUIET_ROUND])
+        report("policy 1 is in force on all; now policy 2: n3 is killed once it has saved its vote, unsent")
+        second = await play(cluster, [KILL_ROUND])
+    result.rounds += second.rounds
+    result.undecided += second.undecided
+    _report_events(cluster, start, report)
+    return check_run(cluster, result)
+
+
+def _report_events(cluster: ProcessCluster, start: float, report: Report) -> None:
+    for event in cluster.events.events:
+        if event.server in (FLEET_WIDE, KILLED_SERVER):
+            whose = "the fleet" if event.server == FLEET_WIDE else f"n{KILLED_SERVER}"
+            report(f"{(event.at - start) / 1000:6.1f} s  {whose}: {event.text}")
+    for version in cluster.observer.versions[1:]:
+        second = (version.by - start) / 1000
+        report(f"{second:6.1f} s  version {version.version} in force: no '{version.rejected_product}'")
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -1,7 +1,7 @@
-"""An experiment with processes: its file, its runs one after another, its claims, table and chart.
+"""An experiment with processes: its file, its runs one after another, its claims, its table and its chart.
 
-A run is told by its seed; `results.json` has the plan of each round, so a run that broke a claim can be
-played again, and `shrink` leaves rounds and faults out as long as it breaks still."""
+A run is determined by its seed; `results.json` has the faults of each round, so a run that broke a claim
+can be played again, and `shrink` leaves rounds and faults out as long as it still breaks one."""
 
 import json
 import tempfile
@@ -13,27 +13,38 @@
 import msgspec
 
 from otterrudder.files import convert, load_toml
-from otterrudder.lab.processes.cluster import Rig
-from otterrudder.lab.processes.fault_schedule import Played, Round, conclude, draw, play
-from otterrudder.lab.processes.history_checker import InForce
+from otterrudder.lab.processes.chart import draw_chart
+from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster
+from otterrudder.lab.processes.fault_schedule import draw
+from otterrudder.lab.processes.faults import Fault, Round
+from otterrudder.lab.processes.history import ClusterEvent, RequestRecord, VersionInForce
+from otterrudder.lab.processes.history_checker import Rule
+from otterrudder.lab.processes.round_runner import Report, RunResult, check_run, play
 from otterrudder.lab.site import BadInput
 
-VERSION = 1
-SERVERS_MOST = 24  # processes of one machine; more of them measure its scheduler
-RULES = (
+VERSION = 1  # of the format
+MAX_SERVERS = 24  # processes of one machine; more of them measure its scheduler
+TABLE_HEADINGS = (
+    "variant",
+    "seed",
+    "in force",
+    "aborted",
+    "odd after a round",
+    "odd at the end",
+    "wrong version",
     "lost",
-    "answered twice",
-    "late",
-    "another result",
     "run twice",
-    "repeat declined",
-    "wrong version",
-    "unlisted",
-    "drain",
+    "drains",
+    "aside",
+    "faults",
+    "missed",
+    "txns",
 )
 
 
-class _Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class VariantSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """`[[variant]]` of the file."""
+
     name: str
     absent: str = "wait"
     baseline: bool = False
@@ -41,6 +52,8 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """The file; its fields are the keys."""
+
     version: int
     name: str
     title: str
@@ -52,7 +65,11 @@
     bound_ms: float
     lease_ms: float
     pace_ms: float
-    variant: list[_Variant]
+    variant: list[VariantSection]
+
+    def variant_named(self, name: str) -> VariantSection:
+        """The variant of that name."""
+        return next(variant for variant in self.variant if variant.name == name)
 
 
 @dataclass(slots=True)
@@ -62,10 +79,10 @@
     variant: str
     seed: int
     is_baseline: bool
-    played: Played
-    marks: list[tuple[float, int, str]]
-    versions: list[InForce]
-    lines: list[tuple[float, int, str, str]]  # when, server, product, outcome: for the chart
+    result: RunResult
+    events: list[ClusterEvent]
+    versions: list[VersionInForce]
+    requests: list[RequestRecord]  # without repeats: for the chart
     servers: int
 
     @property
@@ -73,224 +90,186 @@
         """Claims that did not hold; the baseline claims nothing."""
         if self.is_baseline:
             return []
-        figures, played = self.played.verdict.figures, self.played
-        found = [
-            f"{rule}: {figures[f'breaches of {rule!r}']:.0f}"
-            for rule in RULES
-            if f"breaches of {rule!r}" in figures
-        ]
-        found += [f"{played.odd} servers went by another policy after a round"] if played.odd else []
-        found += [f"{played.undecided} changes had no end"] if played.undecided else []
-        return found
+        claims = broken_rules(self.result.check.figures)
+        if self.result.outliers:
+            claims.append(f"{self.result.outliers} servers went by another policy after a round")
+        if self.result.undecided:
+            claims.append(f"{self.result.undecided} changes had no end")
+        return claims
+
+
+def broken_rules(figures: dict[str, float]) -> list[str]:
+    """The rules of the history checker that were violated, with how often."""
+    return [f"{rule.value}: {figures[rule.figure]:.0f}" for rule in Rule if rule.figure in figures]
 
 
 def read(path: Path) -> Experiment:
-    """BadInput names the file and the key."""
-    told: Experiment = convert(load_toml(path, BadInput), Experiment, f"{path.name}: ", BadInput)
-    if told.version != VERSION:
-        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {told.version}")
+    """The experiment in a file; BadInput names the file and the key."""
+    experiment = convert(load_toml(path, BadInput), Experiment, f"{path.name}: ", BadInput)
+    if experiment.version != VERSION:
+        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {experiment.version}")
     for key in ("servers", "quick_servers"):
-        if not 1 <= getattr(told, key) <= SERVERS_MOST:
-            raise BadInput(f"{path.name}: {key}: {getattr(told, key)} is not from 1 to {SERVERS_MOST}")
-    if not told.seeds or not told.variant:
+        if not 1 <= getattr(experiment, key) <= MAX_SERVERS:
+            raise BadInput(f"{path.name}: {key}: {getattr(experiment, key)} is not from 1 to {MAX_SERVERS}")
+    if not experiment.seeds or not experiment.variant:
         raise BadInput(f"{path.name}: seeds, variant: one of each is wanted at least")
-    return told
+    return experiment
 
 
 def only(experiment: Experiment, names: tuple[str, ...]) -> Experiment:
-    """With these variants, or all where none is named; BadInput: there is none of that name."""
-    there = {variant.name: variant for variant in experiment.variant}
-    if missing := [name for name in names if name not in there]:
-        raise BadInput(f"--variant: {missing[0]!r} is none of {', '.join(there)}")
-    kept = [there[name] for name in names] or experiment.variant
-    return msgspec.structs.replace(experiment, variant=kept)
+    """The experiment with these variants, or all if none is named; BadInput: there is none of that name."""
+    known = [variant.name for variant in experiment.variant]
+    if unknown := [name for name in names if name not in known]:
+        raise BadInput(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+    variants = [experiment.variant_named(name) for name in names] or experiment.variant
+    return msgspec.structs.replace(experiment, variant=variants)
 
 
 def perform(
-    experiment: Experiment, seeds: list[int], servers: int, changes: int, tell: Callable[[str], None]
+    experiment: Experiment, seeds: list[int], servers: int, changes: int, report: Report
 ) -> list[Run]:
-    """All variants under all seeds, one at a time: they share the cores."""
+    """Plays all variants under all seeds, one at a time: they share the cores."""
     runs = []
     for seed in seeds:
         for variant in experiment.variant:
-            tell(f"{variant.name}, seed {seed}: {servers} servers, {changes} changes")
+            report(f"{variant.name}, seed {seed}: {servers} servers, {changes} changes")
             rounds = draw(seed, servers, changes, variant.baseline)
-            runs.append(perform_one(experiment, variant.name, seed, rounds, servers, tell))
+            runs.append(perform_one(experiment, variant.name, seed, rounds, servers, report))
     return runs
 
 
 def perform_one(
     experiment: Experiment,
-    name: str,
+    variant_name: str,
     seed: int,
     rounds: list[Round],
     servers: int,
-    tell: Callable[[str], None] = lambda line: None,
-    double: str = "",
+    report: Report = lambda line: None,
+    mutant: str = "",
 ) -> Run:
-    """One variant with a plan as it is."""
-    variant = next(variant for variant in experiment.variant if variant.name == name)
-    with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(
-            Path(folder),
-            servers,
-            absent=variant.absent,
-            bound_ms=experiment.bound_ms,
-            lease_ms=experiment.lease_ms,
-            pace_ms=experiment.pace_ms,
-            with_fleet=not variant.baseline,
-            double=double,
-            names_store=variant.names_store,
-        )
-        played = anyio.run(_perform, rig, rounds, tell)
-    lines = [(a.sent, a.server, a.product, a.outcome) for a in rig.wire.asked if a.call == a.first]
-    return Run(name, seed, variant.baseline, played, rig.marks, rig.versions, lines, servers)
-
-
-async def _perform(rig: Rig, rounds: list[Round], tell: Callable[[str], None]) -> Played:
-    async with rig.running():
-        played = await play(rig, rounds, tell)
-    return conclude(rig, played)
+    """Plays one variant through these rounds. `mutant`: the seeded fault of the first server."""
+    variant = experiment.variant_named(variant_name)
+    options = ClusterOptions(
+        absent=variant.absent,
+        bound_ms=experiment.bound_ms,
+        lease_ms=experiment.lease_ms,
+        pace_ms=experiment.pace_ms,
+        with_fleet=not variant.baseline,
+        names_store=variant.names_store,
+        mutant=mutant,
+    )
+    with tempfile.TemporaryDirectory() as directory:
+        cluster = ProcessCluster(Path(directory), servers, options)
+        result = anyio.run(_perform, cluster, rounds, report)
+    return Run(
+        variant_name,
+        seed,
+        variant.baseline,
+        result,
+        cluster.events.events,
+        cluster.observer.versions,
+        [request for request in cluster.wire.requests if not request.is_repeat],
+        servers,
+    )
+
+
+async def _perform(cluster: ProcessCluster, rounds: list[Round], report: Report) -> RunResult:
+    async with cluster.running():
+        result = await play(cluster, rounds, report)
+    return check_run(cluster, result)
 
 
 def table(runs: list[Run]) -> str:
-    """Markdown, a line a run."""
-    head = [
-        "variant",
-        "seed",
-        "in force",
-        "aborted",
-        "odd after a round",
-        "odd at the end",
-        "wrong version",
-        "lost",
-        "run twice",
-        "drains",
-        "aside",
-        "faults",
-        "missed",
-        "txns",
-    ]
-    rows = ["| " + " | ".join(head) + " |", "| --- |" + " ---: |" * (len(head) - 1)]
-    for run in runs:
-        figures, played = run.played.verdict.figures, run.played
-        of = [
-            run.variant,
-            run.seed,
-            played.committed,
-            played.aborted,
-            played.odd,
-            played.odd_at_end,
-            f"{figures['wrong_version']:.0f}",
-            f"{figures.get(_breaches('lost'), 0):.0f}",
-            f"{figures.get(_breaches('run twice'), 0):.0f}",
-            f"{figures['drains']:.0f}",
-            f"{figures['aside_share']:.1%}",
-            played.dealt,
-            played.missed,
-            f"{figures['txns']:.0f}",
-        ]
-        rows.append("| " + " | ".join(map(str, of)) + " |")
-    return "\n".join(rows)
-
-
-def _breaches(rule: str) -> str:
-    return f"breaches of {rule!r}"
-
-
-def write(runs: list[Run], folder: Path, name: str) -> None:
-    """results.json, the table, and a chart of the first run of each variant."""
-    folder.mkdir(parents=True, exist_ok=True)
-    told = [
-        dict(
-            variant=run.variant,
-            seed=run.seed,
-            figures=run.played.verdict.figures,
-            breaches=run.played.verdict.breaches,
-            broken=run.broken,
-            rounds=run.played.rounds,
-            marks=[(round(at), server, what) for at, server, what in run.marks],
-        )
-        for run in runs
+    """The runs as a Markdown table, a line a run."""
+    return markdown_table(TABLE_HEADINGS, [_row(run) for run in runs])
+
+
+def markdown_table(headings: tuple[str, ...], rows: list[list[object]]) -> str:
+    """A Markdown table whose first column is text, and the others figures."""
+    lines = ["| " + " | ".join(headings) + " |", "| --- |" + " ---: |" * (len(headings) - 1)]
+    lines += ["| " + " | ".join(map(str, row)) + " |" for row in rows]
+    return "\n".join(lines)
+
+
+def _row(run: Run) -> list[object]:
+    result = run.result
+    figures = result.check.figures
+    return [
+        run.variant,
+        run.seed,
+        result.committed,
+        result.aborted,
+        result.outliers,
+        result.outliers_at_end,
+        f"{figures['wrong_version']:.0f}",
+        f"{figures.get(Rule.LOST.figure, 0):.0f}",
+        f"{figures.get(Rule.RUN_TWICE.figure, 0):.0f}",
+        f"{figures['drains']:.0f}",
+        f"{figures['aside_share']:.1%}",
+        result.injected,
+        result.missed,
+        f"{figures['txns']:.0f}",
     ]
-    (folder / "results.json").write_text(json.dumps(told, indent=1))
-    (folder / "table.md").write_text(table(runs) + "\n")
-    shown: set[str] = set()
+
+
+def write(runs: list[Run], directory: Path, name: str) -> None:
+    """Writes results.json, the table, and a chart of the first run of each variant."""
+    directory.mkdir(parents=True, exist_ok=True)
+    results = [_as_json(run) for run in runs]
+    (directory / "results.json").write_text(json.dumps(results, indent=1))
+    (directory / "table.md").write_text(table(runs) + "\n")
+    charted: set[str] = set()
     for run in runs:
-        if run.variant not in shown:
-            shown.add(run.variant)
-            chart(run, folder / f"{name}-{run.variant}.svg")
-
-
-def chart(run: Run, path: Path) -> None:
-    """Servers down the page, time along it; a stroke for each request settled, by its product and so by the
-    policies that serve it; versions as lines, faults as crosses."""
-    import matplotlib
-
-    matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "otterrudder"
-    from matplotlib import pyplot as plt
-
-    start = min((at for at, *_ in run.lines), default=0.0)
-    figure, axes = plt.subplots(figsize=(11, 0.45 * run.servers + 1.6))
-    colours = {"look": "#1b7837", "pay": "#2166ac"}
-    for product, colour in colours.items():
-        points = [
-            ((at - start) / 1000, server)
-            for at, server, what, how in run.lines
-            if what == product and how == "settled"
-        ]
-        axes.plot(
-            [x for x, _ in points],
-            [y for _, y in points],
-            "|",
-            ms=7,
-            color=colour,
-            alpha=0.5,
-            rasterized=True,  # thousands of them
-            label=f"{product} settled",
-        )
-    for n, version in enumerate(run.versions[1:], 1):
-        axes.axvline((version.by - start) / 1000, color="#666666", lw=0.6)
-        if len(run.versions) < 40:
-            axes.text((version.by - start) / 1000, run.servers - 0.4, str(n), fontsize=6)
-    for at, server, what in run.marks:
-        if server >= 0 and not what.startswith(("starts", "healed", "thawed", "room")):
-            axes.plot([(at - start) / 1000], [server], "x", color="#b2182b", ms=5)
-    axes.set_yticks(range(run.servers), [f"n{n}" for n in range(run.servers)])
-    axes.set_xlabel("s; lines: a version came into force; crosses: a fault")
-    axes.set_title(f"{run.variant}, seed {run.seed}", fontsize=9)
-    axes.legend(fontsize=7, loc="upper left")
-    figure.tight_layout()
-    figure.savefig(path, metadata={"Date": None}, dpi=110)
-    plt.close(figure)
-
-
-def cut_down(experiment: Experiment, run: Run, tell: Callable[[str], None]) -> list[Round]:
-    """The fewest rounds and faults of a run that broke a claim, each try played anew."""
-
-    def broke(rounds: list[Round]) -> bool:
+        if run.variant not in charted:
+            charted.add(run.variant)
+            path = directory / f"{name}-{run.variant}.svg"
+            title = f"{run.variant}, seed {run.seed}"
+            draw_chart(title, run.servers, run.requests, run.versions, run.events, path)
+
+
+def _as_json(run: Run) -> dict[str, object]:
+    check = run.result.check
+    return dict(
+        variant=run.variant,
+        seed=run.seed,
+        figures=check.figures,
+        breaches=check.violations,
+        broken=run.broken,
+        rounds=[result.as_json() for result in run.result.rounds],
+        marks=marks_of(run.events),
+    )
+
+
+def marks_of(events: list[ClusterEvent]) -> list[tuple[int, int, str]]:
+    """The events in results.json: ms, server, what was done."""
+    return [(round(event.at), event.server, event.text) for event in events]
+
+
+def shrink_run(experiment: Experiment, run: Run, report: Report) -> list[Round]:
+    """The fewest rounds and faults of a run that broke a claim, each attempt played anew."""
+
+    def is_broken(rounds: list[Round]) -> bool:
         again = perform_one(experiment, run.variant, run.seed, rounds, run.servers)
-        tell(f"  {len(rounds)} rounds: {'; '.join(again.broken) or 'holds'}")
+        report(f"  {len(rounds)} rounds: {'; '.join(again.broken) or 'holds'}")
         return bool(again.broken)
 
-    return shrink(broke, draw(run.seed, run.servers, len(run.played.rounds)))
+    return shrink(is_broken, draw(run.seed, run.servers, len(run.result.rounds)))
 
 
-def shrink(broke: Callable[[list[Round]], bool], rounds: list[Round]) -> list[Round]:
-    """The fewest rounds, with the fewest faults, that still break what the whole plan broke."""
-    for n in reversed(range(len(rounds))):
-        fewer = rounds[:n] + rounds[n + 1 :]
-        if fewer and broke(fewer):
+def shrink(is_broken: Callable[[list[Round]], bool], rounds: list[Round]) -> list[Round]:
+    """The fewest rounds, with the fewest faults, that still break what all of them broke."""
+    for index in reversed(range(len(rounds))):
+        fewer = rounds[:index] + rounds[index + 1 :]
+        if fewer and is_broken(fewer):
             rounds = fewer
-    for n, this in enumerate(rounds):
-        for fault in this.faults:
-            fewer = [*rounds[:n], _without(rounds[n], fault), *rounds[n + 1 :]]
-            if broke(fewer):
+    for index, round_ in enumerate(rounds):
+        for fault in round_.faults:
+            fewer = [*rounds[:index], _without(rounds[index], fault), *rounds[index + 1 :]]
+            if is_broken(fewer):
                 rounds = fewer
     return rounds
 
 
-def _without(this: Round, fault: object) -> Round:
-    kept = tuple(one for one in this.faults if one is not fault)
-    return Round(this.number, this.declines, kept, this.hold_s)
+def _without(round_: Round, fault: Fault) -> Round:
+    faults = tuple(other for other in round_.faults if other is not fault)
+    return Round(round_.number, round_.rejected_product, faults, round_.hold_s)
--- /dev/null
+++ b/otterrudder/lab/processes/faults.py
@@ -0,0 +1,159 @@
+"""The faults of a fleet of plain members: their names, the links that they break, and the failpoints.
+
+The names stand in results and plans; the order of the tuples decides what a seed draws."""
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from otterrudder.lab.processes.link import LinkFault
+from otterrudder.lab.processes.server_process import DISCOVERY, NETWORK
+
+NO_SERVER = -1
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """A fault by its name, and whom it is dealt to."""
+
+    kind: str
+    server: int = NO_SERVER  # else it is the store's, or the change's
+    point: str = ""  # the failpoint
+
+    @property
+    def is_of_server(self) -> bool:
+        """Whether it is dealt to a server."""
+        return self.server >= 0
+
+    def __str__(self) -> str:
+        server = f"n{self.server}" if self.is_of_server else ""
+        return " ".join(filter(None, (self.kind, self.point, server)))
+
+
+@dataclass(frozen=True, slots=True)
+class Round:
+    """One change of policy, with the faults that go on meanwhile."""
+
+    number: int
+    rejected_product: str  # by the policy that is proposed
+    faults: tuple[Fault, ...]
+    hold_s: float  # that the faults last
+
+    @property
+    def kinds(self) -> set[str]:
+        """The names of its faults."""
+        return {fault.kind for fault in self.faults}
+
+
+class BrokenLink(NamedTuple):
+    """A link of a server by its name, and its fault."""
+
+    link: str
+    fault: LinkFault
+
+
+CUT = LinkFault(is_cut=True)
+HELD_FORWARD = LinkFault(holds_forward=True)
+HELD_BACKWARD = LinkFault(holds_backward=True)
+
+LINK_FAULTS = {
+    "cut": BrokenLink("store", CUT),
+    "one way there": BrokenLink("store", HELD_FORWARD),
+    "one way back": BrokenLink("store", HELD_BACKWARD),
+    "slow link": BrokenLink("store", LinkFault(delay_ms=150.0)),
+    "slow reader": BrokenLink("store", LinkFault(read_bytes_per_s=4000.0)),
+    "half a message": BrokenLink("store", LinkFault(reset_after_bytes=700)),
+    "gateway cut": BrokenLink("gateway", CUT),
+    "gateway one way there": BrokenLink("gateway", HELD_FORWARD),
+    "gateway one way back": BrokenLink("gateway", HELD_BACKWARD),
+    "gateway slow": BrokenLink("gateway", LinkFault(delay_ms=150.0)),
+    "gateway half a message": BrokenLink("gateway", LinkFault(reset_after_bytes=3000)),
+    "runtime cut": BrokenLink("runtime", CUT),
+    "runtime one way there": BrokenLink("runtime", HELD_FORWARD),
+    "runtime one way back": BrokenLink("runtime", HELD_BACKWARD),
+    "runtime slow": BrokenLink("runtime", LinkFault(delay_ms=60.0)),
+    "runtime half a message": BrokenLink("runtime", LinkFault(reset_after_bytes=700)),
+    "list cut": BrokenLink(DISCOVERY, CUT),
+    "list loses": BrokenLink(DISCOVERY, LinkFault(loss=0.5, delay_ms=100.0)),
+    "network gone": BrokenLink(NETWORK, CUT),
+}
+CUT_AFTER_VOTE = BrokenLink("store", HELD_BACKWARD)
+
+# Failpoints of a server.
+LEADER_POINTS = ("before lead", "after lead")  # who comes forward for the leadership is not known before
+SERVER_POINTS = ("before save", "after save", "before vote", "after vote", *LEADER_POINTS)
+# Failpoints of a proposer.
+COMMIT_POINTS = ("before commit", "after commit")
+BEFORE_PROPOSE = "before propose"
+PROPOSER_POINTS = (BEFORE_PROPOSE, "after propose", *COMMIT_POINTS)
+
+# Dealt once its server, or for the store's anybody, has voted.
+AFTER_VOTE_FAULTS = ("freeze later", "cut later", "drain later", "older copy later")
+DRAIN_FAULTS = ("drain", "drain later")
+SERVER_FAULTS = (
+    "kill",
+    "drain",
+    "drain later",
+    "freeze",
+    "freeze later",
+    "cut later",
+    "disk full",
+    "disk hangs",
+    "name taken",
+    "folder lost",
+    *LINK_FAULTS,
+)
+POINT_FAULTS = ("kill at point", "halt at point", "store killed at point")  # of a server, at each failpoint
+STORE_FAULTS = (
+    "store slow",
+    "store loses answers",
+    "store frozen",
+    "watches cancelled",
+    "watches deaf",
+    "watches flooded",
+    "store killed",
+    "older copy answers",
+    "older copy later",
+    "empty store answers",
+)
+PROPOSER_FAULTS = ("proposer killed", "store killed at proposal")  # at each failpoint of a proposer
+CHANGE_FAULTS = ("two at once", "bad policy")
+# A schedule deals all of them before it deals one again.
+DECK = (
+    *((kind, "") for kind in SERVER_FAULTS + STORE_FAULTS + CHANGE_FAULTS),
+    *((kind, point) for kind in POINT_FAULTS for point in SERVER_POINTS),
+    *((kind, point) for kind in PROPOSER_FAULTS for point in PROPOSER_POINTS),
+)
+REPLACED_STORE_FAULTS = ("older copy answers", "older copy later", "empty store answers")
+# While these last no vote is seen, or the store cannot be told to wait.
+NO_VOTES_FAULTS = ("store frozen", "store killed", "older copy answers", "empty store answers")
+STORE_DOWN_FAULTS = (
+    "store killed",
+    "store killed at point",
+    "store killed at proposal",
+    *REPLACED_STORE_FAULTS,
+)
+# What fake_etcd is told for a fault of the store.
+STORE_MESSAGES: dict[str, dict[str, object]] = {
+    "store slow": {"slow_ms": 150},
+    "store loses answers": {"lose_answers": 3},
+    "watches cancelled": {"cancel_watches": 1},
+    "watches deaf": {"deaf_watches": True},
+    "watches flooded": {"flood": 2000},
+}
+STORE_RECOVERY_MESSAGE: dict[str, object] = {"slow_ms": 0, "lose_answers": 0, "deaf_watches": False}
+STORE_FAULTS_THAT_LAST = ("store slow", "store loses answers", "watches deaf")
+# What a fault comes to for servers without a fleet: down, frozen, or out of the operator's reach.
+BASELINE_FAULTS = {
+    "kill": "kill",
+    "folder lost": "kill",
+    "drain": "drain",
+    "drain later": "drain",
+    "kill at point": "kill",
+    "halt at point": "freeze",
+    "freeze": "freeze",
+    "freeze later": "freeze",
+    "cut": "cut",
+    "one way there": "cut",
+    "one way back": "cut",
+    "network gone": "network gone",
+}
--- a/otterrudder/lab/processes/history_checker.py
+++ b/otterrudder/lab/processes/history_checker.py
@@ -1,187 +1,234 @@
-"""The checker's own ledger: what crossed the wire at gateways and runtimes, and when the store had which
-policy. It never asks a server.
+"""Checks a run from its history: what crossed the wire at gateways and runtimes, and when the store had which
+version of the policy. It never asks a server.
 
-A policy shows in what is settled: each of the rig's policies declines one product for good, so a settled
-request tells under which policies it may have been admitted. It breaks the bound if none of these was in
-force, or had been within the bound, at any time between its sending and its answer."""
+A policy shows in what is completed: each policy here rejects one product for good, so a completed request
+tells under which versions it may have been admitted. It breaks the bound if none of these was in force, or
+had been within the bound, at any time between its sending and its answer."""
 
 from collections import Counter
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
+from enum import Enum
+
+from otterrudder.lab.processes.fake_runtime import result_of
+from otterrudder.lab.processes.fake_settings import REQUEST_TTL_MS
+from otterrudder.lab.processes.history import (
+    ClusterHistory,
+    ListingRecord,
+    RequestOutcome,
+    RequestRecord,
+    TimeSpan,
+    VersionInForce,
+)
+
+BOUND_SLACK_MS = 60.0  # on the bound: a look at the store, an iteration of a server's loop, the way there
+STALL_RECOVERY_MS = 50.0  # after this process stalled, until it has read what had arrived
+DRAIN_SLACK_MS = 600.0  # on a drain's time, on a machine whose cores are shared
+ANSWER_SLACK_MS = 400.0  # on a gateway's patience, on a machine whose cores are shared
+MAX_UNLISTED_MS = 3000.0  # without a report until service discovery drops a server
+MAX_LISTED_VIOLATIONS = 12  # of a rule; more are only counted
+
+
+class Rule(Enum):
+    """What is checked; the values are names in results."""
+
+    LOST = "lost"
+    ANSWERED_TWICE = "answered twice"
+    LATE = "late"
+    OTHER_RESULT = "another result"
+    RUN_TWICE = "run twice"
+    REPEAT_REJECTED = "repeat declined"
+    WRONG_VERSION = "wrong version"
+    UNLISTED = "unlisted"
+    DRAIN = "drain"
+
+    @property
+    def figure(self) -> str:
+        """The name of the figure that counts its violations."""
+        return f"breaches of {self.value!r}"
 
-from otterrudder.lab.processes.fake_gateway import TTL_MS, Asked, Wire
 
-SLACK_MS = 60.0  # of the bound: the rig's look at the store, a turn of a server's loop, the way there
-STALLED_MS = 50.0  # after the rig stood still, until it has read what lay about
-DRAIN_MS = 600.0  # beyond its `stop_ms` that a drain may take on a machine whose cores are shared
-LATE_MS = 400.0  # beyond its patience that an answer may come on a machine whose cores are shared
-GAP_MS = 3000.0  # that a server may be unheard of until the list strikes it off
-SHOWN_MOST = 12  # breaches that are listed
-
-
-@dataclass(frozen=True, slots=True)
-class InForce:
-    """A version, and between which times it came into force, by the rig's clock in ms."""
-
-    version: int
-    declines: str  # the product; "": none
-    after: float
-    by: float
-
-
-@dataclass(frozen=True, slots=True)
-class Listed:
-    """When the list heard of a server, and from when to when it was owed no report, by the rig's clock."""
-
-    heard: list[float]
-    excused: list[tuple[float, float]]
-
-
-@dataclass(frozen=True, slots=True)
-class Drain:
-    """A server that was told to drain, and how its process ended, by the rig's clock; `code` None: by a kill
-    of the rig's, for it did not end."""
+@dataclass(slots=True)
+class CheckResult:
+    """The violations found, each in a line, and the run's figures."""
 
-    server: int
-    began: float
-    ended: float
-    code: int | None
+    violations: list[str] = field(default_factory=list)
+    figures: dict[str, float] = field(default_factory=dict)
 
 
-@dataclass(slots=True)
-class Verdict:
-    breaches: list[str] = field(default_factory=list)
-    figures: dict[str, float] = field(default_factory=dict)
+def check_history(history: ClusterHistory) -> CheckResult:
+    """Checks all rules."""
+    return _HistoryChecker(history).check()
 
 
-def may_have_been(asked: Asked, versions: list[InForce], bound_ms: float) -> bool:
-    """Whether some version that does not decline it was in force, or had been within the bound, when it may
-    have been admitted."""
-    for n, version in enumerate(versions):
-        ends = versions[n + 1].by + bound_ms + SLACK_MS if n + 1 < len(versions) else float("inf")
-        if version.declines != asked.product and asked.answered >= version.after and asked.sent <= ends:
+def may_have_been_admitted(request: RequestRecord, versions: list[VersionInForce], bound_ms: float) -> bool:
+    """Whether a version that serves the request was in force, or had been within the bound, while it was
+    open."""
+    for index, version in enumerate(versions):
+        is_last = index + 1 == len(versions)
+        end = float("inf") if is_last else versions[index + 1].by + bound_ms + BOUND_SLACK_MS
+        is_in_time = request.answered_at >= version.after and request.sent_at <= end
+        if version.rejected_product != request.product and is_in_time:
             return True
     return False
 
 
-def judge(
-    wire: Wire,
-    versions: list[InForce],
-    bound_ms: float,
-    harmed: dict[int, list[tuple[float, float]]],
-    listed: dict[str, Listed] | None = None,
-    drains: Sequence[Drain] = (),
-    stop_ms: float = 0.0,
-) -> Verdict:
-    """`harmed`: by server, when its process was killed or frozen, or its gateway's link harmed: what was open
-    then is owed no answer in time. To a server that drains every answer is owed, and its end by `stop_ms`."""
-    verdict, shown = Verdict(), Counter[str]()
-
-    def breach(rule: str, asked: Asked, what: str) -> None:
-        shown[rule] += 1
-        if shown[rule] <= SHOWN_MOST:
-            verdict.breaches.append(
-                f"{rule}: {asked.call} ({asked.product}, server {asked.server}, sent at "
-                f"{asked.sent:.0f}, {asked.outcome} at {asked.answered:.0f}): {what}"
-            )
-
-    first_run: dict[str, str] = {}
-    for start in wire.started:
-        if start.mark:
-            first_run.setdefault(f"{start.server}/{start.mark}", start.call)
-    ran_of = Counter((start.server, start.mark) for start in wire.started if start.mark)
-    for (server, mark), times in ran_of.items():
-        if times > 1:
-            shown["run twice"] += 1
-            verdict.breaches.append(f"run twice: mark {mark} ran {times} times on server {server}")
-    stalls = [(start, end + STALLED_MS) for start, end in wire.stalls]
-    settled = {asked.call: asked for asked in wire.asked if asked.outcome == "settled"}
-    old = 0
-    for asked in wire.asked:
-        spoiled = any(
-            asked.sent <= end and (asked.answered or float("inf")) >= start
-            for start, end in [*harmed.get(asked.server, ()), *stalls]
+class _HistoryChecker:
+    """One check. A request that was open while its server was disturbed is owed no answer in time."""
+
+    def __init__(self, history: ClusterHistory) -> None:
+        self.history = history
+        self.requests = history.wire.requests
+        self.versions = list(history.versions)
+        self.stalls = [TimeSpan(start, end + STALL_RECOVERY_MS) for start, end in history.wire.stalls]
+        self.counts: Counter[Rule] = Counter()
+        self.violations: list[str] = []
+        self.first_runs: dict[tuple[int, str], str] = {}  # by server and key: the call that ran
+        self.completed = {
+            request.call: request for request in self.requests if request.outcome is RequestOutcome.COMPLETED
+        }
+
+    def check(self) -> CheckResult:
+        """Checks rule by rule."""
+        self._check_runs()
+        for request in self.requests:
+            self._check_request(request)
+        for name, listing in self.history.listings.items():
+            self._check_listing(name, listing)
+        self._check_drains()
+        figures = _figures(self.history, self.counts[Rule.WRONG_VERSION])
+        figures["drains"] = len(self.history.drains)
+        for rule, count in self.counts.items():
+            if count:
+                figures[rule.figure] = count
+        return CheckResult(self.violations, figures)
+
+    def _add(self, rule: Rule, text: str) -> None:
+        self.counts[rule] += 1
+        self.violations.append(f"{rule.value}: {text}")
+
+    def _add_request(self, rule: Rule, request: RequestRecord, text: str) -> None:
+        if self.counts[rule] >= MAX_LISTED_VIOLATIONS:
+            self.counts[rule] += 1
+            return
+        self._add(
+            rule,
+            f"{request.call} ({request.product}, server {request.server}, sent at "
+            f"{request.sent_at:.0f}, {request.outcome.value} at {request.answered_at:.0f}): {text}",
         )
-        if asked.answers > 1:
-            breach("answered twice", asked, f"{asked.answers} answers")
-        if asked.outcome == "refused":
-            continue
-        if not asked.outcome or asked.outcome == "lost":
-            if not spoiled:
-                breach("lost", asked, "no answer, and nothing was done to its server")
-            continue
-        if asked.answered - asked.sent > TTL_MS + LATE_MS and not spoiled:
-            breach("late", asked, f"answered after {asked.answered - asked.sent:.0f} ms")
-        if asked.outcome == "settled":
-            run = first_run.get(f"{asked.server}/{asked.mark}", asked.call) if asked.mark else asked.call
-            if asked.body != f"r:{run}".encode():
-                breach("another result", asked, repr(asked.body))
-            if run == asked.call and not may_have_been(asked, versions, bound_ms):
-                old += 1
-                breach("wrong version", asked, "no policy that serves it was in force by then")
-        elif asked.outcome == "declined" and _is_known(settled.get(asked.first), asked):
-            breach("repeat declined", asked, f"{asked.first} had been settled")
-    for name, told in (listed or {}).items():
-        for since, to in _gaps(told):
-            shown["unlisted"] += 1
-            verdict.breaches.append(f"unlisted: {name} was not heard of from {since:.0f} to {to:.0f}")
-    for drain in drains:
-        took = drain.ended - drain.began
-        if drain.code != 0 or took > stop_ms + DRAIN_MS:
-            shown["drain"] += 1
-            verdict.breaches.append(
-                f"drain: server {drain.server}, told at {drain.began:.0f}, ended with "
-                f"{drain.code} after {took:.0f} ms"
+
+    def _check_runs(self) -> None:
+        run_counts: Counter[tuple[int, str]] = Counter()
+        for run in self.history.wire.runs:
+            if run.idempotency_key:
+                self.first_runs.setdefault((run.server, run.idempotency_key), run.call)
+                run_counts[run.server, run.idempotency_key] += 1
+        for (server, key), count in run_counts.items():
+            if count > 1:
+                self._add(Rule.RUN_TWICE, f"key {key} ran {count} times on server {server}")
+
+    def _check_request(self, request: RequestRecord) -> None:
+        if request.responses > 1:
+            self._add_request(Rule.ANSWERED_TWICE, request, f"{request.responses} answers")
+        match request.outcome:
+            case RequestOutcome.NOT_SENT:
+                return
+            case RequestOutcome.OPEN | RequestOutcome.LOST:
+                if not self._is_excused(request):
+                    self._add_request(Rule.LOST, request, "no answer, and nothing was done to its server")
+                return
+            case RequestOutcome.COMPLETED:
+                self._check_latency(request)
+                self._check_completed(request)
+            case RequestOutcome.REJECTED:
+                self._check_latency(request)
+                self._check_rejected(request)
+            case RequestOutcome.FAILED:
+                self._check_latency(request)
+
+    def _is_excused(self, request: RequestRecord) -> bool:
+        end = request.answered_at or float("inf")
+        spans = [*self.history.disturbed.get(request.server, ()), *self.stalls]
+        return any(span.overlaps(request.sent_at, end) for span in spans)
+
+    def _check_latency(self, request: RequestRecord) -> None:
+        latency_ms = request.answered_at - request.sent_at
+        if latency_ms > REQUEST_TTL_MS + ANSWER_SLACK_MS and not self._is_excused(request):
+            self._add_request(Rule.LATE, request, f"answered after {latency_ms:.0f} ms")
+
+    def _check_completed(self, request: RequestRecord) -> None:
+        run = request.call
+        if request.idempotency_key:
+            run = self.first_runs.get((request.server, request.idempotency_key), request.call)
+        if request.body != result_of(run):
+            self._add_request(Rule.OTHER_RESULT, request, repr(request.body))
+        is_own_run = run == request.call
+        if is_own_run and not may_have_been_admitted(request, self.versions, self.history.bound_ms):
+            self._add_request(Rule.WRONG_VERSION, request, "no policy that serves it was in force by then")
+
+    def _check_rejected(self, request: RequestRecord) -> None:
+        """A repeat must not be rejected if the same process had completed the original before."""
+        original = self.completed.get(request.original_call)
+        if original is None or original.incarnation != request.incarnation:
+            return
+        if original.answered_at <= request.sent_at:
+            self._add_request(Rule.REPEAT_REJECTED, request, f"{request.original_call} had been completed")
+
+    def _check_listing(self, name: str, listing: ListingRecord) -> None:
+        for gap in _unexcused_gaps(listing):
+            self._add(
+                Rule.UNLISTED, f"no report of {name} was received from {gap.start:.0f} to {gap.end:.0f}"
             )
-    verdict.figures = _figures(wire, versions, bound_ms, old) | {"drains": len(drains)}
-    for rule, count in shown.items():
-        verdict.figures[f"breaches of '{rule}'"] = count
-    return verdict
-
-
-def _is_known(earlier: Asked | None, repeat: Asked) -> bool:
-    """Whether this process had settled it before it was asked again."""
-    return earlier is not None and earlier.life == repeat.life and earlier.answered <= repeat.sent
-
-
-def _gaps(told: Listed) -> list[tuple[float, float]]:
-    """Of over `GAP_MS` that nothing excuses."""
-    pairs = zip(told.heard, told.heard[1:], strict=False)
-    long = [(start, end) for start, end in pairs if end - start > GAP_MS + LATE_MS]
-    return [
-        (start, end)
-        for start, end in long
-        if not any(start <= to and end >= since for since, to in told.excused)
-    ]
-
-
-def _figures(wire: Wire, versions: list[InForce], bound_ms: float, old: int) -> dict[str, float]:
-    """What the rig's tables show. A request that the policy of its time serves, and is declined, stood before
-    a server that stood aside."""
-    served = declined = lost = 0
-    for asked in wire.asked:
-        if asked.call != asked.first:
-            continue
-        now = [
-            v
-            for n, v in enumerate(versions)
-            if v.by <= asked.sent and (n + 1 == len(versions) or asked.answered <= versions[n + 1].after)
-        ]
-        if not now or now[-1].declines == asked.product:
-            continue
-        served += asked.outcome == "settled"
-        declined += asked.outcome == "declined"
-        lost += asked.outcome in ("", "lost")
-    asked_in_all = max(served + declined, 1)
+
+    def _check_drains(self) -> None:
+        for drain in self.history.drains:
+            took_ms = drain.ended_at - drain.started_at
+            if drain.exit_code != 0 or took_ms > self.history.stop_ms + DRAIN_SLACK_MS:
+                self._add(
+                    Rule.DRAIN,
+                    f"server {drain.server}, told at {drain.started_at:.0f}, ended with "
+                    f"{drain.exit_code} after {took_ms:.0f} ms",
+                )
+
+
+def _unexcused_gaps(listing: ListingRecord) -> Iterator[TimeSpan]:
+    """Times without a report that are too long, and that nothing excuses."""
+    for start, end in zip(listing.received_at, listing.received_at[1:], strict=False):
+        is_long = end - start > MAX_UNLISTED_MS + ANSWER_SLACK_MS
+        if is_long and not any(span.overlaps(start, end) for span in listing.excused):
+            yield TimeSpan(start, end)
+
+
+def _figures(history: ClusterHistory, wrong_versions: int) -> dict[str, float]:
+    """What the tables show; the keys are names in results and experiments."""
+    wire = history.wire
+    outcomes = Counter(
+        request.outcome for request in wire.requests if _is_served_by_policy(request, history.versions)
+    )
+    completed = outcomes[RequestOutcome.COMPLETED]
+    rejected = outcomes[RequestOutcome.REJECTED]
     return dict(
-        txns=len(wire.asked),  # a name that experiments read
-        settled=sum(a.outcome == "settled" for a in wire.asked),
-        repeats=sum(a.call != a.first for a in wire.asked),
-        lost_with_server=lost,
-        aside_share=declined / asked_in_all,
-        wrong_version=old,
-        runs=len(wire.started),
-        versions=len(versions),
-        bound_ms=bound_ms,
+        txns=len(wire.requests),
+        settled=sum(request.outcome is RequestOutcome.COMPLETED for request in wire.requests),
+        repeats=sum(request.is_repeat for request in wire.requests),
+        lost_with_server=outcomes[RequestOutcome.OPEN] + outcomes[RequestOutcome.LOST],
+        aside_share=rejected / max(completed + rejected, 1),
+        wrong_version=wrong_versions,
+        runs=len(wire.runs),
+        versions=len(history.versions),
+        bound_ms=history.bound_ms,
         stalled_ms=round(sum(end - start for start, end in wire.stalls)),
     )
+
+
+def _is_served_by_policy(request: RequestRecord, versions: Sequence[VersionInForce]) -> bool:
+    """Whether one version was in force while it was open, and serves it. If it is rejected all the same, its
+    server had suspended admission."""
+    if request.is_repeat:
+        return False
+    for index, version in reversed(list(enumerate(versions))):
+        is_last = index + 1 == len(versions)
+        is_until_end = is_last or request.answered_at <= versions[index + 1].after
+        if version.by <= request.sent_at and is_until_end:
+            return version.rejected_product != request.product
+    return False
--- /dev/null
+++ b/otterrudder/lab/processes/launch.py
@@ -0,0 +1,30 @@
+"""What child processes are started with: the project's root, their environment, and whether one is
+stopped."""
+
+import os
+from pathlib import Path
+
+from otterrudder.configuration import CONFIGURATION_VARIABLE
+from otterrudder.fleet.points import NAMED as FAILPOINTS_VARIABLE
+
+ROOT = Path(__file__).parents[3]
+
+
+def child_environment(variables: dict[str, str], *failpoint_directories: Path) -> dict[str, str]:
+    """This process's environment with other variables, and the directories in which failpoints are armed."""
+    not_inherited = (CONFIGURATION_VARIABLE, FAILPOINTS_VARIABLE)
+    environment = {name: value for name, value in os.environ.items() if name not in not_inherited}
+    environment |= variables
+    if failpoint_directories:
+        environment[FAILPOINTS_VARIABLE] = os.pathsep.join(map(str, failpoint_directories))
+    return environment
+
+
+def is_stopped(pid: int) -> bool:
+    """Whether a process is stopped by a signal; not if it is dead."""
+    try:
+        stat = Path(f"/proc/{pid}/stat").read_text()
+    except OSError:
+        return False
+    state = stat.rpartition(")")[2].split()[0]
+    return state == "T"
--- a/otterrudder/lab/processes/link.py
+++ b/otterrudder/lab/processes/link.py
@@ -1,8 +1,8 @@
-"""Links of ours between two ends on loopback that a rig can harm: cut, cut one way, delayed, read slowly,
-reset in the middle of a message, and healed; for datagrams cut, delayed and lossy.
+"""Links between two ends on loopback that can be made faulty: cut, held one way, delayed, slow, reset amid a
+message, and working again; for datagrams cut, delayed and lossy.
 
-A cut link resets what is open and takes nothing new; one that is shut one way holds what comes from that side
-and lets neither end know."""
+A cut link resets its open connections and takes no new ones. A link that is held one way keeps what comes
+from that side, and neither end notices."""
 
 import contextlib
 import itertools
@@ -17,162 +17,192 @@
 import anyio
 import anyio.abc
 
-CHUNK = 65536  # bytes that are moved in one go
-SLICE_S = 0.05  # s of reading at a slow reader's rate
-PORTS = range(12_000, 32_000)  # below those that Linux makes connections from, unless it is told otherwise
-RESET = struct.pack("ii", 1, 0)  # closes with a reset
+MAX_CHUNK = 65536  # bytes that are moved in one go
+SLOW_READ_S = 0.05  # between reads at a slow reader's rate
+PORTS = range(12_000, 32_000)  # below those that Linux makes connections from by default
+LINGER_RESET = struct.pack("ii", 1, 0)  # a close sends a reset
 
-_numbers = itertools.count()
+_port_numbers = itertools.count()
 
 
 def free_port() -> int:
-    """For a process that listens itself, and again after its death: one that no connection is given
+    """A port for a process that listens itself, and again after its death: no connection is made from it
     meanwhile. OSError: none was found."""
     for _ in range(len(PORTS)):
-        at = zlib.crc32(f"{os.getpid()}/{next(_numbers)}".encode()) % len(PORTS)
-        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", PORTS[at])):
-            return PORTS[at]
+        index = zlib.crc32(f"{os.getpid()}/{next(_port_numbers)}".encode()) % len(PORTS)
+        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", PORTS[index])):
+            return PORTS[index]
     raise OSError("no port is free")
 
 
 @dataclass(slots=True)
-class Harm:
+class LinkFault:
+    """What is wrong with a link. "Forward" is from the end that connects."""
+
     is_cut: bool = False
-    holds_there: bool = False  # from the end that connects
-    holds_back: bool = False  # to it
+    holds_forward: bool = False
+    holds_backward: bool = False
     delay_ms: float = 0.0
-    breaks_after: int = 0  # bytes from the far end after which a connection is reset, amid a message
-    per_s: float = 0.0  # bytes a second that the near end reads; 0: all there is
-    loss: float = 0.0  # share of datagrams that go, drawn by their number
+    reset_after_bytes: int = 0  # from the far end: a connection is reset then, amid a message; 0: never
+    read_bytes_per_s: float = 0.0  # that the near end reads; 0: no limit
+    loss: float = 0.0  # share of datagrams that are lost, drawn by their number
+
+    @property
+    def is_none(self) -> bool:
+        """Whether the link works."""
+        return self == LinkFault()
 
 
 async def accept_all(
-    sock: socket.socket, serve: Callable[[socket.socket], Coroutine[Any, Any, None]]
+    listener: socket.socket, handler: Callable[[socket.socket], Coroutine[Any, Any, None]]
 ) -> None:
-    """Each connection in a task of its own, until cancelled; the listener is closed then."""
-    async with anyio.create_task_group() as group:
+    """Handles each connection in a task of its own until cancelled; closes the listener then."""
+    async with anyio.create_task_group() as tasks:
         try:
             while True:
-                await anyio.wait_readable(sock)
+                await anyio.wait_readable(listener)
                 with contextlib.suppress(BlockingIOError):
-                    near, _ = sock.accept()
-                    group.start_soon(serve, near)
+                    connection, _ = listener.accept()
+                    tasks.start_soon(handler, connection)
         finally:
-            sock.close()
+            listener.close()
 
 
 class Link:
-    """Listens on a port of the system's; whoever runs `run` owns its sockets."""
+    """A TCP proxy on a port of its own; `run` owns its sockets."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        self.target, self.harm = target, Harm()
-        self.sock = socket.create_server(("127.0.0.1", 0))
-        self.address: tuple[str, int] = self.sock.getsockname()
-        self.sock.setblocking(False)
-        self.refusals = 0  # connections that came and never had a far end
-        self._open: set[anyio.CancelScope] = set()
-        self._changed = anyio.Event()
-
-    def set(self, harm: Harm) -> None:
-        self.harm = harm
-        if harm.is_cut:
-            for scope in list(self._open):
+        self.target = target
+        self.fault = LinkFault()
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.setblocking(False)
+        self.address: tuple[str, int] = self.listener.getsockname()
+        self.refused_connections = 0  # that never had a far end
+        self._connections: set[anyio.CancelScope] = set()
+        self._fault_changed = anyio.Event()
+
+    def set_fault(self, fault: LinkFault) -> None:
+        """Another fault from now on; a cut resets open connections."""
+        self.fault = fault
+        if fault.is_cut:
+            for scope in list(self._connections):
                 scope.cancel()
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._fault_changed.set()
+        self._fault_changed = anyio.Event()
 
     async def run(self) -> None:
-        await accept_all(self.sock, self._serve)
+        """Serves until cancelled."""
+        await accept_all(self.listener, self._serve)
 
     async def _serve(self, near: socket.socket) -> None:
-        far, is_whole = socket.socket(socket.AF_INET, socket.SOCK_STREAM), False
+        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        is_connected = False
         try:
-            if self.harm.is_cut:
+            if self.fault.is_cut:
                 return
             for sock in (near, far):
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            with contextlib.suppress(BlockingIOError):
-                far.connect(self.target)
-            await anyio.wait_writable(far)
-            if far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                return
-            is_whole = True
-            async with anyio.create_task_group() as group:
-                self._open.add(group.cancel_scope)
-                try:
-                    group.start_soon(self._pump, near, far, True, group.cancel_scope)
-                    await self._pump(far, near, False, group.cancel_scope)
-                finally:
-                    self._open.discard(group.cancel_scope)
+            is_connected = await self._connect(far)
+            if is_connected:
+                await self._forward(near, far)
         except OSError:
             pass
         finally:
-            self.refusals += not is_whole
+            self.refused_connections += not is_connected
             for sock in (near, far):
                 with contextlib.suppress(OSError):
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 sock.close()
 
+    async def _connect(self, far: socket.socket) -> bool:
+        with contextlib.suppress(BlockingIOError):
+            far.connect(self.target)
+        await anyio.wait_writable(far)
+        return not far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+
+    async def _forward(self, near: socket.socket, far: socket.socket) -> None:
+        async with anyio.create_task_group() as tasks:
+            self._connections.add(tasks.cancel_scope)
+            try:
+                tasks.start_soon(self._pump, near, far, True, tasks.cancel_scope)
+                await self._pump(far, near, False, tasks.cancel_scope)
+            finally:
+                self._connections.discard(tasks.cancel_scope)
+
     async def _pump(
-        self, source: socket.socket, sink: socket.socket, there: bool, scope: anyio.CancelScope
+        self, source: socket.socket, sink: socket.socket, is_forward: bool, scope: anyio.CancelScope
     ) -> None:
+        """Moves bytes one way until an end closes; then the whole connection is cancelled."""
         moved = 0
         with contextlib.suppress(OSError):
-            while True:
-                await anyio.wait_readable(source)
-                slow = self.harm.per_s if not there else 0.0
-                data = source.recv(max(int(slow * SLICE_S), 1) if slow else CHUNK)
-                if not data:
-                    break
-                if slow:
-                    await anyio.sleep(SLICE_S)
+            while data := await self._read(source, is_forward):
                 moved += len(data)
-                if not there and 0 < self.harm.breaks_after <= moved:
+                if not is_forward and 0 < self.fault.reset_after_bytes <= moved:
                     sink.send(data[: max(len(data) // 2, 1)])
                     break
-                if self.harm.delay_ms:
-                    await anyio.sleep(self.harm.delay_ms / 1000)
-                while self.harm.holds_there if there else self.harm.holds_back:
-                    await self._changed.wait()
-                while data:
-                    await anyio.wait_writable(sink)
-                    with contextlib.suppress(BlockingIOError):
-                        data = data[sink.send(data) :]
+                await self._hold(is_forward)
+                await _send_all(sink, data)
         scope.cancel()
 
+    async def _read(self, source: socket.socket, is_forward: bool) -> bytes:
+        await anyio.wait_readable(source)
+        rate = 0.0 if is_forward else self.fault.read_bytes_per_s
+        data = source.recv(max(int(rate * SLOW_READ_S), 1) if rate else MAX_CHUNK)
+        if data and rate:
+            await anyio.sleep(SLOW_READ_S)
+        return data
+
+    async def _hold(self, is_forward: bool) -> None:
+        """Waits for the delay, and as long as this way is held."""
+        if self.fault.delay_ms:
+            await anyio.sleep(self.fault.delay_ms / 1000)
+        while self.fault.holds_forward if is_forward else self.fault.holds_backward:
+            await self._fault_changed.wait()
+
+
+async def _send_all(sink: socket.socket, data: bytes) -> None:
+    while data:
+        await anyio.wait_writable(sink)
+        with contextlib.suppress(BlockingIOError):
+            data = data[sink.send(data) :]
+
 
-class Datagrams:
-    """One way, to one end. Listens on a port of the system's; whoever runs `run` owns its socket."""
+class DatagramLink:
+    """A UDP proxy, one way, on a port of its own; `run` owns its socket."""
 
     def __init__(self, target: tuple[str, int], number: int) -> None:
-        """`number`: which of a rig's it is, for its losses."""
-        self.target, self.number, self.harm = target, number, Harm()
+        """`number`: of this link among others, which tells its losses from theirs."""
+        self.target = target
+        self.number = number
+        self.fault = LinkFault()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind(("127.0.0.1", 0))
         self.address: tuple[str, int] = self.sock.getsockname()
-        self.count = 0
+        self.received = 0
 
-    def set(self, harm: Harm) -> None:
-        self.harm = harm
+    def set_fault(self, fault: LinkFault) -> None:
+        """Another fault from now on."""
+        self.fault = fault
 
     async def run(self) -> None:
+        """Serves until cancelled."""
         try:
-            async with anyio.create_task_group() as group:
+            async with anyio.create_task_group() as tasks:
                 while True:
                     await anyio.wait_readable(self.sock)
                     with contextlib.suppress(OSError):
-                        self._pass_on(self.sock.recv(CHUNK), group)
+                        self._forward(self.sock.recv(MAX_CHUNK), tasks)
         finally:
             self.sock.close()
 
-    def _pass_on(self, data: bytes, group: anyio.abc.TaskGroup) -> None:
-        self.count += 1
-        drawn = zlib.crc32(f"{self.number}/{self.count}".encode()) / 2**32
-        if self.harm.is_cut or drawn < self.harm.loss:
+    def _forward(self, data: bytes, tasks: anyio.abc.TaskGroup) -> None:
+        self.received += 1
+        drawn = zlib.crc32(f"{self.number}/{self.received}".encode()) / 2**32
+        if self.fault.is_cut or drawn < self.fault.loss:
             return
-        group.start_soon(self._send, data, self.harm.delay_ms)
+        tasks.start_soon(self._send, data, self.fault.delay_ms)
 
     async def _send(self, data: bytes, delay_ms: float) -> None:
         await anyio.sleep(delay_ms / 1000)
--- a/otterrudder/lab/processes/linked_cells.py
+++ b/otterrudder/lab/processes/linked_cells.py
@@ -1,298 +1,313 @@
-"""A rig of cells with a link, that can be harmed, between any two of its processes: server and relay, relay
-and store, relay and relay of one cell.
+"""A cluster of cells with a link that can be made faulty between any two of its processes: server and relay,
+relay and store, relay and relay of one cell.
 
-Servers are spread evenly over the cells. Each one's file lists the relays of its own cell first and those of
-the others after. The last server has a configuration of its own, so it is a kind of its own."""
+Servers are spread evenly over the cells. Each one's file lists the relays of its own cell first, then those
+of the others. The last server has another configuration than the rest, and so a fingerprint of its own."""
 
 import json
 import shutil
 import signal
 import sys
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
 import anyio
 
-from otterrudder.clock import monotonic as clock
 from otterrudder.lab.processes.cell_hollow import HollowServers
-from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace
-from otterrudder.lab.processes.cluster import CLAIM_S, Place
-from otterrudder.lab.processes.fake_gateway import SETTINGS
-from otterrudder.lab.processes.link import Harm, Link, free_port
+from otterrudder.lab.processes.cells import CellCluster, CellLayout, RelayProcess
+from otterrudder.lab.processes.cluster import CLAIM_TIMEOUT_S, ClusterOptions
+from otterrudder.lab.processes.failpoints import ArmedFailpoint
+from otterrudder.lab.processes.fake_settings import SETTINGS
+from otterrudder.lab.processes.link import Link, LinkFault, free_port
+from otterrudder.lab.processes.server_process import ServerProcess
 
-ONLY_MOST = "refund"  # the product that all servers know but the last one
-CALM_S = 25.0  # s in which all relays and servers must be at work again once all is mended
+COMMON_PRODUCT = "refund"  # that all servers know but the last one
+QUIESCENCE_TIMEOUT_S = 25.0  # until all relays and servers serve again once all has recovered
+QUIESCENCE_POLL_S = 0.1
+MUTANTS_MODULE = "otterrudder.lab.processes.cell_mutants"
+
+Status = dict[str, Any]  # an answer of a control socket
 
 
 @dataclass(slots=True)
-class LinkedRelay(RelayPlace):
-    """A relay whose links to the store and from the other relays of its cell can be harmed."""
+class LinkedRelay(RelayProcess):
+    """A relay whose links to the store and from the other relays of its cell can be made faulty."""
 
     listen: str = field(kw_only=True)  # its address is that of the link to it
-    store: Link = field(kw_only=True)
-    peer: Link = field(kw_only=True)
-    sessions_most: int = field(kw_only=True)
+    store_link: Link = field(kw_only=True)
+    peer_link: Link = field(kw_only=True)
+    max_sessions: int = field(kw_only=True)
     is_frozen: bool = False
 
     @property
-    def halts(self) -> Path:
-        """Where points are armed for its processes."""
-        return self.folder / "halts"
+    def failpoints(self) -> Path:
+        """The directory in which failpoints are armed for its processes."""
+        return self.directory / "failpoints"
 
 
 @dataclass(frozen=True, slots=True)
-class VoteSeen:
-    """The first look at the store that showed a cell's vote, by the rig's clock."""
+class QuietWindow:
+    """From when to when no change was made, and no server was to suspend admission."""
 
-    at: float
-    change: str
-    cell: str
+    start: float
+    end: float
+    fault: str
 
 
 @dataclass(frozen=True, slots=True)
-class QuietWindow:
-    """From when to when no change was made, and no server was to stand aside, by the rig's clock."""
+class CellMutants:
+    """Seeded faults, see cell_mutants.py: of all relays, and of the first server."""
 
-    since: float
-    to: float
-    fault: str
+    relay: str = ""
+    server: str = ""
 
 
-class LinkedCellRig(CellRig):
-    """`relay_double`: a fault that is put into all relays; `server_double`: one that is put into the first
-    server."""
+class LinkedCellCluster(CellCluster):
+    """Cells with links between all of their processes."""
 
     relays: list[LinkedRelay]  # type: ignore[assignment]
 
     def __init__(
         self,
-        folder: Path,
-        servers: int,
-        plan: CellPlan,
-        *,
-        server_double: str = "",
-        relay_double: str = "",
-        **of: Any,
+        directory: Path,
+        server_count: int,
+        layout: CellLayout,
+        options: ClusterOptions,
+        mutants: CellMutants,
     ) -> None:
-        super().__init__(folder, servers, plan, **of)
-        self.votes: list[VoteSeen] = []
-        self.quiet: list[QuietWindow] = []
-        self.relay_double = relay_double
+        super().__init__(directory, server_count, layout, options)
+        self.quiet_windows: list[QuietWindow] = []
+        self.mutants = mutants
         self.hollow = HollowServers()
-        if server_double:
-            module = "otterrudder.lab.processes.cell_mutants"
-            self.double_line = f'exec {sys.executable} -m {module} server "{server_double}"'
-
-    # The parts.
+        if mutants.server:
+            self.mutant_command = f'exec {sys.executable} -m {MUTANTS_MODULE} server "{mutants.server}"'
 
     @property
     def cells(self) -> list[str]:
-        return list(self.plan.relays)
+        """The names of the cells."""
+        return list(self.layout.relays)
 
-    def home_of(self, number: int) -> str:
-        """The cell of that server."""
-        return self.cells[number * len(self.cells) // self.count]
+    def cell_of(self, server_number: int) -> str:
+        """The cell of a server."""
+        return self.cells[server_number * len(self.cells) // self.server_count]
 
-    def servers_of(self, cell: str) -> list[Place]:
-        return [place for place in self.places if self.home_of(place.number) == cell]
+    def servers_of(self, cell: str) -> list[ServerProcess]:
+        """The servers of a cell."""
+        return [server for server in self.servers if self.cell_of(server.number) == cell]
 
     def relays_of(self, cell: str) -> list[LinkedRelay]:
+        """The relays of a cell."""
         return [relay for relay in self.relays if relay.cell == cell]
 
-    def note_votes(self, voted: set[str]) -> None:
-        known = {seen.cell for seen in self.votes if seen.change == self.opened}
-        self.votes += [VoteSeen(clock(), self.opened, cell) for cell in sorted(voted - known)]
-        super().note_votes(voted)
-
     async def leader_of(self, cell: str) -> LinkedRelay | None:
-        """As the relays say themselves; those that are frozen are not asked."""
+        """The leader by the relays' own answers; frozen ones are not asked."""
         for relay in self.relays_of(cell):
             if not relay.is_frozen and (await self.relay_status(relay)).get("leads"):
                 return relay
         return None
 
-    async def until_calm(self) -> list[str]:
-        """Until each cell has a leader, no relay is bound by a consent, and all servers admit; who it is not
-        so of after `CALM_S`."""
-        troubled: list[str] = ["nobody was asked"]
-        with anyio.move_on_after(CALM_S):
-            while troubled:
-                await anyio.sleep(0.1)
-                troubled = await self._troubled()
-        return troubled
-
-    async def _troubled(self) -> list[str]:
-        told: dict[str, dict[str, Any]] = {}
-        async with anyio.create_task_group() as group:
-            for relay in self.relays:
-                group.start_soon(self._ask_relay, relay, told)
-            for place in self.places:
-                group.start_soon(self._ask_server, place, told)
-        behind = self.hollow.behind(self.versions[-1].version)
-        troubled = [f"{behind} hollow servers"] if behind else []
-        troubled += [cell for cell in self.cells if not self._is_led(cell, told)]
-        troubled += [
-            relay.address for relay in self.relays if told[relay.address].get("consented_left_ms") != 0.0
+    # Quiescence.
+
+    async def wait_quiescent(self) -> list[str]:
+        """Waits until each cell has a leader, no relay is bound by an endorsement, and all servers admit.
+        Returns the names of those that are not so in time."""
+        not_serving = ["nobody was asked"]
+        with anyio.move_on_after(QUIESCENCE_TIMEOUT_S):
+            while not_serving:
+                await anyio.sleep(QUIESCENCE_POLL_S)
+                not_serving = await self._not_serving()
+        return not_serving
+
+    async def _not_serving(self) -> list[str]:
+        relays, servers = await self._all_statuses()
+        outdated = self.hollow.outdated(self.observer.in_force.version)
+        names = [f"{outdated} hollow servers"] if outdated else []
+        names += [cell for cell in self.cells if not self._is_led(cell, relays)]
+        names += [
+            relay.address for relay in self.relays if relays[relay.address].get("consented_left_ms") != 0.0
         ]
-        return troubled + [place.name for place in self.places if not told[place.name].get("admits")]
-
-    def _is_led(self, cell: str, told: dict[str, dict[str, Any]]) -> bool:
-        leading = [relay for relay in self.relays_of(cell) if told[relay.address].get("leads")]
-        return len(leading) == 1 and told[leading[0].address]["authority_left_ms"] != 0.0
-
-    async def _ask_relay(self, relay: LinkedRelay, told: dict[str, dict[str, Any]]) -> None:
-        told[relay.address] = await self.relay_status(relay)
-
-    async def _ask_server(self, place: Place, told: dict[str, dict[str, Any]]) -> None:
-        told[place.name] = await self.server_status(place)
-
-    async def start_hollow(self, a_cell: int) -> None:
-        """So many hollow servers of each cell, a process a cell, straight to the relays and by no link. Once
-        this returns, all admit."""
-        for cell in self.cells if a_cell else ():
-            folder = self.folder / f"hollow-{cell}"
-            folder.mkdir()
-            shutil.copy(self.places[0].folder / "config.json", folder / "config.json")
-            listens = json.dumps([relay.listen for relay in self._relays_from(cell)])
-            (folder / "fleet.toml").write_text(f"{self._common_part()}relays = {listens}\n")
-            process = self.hollow.start(folder / "fleet.toml", folder / "config.json", f"{cell}-h", a_cell)
-            self.extra.append(process)
-            self.group.start_soon(self.hollow.listen, process)
-        await self.until_calm()
-
-    def _relays_from(self, home: str) -> list[LinkedRelay]:
+        return names + [server.name for server in self.servers if not servers[server.name].get("admits")]
+
+    def _is_led(self, cell: str, statuses: dict[str, Status]) -> bool:
+        leaders = [relay for relay in self.relays_of(cell) if statuses[relay.address].get("leads")]
+        return len(leaders) == 1 and statuses[leaders[0].address]["authority_left_ms"] != 0.0
+
+    async def _all_statuses(self) -> tuple[dict[str, Status], dict[str, Status]]:
+        """The answers of all relays by address, and of all servers by name, asked together."""
+        relays: dict[str, Status] = {}
+        servers: dict[str, Status] = {}
+
+        async def ask_relay(relay: LinkedRelay) -> None:
+            relays[relay.address] = await self.relay_status(relay)
+
+        async def ask_server(server: ServerProcess) -> None:
+            servers[server.name] = await self.server_status(server)
+
+        async with anyio.create_task_group() as tasks:
+            for relay in self.relays:
+                tasks.start_soon(ask_relay, relay)
+            for server in self.servers:
+                tasks.start_soon(ask_server, server)
+        return relays, servers
+
+    # Hollow servers.
+
+    async def start_hollow(self, count_of_cell: int) -> None:
+        """Starts so many hollow servers of each cell, a process a cell, connected to the relays without
+        links. Once this returns, all admit."""
+        for cell in self.cells if count_of_cell else ():
+            directory = self.directory / f"hollow-{cell}"
+            directory.mkdir()
+            configuration = directory / "config.json"
+            shutil.copy(self.servers[0].directory / "config.json", configuration)
+            relays = json.dumps([relay.listen for relay in self._relays_for(cell)])
+            fleet_file = directory / "fleet.toml"
+            fleet_file.write_text(f"{self._common_section()}relays = {relays}\n")
+            process = self.hollow.start(fleet_file, configuration, f"{cell}-h", count_of_cell)
+            self.other_processes.append(process)
+            self.tasks.start_soon(self.hollow.listen, process)
+        await self.wait_quiescent()
+
+    def _relays_for(self, cell: str) -> list[LinkedRelay]:
         """All relays, in the order in which a server of that cell tries them."""
-        at = self.cells.index(home)
-        order = [*self.cells[at:], *self.cells[:at]]
-        return [relay for cell in order for relay in self.relays_of(cell)]
+        index = self.cells.index(cell)
+        cells = [*self.cells[index:], *self.cells[:index]]
+        return [relay for name in cells for relay in self.relays_of(name)]
 
-    # What is done to a relay.
+    # Faults of relays and links.
 
     def freeze_relay(self, relay: LinkedRelay) -> None:
+        """Stops the process of a relay by a signal."""
         if relay.is_up and relay.process:
             relay.process.send_signal(signal.SIGSTOP)
             relay.is_frozen = True
-            self.note(-1, f"relay {relay.address} frozen")
+            self.events.add_fleet_wide(f"relay {relay.address} frozen")
 
     def thaw_relay(self, relay: LinkedRelay) -> None:
+        """Resumes the process of a relay."""
         if relay.is_up and relay.process:
             relay.process.send_signal(signal.SIGCONT)
         relay.is_frozen = False
-        self.note(-1, f"relay {relay.address} thawed")
+        self.events.add_fleet_wide(f"relay {relay.address} thawed")
 
-    def kill_relay(self, relay: RelayPlace) -> None:
+    def kill_relay(self, relay: RelayProcess) -> None:
+        """Kills the process of a relay."""
         super().kill_relay(relay)
         assert isinstance(relay, LinkedRelay)
         relay.is_frozen = False
 
-    def restart_bounded(self, relay: LinkedRelay, sessions_most: int) -> None:
-        """A new process that takes so many servers and no more."""
+    def restart_with_sessions(self, relay: LinkedRelay, max_sessions: int) -> None:
+        """Starts a new process that takes so many servers and no more."""
         self.kill_relay(relay)
-        relay.sessions_most = sessions_most
+        relay.max_sessions = max_sessions
         self.start_relay(relay)
 
-    def set_server_links(self, relay: LinkedRelay, harm: Harm) -> None:
-        """From all servers to that relay."""
-        for place in self.places:
-            place.links[relay.address].set(harm)
-        self.note(-1, f"servers' links to {relay.address}: {harm}")
+    def set_links_to_relay(self, relay: LinkedRelay, fault: LinkFault) -> None:
+        """Sets the fault of the links from all servers to a relay."""
+        for server in self.servers:
+            server.links[relay.address].set_fault(fault)
+        self.events.add_fleet_wide(f"servers' links to {relay.address}: {fault}")
 
-    def set_relay_links(self, place: Place, harm: Harm, addresses: tuple[str, ...] = ()) -> None:
-        """From that server to these relays, or to all."""
-        for address in addresses or tuple(relay.address for relay in self.relays):
-            place.links[address].set(harm)
-        self.note(place.number, f"its links to relays: {harm}")
+    def set_links_of_server(
+        self, server: ServerProcess, fault: LinkFault, addresses: Iterable[str] = ()
+    ) -> None:
+        """Sets the fault of a server's links to these relays, or to all if none is named."""
+        for address in list(addresses) or [relay.address for relay in self.relays]:
+            server.links[address].set_fault(fault)
+        self.events.add(server.number, f"its links to relays: {fault}")
 
-    # Points.
+    # Failpoints.
 
-    async def relay_halted(self, folder: Path, point: str, most_s: float) -> LinkedRelay | None:
-        """The relay that has stopped itself at an armed point; None: none has by then."""
-        pid = await self.halted(folder, point, most_s)
+    async def wait_relay_stopped(self, failpoint: ArmedFailpoint, timeout_s: float) -> LinkedRelay | None:
+        """The relay that has stopped at an armed failpoint; None: none has in time."""
+        pid = await self.failpoints.wait_stopped(failpoint, timeout_s)
         for relay in self.relays:
             if pid and relay.process and relay.process.pid == pid:
                 relay.is_frozen = True
                 return relay
         return None
 
-    async def disarm(self, since: float) -> None:
-        """Nobody halts any more; a relay that has come to a point too late for its fault goes on."""
-        for folder, point in list(self.armed):
-            if (folder / point).exists():
-                (folder / point).unlink()
-                self.armed.remove((folder, point))
-            elif relay := await self.relay_halted(folder, point, CLAIM_S):
-                self.thaw_relay(relay)
-        self.armed.clear()
+    async def _resume_claimant(self, failpoint: ArmedFailpoint, since: float) -> None:
+        if relay := await self.wait_relay_stopped(failpoint, CLAIM_TIMEOUT_S):
+            self.thaw_relay(relay)
 
     # How the parts are started.
 
-    async def _start_store(self, state: str = "store", cluster: int = 0) -> None:
-        if self.store is None and not any(relay.process for relay in self.relays):
-            for relay in self.relays:
-                relay.folder.mkdir(exist_ok=True)
-                relay.halts.mkdir(exist_ok=True)
-                for link in (relay.store, relay.peer):
-                    self.group.start_soon(link.run)
-        await super()._start_store(state, cluster)
-
-    def _make(self, n: int) -> None:
-        super()._make(n)
-        self._write_settings(self.places[-1])
-
-    def _write_settings(self, place: Place) -> None:
-        """All servers know one product more than the last one."""
-        if place.number == self.count - 1:
-            return
-        path = place.folder / "config.json"
-        told = json.loads(path.read_text())
-        classes = SETTINGS["classes"]
-        assert isinstance(classes, list)
-        told["settings"]["classes"] = [*classes, {**classes[0], "name": ONLY_MOST}]
-        told["settings"]["familyInfo"]["classCalls"] = [False] * (len(classes) + 1)
-        path.write_text(json.dumps(told))
-
-    def write_fleet(self, place: Place) -> None:
+    async def start_fleet(self) -> None:
+        """Starts the links of the relays, then the store and the relays."""
         for relay in self.relays:
-            if relay.address not in place.links:
+            relay.directory.mkdir(exist_ok=True)
+            relay.failpoints.mkdir(exist_ok=True)
+            for link in (relay.store_link, relay.peer_link):
+                self.tasks.start_soon(link.run)
+        await super().start_fleet()
+
+    def _create_server(self, number: int) -> ServerProcess:
+        server = super()._create_server(number)
+        if number != self.server_count - 1:
+            _add_common_product(server)
+        return server
+
+    def write_fleet_file(self, server: ServerProcess) -> None:
+        """Writes the fleet's file of a server, which reaches each relay by a link of its own."""
+        for relay in self.relays:
+            if relay.address not in server.links:
                 host, port = relay.listen.split(":")
-                place.links[relay.address] = Link((host, int(port)))
-        relays = self._relays_from(self.home_of(place.number))
-        dialled = ["{}:{}".format(*place.links[relay.address].address) for relay in relays]
-        (place.folder / "fleet.toml").write_text(f"{self._common_part()}relays = {json.dumps(dialled)}\n")
-
-    def _relays_of(self, cell: str, count: int) -> list[RelayPlace]:
-        listens = [("127.0.0.1", free_port()) for _ in range(count)]
-        peers = [Link(listen) for listen in listens]
-        addresses = tuple("{}:{}".format(*peer.address) for peer in peers)
+                server.links[relay.address] = Link((host, int(port)))
+        relays = self._relays_for(self.cell_of(server.number))
+        addresses = [_endpoint(server.links[relay.address].address) for relay in relays]
+        text = f"{self._common_section()}relays = {json.dumps(addresses)}\n"
+        (server.directory / "fleet.toml").write_text(text)
+
+    def _create_relays(self, cell: str, count: int) -> list[RelayProcess]:
+        listeners = [("127.0.0.1", free_port()) for _ in range(count)]
+        peer_links = [Link(listener) for listener in listeners]
+        addresses = tuple(_endpoint(link.address) for link in peer_links)
         return [
             LinkedRelay(
                 cell,
-                addresses[n],
+                addresses[number],
                 addresses,
-                self.folder / f"{cell}{n}",
-                listen="{}:{}".format(*listens[n]),
-                store=Link(("127.0.0.1", self.store_at)),
-                peer=peers[n],
-                sessions_most=self.plan.sessions_most,
+                self.directory / f"{cell}{number}",
+                listen=_endpoint(listeners[number]),
+                store_link=Link(("127.0.0.1", self.store.port)),
+                peer_link=peer_links[number],
+                max_sessions=self.layout.max_sessions,
             )
-            for n in range(count)
+            for number in range(count)
         ]
 
-    def _relay_file(self, relay: RelayPlace) -> str:
+    def _relay_file(self, relay: RelayProcess) -> str:
         assert isinstance(relay, LinkedRelay)
         return (
-            f'{self._common_part(relay.store.address[1])}[relay]\ncell = "{relay.cell}"\n'
+            f'{self._common_section(relay.store_link.address[1])}[relay]\ncell = "{relay.cell}"\n'
             f'address = "{relay.address}"\nlisten = "{relay.listen}"\n'
-            f"candidates = {json.dumps(relay.candidates)}\nsessions_most = {relay.sessions_most}\n"
+            f"candidates = {json.dumps(relay.candidates)}\nsessions_most = {relay.max_sessions}\n"
         )
 
-    def _relay_line(self, relay: RelayPlace, path: Path) -> list[str]:
-        if not self.relay_double:
-            return super()._relay_line(relay, path)
-        module = "otterrudder.lab.processes.cell_mutants"
-        return [sys.executable, "-m", module, "relay", self.relay_double, str(path)]
+    def _relay_command(self, relay: RelayProcess, path: Path) -> list[str]:
+        if not self.mutants.relay:
+            return super()._relay_command(relay, path)
+        return [sys.executable, "-m", MUTANTS_MODULE, "relay", self.mutants.relay, str(path)]
 
-    def _relay_halts(self, relay: RelayPlace) -> tuple[Path, ...]:
+    def _relay_failpoints(self, relay: RelayProcess) -> tuple[Path, ...]:
         assert isinstance(relay, LinkedRelay)
-        return (relay.halts, self.halts)
+        return (relay.failpoints, self.failpoints.for_all)
+
+
+def _add_common_product(server: ServerProcess) -> None:
+    """Adds a product to a server's configuration."""
+    path = server.directory / "config.json"
+    configuration = json.loads(path.read_text())
+    classes = SETTINGS["classes"]
+    assert isinstance(classes, list)
+    settings = configuration["settings"]
+    settings["classes"] = [*classes, {**classes[0], "name": COMMON_PRODUCT}]
+    settings["familyInfo"]["classCalls"] = [False] * len(settings["classes"])
+    path.write_text(json.dumps(configuration))
+
+
+def _endpoint(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -1,8 +1,8 @@
-"""The program with one fault put in, for the rig:
+"""The server's program with one seeded fault:
 `python -m otterrudder.lab.processes.mutants "never aside"`.
 
-Each claim of the checker has a fault here that it finds. The fleet's are the doubles of the search; the four
-rules' are spoilt on the way out."""
+Each rule of the history checker has a mutant here that it finds. Those of the fleet are the mutants of the
+search; those of the request rules are patched into the request core."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import NoReturn
+from typing import Any, NoReturn
 
 from otterrudder import log
 from otterrudder.admission import commands
@@ -22,147 +22,162 @@
 from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
 from otterrudder.net import core, registry, serve
 
-EACH = 6  # requests, of which one is spoilt
-LATE_S = 4.6  # s until an answer that is late: the gateways wait 4 s
-PAUSE_S = 5.0  # s, in a fifth of which the list is told anything
+SPOILT_EVERY = 6  # requests: one of them is spoilt
+LATE_S = 4.6  # of a late answer: gateways wait 4 s
+REPORT_PERIOD_S = 5.0  # in a fifth of which service discovery receives reports
+REPORT_SHARE = 0.2
 
 
-def _member(kind: type[Member]) -> Callable[[], None]:
-    def put_in() -> None:
-        setattr(agent, "Member", kind)  # noqa: B010
+class _Counter:
+    """Counts calls, and says for which of them a fault is due."""
 
-    return put_in
+    def __init__(self) -> None:
+        self.count = 0
+
+    def is_due(self) -> bool:
+        self.count += 1
+        return self.count % SPOILT_EVERY == 0
+
+
+def _patch(owner: object, name: str, replacement: Callable[..., Any]) -> None:
+    """Replaces a method; by `setattr`, for a type checker refuses the assignment."""
+    setattr(owner, name, replacement)
+
+
+def _with_member(member_class: type[Member]) -> Callable[[], None]:
+    return lambda: _patch(agent, "Member", member_class)
 
 
 class ServesAtOnce(Member):
-    """Admits from its start by what its folder says, whatever was changed while it was down."""
+    """Admits from its start by the policy in its state directory, whatever was changed while it was down."""
 
     def standing(self, now: float) -> Standing:
         standing = super().standing(now)
         return Standing.SERVING if standing in (Standing.STARTING, Standing.JOINING) else standing
 
 
-def _loses() -> None:
+def _loses_answers() -> None:
     """Now and then an answer is never sent."""
-    real, count = core.Core._answer, [0]
+    original = core.Core._answer
+    counter = _Counter()
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
-        count[0] += 1
-        if count[0] % EACH == 0:
+    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
+        if counter.is_due():
             request.answered = True
             return
-        real(self, request, *rest)  # type: ignore[arg-type]
+        original(self, request, *arguments)
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    _patch(core.Core, "_answer", answer)
 
 
 def _runs_twice() -> None:
-    """Knows no repeat."""
-    real = core.Core.arrive
+    """Recognises no repeat."""
+    original = core.Core.arrive
 
-    def arrive(self: core.Core, *args: object, **told: object) -> None:
+    def arrive(self: core.Core, *arguments: Any, **keywords: Any) -> None:
         self.references.clear()
         self.fresh.clear()
-        real(self, *args, **told)  # type: ignore[arg-type]
+        original(self, *arguments, **keywords)
 
-    setattr(core.Core, "arrive", arrive)  # noqa: B010
+    _patch(core.Core, "arrive", arrive)
 
 
-def _other_result() -> None:
-    """Now and then serves what no run made."""
-    real, count = core.Core.ended, [0]
+def _changes_results() -> None:
+    """Now and then answers with what no run made."""
+    original = core.Core.ended
+    counter = _Counter()
 
-    def ended(self: core.Core, call: str, outcome: object, body: bytes) -> None:
-        count[0] += 1
-        real(self, call, outcome, b"other" if count[0] % EACH == 0 else body)  # type: ignore[arg-type]
+    def ended(self: core.Core, call: str, outcome: Any, body: bytes) -> None:
+        original(self, call, outcome, b"other" if counter.is_due() else body)
 
-    setattr(core.Core, "ended", ended)  # noqa: B010
+    _patch(core.Core, "ended", ended)
 
 
 def _answers_twice() -> None:
-    """Says the same again."""
-    real = core.Core._answer
+    """Sends each answer again."""
+    original = core.Core._answer
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
+    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
         sent = len(self.out)
-        real(self, request, *rest)  # type: ignore[arg-type]
+        original(self, request, *arguments)
         self.out += self.out[sent:]
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    _patch(core.Core, "_answer", answer)
 
 
 def _answers_late() -> None:
-    """Now and then an answer lies about until its caller has given up."""
-    real, count = core.Core._answer, [0]
+    """Now and then keeps an answer until its caller has given up."""
+    original = core.Core._answer
+    counter = _Counter()
 
-    def answer(self: core.Core, request: core.PendingRequest, *rest: object) -> None:
-        count[0] += 1
-        if count[0] % EACH or request.answered:
-            real(self, request, *rest)  # type: ignore[arg-type]
+    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
+        if not counter.is_due() or request.answered:
+            original(self, request, *arguments)
             return
 
-        def later() -> None:
+        def answer_now() -> None:
             request.answered = False
-            real(self, request, *rest)  # type: ignore[arg-type]
+            original(self, request, *arguments)
 
         request.answered = True
-        asyncio.get_running_loop().call_later(LATE_S, later)
+        asyncio.get_running_loop().call_later(LATE_S, answer_now)
 
-    setattr(core.Core, "_answer", answer)  # noqa: B010
+    _patch(core.Core, "_answer", answer)
 
 
-def _declines_repeats() -> None:
-    """A repeat of what ran is turned away."""
+def _rejects_repeats() -> None:
+    """Rejects a repeat of what ran."""
 
-    def reuse(self: core.Core, request: core.PendingRequest) -> None:
+    def reject(self: core.Core, request: core.PendingRequest) -> None:
         self._decline(request, False, 0.0)
         assert self.controller
         self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
-    setattr(core.Core, "_reuse", reuse)  # noqa: B010
-    core._REQUEST_COMMANDS[commands.ReplayResponse] = reuse
+    _patch(core.Core, "_reuse", reject)
+    core._REQUEST_COMMANDS[commands.ReplayResponse] = reject
 
 
-def _unlisted() -> None:
-    """Tells the list of itself when it feels like it."""
-    real, start = registry.Registry._report, time.monotonic()
+def _reports_rarely() -> None:
+    """Reports to service discovery in a part of the time only."""
+    original = registry.Registry._report
+    start = time.monotonic()
 
     def report(self: registry.Registry, sock: socket.socket) -> None:
-        if (time.monotonic() - start) % PAUSE_S < PAUSE_S / 5:
-            real(self, sock)
+        if (time.monotonic() - start) % REPORT_PERIOD_S < REPORT_PERIOD_S * REPORT_SHARE:
+            original(self, sock)
 
-    setattr(registry.Registry, "_report", report)  # noqa: B010
+    _patch(registry.Registry, "_report", report)
 
 
-def _drops_at_drain() -> None:
-    """Told to drain, it ends at once."""
-    setattr(core.Core, "retire", lambda self, left_ms: os._exit(0))  # noqa: B010
+def _exits_at_drain() -> None:
+    """Told to drain, it exits at once."""
+    _patch(core.Core, "retire", lambda self, left_ms: os._exit(0))
 
 
-def _never_leaves() -> None:
+def _never_drains() -> None:
     """Told to drain, it serves on."""
-    setattr(core.Core, "retire", lambda self, left_ms: None)  # noqa: B010
+    _patch(core.Core, "retire", lambda self, left_ms: None)
 
 
-FAULTS: dict[str, Callable[[], None]] = {
-    "never aside": _member(NeverAside),
-    "sleeps through": _member(SleepsThrough),
-    "any policy": _member(AnyPolicy),
-    "serves at once": _member(ServesAtOnce),
-    "loses": _loses,
+MUTANTS: dict[str, Callable[[], None]] = {
+    "never aside": _with_member(NeverAside),
+    "sleeps through": _with_member(SleepsThrough),
+    "any policy": _with_member(AnyPolicy),
+    "serves at once": _with_member(ServesAtOnce),
+    "loses": _loses_answers,
     "runs twice": _runs_twice,
-    "another result": _other_result,
+    "another result": _changes_results,
     "answers twice": _answers_twice,
     "answers late": _answers_late,
-    "declines repeats": _declines_repeats,
-    "unlisted": _unlisted,
-    "drops at drain": _drops_at_drain,
-    "never leaves": _never_leaves,
+    "declines repeats": _rejects_repeats,
+    "unlisted": _reports_rarely,
+    "drops at drain": _exits_at_drain,
+    "never leaves": _never_drains,
 }
 
 
-def serve_as_told() -> NoReturn:
-    """The server's program, by what the environment says."""
+def serve_from_environment() -> NoReturn:
+    """The server's program, configured by the environment."""
     files = serve.Files.from_environment()
     configuration = read_configuration(files.configuration)
     log.configure_logging(configuration.name)
@@ -170,5 +185,5 @@
 
 
 if __name__ == "__main__":
-    FAULTS[sys.argv[1]]()
-    serve_as_told()
+    MUTANTS[sys.argv[1]]()
+    serve_from_environment()
--- /dev/null
+++ b/otterrudder/lab/processes/server_process.py
@@ -0,0 +1,203 @@
+"""A server of the cluster as a child process, with its directory, its fake neighbours and its faults."""
+
+import os
+import shutil
+import signal
+import subprocess
+from dataclasses import dataclass, field
+from enum import Enum
+from pathlib import Path
+
+from otterrudder.clock import monotonic as clock
+from otterrudder.lab.processes.event_log import EventLog
+from otterrudder.lab.processes.fake_gateway import FakeGateway
+from otterrudder.lab.processes.fake_runtime import FakeRuntime
+from otterrudder.lab.processes.history import TimeSpan
+from otterrudder.lab.processes.link import DatagramLink, Link, LinkFault
+
+STATE_DIRECTORY = "state"  # below the server's own: what outlives its processes
+LOG_FILE = "log.txt"
+STATE_FILE = "member"
+LOG_TAIL = 3  # lines of the log that an error quotes
+BEFORE_MS = 50.0  # before a fault began: what was sent then may be open still
+LISTING_MS = 1500.0  # that a start, or a link that works again, may take until discovery receives a report
+SERVER_LINKS_ON_ITS_MACHINE = ("runtime",)  # a lost network leaves them alone
+DISCOVERY = "list"  # the name of the link to service discovery
+NETWORK = "network"  # all links that leave the machine
+
+
+class Disturbance(Enum):
+    """What is done to a server for a while."""
+
+    FROZEN = "frozen"
+    DOWN = "down"
+    DRAINING = "draining"
+    GATEWAY_LINK = "gateway"
+    DISCOVERY_LINK = "discovery"
+
+
+# The ms from the end of a disturbance until requests that were open are answered or lost.
+RECOVERY_MS = {
+    Disturbance.FROZEN: 200.0,
+    Disturbance.DOWN: 200.0,
+    Disturbance.GATEWAY_LINK: 800.0,
+}
+# Service discovery is owed no report meanwhile.
+UNLISTED = (Disturbance.FROZEN, Disturbance.DOWN, Disturbance.DRAINING, Disturbance.DISCOVERY_LINK)
+LINK_DISTURBANCES = {
+    "gateway": Disturbance.GATEWAY_LINK,
+    DISCOVERY: Disturbance.DISCOVERY_LINK,
+}
+
+
+@dataclass(slots=True)
+class ServerProcess:
+    """One server: it outlives its processes, as a machine with a disk does."""
+
+    number: int
+    name: str
+    directory: Path
+    runtime: FakeRuntime
+    gateway: FakeGateway
+    links: dict[str, Link]  # store, runtime, gateway; in cells a relay's address
+    discovery_link: DatagramLink
+    events: EventLog
+    process: subprocess.Popen[bytes] | None = None
+    disturbed: list[TimeSpan] = field(default_factory=list)  # what was open then is owed no answer in time
+    unlisted: list[TimeSpan] = field(default_factory=list)  # service discovery was owed no report
+    ongoing: dict[Disturbance, float] = field(default_factory=dict)  # since when
+
+    @property
+    def is_up(self) -> bool:
+        """Whether its process runs."""
+        return self.process is not None and self.process.poll() is None
+
+    @property
+    def is_frozen(self) -> bool:
+        """Whether its process was stopped, by a signal or at a failpoint."""
+        return Disturbance.FROZEN in self.ongoing
+
+    @property
+    def failpoints(self) -> Path:
+        """The directory in which failpoints are armed for its processes."""
+        return self.directory / "failpoints"
+
+    @property
+    def log_tail(self) -> str:
+        """The last lines of its log."""
+        return "; ".join((self.directory / LOG_FILE).read_text().splitlines()[-LOG_TAIL:])
+
+    def begin(self, disturbance: Disturbance, since: float | None = None) -> None:
+        """Notes that something is done to it from now on, or has been since then."""
+        self.ongoing.setdefault(disturbance, clock() if since is None else since)
+
+    def end(self, disturbance: Disturbance) -> None:
+        """Notes that it is over, and what was excused by it."""
+        since = self.ongoing.pop(disturbance, None)
+        if since is None:
+            return
+        now = clock()
+        if disturbance in RECOVERY_MS:
+            self.disturbed.append(TimeSpan(since - BEFORE_MS, now + RECOVERY_MS[disturbance]))
+        if disturbance in UNLISTED:
+            self.unlisted.append(TimeSpan(since - LISTING_MS, now + LISTING_MS))
+
+    def disturbed_spans(self) -> list[TimeSpan]:
+        """Spans in which no answer is owed in time, with those that are not over yet."""
+        now = clock()
+        ongoing = [TimeSpan(since, now) for what, since in self.ongoing.items() if what in RECOVERY_MS]
+        return self.disturbed + ongoing
+
+    def note_start(self, process: subprocess.Popen[bytes]) -> None:
+        """A new process runs."""
+        self.process = process
+        self.end(Disturbance.DOWN)
+        self.end(Disturbance.DRAINING)
+        self.events.add(self.number, "starts")
+
+    def kill(self) -> None:
+        """Kills its process."""
+        if self.process:
+            self.ongoing[Disturbance.DOWN] = clock()
+            self.process.kill()
+            self.process.wait()
+            self.ongoing.pop(Disturbance.FROZEN, None)
+            self.events.add(self.number, "killed")
+
+    def freeze(self) -> None:
+        """Stops its process by a signal."""
+        if self.process:
+            self.process.send_signal(signal.SIGSTOP)
+            self.ongoing[Disturbance.FROZEN] = clock()
+            self.events.add(self.number, "frozen")
+
+    def thaw(self) -> None:
+        """Resumes its process."""
+        if self.process:
+            self.process.send_signal(signal.SIGCONT)
+            self.end(Disturbance.FROZEN)
+            self.events.add(self.number, "thawed")
+
+    def reload(self) -> None:
+        """Makes its process read its files again."""
+        assert self.process
+        self.process.send_signal(signal.SIGHUP)
+
+    def set_link(self, event: str, fault: LinkFault, name: str = "store") -> None:
+        """Sets the fault of a link. `name`: of its links, DISCOVERY, or NETWORK for all that leave its
+        machine."""
+        for link_name in self._links_of_network() if name == NETWORK else [name]:
+            if link_name == DISCOVERY:
+                self.discovery_link.set_fault(fault)
+            else:
+                self.links[link_name].set_fault(fault)
+            self._note_link_fault(link_name, fault)
+        self.events.add(self.number, event)
+
+    def _links_of_network(self) -> list[str]:
+        return [*(name for name in self.links if name not in SERVER_LINKS_ON_ITS_MACHINE), DISCOVERY]
+
+    def _note_link_fault(self, name: str, fault: LinkFault) -> None:
+        disturbance = LINK_DISTURBANCES.get(name)
+        if disturbance is None:
+            return
+        if fault.is_none:
+            self.end(disturbance)
+        else:
+            self.begin(disturbance)
+
+    @property
+    def _new_state_file(self) -> Path:
+        """What its process writes before it replaces the state file."""
+        return self.directory / STATE_DIRECTORY / f"{STATE_FILE}.new"
+
+    def fill_disk(self, is_full: bool) -> None:
+        """Makes writing its state fail, as with no room: a directory is where the new file has to be."""
+        path = self._new_state_file
+        if is_full:
+            if path.is_file():  # left by a process that was killed as it wrote
+                path.unlink()
+            path.mkdir(parents=True, exist_ok=True)
+        elif path.is_dir():
+            path.rmdir()
+        self.events.add(self.number, "disk full" if is_full else "room again")
+
+    def hang_disk(self, is_hanging: bool) -> None:
+        """Makes writing its state hang until this is over, and then fail: a pipe is where the new file has to
+        be."""
+        path = self._new_state_file
+        if is_hanging:
+            path.unlink(missing_ok=True)
+            path.parent.mkdir(parents=True, exist_ok=True)
+            os.mkfifo(path)
+        elif path.is_fifo():
+            # With a reader the writer goes on, and fails, for a pipe cannot be synced.
+            reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
+            path.unlink()
+            os.close(reader)
+        self.events.add(self.number, "disk hangs" if is_hanging else "disk goes on")
+
+    def lose_state_directory(self) -> None:
+        """Removes what outlives its processes."""
+        shutil.rmtree(self.directory / STATE_DIRECTORY, ignore_errors=True)
+        self.events.add(self.number, "folder lost")
--- /dev/null
+++ b/otterrudder/lab/processes/waiting.py
@@ -0,0 +1,15 @@
+"""Waiting for conditions with a time limit."""
+
+from collections.abc import Callable
+
+import anyio
+
+POLL_S = 0.03
+
+
+async def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
+    """Waits until `condition` holds; whether it does by the end of the time."""
+    with anyio.move_on_after(timeout_s):
+        while not condition():
+            await anyio.sleep(POLL_S)
+    return condition()
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -17,10 +17,10 @@
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.records import Absent, Keys, View
-from otterrudder.lab.processes.cluster import levels_text
 from otterrudder.lab.processes.counters import StoreReport
-from otterrudder.lab.processes.fake_gateway import SETTINGS
+from otterrudder.lab.processes.fake_settings import SETTINGS
 from otterrudder.lab.processes.link import free_port
+from otterrudder.lab.processes.policy_texts import levels_text
 from otterrudder.lab.scale.hollow import Counted, Switched
 from otterrudder.lab.scale.processes.children import Child, running
 from otterrudder.lab.scale.processes.tcp import Connections, connections_to
--- a/otterrudder/lab/scale/processes/children.py
+++ b/otterrudder/lab/scale/processes/children.py
@@ -13,7 +13,7 @@
 import anyio.abc
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from otterrudder.lab.processes.cluster import ROOT, environment
+from otterrudder.lab.processes.launch import ROOT, child_environment
 
 LINE_MOST = 4 * 2**20  # bytes of a line
 END_S = 5.0  # s that a child may take to end after its input has
@@ -70,7 +70,7 @@
         process = await anyio.open_process(
             [sys.executable, "-m", *words],
             cwd=ROOT,
-            env=environment(told),
+            env=child_environment(told),
             stdin=PIPE,
             stdout=PIPE,
             stderr=errors,
--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -5,8 +5,10 @@
 
 import pytest
 
-from otterrudder.lab.processes.cell_experiment import CellRun, Doubles, perform_one, read
-from otterrudder.lab.processes.cell_faults import DECK, CellFault, CellRound, draw
+from otterrudder.lab.processes.cell_experiment import CellRun, perform_one, read
+from otterrudder.lab.processes.cell_fault_schedule import draw
+from otterrudder.lab.processes.cell_faults import DECK, CellFault, CellRound
+from otterrudder.lab.processes.linked_cells import CellMutants
 
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/cells.toml")
 CELLS = tuple(EXPERIMENT.cells)
@@ -16,8 +18,8 @@
 REFUSED = [CALM, CellRound(2, "pay", (CellFault("kind refuses"),), 0.5)]
 
 
-def told(run: CellRun) -> tuple[object, ...]:
-    return run.broken, run.verdict.breaches, run.asides, run.played.rounds
+def details(run: CellRun) -> tuple[object, ...]:
+    return run.broken, run.check.violations, run.suspensions, run.result.rounds
 
 
 def test_what_cells_promise_holds_under_wait() -> None:
@@ -28,10 +30,10 @@
         CellRound(4, "pay", (CellFault("relay killed at point", "c", point="before in force"),), 1.0),
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS)
-    assert not run.broken, told(run)
-    assert not run.played.missed, told(run)
-    assert [this.in_force for this in run.played.rounds] == [1, 0, 0, 1], told(run)
-    assert run.quiet_rounds == 1 and run.verdict.figures["settled"] > 300
+    assert not run.broken, details(run)
+    assert not run.result.missed, details(run)
+    assert [this.in_force for this in run.result.rounds] == [1, 0, 0, 1], details(run)
+    assert run.quiet_rounds == 1 and run.check.figures["settled"] > 300
 
 
 def test_what_cells_promise_holds_under_leave_out() -> None:
@@ -40,21 +42,27 @@
         CellRound(2, "pay", (CellFault("cell cut from store", "a"),), 4.5),
     ]
     run = perform_one(EXPERIMENT, "leave-out", 1, rounds, SERVERS)
-    assert not run.broken, told(run)
-    assert [this.in_force for this in run.played.rounds] == [1, 1], told(run)
+    assert not run.broken, details(run)
+    assert [this.in_force for this in run.result.rounds] == [1, 1], details(run)
 
 
 @pytest.mark.parametrize(
-    ("doubles", "rounds", "says"),
+    ("mutants", "rounds", "says"),
     [
-        (Doubles(server="ignores its lease's end"), CUT_OFF, "wrong version"),
-        (Doubles(relay="votes without asking"), REFUSED, "1 policies came into force that a kind refuses"),
+        (CellMutants(server="ignores its lease's end"), CUT_OFF, "wrong version"),
+        (
+            CellMutants(relay="votes without asking"),
+            REFUSED,
+            "1 policies came into force that a kind refuses",
+        ),
     ],
 )
-def test_the_ledger_finds_what_is_left_out(doubles: Doubles, rounds: list[CellRound], says: str) -> None:
-    run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, doubles=doubles)
-    assert not run.played.missed, told(run)
-    assert any(line.startswith(says) for line in run.broken), told(run)
+def test_the_history_checker_finds_what_is_left_out(
+    mutants: CellMutants, rounds: list[CellRound], says: str
+) -> None:
+    run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, mutants=mutants)
+    assert not run.result.missed, details(run)
+    assert any(line.startswith(says) for line in run.broken), details(run)
 
 
 def test_a_plan_is_its_seed_s_and_deals_all_faults() -> None:
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,5 +1,5 @@
-"""Several processes of the program with faults between them: what the fleet promises holds, the faults that
-are put into doubles are found, and the baseline is beaten."""
+"""Several processes of the program with faults between them: what the fleet promises holds, the seeded
+faults are found, and the baseline is beaten."""
 
 import contextlib
 import os
@@ -14,11 +14,14 @@
 import msgspec
 import pytest
 
-from otterrudder.lab.processes.cluster import ROOT, Rig
+from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster
 from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table
-from otterrudder.lab.processes.fake_gateway import Wire
-from otterrudder.lab.processes.fault_schedule import DECK, Fault, Played, Round, conclude, draw
-from otterrudder.lab.processes.history_checker import InForce, Verdict, judge
+from otterrudder.lab.processes.fault_schedule import draw
+from otterrudder.lab.processes.faults import DECK, Fault, Round
+from otterrudder.lab.processes.history import ClusterHistory, WireHistory, no_version_yet
+from otterrudder.lab.processes.history_checker import check_history
+from otterrudder.lab.processes.launch import ROOT
+from otterrudder.lab.processes.round_runner import RunResult, check_run
 
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/fleet-policy.toml")
 CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
@@ -39,10 +42,10 @@
         Round(8, "pay", (Fault("drain later", 0), Fault("disk hangs", 2)), 1.0),
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, 4)
-    assert not run.broken, (run.broken, run.played.verdict.breaches, run.played.rounds)
-    assert not run.played.missed, run.played.rounds
-    assert run.played.committed >= 3 and run.played.aborted >= 1  # a bad policy, a full disk
-    assert run.played.verdict.figures["settled"] > 300
+    assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
+    assert not run.result.missed, run.result.rounds
+    assert run.result.committed >= 3 and run.result.aborted >= 1  # a bad policy, a full disk
+    assert run.result.check.figures["settled"] > 300
 
 
 def test_with_faults_between_all_ends_and_another_engine_in_the_store_s_place() -> None:
@@ -57,9 +60,9 @@
         Round(8, "pay", (Fault("proposer killed", -1, "after commit"),), 0.8),
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, 3)
-    assert not run.broken, (run.broken, run.played.verdict.breaches, run.played.rounds)
-    assert not run.played.missed, run.played.rounds  # nothing hangs on who comes first
-    assert run.played.committed >= 4 and run.played.verdict.figures["repeats"] > 10
+    assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
+    assert not run.result.missed, run.result.rounds  # nothing hangs on who comes first
+    assert run.result.committed >= 4 and run.result.check.figures["repeats"] > 10
 
 
 def test_who_is_away_is_left_out_and_stands_aside() -> None:
@@ -69,9 +72,9 @@
         Round(3, "look", (Fault("store frozen"),), 1.5),
     ]
     run = perform_one(EXPERIMENT, "leave-out", 1, rounds, 3)
-    assert not run.broken, (run.broken, run.played.verdict.breaches, run.played.rounds)
-    assert run.played.committed >= 2
-    assert run.played.verdict.figures["aside_share"] > 0.02
+    assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
+    assert run.result.committed >= 2
+    assert run.result.check.figures["aside_share"] > 0.02
 
 
 def test_servers_drain_one_after_another_to_another_rule_while_changes_go_on() -> None:
@@ -79,29 +82,33 @@
 
     async def play() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            rig = Rig(Path(folder), 3, absent="leave-out")
-            async with rig.running():
-                assert await rig.ended(rig.propose(1, "look", 5.0), 10.0) == 0
-                rig.absent = "wait"
-                for place in rig.places:
-                    await rig.drain(place)
-                    opened = rig.propose(place.number + 2, ("pay", "look")[place.number % 2], 15.0)
+            cluster = ProcessCluster(Path(folder), 3, ClusterOptions(absent="leave-out"))
+            async with cluster.running():
+                assert (
+                    await cluster.operators.wait_ended(cluster.operators.propose(1, "look", 5.0), 10.0) == 0
+                )
+                cluster.options.absent = "wait"
+                for server in cluster.servers:
+                    await cluster.drain(server)
+                    opened = cluster.operators.propose(
+                        server.number + 2, ("pay", "look")[server.number % 2], 15.0
+                    )
                     with anyio.fail_after(10.0):
-                        while place.is_up:
+                        while server.is_up:
                             await anyio.sleep(0.02)
-                    rig.write_fleet(place)
-                    rig.start_server(place)
-                    assert await rig.ended(opened, 15.0) == 0
+                    cluster.write_fleet_file(server)
+                    cluster.start_server(server)
+                    assert await cluster.operators.wait_ended(opened, 15.0) == 0
                 with anyio.fail_after(10.0):
-                    while {await rig.shown(place) for place in rig.places} != {"pay"}:
+                    while {await cluster.rejected_product(server) for server in cluster.servers} != {"pay"}:
                         await anyio.sleep(0.1)
-                status = rig.ask("status", "--json")
-                assert await rig.ended(status, 10.0) == 0
-            verdict = conclude(rig, Played(Verdict())).verdict
-            assert not verdict.breaches, verdict.breaches
+                status = cluster.operators.run("status", "--json")
+                assert await cluster.operators.wait_ended(status, 10.0) == 0
+            violations = check_run(cluster, RunResult()).check.violations
+            assert not violations, violations
             told = (Path(folder) / "proposers.txt").read_text()
             assert told.count('"absent": "wait"') == 3
-            assert [drain.code for drain in rig.drains] == [0, 0, 0]
+            assert [drain.exit_code for drain in cluster.drains] == [0, 0, 0]
 
     anyio.run(play)
 
@@ -111,28 +118,30 @@
 
     async def play() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            rig = Rig(Path(folder), 2)
-            async with rig.running():
-                assert await rig.ended(rig.propose(1, "look", 5.0), 10.0) == 0
-                place = rig.places[0]
-                rig.hang_disk(place, True)
-                opened = rig.propose(2, "pay", 3.0)
+            cluster = ProcessCluster(Path(folder), 2)
+            async with cluster.running():
+                assert (
+                    await cluster.operators.wait_ended(cluster.operators.propose(1, "look", 5.0), 10.0) == 0
+                )
+                server = cluster.servers[0]
+                server.hang_disk(True)
+                opened = cluster.operators.propose(2, "pay", 3.0)
                 with anyio.fail_after(10.0):
-                    while rig.places[1].name not in rig.voted:
+                    while cluster.servers[1].name not in cluster.observer.voters:
                         await anyio.sleep(0.02)
                 await anyio.sleep(0.5)
-                assert place.name not in rig.voted
-                await rig.drain(place)
-                assert await rig.ended(opened, 10.0) == 3
+                assert server.name not in cluster.observer.voters
+                await cluster.drain(server)
+                assert await cluster.operators.wait_ended(opened, 10.0) == 3
                 with anyio.fail_after(10.0):
-                    while place.is_up:
+                    while server.is_up:
                         await anyio.sleep(0.02)
-                rig.hang_disk(place, False)
-                rig.start_server(place)
-                await rig.until_serving(place)
-                assert await rig.ended(rig.propose(3, "pay", 5.0), 10.0) == 0
-            verdict = conclude(rig, Played(Verdict())).verdict
-            assert not verdict.breaches, verdict.breaches
+                server.hang_disk(False)
+                cluster.start_server(server)
+                await cluster.wait_serving(server)
+                assert await cluster.operators.wait_ended(cluster.operators.propose(3, "pay", 5.0), 10.0) == 0
+            violations = check_run(cluster, RunResult()).check.violations
+            assert not violations, violations
 
     anyio.run(play)
 
@@ -140,11 +149,11 @@
 def test_told_by_hand_some_stay_behind() -> None:
     rounds = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("kill", 0), Fault("cut", 1)), 0.8)]
     run = perform_one(EXPERIMENT, "by-hand", 1, rounds, 4)
-    assert run.played.odd_at_end == 2
+    assert run.result.outliers_at_end == 2
 
 
 @pytest.mark.parametrize(
-    ("double", "variant", "rounds", "says"),
+    ("mutant", "variant", "rounds", "says"),
     [
         ("sleeps through", "wait", VOTED, "wrong version"),
         (
@@ -170,29 +179,38 @@
         ("unlisted", "wait", [Round(1, "look", (), 2.8), Round(2, "pay", (), 2.8)], "unlisted"),
     ],
 )
-def test_the_books_find_what_is_put_in(double: str, variant: str, rounds: list[Round], says: str) -> None:
-    run = perform_one(SLOWLY if rounds is VOTED else EXPERIMENT, variant, 1, rounds, 2, double=double)
-    assert not run.played.missed, run.played.rounds  # what the fault needs has come about
-    assert any(line.startswith(says) for line in run.broken), (run.broken, run.played.rounds)
+def test_the_history_checker_finds_seeded_faults(
+    mutant: str, variant: str, rounds: list[Round], says: str
+) -> None:
+    run = perform_one(SLOWLY if rounds is VOTED else EXPERIMENT, variant, 1, rounds, 2, mutant=mutant)
+    assert not run.result.missed, run.result.rounds  # what the fault needs has come about
+    assert any(line.startswith(says) for line in run.broken), (run.broken, run.result.rounds)
 
 
 def test_a_policy_on_trial_goes_back_by_itself_with_its_proposer_dead(tmp_path: Path) -> None:
     async def play() -> None:
-        rig = Rig(tmp_path, 3)
-        async with rig.running():
-            assert await rig.ended(rig.propose(1, "look", 5.0), 10.0) == 0
-            child = rig.propose(2, "pay", 5.0, more=("--trial", "60", "--if", "busy > 0.1"))
+        cluster = ProcessCluster(tmp_path, 3)
+        async with cluster.running():
+            assert await cluster.operators.wait_ended(cluster.operators.propose(1, "look", 5.0), 10.0) == 0
+            child = cluster.operators.propose(2, "pay", 5.0, options=("--trial", "60", "--if", "busy > 0.1"))
             with anyio.fail_after(25.0):  # the stand-in's gauge says 0.2
-                while rig.versions[-1].version < 2:
+                while cluster.observer.versions[-1].version < 2:
                     await anyio.sleep(0.05)
                 child.kill()
-                while rig.versions[-1].version < 3:
+                while cluster.observer.versions[-1].version < 3:
                     await anyio.sleep(0.05)
-            assert [version.declines for version in rig.versions] == ["", "look", "pay", "look"]
+            assert [version.rejected_product for version in cluster.observer.versions] == [
+                "",
+                "look",
+                "pay",
+                "look",
+            ]
             await anyio.sleep(0.5)
-            assert [await rig.shown(place) for place in rig.places] == ["look"] * 3
-        verdict = judge(rig.wire, rig.versions, rig.bound_ms, rig.harmed())
-        assert not verdict.breaches
+            assert [await cluster.rejected_product(server) for server in cluster.servers] == ["look"] * 3
+        history = ClusterHistory(
+            cluster.wire, cluster.observer.versions, cluster.options.bound_ms, cluster.disturbed_spans()
+        )
+        assert not check_history(history).violations
 
     anyio.run(play)
 
@@ -207,7 +225,7 @@
     assert [this.faults for this in fewest] == [(wanted,)]
 
 
-def test_a_rig_whose_terminal_goes_leaves_no_server_behind(tmp_path: Path) -> None:
+def test_a_cluster_whose_terminal_goes_leaves_no_server_behind(tmp_path: Path) -> None:
     """Servers take a hang-up for a word to read their files again: they went on for good."""
 
     def servers() -> int:
@@ -230,7 +248,7 @@
         "--out",
         str(tmp_path / "out"),
     ]
-    rig = subprocess.Popen(
+    cluster = subprocess.Popen(
         line,
         cwd=ROOT,
         env=os.environ | {"TMPDIR": str(tmp_path)},
@@ -241,14 +259,14 @@
     while servers() < 2 and time.monotonic() < until:
         time.sleep(0.05)
     assert servers() == 2
-    rig.send_signal(signal.SIGHUP)
-    assert rig.wait(20.0) != 0
+    cluster.send_signal(signal.SIGHUP)
+    assert cluster.wait(20.0) != 0
     assert servers() == 0
 
 
 def test_the_table_has_a_row_for_each_run() -> None:
     """The figures' names are those of earlier results: `txns` for the requests."""
-    played = Played(judge(Wire(), [InForce(0, "", float("-inf"), float("-inf"))], 1000.0, {}))
-    run = Run("wait", 7, False, played, [], [], [], 3)
+    result = RunResult(check_history(ClusterHistory(WireHistory(), [no_version_yet()], 1000.0)))
+    run = Run("wait", 7, False, result, [], [], [], 3)
     head, _, row = table([run]).splitlines()
     assert head.endswith("| txns |") and row.startswith("| wait | 7 | 0 |") and row.endswith("| 0 |")
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -24,8 +24,8 @@
 from otterrudder.fleet.state import Rules
 from otterrudder.fleet.store import Changed, Compare, Delete, Done, Leased, Put, Snapshot, StoreAway
 from otterrudder.lab.keyspace import KeySpace
-from otterrudder.lab.processes.cluster import ROOT
-from otterrudder.lab.processes.link import Harm, Link
+from otterrudder.lab.processes.launch import ROOT
+from otterrudder.lab.processes.link import Link, LinkFault
 
 TIMEOUT_MS = 1000.0  # longer than a loaded machine takes to make a channel
 
@@ -121,7 +121,7 @@
     async def play() -> None:
         async with anyio.create_task_group() as group:
             link = Link(("127.0.0.1", engine.port))
-            link.set(Harm(delay_ms=150.0))
+            link.set_fault(LinkFault(delay_ms=150.0))
             group.start_soon(link.run)
             path = engine.folder / "far.toml"
             path.write_text(
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -52,7 +52,7 @@
 from otterrudder.fleet.orders import Orders
 from otterrudder.fleet.policy import Own
 from otterrudder.fleet.records import TEXT_MOST, Keys, View
-from otterrudder.lab.processes.link import Harm, Link, free_port
+from otterrudder.lab.processes.link import Link, LinkFault, free_port
 from otterrudder.net.serve import Files
 
 WAIT_S = 8.0
@@ -205,7 +205,7 @@
         cells = Cells(engine)
         async with cells.relay("a") as service, anyio.create_task_group() as group:
             link = Link(service.role.endpoint)
-            link.set(Harm(delay_ms=150.0))
+            link.set_fault(LinkFault(delay_ms=150.0))
             group.start_soon(link.run)
             cells.addresses = ["{}:{}".format(*link.address)]
             agent = cells.server("s", lambda text: "")
@@ -228,12 +228,16 @@
                 group.start_soon(link.run)
             agent = cells.server("s", lambda text: "")
             async with running(agent):
-                for harm in (Harm(holds_back=True), Harm(delay_ms=900.0), Harm(holds_there=True)):
+                for fault in (
+                    LinkFault(holds_backward=True),
+                    LinkFault(delay_ms=900.0),
+                    LinkFault(holds_forward=True),
+                ):
                     for link in links:
-                        link.set(harm)
+                        link.set_fault(fault)
                     await anyio.sleep(5.0)
                     for link in links:
-                        link.set(Harm())
+                        link.set_fault(LinkFault())
                     await until(lambda: admits(agent))
             group.cancel_scope.cancel()
 
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -5,116 +5,124 @@
 
 import anyio
 
-from otterrudder.lab.processes.cells import CellPlan, CellRig, RelayPlace
-from otterrudder.lab.processes.cluster import Place
-from otterrudder.lab.processes.fault_schedule import Played, conclude
-from otterrudder.lab.processes.history_checker import Verdict
+from otterrudder.lab.processes.cells import CellCluster, CellLayout, RelayProcess
+from otterrudder.lab.processes.history import RequestOutcome
+from otterrudder.lab.processes.round_runner import RunResult, check_run
+from otterrudder.lab.processes.server_process import ServerProcess
 
 ABORTED = 3
 DEADLINE_S, WAIT_S = 8.0, 12.0
 BAD_POLICY = "version = 1\n[products.nothing]\nvalue = 1.0\n"
 
 
-async def the_leader(rig: CellRig, cell: str) -> RelayPlace:
+async def the_leader(cluster: CellCluster, cell: str) -> RelayProcess:
     """Once one of them leads and may grant."""
     with anyio.fail_after(WAIT_S):
         while True:
-            for relay in rig.relays:
-                told = await rig.relay_status(relay) if relay.cell == cell else {}
+            for relay in cluster.relays:
+                told = await cluster.relay_status(relay) if relay.cell == cell else {}
                 if told.get("leads") and told["authority_left_ms"]:
                     return relay
             await anyio.sleep(0.05)
 
 
-async def until_on(rig: CellRig, place: Place, relays: list[RelayPlace]) -> None:
+async def until_on(cluster: CellCluster, server: ServerProcess, relays: list[RelayProcess]) -> None:
     """Until the server has a lease from one of these."""
     addresses = {relay.address for relay in relays}
     with anyio.fail_after(WAIT_S):
         while True:
-            told = await rig.server_status(place)
+            told = await cluster.server_status(server)
             received = told.get("counts", {}).get("received", 0)
             if told.get("relay") in addresses and told["admits"]:
-                while (await rig.server_status(place)).get("counts", {}).get("received", 0) <= received:
+                while (await cluster.server_status(server)).get("counts", {}).get("received", 0) <= received:
                     await anyio.sleep(0.05)
                 return
             await anyio.sleep(0.05)
 
 
-async def asides(rig: CellRig) -> list[int]:
+async def asides(cluster: CellCluster) -> list[int]:
     """How often each server has stood aside: once, at its start."""
-    return [(await rig.server_status(place))["counts"]["asides"] for place in rig.places]
+    return [(await cluster.server_status(server))["counts"]["asides"] for server in cluster.servers]
 
 
-async def changes(rig: CellRig, number: int) -> None:
+async def changes(cluster: CellCluster, number: int) -> None:
     """A change is in force on all servers."""
     declines = ("pay", "look")[number % 2]
-    assert await rig.ended(rig.propose(number, declines, DEADLINE_S), WAIT_S) == 0
-    assert await all_shown(rig) == [declines] * len(rig.places)
+    assert (
+        await cluster.operators.wait_ended(cluster.operators.propose(number, declines, DEADLINE_S), WAIT_S)
+        == 0
+    )
+    assert await all_shown(cluster) == [declines] * len(cluster.servers)
 
 
-async def all_shown(rig: CellRig) -> list[str]:
+async def all_shown(cluster: CellCluster) -> list[str]:
     """What each server declines, looked at together."""
-    found = [""] * len(rig.places)
+    found = [""] * len(cluster.servers)
 
-    async def look(place: Place) -> None:
-        found[place.number] = await rig.shown(place)
+    async def look(server: ServerProcess) -> None:
+        found[server.number] = await cluster.rejected_product(server)
 
     async with anyio.create_task_group() as group:
-        for place in rig.places:
-            group.start_soon(look, place)
+        for server in cluster.servers:
+            group.start_soon(look, server)
     return found
 
 
 def test_changes_take_hold_and_servers_serve_on_when_relays_and_the_store_are_lost(tmp_path: Path) -> None:
     async def play() -> None:
-        rig = CellRig(tmp_path, 2, CellPlan({"z": 2, "y": 1}))
-        async with rig.running():
-            home = [relay for relay in rig.relays if relay.cell == "z"]
-            leader = await the_leader(rig, "z")
-            await changes(rig, 1)
+        cluster = CellCluster(tmp_path, 2, CellLayout({"z": 2, "y": 1}))
+        async with cluster.running():
+            home = [relay for relay in cluster.relays if relay.cell == "z"]
+            leader = await the_leader(cluster, "z")
+            await changes(cluster, 1)
 
             # A server's own no names the key, and nothing changes.
-            assert await rig.ended(rig.propose(2, "", DEADLINE_S, BAD_POLICY), WAIT_S) == ABORTED
+            assert (
+                await cluster.operators.wait_ended(
+                    cluster.operators.propose(2, "", DEADLINE_S, BAD_POLICY), WAIT_S
+                )
+                == ABORTED
+            )
             told = (tmp_path / "proposers.txt").read_text()
             assert "products.nothing: no product is named so" in told
-            assert await all_shown(rig) == ["look", "look"]
+            assert await all_shown(cluster) == ["look", "look"]
 
             # A relay that is told to stop sends its servers on.
-            assert await rig.stop_relay(leader) == 0
-            second = await the_leader(rig, "z")
+            assert await cluster.stop_relay(leader) == 0
+            second = await the_leader(cluster, "z")
             assert second is not leader
-            await changes(rig, 4)
+            await changes(cluster, 4)
 
             # One that is killed is found out by its servers; the other one takes the cell over.
-            await rig.start_relays()
-            for place in rig.places:
-                await until_on(rig, place, rig.relays)
-            rig.kill_relay(second)
-            assert await the_leader(rig, "z") is leader
-            for place in rig.places:
-                await until_on(rig, place, [relay for relay in rig.relays if relay is not second])
-            await changes(rig, 5)
+            await cluster.start_relays()
+            for server in cluster.servers:
+                await until_on(cluster, server, cluster.relays)
+            cluster.kill_relay(second)
+            assert await the_leader(cluster, "z") is leader
+            for server in cluster.servers:
+                await until_on(cluster, server, [relay for relay in cluster.relays if relay is not second])
+            await changes(cluster, 5)
 
             # Without the store all serve on: the cell of two by consent, the cell of one by its folder.
-            await rig.start_relays()
+            await cluster.start_relays()
             with anyio.fail_after(WAIT_S):
-                while (await rig.relay_status(second)).get("consented_left_ms") != 0.0:
+                while (await cluster.relay_status(second)).get("consented_left_ms") != 0.0:
                     await anyio.sleep(0.05)
-            rig.kill_store()
+            cluster.store.kill()
             with anyio.fail_after(WAIT_S):
-                while (await rig.relay_status(leader))["store_lease_left_ms"]:
+                while (await cluster.relay_status(leader))["store_lease_left_ms"]:
                     await anyio.sleep(0.05)
-            assert (await rig.relay_status(leader))["consent_left_ms"]
-            alone = next(relay for relay in rig.relays if relay.cell == "y")
-            assert (await rig.relay_status(alone))["authority_left_ms"] == -1.0  # it has no end
-            for place in rig.places:
-                await until_on(rig, place, [*home, *rig.relays])
-            await rig.restart_store()
-            await the_leader(rig, "z")
-            await changes(rig, 6)
-            assert await asides(rig) == [1, 1]
-        verdict = conclude(rig, Played(Verdict())).verdict
-        assert not verdict.breaches, verdict.breaches
+            assert (await cluster.relay_status(leader))["consent_left_ms"]
+            alone = next(relay for relay in cluster.relays if relay.cell == "y")
+            assert (await cluster.relay_status(alone))["authority_left_ms"] == -1.0  # it has no end
+            for server in cluster.servers:
+                await until_on(cluster, server, [*home, *cluster.relays])
+            await cluster.store.restart()
+            await the_leader(cluster, "z")
+            await changes(cluster, 6)
+            assert await asides(cluster) == [1, 1]
+        violations = check_run(cluster, RunResult()).check.violations
+        assert not violations, violations
 
     anyio.run(play)
 
@@ -122,44 +130,50 @@
 def test_a_small_fleet_moves_to_cells_and_back_by_the_stated_steps(tmp_path: Path) -> None:
     """docs/fleet.md, "Cells": somebody admits at each moment, and changes take hold between the steps."""
 
-    async def move(rig: CellRig, place: Place) -> None:
-        await rig.drain(place)
+    async def move(cluster: CellCluster, server: ServerProcess) -> None:
+        await cluster.drain(server)
         with anyio.fail_after(WAIT_S):
-            while place.is_up:
+            while server.is_up:
                 await anyio.sleep(0.02)
-        rig.write_fleet(place)
-        rig.start_server(place)
-        await rig.until_serving(place)
+        cluster.write_fleet_file(server)
+        cluster.start_server(server)
+        await cluster.wait_serving(server)
 
     async def play() -> None:
-        rig = CellRig(tmp_path, 2, CellPlan({"z": 2}))
-        rig.plain = {0, 1}
-        async with rig.running():
-            first, second = rig.places
-            await rig.start_relays()
-            leader = await the_leader(rig, "z")
-            await changes(rig, 1)
-            for place in (first, second):
-                rig.plain.remove(place.number)
-                await move(rig, place)
-                assert await rig.ended(rig.say_gone(place), WAIT_S) == 0  # its cell votes in its place
-                await changes(rig, 2 + place.number)
-            status = rig.ask("status")
-            assert await rig.ended(status, WAIT_S) == 0
+        cluster = CellCluster(tmp_path, 2, CellLayout({"z": 2}))
+        cluster.plain_servers = {0, 1}
+        async with cluster.running():
+            first, second = cluster.servers
+            await cluster.start_relays()
+            leader = await the_leader(cluster, "z")
+            await changes(cluster, 1)
+            for server in (first, second):
+                cluster.plain_servers.remove(server.number)
+                await move(cluster, server)
+                assert (
+                    await cluster.operators.wait_ended(cluster.operators.remove_server(server), WAIT_S) == 0
+                )  # its cell votes in its place
+                await changes(cluster, 2 + server.number)
+            status = cluster.operators.run("status")
+            assert await cluster.operators.wait_ended(status, WAIT_S) == 0
             assert f"cell, led by {leader.address}" in (tmp_path / "proposers.txt").read_text()
-            rig.plain.add(first.number)
-            await move(rig, first)
-            await changes(rig, 4)
-            rig.plain.add(second.number)
-            await move(rig, second)
-            for relay in rig.relays:
-                assert await rig.stop_relay(relay) == 0
-            assert await rig.ended(rig.ask("gone", "z"), WAIT_S) == 0
-            await changes(rig, 5)
-        verdict = conclude(rig, Played(Verdict())).verdict
-        assert not verdict.breaches, verdict.breaches
-        settled = sorted(asked.answered for asked in rig.wire.asked if asked.outcome == "settled")
-        longest = max(later - earlier for earlier, later in zip(settled, settled[1:], strict=False))
+            cluster.plain_servers.add(first.number)
+            await move(cluster, first)
+            await changes(cluster, 4)
+            cluster.plain_servers.add(second.number)
+            await move(cluster, second)
+            for relay in cluster.relays:
+                assert await cluster.stop_relay(relay) == 0
+            assert await cluster.operators.wait_ended(cluster.operators.run("gone", "z"), WAIT_S) == 0
+            await changes(cluster, 5)
+        violations = check_run(cluster, RunResult()).check.violations
+        assert not violations, violations
+        completed = sorted(
+            request.answered_at
+            for request in cluster.wire.requests
+            if request.outcome is RequestOutcome.COMPLETED
+        )
+        longest = max(later - earlier for earlier, later in zip(completed, completed[1:], strict=False))
         assert longest < 1000.0, longest
 
     anyio.run(play)
