--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -2,8 +2,8 @@
 
 As a member of its own, by what the store was asked; as a server of a cell, by what its agent and its
 connection to the relay have counted. All run at once, each with a store's stand-in of its own, with the same
-names and the same change, so that what is drawn from those is the same; what the rig itself asks of its store
-is left out."""
+names and the same change, so that what is drawn from those is the same; what the cluster itself asks of its
+store is left out."""
 
 import tempfile
 from collections.abc import Awaitable, Callable, Mapping
@@ -13,8 +13,8 @@
 import anyio
 import pytest
 
-from otterrudder.lab.processes.cells import CellPlan, CellRig
-from otterrudder.lab.processes.cluster import FLEET, Rig
+from otterrudder.lab.processes.cells import CellCluster, CellLayout
+from otterrudder.lab.processes.cluster import FLEET, ClusterOptions, ProcessCluster
 from otterrudder.lab.processes.counters import StoreReport
 from otterrudder.lab.scale.processes.bench import (
     FleetSettings,
@@ -31,7 +31,7 @@
 CHANGE_S = 4.0  # a change is in force long before, and all have told so
 TEXT_BYTES = 27_000
 MEMBER_BOUND_MS, CELL_BOUND_MS, LEASE_MS = 1000.0, 3000.0, 3000.0
-RIG_KIND = "read head+vote"  # of the rig's own looks at the store
+OBSERVER_KIND = "read head+vote"  # of the observer's looks at the store
 RENEWALS = "lease renew"
 READS = "read head+live+opening+roster+vote"
 # While a change is open whose text is here, and is to be voted on.
@@ -114,25 +114,26 @@
 
     async def sample() -> Sample:
         told = await report()
-        requests = {kind: count for kind, count in told.requests.items() if kind != RIG_KIND}
+        requests = {kind: count for kind, count in told.requests.items() if kind != OBSERVER_KIND}
         return Sample(requests | {"watch event": told.watch_events}, connections())
 
     return sample
 
 
-def _connections_of(rig: Rig, ports: list[int]) -> Connections:
-    process = rig.places[0].process
+def _connections_of(cluster: ProcessCluster, ports: list[int]) -> Connections:
+    process = cluster.servers[0].process
     assert process
     return connections_to(ports, [process.pid])
 
 
 async def _observe_real_member(found: Found) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(Path(folder), 1, bound_ms=MEMBER_BOUND_MS, lease_ms=LEASE_MS)
-        async with rig.running():
-            port = rig.places[0].links["store"].address[1]
-            operator = Operator(Path(folder) / "rig.toml")
-            sample = _of_store(rig.store_report, lambda: _connections_of(rig, [port]))
+        options = ClusterOptions(bound_ms=MEMBER_BOUND_MS, lease_ms=LEASE_MS)
+        cluster = ProcessCluster(Path(folder), 1, options)
+        async with cluster.running():
+            port = cluster.servers[0].links["store"].address[1]
+            operator = Operator(cluster.operators.fleet_file)
+            sample = _of_store(cluster.store.report, lambda: _connections_of(cluster, [port]))
             found["real member"] = await _observe(sample, operator)
 
 
@@ -146,17 +147,18 @@
 
 
 async def _observe_real_server_of_a_cell(found: Found) -> None:
-    plan = CellPlan({"z0": 2}, server_lease_ms=LEASE_MS)
+    layout = CellLayout({"z0": 2}, server_lease_ms=LEASE_MS)
     with tempfile.TemporaryDirectory() as folder:
-        rig = CellRig(Path(folder), 1, plan, bound_ms=CELL_BOUND_MS, lease_ms=LEASE_MS)
-        async with rig.running():
-            ports = [int(relay.address.rpartition(":")[2]) for relay in rig.relays]
+        options = ClusterOptions(bound_ms=CELL_BOUND_MS, lease_ms=LEASE_MS)
+        cluster = CellCluster(Path(folder), 1, layout, options)
+        async with cluster.running():
+            ports = [int(relay.address.rpartition(":")[2]) for relay in cluster.relays]
 
             async def sample() -> Sample:
-                counts = (await rig.server_status(rig.places[0]))["counts"]
-                return Sample(counts, _connections_of(rig, ports))
+                counts = (await cluster.server_status(cluster.servers[0]))["counts"]
+                return Sample(counts, _connections_of(cluster, ports))
 
-            found["real server of a cell"] = await _observe(sample, Operator(Path(folder) / "rig.toml"))
+            found["real server of a cell"] = await _observe(sample, Operator(cluster.operators.fleet_file))
 
 
 async def _observe_hollow_server_of_a_cell(found: Found) -> None:
--- a/tests/lab/test_scale_processes.py
+++ b/tests/lab/test_scale_processes.py
@@ -13,7 +13,7 @@
 import pytest
 
 from otterrudder.cli.lab import INTERRUPTED
-from otterrudder.lab.processes.cluster import ROOT
+from otterrudder.lab.processes.launch import ROOT
 from otterrudder.lab.scale.processes.laws import fit_linear, fit_power
 from otterrudder.lab.scale.processes.measure import QUICK, measure_at_once
 from otterrudder.lab.scale.processes.report import make_report, markdown
