--- a/otterrudder/fleet/cell/fingerprint.py
+++ b/otterrudder/fleet/cell/fingerprint.py
@@ -9,12 +9,12 @@
 
 from otterrudder import __version__
 from otterrudder.admission.interface import Limits, RequestClass, Tenant
-from otterrudder.fleet.policy import Own
+from otterrudder.fleet.policy import LocalConfiguration
 
 FINGERPRINT_BYTES = 16
 
 
-def server_fingerprint(own: Own, program: str = __version__) -> str:
+def server_fingerprint(own: LocalConfiguration, program: str = __version__) -> str:
     """Of a server's own configuration and its program's version."""
     canonical = msgspec.msgpack.encode((program, _configuration_fields(own)))
     return blake2b(canonical, digest_size=FINGERPRINT_BYTES).hexdigest()
@@ -24,7 +24,7 @@
 # release that writes others would have each of its servers asked anew.
 
 
-def _configuration_fields(own: Own) -> dict[str, Any]:
+def _configuration_fields(own: LocalConfiguration) -> dict[str, Any]:
     return {
         "products": [_request_class_fields(request_class) for request_class in own.products],
         "tenants": [_tenant_fields(tenant) for tenant in own.tenants],
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -16,7 +16,7 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.processes.mutants import serve_from_environment
 from otterrudder.net import relay
 
@@ -24,9 +24,10 @@
 class IgnoresLeaseEnd(Participant):
     """Admits by what it last received, for as long as it receives nothing."""
 
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing in (Standing.LAPSED, Standing.BEHIND) else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        status = super().admission_status(now)
+        is_outdated = status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
+        return AdmissionStatus.SERVING if is_outdated else status
 
 
 class GrantsPastAuthority(Relay):
--- a/otterrudder/lab/processes/cells.py
+++ b/otterrudder/lab/processes/cells.py
@@ -169,7 +169,7 @@
 
 async def _ask_control_socket(path: Path, subject: str) -> dict[str, Any]:
     try:
-        response = await anyio.to_thread.run_sync(control.ask_at, path, subject)
+        response = await anyio.to_thread.run_sync(control.query_path, path, subject)
     except (OSError, ValueError):
         return {}
     status = response.get(subject)
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -18,9 +18,12 @@
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet import agent
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.state import Standing
-from otterrudder.lab.fleet.faults import AnyPolicy, NeverAside, SleepsThrough
-from otterrudder.net import core, registry, serve
+from otterrudder.fleet.state import AdmissionStatus
+from otterrudder.lab.fleet.mutants import AnyPolicy, NeverAside, SleepsThrough
+from otterrudder.net import core, discovery, serve
+from otterrudder.net.request_table import RequestTable
+from otterrudder.net.requests import PendingRequest
+from otterrudder.net.server_files import ServerFiles
 
 SPOILT_EVERY = 6  # requests: one of them is spoilt
 LATE_S = 4.6  # of a late answer: gateways wait 4 s
@@ -51,112 +54,112 @@
 class ServesAtOnce(Member):
     """Admits from its start by the policy in its state directory, whatever was changed while it was down."""
 
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing in (Standing.STARTING, Standing.JOINING) else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        status = super().admission_status(now)
+        is_starting = status in (AdmissionStatus.STARTING, AdmissionStatus.REGISTERING)
+        return AdmissionStatus.SERVING if is_starting else status
 
 
 def _loses_answers() -> None:
     """Now and then an answer is never sent."""
-    original = core.Core._answer
+    original = RequestTable._answer
     counter = _Counter()
 
-    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
+    def answer(self: RequestTable, request: PendingRequest, *arguments: Any) -> None:
         if counter.is_due():
-            request.answered = True
+            request.is_answered = True
             return
         original(self, request, *arguments)
 
-    _patch(core.Core, "_answer", answer)
+    _patch(RequestTable, "_answer", answer)
 
 
 def _runs_twice() -> None:
     """Recognises no repeat."""
-    original = core.Core.arrive
+    original = core.RequestCore.handle_arrival
 
-    def arrive(self: core.Core, *arguments: Any, **keywords: Any) -> None:
-        self.references.clear()
-        self.fresh.clear()
-        original(self, *arguments, **keywords)
+    def handle_arrival(self: core.RequestCore, *arguments: Any) -> None:
+        self.idempotency.entries.clear()
+        self.idempotency.batch_entries.clear()
+        original(self, *arguments)
 
-    _patch(core.Core, "arrive", arrive)
+    _patch(core.RequestCore, "handle_arrival", handle_arrival)
 
 
 def _changes_results() -> None:
     """Now and then answers with what no run made."""
-    original = core.Core.ended
+    original = core.RequestCore.handle_run_ended
     counter = _Counter()
 
-    def ended(self: core.Core, call: str, outcome: Any, body: bytes) -> None:
+    def handle_run_ended(self: core.RequestCore, call: str, outcome: Any, body: bytes) -> None:
         original(self, call, outcome, b"other" if counter.is_due() else body)
 
-    _patch(core.Core, "ended", ended)
+    _patch(core.RequestCore, "handle_run_ended", handle_run_ended)
 
 
 def _answers_twice() -> None:
     """Sends each answer again."""
-    original = core.Core._answer
+    original = RequestTable._answer
 
-    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
-        sent = len(self.out)
+    def answer(self: RequestTable, request: PendingRequest, *arguments: Any) -> None:
+        sent = len(self._outbox.messages)
         original(self, request, *arguments)
-        self.out += self.out[sent:]
+        self._outbox.messages += self._outbox.messages[sent:]
 
-    _patch(core.Core, "_answer", answer)
+    _patch(RequestTable, "_answer", answer)
 
 
 def _answers_late() -> None:
     """Now and then keeps an answer until its caller has given up."""
-    original = core.Core._answer
+    original = RequestTable._answer
     counter = _Counter()
 
-    def answer(self: core.Core, request: core.PendingRequest, *arguments: Any) -> None:
-        if not counter.is_due() or request.answered:
+    def answer(self: RequestTable, request: PendingRequest, *arguments: Any) -> None:
+        if not counter.is_due() or request.is_answered:
             original(self, request, *arguments)
             return
 
         def answer_now() -> None:
-            request.answered = False
+            request.is_answered = False
             original(self, request, *arguments)
 
-        request.answered = True
+        request.is_answered = True
         asyncio.get_running_loop().call_later(LATE_S, answer_now)
 
-    _patch(core.Core, "_answer", answer)
+    _patch(RequestTable, "_answer", answer)
 
 
 def _rejects_repeats() -> None:
     """Rejects a repeat of what ran."""
 
-    def reject(self: core.Core, request: core.PendingRequest) -> None:
-        self._decline(request, False, 0.0)
+    def reject(self: core.RequestCore, request: PendingRequest, _: object) -> None:
+        self.requests.reject(request, False, 0.0)
         assert self.controller
         self.controller.handle_finished(request.number, Outcome.NEVER_STARTED)
 
-    _patch(core.Core, "_reuse", reject)
     core._REQUEST_COMMANDS[commands.ReplayResponse] = reject
 
 
 def _reports_rarely() -> None:
     """Reports to service discovery in a part of the time only."""
-    original = registry.Registry._report
+    original = discovery.DiscoveryReporter._report
     start = time.monotonic()
 
-    def report(self: registry.Registry, sock: socket.socket) -> None:
+    def report(self: discovery.DiscoveryReporter, sock: socket.socket) -> None:
         if (time.monotonic() - start) % REPORT_PERIOD_S < REPORT_PERIOD_S * REPORT_SHARE:
             original(self, sock)
 
-    _patch(registry.Registry, "_report", report)
+    _patch(discovery.DiscoveryReporter, "_report", report)
 
 
 def _exits_at_drain() -> None:
     """Told to drain, it exits at once."""
-    _patch(core.Core, "retire", lambda self, left_ms: os._exit(0))
+    _patch(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: os._exit(0))
 
 
 def _never_drains() -> None:
     """Told to drain, it serves on."""
-    _patch(core.Core, "retire", lambda self, left_ms: None)
+    _patch(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: None)
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
@@ -178,7 +181,7 @@
 
 def serve_from_environment() -> NoReturn:
     """The server's program, configured by the environment."""
-    files = serve.Files.from_environment()
+    files = ServerFiles.from_environment()
     configuration = read_configuration(files.configuration)
     log.configure_logging(configuration.name)
     sys.exit(serve.run(configuration, files))
--- a/otterrudder/lab/processes/policy_observer.py
+++ b/otterrudder/lab/processes/policy_observer.py
@@ -10,8 +10,8 @@
 from otterrudder.clock import monotonic as clock
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.records import Keys, View
-from otterrudder.fleet.store import StoreAway
+from otterrudder.fleet.records import FleetSnapshot, Keys
+from otterrudder.fleet.store import StoreUnavailableError
 from otterrudder.lab.processes.fake_etcd import CLUSTER
 from otterrudder.lab.processes.history import VersionInForce, VoteRecord, no_version_yet
 
@@ -44,17 +44,17 @@
             while True:
                 await anyio.sleep(POLL_S)
                 began = clock()
-                with contextlib.suppress(StoreAway):
+                with contextlib.suppress(StoreUnavailableError):
                     snapshot = await client.read([keys.policy, keys.change, keys.votes], REQUEST_TIMEOUT_MS)
                     if snapshot.cluster != CLUSTER:  # another engine's content is not the fleet's
                         continue
-                    self._note(View(keys, snapshot), previous_look)
+                    self._note(FleetSnapshot(keys, snapshot), previous_look)
                     previous_look = began
         finally:
             with anyio.CancelScope(shield=True):
                 await client.close()
 
-    def _note(self, view: View, previous_look: float) -> None:
+    def _note(self, view: FleetSnapshot, previous_look: float) -> None:
         head = view.policy
         if head and head.version > self.in_force.version:
             rejected = self.rejected_products.get(head.digest, "")
--- a/tests/fleet/test_cell_stored_bytes.py
+++ b/tests/fleet/test_cell_stored_bytes.py
@@ -15,9 +15,9 @@
 from otterrudder.fleet.cell.relay import CellIdentity
 from otterrudder.fleet.cell.wire import CONSENT as CONSENT_METHOD
 from otterrudder.fleet.cell.wire import SESSION as SESSION_METHOD
-from otterrudder.fleet.policy import own_of as server_settings
-from otterrudder.fleet.records import Live, PolicyHead, Roster, Settled
-from otterrudder.fleet.state import Record
+from otterrudder.fleet.policy import local_configuration_of as server_settings
+from otterrudder.fleet.records import FinishedChange, MemberStatus, PolicyHead, RosterEntry
+from otterrudder.fleet.state import MemberState
 
 
 def stored(harness: Harness) -> dict[str, bytes]:
@@ -203,13 +203,13 @@
     ("record_type", "data", "meaning"),
     [
         (PolicyHead, *HEAD),
-        (Settled, *ENDED),
-        (Roster, *ROSTER),
-        (Live, *JOINING),
-        (Live, *SERVING),
-        (Live, *LEADING),
-        (Record, *DISK),
-        (Record, *PREPARED),
+        (FinishedChange, *ENDED),
+        (RosterEntry, *ROSTER),
+        (MemberStatus, *JOINING),
+        (MemberStatus, *SERVING),
+        (MemberStatus, *LEADING),
+        (MemberState, *DISK),
+        (MemberState, *PREPARED),
     ],
 )
 def test_a_record_means_the_same_and_is_written_the_same(
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -17,13 +17,13 @@
 from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, read_fleet
-from otterrudder.fleet.orders import Orders
-from otterrudder.fleet.records import Live
+from otterrudder.fleet.records import MemberStatus
+from otterrudder.fleet.server_control import ServerControl
 from otterrudder.net import control
 from otterrudder.vrrp.configuration_reader import read_configuration
 from otterrudder.vrrp.router import VrrpRouter
 
-ORDERS = Orders(lambda text: None, lambda is_aside: None)
+ORDERS = ServerControl(lambda text: None, lambda is_aside: None)
 FLEET = 'version = 1\nfleet = "f"\nstore = ["127.0.0.1:1"]\nbound_ms = 3000\n'
 RELAY = '[relay]\ncell = "a"\naddress = "127.0.0.1:7301"\nfolder = "state-a"\nsessions_most = 20\n'
 KEYS = 'signs = 1\n[[key]]\nnumber = 1\nsecret = "%s"\n' % ("5a" * 32)
@@ -93,7 +93,7 @@
 
 def member(folder: Path) -> object:
     fleet = fleet_of(folder, f'folder = "{folder}/state"\n')
-    return Agent(fleet, Client(fleet), "n1", Live(""), lambda text: "", ORDERS, None, None).shown()
+    return Agent(fleet, Client(fleet), "n1", MemberStatus(""), lambda text: "", ORDERS, None, None).shown()
 
 
 def cell_server(folder: Path) -> object:
@@ -133,7 +133,7 @@
 
 def replies(name: str, answers: dict[str, Callable[[], object]], lines: list[bytes]) -> list[bytes]:
     async def play() -> list[bytes]:
-        served = control.Control(name, answers)
+        served = control.ControlSocket(name, answers)
         async with anyio.create_task_group() as group:
             group.start_soon(served.run)
             while not served.path.exists():
@@ -195,7 +195,7 @@
 
 def test_a_request_is_what_the_earlier_text_sent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    path, sent = control.path_of("n1"), SimpleNamespace(data=b"")
+    path, sent = control.socket_path("n1"), SimpleNamespace(data=b"")
     assert path == tmp_path / "otterrudder-n1.sock"
 
     async def play() -> dict[str, object]:
@@ -212,7 +212,7 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(anyio.to_thread.run_sync, serve)
-                return await anyio.to_thread.run_sync(control.ask, "n1", "vrrp")
+                return await anyio.to_thread.run_sync(control.query, "n1", "vrrp")
 
     assert anyio.run(play) == {"v": 1, "vrrp": []}
     assert sent.data == b'{"v": 1, "ask": "vrrp"}\n'
