--- a/otterrudder/fleet/cell/peers.py
+++ b/otterrudder/fleet/cell/peers.py
@@ -6,7 +6,7 @@
 import grpc
 
 from otterrudder.fleet.cancellation import raise_if_cancelled
-from otterrudder.fleet.cell.consent import ASK_EVERY_SHARE, CONSENT_MS, PeerRequest
+from otterrudder.fleet.cell.endorsement import ASK_EVERY_SHARE, CONSENT_MS, PeerRequest
 from otterrudder.fleet.cell.messages import BadMessage, Consent, decode_from_peer, encode
 from otterrudder.fleet.cell.wire import CONSENT, open_channel
 from otterrudder.fleet.configuration import Fleet
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -16,15 +16,14 @@
 - Who takes a cell over does not vote for a moment: until then servers of the former leader may not have
   found it, and their kinds would not be asked. So no poll is decided before.
 - While the store is away, the leader goes on with the consent of all other relays of its cell
-  (`consent.py`). Who has consented does not take the cell while that binds it: it could grant nothing, and
+  (`endorsement.py`). Who has consented does not take the cell while that binds it: it could grant nothing, and
   the leader is to have its place again once the store is back."""
 
 import math
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from otterrudder.fleet.cell.consent import Consents, PeerRequest, Promise
-from otterrudder.fleet.cell.kinds import Candidate, Poll, Verdicts
+from otterrudder.fleet.cell.endorsement import Consents, PeerRequest, Promise
 from otterrudder.fleet.cell.messages import (
     PROTOCOL_VERSION,
     AskConsent,
@@ -41,6 +40,7 @@
     Verdict,
 )
 from otterrudder.fleet.cell.participant import LEASE_SPAN_MS
+from otterrudder.fleet.cell.validation_poll import Candidate, Poll, Verdicts
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Outcome
 from otterrudder.fleet.member import Member
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -17,7 +17,7 @@
 from otterrudder import __version__, clock
 from otterrudder.durable import Folder
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.cell.consent import PeerRequest
+from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import (
     AskConsent,
     BadMessage,
--- a/otterrudder/lab/fleet/cell_ledger.py
+++ b/otterrudder/lab/fleet/cell_history_checker.py
@@ -4,7 +4,7 @@
 import math
 from dataclasses import dataclass, field
 
-from otterrudder.fleet.cell.consent import CONSENT_MS
+from otterrudder.fleet.cell.endorsement import CONSENT_MS
 from otterrudder.fleet.cell.messages import Grant
 from otterrudder.fleet.cell.relay import TAKEOVER_MS
 from otterrudder.fleet.effects import Commit
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from otterrudder.fleet.cell.consent import PeerRequest
+from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import (
     AskConsent,
     Consent,
@@ -41,7 +41,7 @@
 from otterrudder.fleet.records import Keys, Queued, View, decode
 from otterrudder.fleet.state import Record, Rules, Standing
 from otterrudder.fleet.store import Put
-from otterrudder.lab.fleet.cell_ledger import CellLedger, RelayLife
+from otterrudder.lab.fleet.cell_history_checker import CellLedger, RelayLife
 from otterrudder.lab.fleet.cloning import clone, freeze
 from otterrudder.lab.fleet.ledger import wrong_admission
 from otterrudder.lab.keyspace import KeySpace
--- a/otterrudder/lab/fleet/cell_doubles.py
+++ b/otterrudder/lab/fleet/cell_mutants.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from otterrudder.fleet.cell.consent import BELIEVED_SHARE, Consents, Promise
-from otterrudder.fleet.cell.kinds import Poll, Verdicts
+from otterrudder.fleet.cell.endorsement import BELIEVED_SHARE, Consents, Promise
 from otterrudder.fleet.cell.messages import AskConsent, Consent, Grant, InForce, RelayMessage
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.validation_poll import Poll, Verdicts
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Outcome, Read
 from otterrudder.fleet.member import Member
--- a/otterrudder/lab/fleet/cell_report.py
+++ b/otterrudder/lab/fleet/cell_report.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import Future, ProcessPoolExecutor
 
-from otterrudder.lab.fleet.cell_faults import FAULTS
 from otterrudder.lab.fleet.cell_model import CellStage, all_variants
 from otterrudder.lab.fleet.cell_search import hunt, search, walk
+from otterrudder.lab.fleet.cell_seeded_faults import FAULTS
 from otterrudder.lab.fleet.explore import Found
 
 CHUNK = 50  # walks that are handed out at a time
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -12,8 +12,8 @@
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.cell_events import after, events, happen
-from otterrudder.lab.fleet.cell_faults import CellHunt
 from otterrudder.lab.fleet.cell_model import Apart, CellStage, CellVariant, CellWorld, settled, staged
+from otterrudder.lab.fleet.cell_seeded_faults import CellHunt
 from otterrudder.lab.fleet.explore import Found, Step
 
 LENGTH = 100  # events of a drawn walk
--- a/otterrudder/lab/fleet/cell_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -5,7 +5,8 @@
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, RelayLimits
-from otterrudder.lab.fleet.cell_doubles import (
+from otterrudder.lab.fleet.cell_model import RULES, SLOW_AND_FAST, CellStage, CellVariant
+from otterrudder.lab.fleet.cell_mutants import (
     AsksNoKinds,
     AsksTooLate,
     BelievesAnyStore,
@@ -34,7 +35,6 @@
     TakesOverAtOnce,
     VotesThoughItConsented,
 )
-from otterrudder.lab.fleet.cell_model import RULES, SLOW_AND_FAST, CellStage, CellVariant
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -4,10 +4,10 @@
 from collections import OrderedDict
 from typing import Any, TypeVar
 
-from otterrudder.fleet.cell.consent import Consents, Promise
-from otterrudder.fleet.cell.kinds import Poll, Verdicts, _Asked
+from otterrudder.fleet.cell.endorsement import Consents, Promise
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.validation_poll import Poll, Verdicts, _Asked
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import View
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -10,11 +10,11 @@
 
 from otterrudder import log
 from otterrudder.fleet.cell import agent, service
-from otterrudder.fleet.cell.consent import CONSENT_MS, Promise
-from otterrudder.fleet.cell.kinds import Candidate, Poll
+from otterrudder.fleet.cell.endorsement import CONSENT_MS, Promise
 from otterrudder.fleet.cell.messages import AskConsent, Consent
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.validation_poll import Candidate, Poll
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import Standing
 from otterrudder.lab.processes.double import serve_as_told
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -7,7 +7,7 @@
 from time import thread_time_ns
 from typing import Protocol
 
-from otterrudder.fleet.cell.consent import PeerRequest
+from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import AskConsent, Consent, Grant, RelayMessage, ServerMessage
 from otterrudder.fleet.cell.relay import (
     CellIdentity,
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import dataclass, field, replace
 
-from otterrudder.fleet.cell.consent import PeerRequest
+from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import InForce, RefusalReason, Refuse, Register, RelayMessage
 from otterrudder.fleet.cell.participant import (
     CheckText,
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -7,8 +7,7 @@
 import pytest
 from cell_harness import FLEET, KEYS, RULES, Harness, Stream, in_force, registration, sent, told
 
-from otterrudder.fleet.cell.consent import CONSENT_MS, Consents, PeerRequest, Promise
-from otterrudder.fleet.cell.kinds import ASK_AGAIN_MS, ASK_MOST_MS, VERDICTS_MOST, Candidate, Poll, Verdicts
+from otterrudder.fleet.cell.endorsement import CONSENT_MS, Consents, PeerRequest, Promise
 from otterrudder.fleet.cell.messages import (
     NAME_MOST,
     AskConsent,
@@ -50,6 +49,14 @@
     RelayEffect,
     RelayLimits,
 )
+from otterrudder.fleet.cell.validation_poll import (
+    ASK_AGAIN_MS,
+    ASK_MOST_MS,
+    VERDICTS_MOST,
+    Candidate,
+    Poll,
+    Verdicts,
+)
 from otterrudder.fleet.change import COUNT_MS, Settler, settle
 from otterrudder.fleet.effects import Commit, Lane, Lease, Read
 from otterrudder.fleet.effects import Renew as EffectOfLease
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -6,9 +6,9 @@
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.lab.fleet.cell_faults import FAULTS
 from otterrudder.lab.fleet.cell_model import CellStage, CellVariant, all_variants, settled, staged
 from otterrudder.lab.fleet.cell_search import LENGTH, hunt, search, walk
+from otterrudder.lab.fleet.cell_seeded_faults import FAULTS
 from otterrudder.lab.fleet.cloning import clone, freeze
 
 VARIANTS = dict(all_variants())
