--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -32,13 +32,13 @@
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
-    from otterrudder.fleet.cell.service import TooFewDescriptors
+    from otterrudder.fleet.cell.service import DescriptorLimitError
     from otterrudder.net import relay as process
 
     set_up(process.control_name(role))
     try:
         process.run(fleet, role)
-    except (Busy, TooFewDescriptors) as trouble:
+    except (Busy, DescriptorLimitError) as trouble:
         give_up(trouble)
     except OSError as trouble:
         log.error("cannot start", why=str(trouble))
--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -15,22 +15,22 @@
 import anyio.to_thread
 
 from otterrudder import clock
-from otterrudder.fleet.cell.client import RelayStream, StreamEnded
-from otterrudder.fleet.cell.messages import BadMessage, ServerMessage
+from otterrudder.fleet.cell.client import RelayStream, StreamClosedError
+from otterrudder.fleet.cell.messages import InvalidMessageError, ServerMessage
 from otterrudder.fleet.cell.participant import (
     CheckText,
     Connect,
     Disconnect,
-    Identity,
     Participant,
     ParticipantEffect,
+    ServerIdentity,
 )
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.fleet.orders import Orders, OrderSender
 from otterrudder.log import log
 
-FAILED_MS = 200.0  # ms until what failed is tried again: it must not spin
-NAP_MS = 1000.0  # ms of sleep at the most where nothing is due
+ERROR_RETRY_MS = 200.0  # ms until what failed is tried again: it must not spin
+MAX_SLEEP_MS = 1000.0  # ms of sleep at the most where nothing is due
 
 
 class CellAgent:
@@ -39,7 +39,7 @@
     ) -> None:
         """`judge`: what is wrong with a text for this server, "" if nothing."""
         self.fleet, self.name, self.judge = fleet, name, judge
-        identity = Identity(fleet.name, name, secrets.token_hex(8), kind, fleet.zone)
+        identity = ServerIdentity(fleet.name, name, secrets.token_hex(8), kind, fleet.zone)
         self.participant = Participant(clock.monotonic(), identity, fleet.relays, fleet.server_lease_ms)
         self.order_sender = OrderSender(orders)
         self.counts = {"connected": 0, "ended": 0, "sent": 0, "received": 0, "checks_begun": 0, "checked": 0}
@@ -62,7 +62,7 @@
             while True:
                 self._wake = anyio.Event()
                 wait = self._begin_effects(group)
-                with anyio.move_on_after(min(max(wait, 1.0), NAP_MS) / 1000):
+                with anyio.move_on_after(min(max(wait, 1.0), MAX_SLEEP_MS) / 1000):
                     await self._wake.wait()
 
     def shown(self) -> dict[str, object]:
@@ -94,7 +94,7 @@
             return self.participant.due() - clock.monotonic()
         except Exception:  # the fleet's part is not the server's: it is decided anew
             log.exception("the fleet's part failed", of="effects")
-            return FAILED_MS
+            return ERROR_RETRY_MS
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: ParticipantEffect) -> None:
         if isinstance(effect, Connect):
@@ -113,7 +113,7 @@
             try:
                 stream.send(message)
                 self.counts["sent"] += 1
-            except StreamEnded as why:
+            except StreamClosedError as why:
                 log.warning("a relay is left", relay=stream.relay, why=str(why))
                 self._scopes[connection].cancel()
 
@@ -123,7 +123,7 @@
         try:
             with scope:
                 await self._talk(connection, RelayStream(self.fleet, effect.relay))
-        except* (StreamEnded, BadMessage) as ends:
+        except* (StreamClosedError, InvalidMessageError) as ends:
             log.info("a relay's stream ended", relay=effect.relay, why=str(ends.exceptions[0]))
         except* Exception:
             log.exception("the fleet's part failed", of="stream")
--- a/otterrudder/fleet/cell/client.py
+++ b/otterrudder/fleet/cell/client.py
@@ -13,11 +13,11 @@
 from otterrudder.fleet.cell.wire import SESSION, open_channel
 from otterrudder.fleet.configuration import Fleet
 
-OUTGOING_MOST = 16  # messages that wait for the relay to read them
-CLOSE_S = 0.5  # s that the closing of a channel may take
+MAX_QUEUED_MESSAGES = 16  # messages that wait for the relay to read them
+CLOSE_TIMEOUT_S = 0.5  # s that the closing of a channel may take
 
 
-class StreamEnded(Exception):
+class StreamClosedError(Exception):
     """The stream is over, and why."""
 
 
@@ -31,7 +31,7 @@
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator[None]:
-        """The stream is open inside, and its channel closed after. StreamEnded: the relay can't be
+        """The stream is open inside, and its channel closed after. StreamClosedError: the relay can't be
         reached."""
         channel = open_channel(self._fleet, self.relay)
         try:
@@ -42,41 +42,41 @@
         finally:
             if self._call:
                 self._call.cancel()
-            with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_S):
+            with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_TIMEOUT_S):
                 await channel.close(None)
 
     def send(self, message: ServerMessage) -> None:
-        """Never waits. StreamEnded: the relay reads too slowly."""
-        if self._outgoing.qsize() >= OUTGOING_MOST:
-            raise StreamEnded(f"{OUTGOING_MOST} messages wait to be read")
+        """Never waits. StreamClosedError: the relay reads too slowly."""
+        if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
+            raise StreamClosedError(f"{MAX_QUEUED_MESSAGES} messages wait to be read")
         self._outgoing.put_nowait(encode(message))
 
     async def write_queued(self) -> None:
-        """Writes what is sent; ends by StreamEnded."""
+        """Writes what is sent; ends by StreamClosedError."""
         while True:
             data = await self._outgoing.get()
             async with _reasons_told():
                 await self._call.write(data)
 
     async def receive(self) -> RelayMessage:
-        """The next message. StreamEnded; BadMessage: the relay is not to be talked to."""
+        """The next message. StreamClosedError; InvalidMessageError: the relay is not to be talked to."""
         async with _reasons_told():
             data = await self._call.read()
             if data is grpc.aio.EOF:
-                raise StreamEnded(await self._call.details() or "the relay ended the stream")
+                raise StreamClosedError(await self._call.details() or "the relay ended the stream")
         return decode_from_relay(data)
 
 
 @contextlib.asynccontextmanager
 async def _reasons_told() -> AsyncIterator[None]:
-    """What ends a call inside is StreamEnded with its reason, and a cancelled caller is cancelled."""
+    """What ends a call inside is StreamClosedError with its reason, and a cancelled caller is cancelled."""
     try:
         yield
     except (grpc.RpcError, asyncio.InvalidStateError) as why:
-        raise StreamEnded(_reason(why)) from None
+        raise StreamClosedError(_reason(why)) from None
     except asyncio.CancelledError:
         await raise_if_cancelled()
-        raise StreamEnded("the call was cancelled") from None
+        raise StreamClosedError("the call was cancelled") from None
 
 
 def _reason(why: Exception) -> str:
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -7,16 +7,16 @@
 import msgspec
 
 from otterrudder.configuration import BadConfiguration, address
-from otterrudder.fleet.cell.relay import SESSIONS_MOST
+from otterrudder.fleet.cell.relay import DEFAULT_MAX_SESSIONS
 from otterrudder.fleet.records import NAME_MOST, Absent
 
 SERVER_LEASE_MS = 3000.0  # ms of a server's lease from its relay
-SERVER_LEASE_LEAST_MS = 1000.0  # ms; below it a lost renewal or two would end a lease
-RELAYS_MOST = 16  # addresses in a list
-SESSIONS_CEILING = 10_000  # servers of one relay
+MIN_SERVER_LEASE_MS = 1000.0  # ms; below it a lost renewal or two would end a lease
+MAX_RELAYS = 16  # addresses in a list
+MAX_SESSIONS_LIMIT = 10_000  # servers of one relay
 
 
-class BadRelay(Exception):
+class RelayConfigurationError(Exception):
     """What is wrong with a cell's key, in one line that names it."""
 
 
@@ -27,7 +27,7 @@
     address: str
     listen: str = ""
     candidates: list[str] = []
-    sessions_most: int = SESSIONS_MOST
+    sessions_most: int = DEFAULT_MAX_SESSIONS
     folder: str | None = None
 
 
@@ -53,46 +53,52 @@
 
 def check_server_lease(server_lease_ms: float, bound_ms: float) -> None:
     """A lease that outlasts the bound would let a server go by a policy that is past its bound."""
-    if not SERVER_LEASE_LEAST_MS <= server_lease_ms <= bound_ms:
-        raise BadRelay(
-            f"server_lease_ms: {server_lease_ms:g} is not from {SERVER_LEASE_LEAST_MS:g} to bound_ms, "
+    if not MIN_SERVER_LEASE_MS <= server_lease_ms <= bound_ms:
+        raise RelayConfigurationError(
+            f"server_lease_ms: {server_lease_ms:g} is not from {MIN_SERVER_LEASE_MS:g} to bound_ms, "
             f"which is {bound_ms:g}"
         )
 
 
 def check_relays(key: str, relays: list[str]) -> None:
     """Addresses, each once."""
-    if len(relays) > RELAYS_MOST:
-        raise BadRelay(f"{key}: at most {RELAYS_MOST} addresses are wanted, not {len(relays)}")
+    if len(relays) > MAX_RELAYS:
+        raise RelayConfigurationError(f"{key}: at most {MAX_RELAYS} addresses are wanted, not {len(relays)}")
     if len(set(relays)) < len(relays):
-        raise BadRelay(f"{key}: an address is there twice")
+        raise RelayConfigurationError(f"{key}: an address is there twice")
     for relay in relays:
         try:
             _, port = address(relay, key)
         except BadConfiguration as trouble:
-            raise BadRelay(str(trouble)) from None
+            raise RelayConfigurationError(str(trouble)) from None
         if not port:
-            raise BadRelay(f"{key}: {relay!r}: the others need a port to find it by")
+            raise RelayConfigurationError(f"{key}: {relay!r}: the others need a port to find it by")
 
 
 def role_of(table: RelayTable, absent: Absent) -> RelayRole:
     """The checked table."""
     if not table.cell or "/" in table.cell or len(table.cell) > NAME_MOST:
-        raise BadRelay(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
+        raise RelayConfigurationError(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
     check_relays("relay.address", [table.address])
     listen = table.listen or table.address
     check_relays("relay.listen", [listen])
     candidates = table.candidates or [table.address]
     check_relays("relay.candidates", candidates)
     if table.address not in candidates:
-        raise BadRelay(f"relay.candidates: this relay's own address {table.address} is not among them")
-    if not 1 <= table.sessions_most <= SESSIONS_CEILING:
-        raise BadRelay(f"relay.sessions_most: {table.sessions_most} is not from 1 to {SESSIONS_CEILING}")
+        raise RelayConfigurationError(
+            f"relay.candidates: this relay's own address {table.address} is not among them"
+        )
+    if not 1 <= table.sessions_most <= MAX_SESSIONS_LIMIT:
+        raise RelayConfigurationError(
+            f"relay.sessions_most: {table.sessions_most} is not from 1 to {MAX_SESSIONS_LIMIT}"
+        )
     if len(candidates) == 1 and absent == "wait" and not table.folder:
-        raise BadRelay(
+        raise RelayConfigurationError(
             'relay.folder: absent = "wait" with one relay needs one: a restart that has forgotten its vote '
             "could grant leases for a policy that is no longer in force"
         )
     if len(candidates) > 1 and table.folder:
-        raise BadRelay("relay.folder: the relays of a cell share its name, and none keeps state for it")
+        raise RelayConfigurationError(
+            "relay.folder: the relays of a cell share its name, and none keeps state for it"
+        )
     return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.sessions_most)
--- a/otterrudder/fleet/cell/endorsement.py
+++ b/otterrudder/fleet/cell/endorsement.py
@@ -1,4 +1,4 @@
-"""Consent among the relays of one cell, so that a cell serves on while the store is away. Pure.
+"""Endorsement among the relays of one cell, so that a cell serves on while the store is away. Pure.
 
 The relay that leads a cell holds a lease of the store, and its authority ends with it: another relay of the
 cell could have taken the cell over. While the store does not answer, the leader asks every other relay of
@@ -13,16 +13,14 @@
 import math
 from dataclasses import dataclass
 
-from otterrudder.fleet.cell.messages import AskConsent, Consent
+from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 
-CONSENT_MS = 3000.0  # ms for which a consent binds its giver, by its own clock
-BELIEVED_SHARE = (
-    0.9  # of the span, by the asker's clock from the sending: two clocks may run apart by a tenth
-)
-ASK_EVERY_SHARE = 0.25  # of the span, between requests while all have consented: three may be lost
+ENDORSEMENT_MS = 3000.0  # ms for which a consent binds its giver, by its own clock
+TRUSTED_SHARE = 0.9  # of the span, by the asker's clock from the sending: two clocks may run apart by a tenth
+RENEWAL_SHARE = 0.25  # of the span, between requests while all have consented: three may be lost
 # of the span, between requests until then: the others still heard the store when they were asked, or a
 # request was lost, and the lease of the store is running out
-ASK_FIRST_SHARE = 1 / 12
+FIRST_REQUEST_SHARE = 1 / 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,10 +28,10 @@
     """A request to another relay of the cell."""
 
     peer: str
-    message: AskConsent
+    message: EndorsementRequest
 
 
-class Consents:
+class EndorsementCollector:
     """The leader's side: what the others have consented to."""
 
     __slots__ = ("_ask_at", "_ends", "_sent", "_sequence", "candidates", "cell", "fleet", "name", "peers")
@@ -56,29 +54,29 @@
         """To be called while consent is needed."""
         if now < self._ask_at:
             return []
-        share = ASK_EVERY_SHARE if self.until() > now else ASK_FIRST_SHARE
-        self._ask_at = now + CONSENT_MS * share
-        oldest = now - CONSENT_MS
+        share = RENEWAL_SHARE if self.until() > now else FIRST_REQUEST_SHARE
+        self._ask_at = now + ENDORSEMENT_MS * share
+        oldest = now - ENDORSEMENT_MS
         self._sent = {number: sent for number, sent in self._sent.items() if sent[1] > oldest}
         return [self._request(now, peer) for peer in self.peers]
 
     def _request(self, now: float, peer: str) -> PeerRequest:
         self._sequence += 1
         self._sent[self._sequence] = (peer, now)
-        message = AskConsent(self._sequence, self.fleet, self.cell, self.name, self.candidates)
+        message = EndorsementRequest(self._sequence, self.fleet, self.cell, self.name, self.candidates)
         return PeerRequest(peer, message)
 
-    def received(self, consent: Consent) -> None:
+    def received(self, consent: Endorsement) -> None:
         peer, sent = self._sent.pop(consent.sequence, ("", 0.0))
         if peer != consent.sender or consent.span_ms <= 0:
             return
-        self._ends[peer] = max(self._ends[peer], sent + consent.span_ms * BELIEVED_SHARE)
+        self._ends[peer] = max(self._ends[peer], sent + consent.span_ms * TRUSTED_SHARE)
 
     def due(self) -> float:
         return self._ask_at
 
 
-class Promise:
+class EndorsementGiver:
     """The giver's side: until when it takes no part in the cell."""
 
     __slots__ = ("candidates", "cell", "fleet", "name", "until")
@@ -86,17 +84,17 @@
     def __init__(self, now: float, fleet: str, cell: str, name: str, candidates: tuple[str, ...]) -> None:
         self.fleet, self.cell, self.name = fleet, cell, name
         self.candidates = tuple(sorted(candidates))
-        self.until = now + CONSENT_MS if len(self.candidates) > 1 else -math.inf
+        self.until = now + ENDORSEMENT_MS if len(self.candidates) > 1 else -math.inf
 
-    def answer(self, now: float, request: AskConsent, leads: bool, hears_store: bool) -> Consent:
+    def answer(self, now: float, request: EndorsementRequest, leads: bool, hears_store: bool) -> Endorsement:
         """`leads`: this relay is registered for the cell, as far as it knows, or may be."""
         why = self._why_not(request, leads, hears_store)
         if why:
-            return Consent(request.sequence, self.name, 0.0, why)
-        self.until = max(self.until, now + CONSENT_MS)
-        return Consent(request.sequence, self.name, CONSENT_MS)
+            return Endorsement(request.sequence, self.name, 0.0, why)
+        self.until = max(self.until, now + ENDORSEMENT_MS)
+        return Endorsement(request.sequence, self.name, ENDORSEMENT_MS)
 
-    def _why_not(self, request: AskConsent, leads: bool, hears_store: bool) -> str:
+    def _why_not(self, request: EndorsementRequest, leads: bool, hears_store: bool) -> str:
         if (request.fleet, request.cell) != (self.fleet, self.cell):
             return f"this relay is of the cell {self.cell} of {self.fleet}"
         if request.candidates != self.candidates or request.sender not in self.candidates:
--- a/otterrudder/fleet/cell/messages.py
+++ b/otterrudder/fleet/cell/messages.py
@@ -1,9 +1,11 @@
 """Messages between a server and a relay, and between the relays of one cell; their binary form (msgpack).
 
-A server opens one stream to a relay and sends `Register` first, then `Renew`. The relay answers each of the
-two with `Grant` or `Refuse`, and sends `InForce` and `AskVerdict` on its own. Streams keep order and lose
-nothing while they live. Each message is an array: fields that a later version appends are ignored by an
-earlier one."""
+A server opens one stream to a relay and sends a `Registration` first, then a `LeaseRenewal` from time to
+time. The relay answers each with a `LeaseGrant` or a `LeaseRefusal`, and sends a `PolicyUpdate` or a
+`ValidationRequest` on its own. Streams keep the order of messages.
+
+On the wire each message is an array that begins with its tag: fields that a later version appends are
+ignored by an earlier one."""
 
 from enum import Enum
 
@@ -11,10 +13,10 @@
 
 PROTOCOL_VERSION = 1
 NAME_MOST = 128  # characters of a name, an epoch or a kind
-DETAIL_MOST = 500  # characters of an explanation
+MAX_DETAIL_LENGTH = 500  # characters of an explanation
 
 
-class BadMessage(Exception):
+class InvalidMessageError(Exception):
     """Bytes that are no message of this protocol, or a message with a field out of its bounds."""
 
 
@@ -30,11 +32,11 @@
     LEAVING = "leaving"  # the relay is shutting down
 
 
-class _Message(msgspec.Struct, frozen=True, tag=True, array_like=True, omit_defaults=False):
+class _Message(msgspec.Struct, frozen=True, array_like=True, omit_defaults=False):
     pass
 
 
-class Register(_Message, frozen=True):
+class Registration(_Message, frozen=True, tag="Register"):
     """The first message of a server: who it is, and what it goes by."""
 
     sequence: int
@@ -47,7 +49,7 @@
     protocol: int = PROTOCOL_VERSION
 
 
-class Renew(_Message, frozen=True):
+class LeaseRenewal(_Message, frozen=True, tag="Renew"):
     """Asks for the lease's span again."""
 
     sequence: int
@@ -55,14 +57,14 @@
     standing: str = ""  # for operators
 
 
-class Verdict(_Message, frozen=True):
-    """The answer to AskVerdict: what is wrong with the text for this kind of server, "" if nothing."""
+class ValidationResult(_Message, frozen=True, tag="Verdict"):
+    """The answer to ValidationRequest: what is wrong with the text for this kind of server, "" if nothing."""
 
     digest: str
     trouble: str = ""
 
 
-class Grant(_Message, frozen=True):
+class LeaseGrant(_Message, frozen=True, tag="Grant"):
     """A lease: until `span_ms` from the sending of the request, no version but `version` binds the server,
     as far
     as it has not been told of a newer one."""
@@ -73,7 +75,7 @@
     span_ms: float
 
 
-class InForce(_Message, frozen=True):
+class PolicyUpdate(_Message, frozen=True, tag="InForce"):
     """A policy that is in force."""
 
     version: int
@@ -82,14 +84,14 @@
     text: str
 
 
-class AskVerdict(_Message, frozen=True):
+class ValidationRequest(_Message, frozen=True, tag="AskVerdict"):
     """Asks one server of a kind about the text of an open change."""
 
     digest: str
     text: str
 
 
-class Refuse(_Message, frozen=True):
+class LeaseRefusal(_Message, frozen=True, tag="Refuse"):
     """No lease, and why; the server tries another relay."""
 
     sequence: int
@@ -97,7 +99,7 @@
     detail: str = ""
 
 
-class AskConsent(_Message, frozen=True):
+class EndorsementRequest(_Message, frozen=True, tag="AskConsent"):
     """From the leading relay of a cell to another one of the cell, while the store does not answer."""
 
     sequence: int
@@ -107,7 +109,7 @@
     candidates: tuple[str, ...]  # all relays of the cell, sorted
 
 
-class Consent(_Message, frozen=True):
+class Endorsement(_Message, frozen=True, tag="Consent"):
     """The sender neither grants leases nor votes for the cell for `span_ms` from now; 0: it does not
     consent."""
 
@@ -119,14 +121,14 @@
 
 # Characters of what servers say: a relay keeps it, or hands it on to the store.
 _BOUNDS: dict[type[_Message], dict[str, int]] = {
-    Register: dict.fromkeys(("fleet", "name", "epoch", "kind", "zone"), NAME_MOST),
-    Renew: {"standing": NAME_MOST},
-    Verdict: {"digest": NAME_MOST, "trouble": DETAIL_MOST},
+    Registration: dict.fromkeys(("fleet", "name", "epoch", "kind", "zone"), NAME_MOST),
+    LeaseRenewal: {"standing": NAME_MOST},
+    ValidationResult: {"digest": NAME_MOST, "trouble": MAX_DETAIL_LENGTH},
 }
 
-ServerMessage = Register | Renew | Verdict
-RelayMessage = Grant | InForce | AskVerdict | Refuse
-PeerMessage = AskConsent | Consent
+ServerMessage = Registration | LeaseRenewal | ValidationResult
+RelayMessage = LeaseGrant | PolicyUpdate | ValidationRequest | LeaseRefusal
+PeerMessage = EndorsementRequest | Endorsement
 
 _ENCODER = msgspec.msgpack.Encoder()
 _FROM_SERVER = msgspec.msgpack.Decoder(ServerMessage)
@@ -139,30 +141,30 @@
 
 
 def decode_from_server(data: bytes) -> ServerMessage:
-    """Raises BadMessage."""
+    """Raises InvalidMessageError."""
     try:
         message: ServerMessage = _FROM_SERVER.decode(data)
     except msgspec.MsgspecError as why:
-        raise BadMessage(str(why)) from None
+        raise InvalidMessageError(str(why)) from None
     for field, most in _BOUNDS[type(message)].items():
         if len(getattr(message, field)) > most:
-            raise BadMessage(f"{field}: more than {most} characters")
+            raise InvalidMessageError(f"{field}: more than {most} characters")
     return message
 
 
 def decode_from_relay(data: bytes) -> RelayMessage:
-    """Raises BadMessage."""
+    """Raises InvalidMessageError."""
     try:
         message: RelayMessage = _FROM_RELAY.decode(data)
     except msgspec.MsgspecError as why:
-        raise BadMessage(str(why)) from None
+        raise InvalidMessageError(str(why)) from None
     return message
 
 
 def decode_from_peer(data: bytes) -> PeerMessage:
-    """Raises BadMessage."""
+    """Raises InvalidMessageError."""
     try:
         message: PeerMessage = _FROM_PEER.decode(data)
     except msgspec.MsgspecError as why:
-        raise BadMessage(str(why)) from None
+        raise InvalidMessageError(str(why)) from None
     return message
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -22,31 +22,31 @@
 from dataclasses import dataclass
 
 from otterrudder.fleet.cell.messages import (
-    DETAIL_MOST,
-    AskVerdict,
-    Grant,
-    InForce,
+    MAX_DETAIL_LENGTH,
+    LeaseGrant,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
+    Registration,
     RelayMessage,
-    Renew,
     ServerMessage,
-    Verdict,
+    ValidationRequest,
+    ValidationResult,
 )
 from otterrudder.fleet.records import digest_of
 from otterrudder.fleet.state import Policy, Standing
 
-LEASE_SPAN_MS = 3000.0  # ms of a server's lease, unless the fleet's file says otherwise
-BELIEVED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
+DEFAULT_LEASE_MS = 3000.0  # ms of a server's lease, unless the fleet's file says otherwise
+TRUSTED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
 RENEW_SHARE = 0.25  # of the span, between renewals
 SILENT_SHARE = 0.25  # of the span without an answer, after which the next relay is tried
 RETRY_MS = 200.0  # ms to the first further try when every relay has refused; doubled each time
-RETRY_MOST_MS = 2000.0  # ms between tries at most
-HOME_AGAIN_MS = 30_000.0  # ms on another relay after which the first address is tried again
-HOME_DOUBLINGS_MOST = 4  # of that, one for each try in vain: a standby may lead for days
-PENDING_MOST = 8  # requests without an answer that are remembered
-TEXTS_MOST = 2  # texts kept beside the one in force: of the open change, and of a newer version
+MAX_RETRY_MS = 2000.0  # ms between tries at most
+HOME_RETRY_MS = 30_000.0  # ms on another relay after which the first address is tried again
+MAX_HOME_DOUBLINGS = 4  # of that, one for each try in vain: a standby may lead for days
+MAX_PENDING_REQUESTS = 8  # requests without an answer that are remembered
+MAX_DOCUMENTS = 2  # texts kept beside the one in force: of the open change, and of a newer version
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class ServerIdentity:
     """What a server tells a relay of itself."""
 
     fleet: str
@@ -126,7 +126,7 @@
     )
 
     def __init__(
-        self, now: float, identity: Identity, relays: tuple[str, ...], span_ms: float = LEASE_SPAN_MS
+        self, now: float, identity: ServerIdentity, relays: tuple[str, ...], span_ms: float = DEFAULT_LEASE_MS
     ):
         """`relays`: addresses in the order in which they are tried."""
         self.identity, self.relays, self.span_ms = identity, relays, span_ms
@@ -149,7 +149,7 @@
         self._pending: dict[int, float] = {}  # sequence: sent
         self._renew_at = math.inf
         self._silent_at = math.inf
-        self._texts: dict[str, InForce] = {}  # newer versions by digest, checked or not
+        self._texts: dict[str, PolicyUpdate] = {}  # newer versions by digest, checked or not
         self._check: CheckText | None = None  # under way
         self._checked: dict[str, str] = {}  # digest: what is wrong with it here
         self._to_answer: dict[str, str] = {}  # digest: text, that a relay asks about
@@ -215,7 +215,7 @@
         identity = self.identity
         self._request(
             now,
-            Register(
+            Registration(
                 self._sequence + 1,
                 identity.fleet,
                 identity.name,
@@ -236,30 +236,30 @@
     def received(self, now: float, connection: int, message: RelayMessage) -> None:
         if connection != self.connection:
             return  # of a stream that was given up
-        if isinstance(message, Grant):
+        if isinstance(message, LeaseGrant):
             self._take_grant(now, message)
-        elif isinstance(message, InForce):
+        elif isinstance(message, PolicyUpdate):
             self._take_text(now, message)
-        elif isinstance(message, AskVerdict):
+        elif isinstance(message, ValidationRequest):
             self._take_question(now, message)
         else:
             self._take_refusal(now, message)
 
     def checked(self, now: float, digest: str, trouble: str) -> None:
         """How a CheckText ended: what is wrong with the text here, "" if nothing."""
-        trouble = trouble[:DETAIL_MOST]
+        trouble = trouble[:MAX_DETAIL_LENGTH]
         self._check = None
         self._checked[digest] = trouble
-        while len(self._checked) > TEXTS_MOST + 1:
+        while len(self._checked) > MAX_DOCUMENTS + 1:
             del self._checked[next(iter(self._checked))]
         if self._to_answer.pop(digest, None) is not None and self._is_open:
-            self._effects.append(SendToRelay(self.connection, Verdict(digest, trouble)))
+            self._effects.append(SendToRelay(self.connection, ValidationResult(digest, trouble)))
         self._switch(now)
         self._check_next()
 
     # Grants and refusals.
 
-    def _take_grant(self, now: float, grant: Grant) -> None:
+    def _take_grant(self, now: float, grant: LeaseGrant) -> None:
         sent = self._pending.pop(grant.sequence, None)
         if sent is None:
             return
@@ -270,7 +270,7 @@
         self.doubt = self.refusal = ""
         self.heard = True
         self.head = max(self.head, grant.version)
-        self._extend(grant.version, sent + grant.span_ms * BELIEVED_SHARE)
+        self._extend(grant.version, sent + grant.span_ms * TRUSTED_SHARE)
         self._failed = 0
         span = min(grant.span_ms, self.span_ms)  # one that was cut short is asked for again the sooner
         self._renew_at = sent + span * RENEW_SHARE * (0.9 + 0.2 * self._chance("renew"))
@@ -279,7 +279,7 @@
         if not self._at:
             self._home_tries = 0
         elif self._home_at == math.inf:
-            wait = HOME_AGAIN_MS * 2.0**self._home_tries
+            wait = HOME_RETRY_MS * 2.0**self._home_tries
             self._home_at = now + wait * (0.5 + self._chance("home"))
 
     def _extend(self, version: int, until: float) -> None:
@@ -297,7 +297,7 @@
             return f"{self.relay} tells of another version {version}"
         return ""
 
-    def _take_refusal(self, now: float, refuse: Refuse) -> None:
+    def _take_refusal(self, now: float, refuse: LeaseRefusal) -> None:
         self.refusal = f"{self.relay}: {refuse.reason.value}" + (
             f": {refuse.detail}" if refuse.detail else ""
         )
@@ -310,7 +310,7 @@
 
     # Texts.
 
-    def _take_text(self, now: float, message: InForce) -> None:
+    def _take_text(self, now: float, message: PolicyUpdate) -> None:
         if message.version <= self.known.version:
             return
         if digest_of(message.text) != message.digest:
@@ -319,22 +319,22 @@
             return
         self.head = max(self.head, message.version)
         self._texts[message.digest] = message
-        while len(self._texts) > TEXTS_MOST:
+        while len(self._texts) > MAX_DOCUMENTS:
             del self._texts[next(iter(self._texts))]
         self._switch(now)
         self._check_next()
 
-    def _take_question(self, now: float, question: AskVerdict) -> None:
+    def _take_question(self, now: float, question: ValidationRequest) -> None:
         if digest_of(question.text) != question.digest:
             self.doubt = f"{self.relay}: the text that it asks about is damaged"
             self._leave(now)
             return
         trouble = self._checked.get(question.digest)
         if trouble is not None:
-            self._effects.append(SendToRelay(self.connection, Verdict(question.digest, trouble)))
+            self._effects.append(SendToRelay(self.connection, ValidationResult(question.digest, trouble)))
             return
         self._to_answer[question.digest] = question.text
-        while len(self._to_answer) > TEXTS_MOST:
+        while len(self._to_answer) > MAX_DOCUMENTS:
             del self._to_answer[next(iter(self._to_answer))]
         self._check_next()
 
@@ -385,7 +385,7 @@
     def _go_home(self, now: float) -> None:
         """The first address again: if it grants nothing, the others follow, and the lease goes on
         meanwhile."""
-        self._home_tries = min(self._home_tries + 1, HOME_DOUBLINGS_MOST)
+        self._home_tries = min(self._home_tries + 1, MAX_HOME_DOUBLINGS)
         self._effects.append(Disconnect(self.connection))
         self.connection, self._is_open = 0, False
         self._at, self._connect_at = 0, now
@@ -397,17 +397,17 @@
         if rounds == 0:
             self._connect_at = now
             return
-        wait = min(RETRY_MS * 2.0 ** min(rounds - 1, 10), RETRY_MOST_MS)
+        wait = min(RETRY_MS * 2.0 ** min(rounds - 1, 10), MAX_RETRY_MS)
         self._connect_at = now + wait * (0.5 + 0.5 * self._chance("retry"))
 
     def _renew(self, now: float) -> None:
         standing = self.standing(now).name.lower()
-        self._request(now, Renew(self._sequence + 1, self.known.version, standing))
+        self._request(now, LeaseRenewal(self._sequence + 1, self.known.version, standing))
 
-    def _request(self, now: float, message: Register | Renew) -> None:
+    def _request(self, now: float, message: Registration | LeaseRenewal) -> None:
         self._sequence += 1
         self._pending[self._sequence] = now
-        while len(self._pending) > PENDING_MOST:
+        while len(self._pending) > MAX_PENDING_REQUESTS:
             del self._pending[next(iter(self._pending))]
         self._renew_at = math.inf
         self._silent_at = now + self.span_ms * SILENT_SHARE
--- a/otterrudder/fleet/cell/peers.py
+++ b/otterrudder/fleet/cell/peers.py
@@ -6,12 +6,12 @@
 import grpc
 
 from otterrudder.fleet.cancellation import raise_if_cancelled
-from otterrudder.fleet.cell.endorsement import ASK_EVERY_SHARE, CONSENT_MS, PeerRequest
-from otterrudder.fleet.cell.messages import BadMessage, Consent, decode_from_peer, encode
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, RENEWAL_SHARE, PeerRequest
+from otterrudder.fleet.cell.messages import Endorsement, InvalidMessageError, decode_from_peer, encode
 from otterrudder.fleet.cell.wire import CONSENT, open_channel
 from otterrudder.fleet.configuration import Fleet
 
-PEER_TIMEOUT_MS = CONSENT_MS * ASK_EVERY_SHARE  # by then another request is under way
+PEER_TIMEOUT_MS = ENDORSEMENT_MS * RENEWAL_SHARE  # by then another request is under way
 
 
 class Peers:
@@ -21,21 +21,21 @@
         self._fleet = fleet
         self._channels: dict[str, Any] = {}
 
-    async def ask(self, request: PeerRequest) -> Consent | None:
+    async def ask(self, request: PeerRequest) -> Endorsement | None:
         """None: no answer came, or it is none."""
         call = self._channel(request.peer).unary_unary(CONSENT)(
             encode(request.message), timeout=PEER_TIMEOUT_MS / 1000
         )
         try:
             answer = decode_from_peer(await call)
-        except (grpc.RpcError, BadMessage):
+        except (grpc.RpcError, InvalidMessageError):
             return None
         except asyncio.CancelledError:
             await raise_if_cancelled()
             return None
         finally:
             call.cancel()
-        return answer if isinstance(answer, Consent) else None
+        return answer if isinstance(answer, Endorsement) else None
 
     async def close(self) -> None:
         for channel in self._channels.values():
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -16,45 +16,47 @@
 - Who takes a cell over does not vote for a moment: until then servers of the former leader may not have
   found it, and their kinds would not be asked. So no poll is decided before.
 - While the store is away, the leader goes on with the consent of all other relays of its cell
-  (`endorsement.py`). Who has consented does not take the cell while that binds it: it could grant nothing, and
-  the leader is to have its place again once the store is back."""
+  (`endorsement.py`). Who has consented does not take the cell while that binds it: it could grant nothing,
+  and the leader is to have its place again once the store is back."""
 
 import math
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from otterrudder.fleet.cell.endorsement import Consents, PeerRequest, Promise
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver, PeerRequest
 from otterrudder.fleet.cell.messages import (
     PROTOCOL_VERSION,
-    AskConsent,
-    AskVerdict,
-    Consent,
-    Grant,
-    InForce,
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
+    Registration,
     RelayMessage,
-    Renew,
     ServerMessage,
-    Verdict,
+    ValidationRequest,
+    ValidationResult,
 )
-from otterrudder.fleet.cell.participant import LEASE_SPAN_MS
-from otterrudder.fleet.cell.validation_poll import Candidate, Poll, Verdicts
+from otterrudder.fleet.cell.participant import DEFAULT_LEASE_MS
+from otterrudder.fleet.cell.validation_poll import Candidate, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Outcome
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import Keys, Live, digest_of
 from otterrudder.fleet.state import Open, Policy, Record, Rules
 
-SESSIONS_MOST = 2000  # servers of a relay, unless its file says otherwise: a zone has some 300
-GRANT_LEAST_MS = 200.0  # ms; a shorter lease would be over before its answer is used
-RESEND_MS = 2000.0  # ms after which a text is sent again to a server that does not go by it
-SWEEP_MS = 1000.0  # ms between looks for sessions whose server is gone
+DEFAULT_MAX_SESSIONS = 2000  # servers of a relay, unless its file says otherwise: a zone has some 300
+MIN_GRANT_MS = 200.0  # ms; a shorter lease would be over before its answer is used
+RESEND_INTERVAL_MS = 2000.0  # ms after which a text is sent again to a server that does not go by it
+SWEEP_INTERVAL_MS = 1000.0  # ms between looks for sessions whose server is gone
 SILENT_SPANS = 2.0  # spans without a word after which a session is ended
-TAKEOVER_MS = 1500.0  # ms without a vote after taking a cell over: a server is on its next relay by then
-STORE_HEARD_SHARE = 0.35  # of the store's lease: an answer within it counts as hearing the store
-CONSENT_BELOW_SHARE = 0.6  # of the store's lease left, below which the other relays are asked for consent
+TAKEOVER_VOTE_DELAY_MS = (
+    1500.0  # ms without a vote after taking a cell over: a server is on its next relay by then
+)
+STORE_ANSWER_SHARE = 0.35  # of the store's lease: an answer within it counts as hearing the store
+ENDORSEMENT_SHARE = 0.6  # of the store's lease left, below which the other relays are asked for consent
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """A server's stream, from its Register on."""
+    """A server's stream, from its Registration on."""
 
     connection: int
     name: str
@@ -111,8 +113,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLimits:
-    span_ms: float = LEASE_SPAN_MS  # of a server's lease
-    sessions_most: int = SESSIONS_MOST
+    span_ms: float = DEFAULT_LEASE_MS  # of a server's lease
+    sessions_most: int = DEFAULT_MAX_SESSIONS
 
 
 class Relay:
@@ -180,13 +182,13 @@
         self._away: dict[
             str, tuple[float, str]
         ] = {}  # kinds: the end of a lease whose stream has ended, whose
-        self.verdicts = Verdicts()
-        self.poll: Poll | None = None
+        self.verdicts = ValidationCache()
+        self.poll: ValidationPoll | None = None
         self.poll_task: Judge | None = None
         self.poll_sent = now
         named = (identity.fleet, identity.cell, identity.address, identity.candidates)
-        self.consents = Consents(now, *named)
-        self.promise = Promise(now, *named)
+        self.consents = EndorsementCollector(now, *named)
+        self.promise = EndorsementGiver(now, *named)
         self._abstain()
         self.refused: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
         self._led = False
@@ -194,7 +196,7 @@
         self._poll_waits = False  # all that are here have been asked, and others may come
         self._pushed: Policy = Policy()
         self._is_leaving = False
-        self._sweep_at = now + SWEEP_MS
+        self._sweep_at = now + SWEEP_INTERVAL_MS
         self._effects: list[RelayEffect] = []
         # A renewal asks nothing of the store, and there are hundreds a second: between other events its
         # answer is all that `effects` looks for.
@@ -252,33 +254,33 @@
                 self._away[session.kind] = (session.granted_until, session.name)
 
     def received(self, now: float, connection: int, message: ServerMessage) -> None:
-        if not isinstance(message, Renew) or self._unvoted():
+        if not isinstance(message, LeaseRenewal) or self._unvoted():
             self._is_changed = True
-        if isinstance(message, Register):
+        if isinstance(message, Registration):
             self._register(now, connection, message)
             return
         session = self.sessions.get(connection)
         if session is None:
-            sequence = message.sequence if isinstance(message, Renew) else 0
-            self._refuse(connection, sequence, RefusalReason.PROTOCOL, "a Register comes first")
+            sequence = message.sequence if isinstance(message, LeaseRenewal) else 0
+            self._refuse(connection, sequence, RefusalReason.PROTOCOL, "a Registration comes first")
             return
         session.heard_at = now
-        if isinstance(message, Renew):
+        if isinstance(message, LeaseRenewal):
             session.version, session.standing = message.version, message.standing
             self._answer(now, session, message.sequence)
         else:
             self._take_verdict(now, session, message)
 
-    def peer_asked(self, now: float, request: AskConsent) -> Consent:
+    def peer_asked(self, now: float, request: EndorsementRequest) -> Endorsement:
         """The answer to another relay of the cell."""
         silence = now - self.member.answered_at
-        is_heard = silence < self.member.rules.lease_ms * STORE_HEARD_SHARE
+        is_heard = silence < self.member.rules.lease_ms * STORE_ANSWER_SHARE
         self._is_changed = True
         consent = self.promise.answer(now, request, self.leads(), is_heard)
         self._abstain()
         return consent
 
-    def peer_answered(self, consent: Consent) -> None:
+    def peer_answered(self, consent: Endorsement) -> None:
         self._is_changed = True
         self.consents.received(consent)
         self.member.consent_until = self.consents.until()
@@ -338,7 +340,7 @@
 
     # Sessions and leases.
 
-    def _register(self, now: float, connection: int, message: Register) -> None:
+    def _register(self, now: float, connection: int, message: Registration) -> None:
         if message.protocol != PROTOCOL_VERSION:
             self._refuse(connection, message.sequence, RefusalReason.PROTOCOL, f"wants {PROTOCOL_VERSION}")
         elif message.fleet != self.identity.fleet:
@@ -356,7 +358,7 @@
             self.sessions[connection] = session
             self._answer(now, session, message.sequence)
 
-    def _has_room(self, connection: int, message: Register) -> bool:
+    def _has_room(self, connection: int, message: Registration) -> bool:
         """An earlier stream of the same process, whose end was not heard of yet, gives up its place."""
         if connection in self.sessions or len(self.sessions) < self.limits.sessions_most:
             return True
@@ -374,7 +376,7 @@
         if self._is_coming_back(now):
             session.held = sequence
             return
-        if span < GRANT_LEAST_MS:
+        if span < MIN_GRANT_MS:
             reason = RefusalReason.LEAVING if self._is_leaving else RefusalReason.NO_AUTHORITY
             self._refuse(session.connection, sequence, reason, self._why_no_authority(now))
             return
@@ -390,7 +392,7 @@
         known = self.member.known
         self._push(now, session)
         session.held, session.granted_until = 0, now + span
-        self._send(session.connection, Grant(sequence, known.version, known.change, span))
+        self._send(session.connection, LeaseGrant(sequence, known.version, known.change, span))
 
     def _is_coming_back(self, now: float) -> bool:
         """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell:
@@ -413,14 +415,14 @@
         known = self.member.known
         if session.version >= known.version:
             return
-        if session.sent_version == known.version and now - session.sent_at < RESEND_MS:
+        if session.sent_version == known.version and now - session.sent_at < RESEND_INTERVAL_MS:
             return
         session.sent_version, session.sent_at = known.version, now
-        self._send(session.connection, InForce(known.version, known.change, known.digest, known.text))
+        self._send(session.connection, PolicyUpdate(known.version, known.change, known.digest, known.text))
 
     def _refuse(self, connection: int, sequence: int, reason: RefusalReason, detail: str = "") -> None:
         self.refused[reason] += 1
-        self._send(connection, Refuse(sequence, reason, detail))
+        self._send(connection, LeaseRefusal(sequence, reason, detail))
         if reason is not RefusalReason.UNANSWERED:
             self.closed(connection)
             self._effects.append(EndSession(connection))
@@ -430,7 +432,7 @@
 
     def _sweep(self, now: float) -> None:
         """Sessions of servers that say nothing any more are ended."""
-        self._sweep_at = now + SWEEP_MS
+        self._sweep_at = now + SWEEP_INTERVAL_MS
         oldest = now - SILENT_SPANS * self.limits.span_ms
         for connection in [c for c, session in self.sessions.items() if session.heard_at < oldest]:
             self.closed(connection)
@@ -443,7 +445,7 @@
         opened = self._unvoted()
         created = opened.created if opened and opened.digest == task.digest else 0
         if not self.poll or not created or created != self._polled:
-            self.poll, self._polled = Poll(task.digest, self.verdicts), created
+            self.poll, self._polled = ValidationPoll(task.digest, self.verdicts), created
         self.poll_task, self.poll_sent = task, now
         self._go_on_polling(now)
 
@@ -475,7 +477,7 @@
             return
         candidates = list(self._candidates(now))
         for connection in self.poll.ask(now, candidates):
-            self._send(connection, AskVerdict(self.poll.digest, self.poll_task.text))
+            self._send(connection, ValidationRequest(self.poll.digest, self.poll_task.text))
         self._poll_waits = now < self.member.abstains_until
         if self._poll_waits:  # servers are still on their way here
             return
@@ -495,7 +497,7 @@
             if until > now:
                 yield Candidate(0, kind, name)
 
-    def _take_verdict(self, now: float, session: Session, verdict: Verdict) -> None:
+    def _take_verdict(self, now: float, session: Session, verdict: ValidationResult) -> None:
         if self.poll and verdict.digest == self.poll.digest:
             self.poll.answered(session.kind, session.name, verdict.trouble)
             self._go_on_polling(now)
@@ -514,7 +516,7 @@
     def _after_store(self, now: float) -> None:
         leads = self.leads()
         if leads and not self._led:
-            self.member.abstains_until = max(self.member.abstains_until, now + TAKEOVER_MS)
+            self.member.abstains_until = max(self.member.abstains_until, now + TAKEOVER_VOTE_DELAY_MS)
         self._led = leads
         for session in [held for held in self.sessions.values() if held.held]:
             if not leads or not self._may_be_newer(session):
@@ -536,4 +538,4 @@
 
     def _consent_from(self) -> float:
         """When the store's lease has so little left that the other relays are asked."""
-        return self.member.lease_until - self.member.rules.lease_ms * CONSENT_BELOW_SHARE
+        return self.member.lease_until - self.member.rules.lease_ms * ENDORSEMENT_SHARE
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -19,10 +19,10 @@
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    BadMessage,
-    Grant,
-    InForce,
+    EndorsementRequest,
+    InvalidMessageError,
+    LeaseGrant,
+    PolicyUpdate,
     ServerMessage,
     decode_from_peer,
     encode,
@@ -36,7 +36,7 @@
     RelayLimits,
     SendToServer,
 )
-from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamFailed
+from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.fleet.effects import Effect, name_of
@@ -47,24 +47,24 @@
 from otterrudder.fleet.store import Store
 from otterrudder.log import log
 
-STREAMS_SPARE = 64  # streams beyond the sessions: of servers that are told that it is full, and of relays
-DESCRIPTORS_SPARE = 64  # beyond one a stream: the store, the other relays, logs
-FAILED_MS = 200.0  # ms until what failed is tried again: it must not spin
-NAP_MS = 1000.0  # ms of sleep at the most where nothing is due
-CLOSE_S = 0.2  # s that connections have to close by themselves
+SPARE_STREAMS = 64  # streams beyond the sessions: of servers that are told that it is full, and of relays
+SPARE_DESCRIPTORS = 64  # beyond one a stream: the store, the other relays, logs
+ERROR_RETRY_MS = 200.0  # ms until what failed is tried again: it must not spin
+MAX_SLEEP_MS = 1000.0  # ms of sleep at the most where nothing is due
+CLOSE_TIMEOUT_S = 0.2  # s that connections have to close by themselves
 FLUSH_MS = 500.0  # ms that servers have at the end to read where to go
 
 
-class TooFewDescriptors(Exception):
+class DescriptorLimitError(Exception):
     """The process may not open as many files as its sessions need."""
 
 
 def check_descriptors(sessions_most: int) -> None:
-    """Raises TooFewDescriptors. The limit is the operators' to raise."""
+    """Raises DescriptorLimitError. The limit is the operators' to raise."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = sessions_most + STREAMS_SPARE + DESCRIPTORS_SPARE
+    wanted = sessions_most + SPARE_STREAMS + SPARE_DESCRIPTORS
     if allowed != resource.RLIM_INFINITY and allowed < wanted:
-        raise TooFewDescriptors(
+        raise DescriptorLimitError(
             f"relay.sessions_most: {sessions_most} sessions need {wanted} descriptors, and RLIMIT_NOFILE "
             f"allows {allowed}"
         )
@@ -104,8 +104,8 @@
     def listen(self) -> None:
         """To be called in the event loop, before `run`. OSError: the address can't be listened on."""
         handler = RelayHandler(self._handle_session, self._handle_consent)
-        streams_most = self.role.sessions_most + STREAMS_SPARE
-        self._server = make_server(self.fleet, self.role, handler, streams_most)
+        max_streams = self.role.sessions_most + SPARE_STREAMS
+        self._server = make_server(self.fleet, self.role, handler, max_streams)
 
     async def run(self) -> None:
         """Serves until `stop`."""
@@ -121,7 +121,7 @@
             with anyio.CancelScope(shield=True), anyio.move_on_after((LEAVE_MS + FLUSH_MS) / 1000):
                 await self.executor.leave(self.relay.member.lease)
                 await self.peers.close()
-                await self._server.stop(CLOSE_S)
+                await self._server.stop(CLOSE_TIMEOUT_S)
 
     def stop(self) -> None:
         """The servers are sent to other relays, and the cell is free for one of them."""
@@ -170,8 +170,8 @@
             wait = self.relay.due() - clock.monotonic()
         except Exception:  # it is decided anew
             log.exception("the relay failed", of="effects")
-            wait = FAILED_MS
-        with anyio.move_on_after(min(max(wait, 1.0), NAP_MS) / 1000):
+            wait = ERROR_RETRY_MS
+        with anyio.move_on_after(min(max(wait, 1.0), MAX_SLEEP_MS) / 1000):
             await self._wake.wait()
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> None:
@@ -194,9 +194,9 @@
             group.start_soon(self._carry_out, effect, now)
 
     def _send(self, effect: SendToServer) -> None:
-        if isinstance(effect.message, Grant):
+        if isinstance(effect.message, LeaseGrant):
             reached("before grant")
-        elif isinstance(effect.message, InForce):
+        elif isinstance(effect.message, PolicyUpdate):
             reached("before in force")
         if stream := self._streams.get(effect.connection):
             stream.send(self._encoder.encode(effect.message))
@@ -214,7 +214,7 @@
                 await self.executor.doubt(now, self.relay.member.doubt)
         except Exception:
             log.exception("the relay failed", of=type(effect).__name__.lower())
-            await anyio.sleep(FAILED_MS / 1000)
+            await anyio.sleep(ERROR_RETRY_MS / 1000)
         self._wake.set()
 
     async def _ask_peer(self, request: PeerRequest) -> None:
@@ -268,7 +268,7 @@
         stream = self._streams[connection] = ServerStream(connection, context, received)
         try:
             await stream.run()
-        except StreamFailed as failure:
+        except StreamError as failure:
             self._failures[failure.code.name.lower()] += 1
             log.warning("a stream is ended", peer=context.peer(), why=failure.why)
             self._forget(connection)  # a server that does not read may hold up its status for long
@@ -286,9 +286,9 @@
         """Another relay of the cell asks for consent."""
         try:
             request = decode_from_peer(data)
-            if not isinstance(request, AskConsent):
-                raise BadMessage("an AskConsent is wanted")
-        except BadMessage as why:
+            if not isinstance(request, EndorsementRequest):
+                raise InvalidMessageError("an EndorsementRequest is wanted")
+        except InvalidMessageError as why:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(why))
             raise  # never reached: abort raises
         reached("before consent")
--- a/otterrudder/fleet/cell/streams.py
+++ b/otterrudder/fleet/cell/streams.py
@@ -11,23 +11,23 @@
 
 from otterrudder import clock
 from otterrudder.fleet.cell.messages import (
-    AskVerdict,
-    BadMessage,
-    InForce,
+    InvalidMessageError,
+    PolicyUpdate,
     RelayMessage,
     ServerMessage,
+    ValidationRequest,
     decode_from_server,
     encode,
 )
 from otterrudder.fleet.cell.wire import CONSENT, SESSION
 
-OUTGOING_MOST = 16  # messages that wait for a server to read them
-INCOMING_PER_S = 50  # messages a second of a server: it sends one or two
-REGISTER_S = 2.0  # s until a stream's first message
-ENCODED_MOST = 4  # messages with a text whose bytes are kept: they go to many servers
+MAX_QUEUED_MESSAGES = 16  # messages that wait for a server to read them
+MAX_MESSAGES_PER_S = 50  # messages a second of a server: it sends one or two
+REGISTRATION_TIMEOUT_S = 2.0  # s until a stream's first message
+MAX_ENCODED_MESSAGES = 4  # messages with a text whose bytes are kept: they go to many servers
 
 
-class StreamFailed(Exception):
+class StreamError(Exception):
     """Why a stream is ended, for its status."""
 
     def __init__(self, code: grpc.StatusCode, why: str) -> None:
@@ -42,12 +42,12 @@
         self._encoded: dict[RelayMessage, bytes] = {}
 
     def encode(self, message: RelayMessage) -> bytes:
-        if not isinstance(message, InForce | AskVerdict):
+        if not isinstance(message, PolicyUpdate | ValidationRequest):
             return encode(message)
         data = self._encoded.get(message)
         if data is None:
             data = self._encoded[message] = encode(message)
-            while len(self._encoded) > ENCODED_MOST:
+            while len(self._encoded) > MAX_ENCODED_MESSAGES:
                 del self._encoded[next(iter(self._encoded))]
         return data
 
@@ -65,7 +65,7 @@
 
     def send(self, data: bytes) -> None:
         """Never waits: a queue that is full ends the stream."""
-        if self._outgoing.qsize() >= OUTGOING_MOST:
+        if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
             self._overflow.set()
         else:
             self._outgoing.put_nowait(data)
@@ -75,7 +75,7 @@
         self._outgoing.put_nowait(None)
 
     async def run(self) -> None:
-        """Until either side ends it; StreamFailed says why this side does."""
+        """Until either side ends it; StreamError says why this side does."""
         await self._context.send_initial_metadata(())
         tasks = [asyncio.create_task(act()) for act in (self._read, self._write, self._wait_for_overflow)]
         try:
@@ -89,15 +89,15 @@
 
     async def _read(self) -> None:
         try:
-            data = await asyncio.wait_for(self._context.read(), REGISTER_S)
+            data = await asyncio.wait_for(self._context.read(), REGISTRATION_TIMEOUT_S)
         except TimeoutError:
-            raise StreamFailed(grpc.StatusCode.DEADLINE_EXCEEDED, "no Register came") from None
+            raise StreamError(grpc.StatusCode.DEADLINE_EXCEEDED, "no Registration came") from None
         while data is not grpc.aio.EOF:
             self._count_message()
             try:
                 message = decode_from_server(data)
-            except BadMessage as why:
-                raise StreamFailed(grpc.StatusCode.INVALID_ARGUMENT, str(why)) from None
+            except InvalidMessageError as why:
+                raise StreamError(grpc.StatusCode.INVALID_ARGUMENT, str(why)) from None
             self._received(message)
             data = await self._context.read()
 
@@ -106,9 +106,9 @@
         if second != self._second:
             self._second, self._count = second, 0
         self._count += 1
-        if self._count > INCOMING_PER_S:
-            raise StreamFailed(
-                grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {INCOMING_PER_S} messages a second"
+        if self._count > MAX_MESSAGES_PER_S:
+            raise StreamError(
+                grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MAX_MESSAGES_PER_S} messages a second"
             )
 
     async def _write(self) -> None:
@@ -117,7 +117,9 @@
 
     async def _wait_for_overflow(self) -> None:
         await self._overflow.wait()
-        raise StreamFailed(grpc.StatusCode.RESOURCE_EXHAUSTED, f"{OUTGOING_MOST} messages wait to be read")
+        raise StreamError(
+            grpc.StatusCode.RESOURCE_EXHAUSTED, f"{MAX_QUEUED_MESSAGES} messages wait to be read"
+        )
 
 
 class RelayHandler(grpc.GenericRpcHandler):  # type: ignore[misc]  # grpc ships no types
--- a/otterrudder/fleet/cell/validation_poll.py
+++ b/otterrudder/fleet/cell/validation_poll.py
@@ -8,15 +8,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-VERDICTS_MOST = (
+MAX_CACHED_RESULTS = (
     4096  # remembered answers; the one unused for longest is forgotten, and asked for again if needed
 )
-ASK_AGAIN_MS = 500.0  # ms after which another server of the same kind is asked
-LOOK_LEAST_MS = 100.0  # ms between looks for a server of a kind that can't be asked yet
-ASK_MOST_MS = 1500.0  # ms after which a kind that has not answered gets no leases until it has
+NEXT_SERVER_MS = 500.0  # ms after which another server of the same kind is asked
+MIN_RECHECK_MS = 100.0  # ms between looks for a server of a kind that can't be asked yet
+OVERDUE_MS = 1500.0  # ms after which a kind that has not answered gets no leases until it has
 
 
-class Verdicts:
+class ValidationCache:
     """Answers by kind and digest of the policy's text; "" is a yes."""
 
     __slots__ = ("_answers",)
@@ -35,7 +35,7 @@
     def put(self, kind: str, digest: str, trouble: str) -> None:
         self._answers[kind, digest] = trouble
         self._answers.move_to_end((kind, digest))
-        while len(self._answers) > VERDICTS_MOST:
+        while len(self._answers) > MAX_CACHED_RESULTS:
             self._answers.popitem(last=False)
 
 
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class Poll:
+class ValidationPoll:
     """Asks each kind once about one text. `decided` is None until every kind has answered."""
 
     digest: str
-    verdicts: Verdicts
+    verdicts: ValidationCache
     _asked: dict[str, _Asked] = field(default_factory=dict)
     _owed: set[str] = field(default_factory=set)  # kinds that have a server here and have not answered
     _looked_at: float = -math.inf
@@ -78,7 +78,7 @@
 
     def _ask_kind(self, now: float, kind: str, members: list[Candidate]) -> int | None:
         asked = self._asked.get(kind)
-        if asked and now - asked.last_at < ASK_AGAIN_MS:
+        if asked and now - asked.last_at < NEXT_SERVER_MS:
             return None
         reached = [member.connection for member in members if member.connection]
         if not reached:
@@ -103,7 +103,7 @@
         asked = self._asked.get(kind)
         if not asked or self.verdicts.get(kind, self.digest) is not None:
             return False
-        return now - asked.first_at >= ASK_MOST_MS
+        return now - asked.first_at >= OVERDUE_MS
 
     def decided(self, candidates: Iterable[Candidate]) -> str | None:
         """ "": all kinds accept the text; else the first refusal; None: some kind has not answered yet."""
@@ -120,5 +120,5 @@
     def due(self) -> float:
         """When a kind may have to be asked again, in the caller's clock; inf: no answer is owed."""
         last = (self._asked[kind].last_at if kind in self._asked else -math.inf for kind in self._owed)
-        times = (max(at + ASK_AGAIN_MS, self._looked_at + LOOK_LEAST_MS) for at in last)
+        times = (max(at + NEXT_SERVER_MS, self._looked_at + MIN_RECHECK_MS) for at in last)
         return min(times, default=math.inf)
--- a/otterrudder/fleet/cell/wire.py
+++ b/otterrudder/fleet/cell/wire.py
@@ -14,15 +14,15 @@
 SERVICE = "otterrudder.fleet.Relay"
 SESSION = f"/{SERVICE}/Session"  # a stream both ways between a server and a relay
 CONSENT = f"/{SERVICE}/Consent"  # one request and its answer between two relays of a cell
-FRAME_SPARE = 16 * 1024  # bytes of a message beside the policy's text
-RELAY_MESSAGE_MOST = TEXT_MOST + FRAME_SPARE  # bytes of a message to a server
-SERVER_MESSAGE_MOST = 16 * 1024  # bytes of a message to a relay: none carries a text
-UNUSED_CONNECTION_MS = 5000  # ms that a connection without a stream is kept
+MESSAGE_OVERHEAD_BYTES = 16 * 1024  # bytes of a message beside the policy's text
+MAX_RELAY_MESSAGE_BYTES = TEXT_MOST + MESSAGE_OVERHEAD_BYTES  # bytes of a message to a server
+MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # bytes of a message to a relay: none carries a text
+IDLE_CONNECTION_MS = 5000  # ms that a connection without a stream is kept
 KEEPALIVE_MS = 10_000
 KEEPALIVE_TIMEOUT_MS = 2000
 # ms that an attempt to connect may take, the handshakes of TLS over some distance included; whoever asked
 # for it gives up by itself. gRPC knows it as the least time between attempts, and waits less after a refusal.
-CONNECT_MS = 5000
+CONNECT_TIMEOUT_MS = 5000
 
 _COMMON_OPTIONS = [
     ("grpc.keepalive_time_ms", KEEPALIVE_MS),
@@ -30,17 +30,17 @@
 ]
 SERVER_OPTIONS = [
     *_COMMON_OPTIONS,
-    ("grpc.max_receive_message_length", SERVER_MESSAGE_MOST),
-    ("grpc.max_connection_idle_ms", UNUSED_CONNECTION_MS),
+    ("grpc.max_receive_message_length", MAX_SERVER_MESSAGE_BYTES),
+    ("grpc.max_connection_idle_ms", IDLE_CONNECTION_MS),
     ("grpc.http2.min_ping_interval_without_data_ms", KEEPALIVE_MS // 2),
     ("grpc.so_reuseport", 0),  # an address that is taken is an error, not a share of its connections
 ]
 CHANNEL_OPTIONS = [
     *_COMMON_OPTIONS,
-    ("grpc.max_receive_message_length", RELAY_MESSAGE_MOST),
+    ("grpc.max_receive_message_length", MAX_RELAY_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.initial_reconnect_backoff_ms", 100),
-    ("grpc.min_reconnect_backoff_ms", CONNECT_MS),
+    ("grpc.min_reconnect_backoff_ms", CONNECT_TIMEOUT_MS),
     ("grpc.max_reconnect_backoff_ms", 1000),
 ]
 
@@ -53,11 +53,9 @@
     return grpc.aio.secure_channel(relay, credentials, options=CHANNEL_OPTIONS)
 
 
-def make_server(fleet: Fleet, role: RelayRole, handler: Any, streams_most: int) -> Any:
+def make_server(fleet: Fleet, role: RelayRole, handler: Any, max_streams: int) -> Any:
     """A server of gRPC, bound to where the relay listens; OSError: it can't be."""
-    server = grpc.aio.server(
-        handlers=(handler,), options=SERVER_OPTIONS, maximum_concurrent_rpcs=streams_most
-    )
+    server = grpc.aio.server(handlers=(handler,), options=SERVER_OPTIONS, maximum_concurrent_rpcs=max_streams)
     try:
         port = _bind(server, fleet, role)
     except RuntimeError as why:
--- a/otterrudder/fleet/configuration.py
+++ b/otterrudder/fleet/configuration.py
@@ -13,7 +13,7 @@
 from otterrudder.files import convert, load_toml
 from otterrudder.fleet.cell.configuration import (
     SERVER_LEASE_MS,
-    BadRelay,
+    RelayConfigurationError,
     RelayRole,
     RelayTable,
     check_relays,
@@ -120,7 +120,7 @@
     if is_of_cell:
         try:
             role = _cell_part(told)
-        except BadRelay as trouble:
+        except RelayConfigurationError as trouble:
             raise BadFleet(f"{path.name}: {trouble}") from None
     else:
         role = None
@@ -177,17 +177,19 @@
 
 
 def _cell_part(told: _Fleet) -> RelayRole | None:
-    """The relay's role, None in a server's file; BadRelay names the key."""
+    """The relay's role, None in a server's file; RelayConfigurationError names the key."""
     if told.relays and told.relay:
-        raise BadRelay("relays: a server's file has them, and this one has a relay's table [relay]")
+        raise RelayConfigurationError(
+            "relays: a server's file has them, and this one has a relay's table [relay]"
+        )
     if told.folder:
-        raise BadRelay(
+        raise RelayConfigurationError(
             "folder: a relay's is in its table [relay]"
             if told.relay
             else "folder: a server with relays keeps nothing that must outlive it"
         )
     if told.start == "folder" and not (told.relay and told.relay.folder):
-        raise BadRelay(
+        raise RelayConfigurationError(
             'start: "folder" needs one: a server with relays, or several relays of a cell, have none'
         )
     check_server_lease(told.server_lease_ms, told.bound_ms)
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from otterrudder.fleet.cell.messages import Grant, InForce
+from otterrudder.fleet.cell.messages import LeaseGrant, PolicyUpdate
 from otterrudder.fleet.change import Refused, propose
 from otterrudder.fleet.effects import Commit, Effect, Lane
 from otterrudder.fleet.queue import QueueRefused, enqueue
@@ -183,7 +183,7 @@
             yield Event(name, partial(_reach_server, at))
         if may_harm and not _is_over(stream):
             yield Event(f"{server} to {relay}: breaks", partial(_break_stream, at), 1)
-        if may_harm and stream.to_server and isinstance(stream.to_server[0], InForce):
+        if may_harm and stream.to_server and isinstance(stream.to_server[0], PolicyUpdate):
             yield Event(f"{relay} to {server}: damaged text", partial(_damage, at), 1)
         if may_harm and stream.to_server and _tells_version(stream.to_server[0]):
             yield Event(f"{relay} to {server}: older version", partial(_set_back, at), 1)
@@ -217,24 +217,26 @@
 
 
 def _tells_version(message: object) -> bool:
-    return isinstance(message, Grant) and message.version > 0
+    return isinstance(message, LeaseGrant) and message.version > 0
 
 
 def _set_back(at: int, world: CellWorld) -> None:
     """A relay that is wrong in a way that ours never is."""
     stream = world.streams[at]
     grant = stream.to_server[0]
-    assert isinstance(grant, Grant)
+    assert isinstance(grant, LeaseGrant)
     version = grant.version - 1
     older = world.ledger.committed.get(version)
-    stream.to_server[0] = Grant(grant.sequence, version, older.change if older else "", grant.span_ms)
+    stream.to_server[0] = LeaseGrant(grant.sequence, version, older.change if older else "", grant.span_ms)
 
 
 def _damage(at: int, world: CellWorld) -> None:
     stream = world.streams[at]
     message = stream.to_server[0]
-    assert isinstance(message, InForce)
-    stream.to_server[0] = InForce(message.version, message.change, message.digest, f"{message.text} damaged")
+    assert isinstance(message, PolicyUpdate)
+    stream.to_server[0] = PolicyUpdate(
+        message.version, message.change, message.digest, f"{message.text} damaged"
+    )
 
 
 # Changes.
--- a/otterrudder/lab/fleet/cell_history_checker.py
+++ b/otterrudder/lab/fleet/cell_history_checker.py
@@ -4,9 +4,9 @@
 import math
 from dataclasses import dataclass, field
 
-from otterrudder.fleet.cell.endorsement import CONSENT_MS
-from otterrudder.fleet.cell.messages import Grant
-from otterrudder.fleet.cell.relay import TAKEOVER_MS
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS
+from otterrudder.fleet.cell.messages import LeaseGrant
+from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS
 from otterrudder.fleet.effects import Commit
 from otterrudder.fleet.records import Keys, Live, PolicyHead, View, Vote, decode
 from otterrudder.fleet.store import Put
@@ -101,7 +101,7 @@
 
     # The wire.
 
-    def granted(self, now: float, at: tuple[int, int], kind: str, grant: Grant) -> None:
+    def granted(self, now: float, at: tuple[int, int], kind: str, grant: LeaseGrant) -> None:
         """A relay has sent a grant; its own clock counts from now."""
         life = self.lives[at]
         until, bound_ms = now + grant.span_ms / life.rate, self.bound_ms / life.rate
@@ -129,14 +129,17 @@
 
     def consents(self, now: float, at: tuple[int, int]) -> None:
         life = self.lives[at]
-        self.consented[life.name] = now + CONSENT_MS / life.rate
+        self.consented[life.name] = now + ENDORSEMENT_MS / life.rate
 
     def votes(self, now: float, at: tuple[int, int], commit: Commit) -> None:
         """A relay sends a vote. It is held against the change that it names, open still or not."""
         life = self.lives[at]
         if now < self.consented.get(life.name, 0.0) - ROUNDING_MS:
             self._break(f"{life.name} votes though it has consented")
-        if now < self.registered.get(life.epoch, -math.inf) + TAKEOVER_MS / life.rate - ROUNDING_MS:
+        if (
+            now
+            < self.registered.get(life.epoch, -math.inf) + TAKEOVER_VOTE_DELAY_MS / life.rate - ROUNDING_MS
+        ):
             self._break(f"{life.name} votes as soon as it has taken its cell over")
         opened = next(compare.equals for compare in commit.compares if compare.key == self.keys.change)
         digest = self.changes.get(opened)
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -10,23 +10,23 @@
 
 from otterrudder.fleet.cell.endorsement import PeerRequest
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    Consent,
-    Grant,
-    InForce,
-    Register,
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    PolicyUpdate,
+    Registration,
     RelayMessage,
     ServerMessage,
-    Verdict,
+    ValidationResult,
 )
 from otterrudder.fleet.cell.participant import (
     CheckText,
     Connect,
     Disconnect,
-    Identity,
     Participant,
     ParticipantEffect,
     SendToRelay,
+    ServerIdentity,
 )
 from otterrudder.fleet.cell.relay import (
     CellIdentity,
@@ -55,8 +55,8 @@
 DEADLINE_MS = 8000.0  # of the changes
 PEACE_STEPS = 100  # of time that a world left in peace has to agree in
 AWAY_STEPS = 30  # of time without the store, after peace
-TURNS_MOST = 2000  # deliveries at one moment in peace; more: it never rests
-PEER_REQUESTS_MOST = 2  # on their way from one relay to another; older ones are lost
+MAX_DELIVERIES = 2000  # deliveries at one moment in peace; more: it never rests
+MAX_PEER_REQUESTS = 2  # on their way from one relay to another; older ones are lost
 BAD_ENDING = "!"  # of a text that the odd kind refuses
 SLOW_AND_FAST = (0.91, 1.09)  # rates of clocks, each less than a tenth from 1
 DRIFTING = (0.955, 1.0, 1.045)  # no two a tenth apart
@@ -150,8 +150,8 @@
     sender: int
     life: int
     peer: int
-    request: AskConsent
-    answer: Consent | None = None
+    request: EndorsementRequest
+    answer: Endorsement | None = None
 
 
 @dataclass(slots=True)
@@ -248,7 +248,7 @@
         host.life += 1
         host.started, host.newest, host.is_frozen = self.now, 0, False
         host.checks.clear()
-        identity = Identity(FLEET, host.name, f"{host.name}.{host.life}", host.kind)
+        identity = ServerIdentity(FLEET, host.name, f"{host.name}.{host.life}", host.kind)
         span_ms = self.variant.limits.span_ms
         host.server = self.variant.participant(self.clock(host), identity, host.relays, span_ms)
 
@@ -321,13 +321,13 @@
         if not stream or stream.is_ended:
             return
         stream.to_server.append(effect.message)
-        if isinstance(effect.message, Grant):
+        if isinstance(effect.message, LeaseGrant):
             self.ledger.granted(self.now, (n, host.life), stream.kind, effect.message)
 
     def _ask_peer(self, n: int, host: RelayHost, effect: PeerRequest) -> None:
         peer = next(at for at, other in enumerate(self.relays) if other.address == effect.peer)
         same = [flight for flight in self.peer_flights if (flight.sender, flight.peer) == (n, peer)]
-        if len(same) >= PEER_REQUESTS_MOST:
+        if len(same) >= MAX_PEER_REQUESTS:
             self.peer_flights = [flight for flight in self.peer_flights if flight is not same[0]]
         self.peer_flights.append(PeerFlight(n, host.life, peer, effect.message))
 
@@ -501,7 +501,7 @@
         if isinstance(message, Control):
             host.relay.closed(stream.number)
             return
-        if isinstance(message, Verdict) and self._is_registered(stream, host):
+        if isinstance(message, ValidationResult) and self._is_registered(stream, host):
             at, opened = (stream.relay, stream.relay_life), self._change_created()
             self.ledger.heard(at, stream.kind, message.digest, message.trouble, opened)
         host.relay.received(self.clock(host), stream.number, message)
@@ -540,7 +540,7 @@
 
     def deliver_all(self, wanted: Callable[[StoreFlight], bool] = lambda flight: True) -> str:
         """All that can arrive now does, and what follows from it. `wanted`: of the store's requests."""
-        for _ in range(TURNS_MOST):
+        for _ in range(MAX_DELIVERIES):
             self.settle_down()
             if not self._deliver_one(wanted):
                 return ""
@@ -704,10 +704,10 @@
 
 
 def _message_key(message: object) -> object:
-    return repr(message) if isinstance(message, InForce | Register) else message
+    return repr(message) if isinstance(message, PolicyUpdate | Registration) else message
 
 
-class Apart(Exception):
+class SetupError(Exception):
     """The cells never became a fleet: a double's fault can be that plain."""
 
 
@@ -746,9 +746,9 @@
     world.write(propose(world.view(), "first", "policy", "", "", 0.0, DEADLINE_MS))
     _run(world, 20)
     if trouble := world.broken():
-        raise Apart(trouble)
+        raise SetupError(trouble)
     if odd := world._odd_ones():
-        raise Apart(f"the fleet does not come together: {', '.join(odd)}")
+        raise SetupError(f"the fleet does not come together: {', '.join(odd)}")
     return world
 
 
@@ -757,7 +757,7 @@
     for _ in range(steps):
         world.lose_unserved()
         if trouble := world.deliver_all():
-            raise Apart(trouble)
+            raise SetupError(trouble)
         world.pass_time()
     world.deliver_all()
 
--- a/otterrudder/lab/fleet/cell_mutants.py
+++ b/otterrudder/lab/fleet/cell_mutants.py
@@ -6,11 +6,17 @@
 
 import msgspec
 
-from otterrudder.fleet.cell.endorsement import BELIEVED_SHARE, Consents, Promise
-from otterrudder.fleet.cell.messages import AskConsent, Consent, Grant, InForce, RelayMessage
+from otterrudder.fleet.cell.endorsement import TRUSTED_SHARE, EndorsementCollector, EndorsementGiver
+from otterrudder.fleet.cell.messages import (
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    PolicyUpdate,
+    RelayMessage,
+)
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
-from otterrudder.fleet.cell.validation_poll import Poll, Verdicts
+from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Outcome, Read
 from otterrudder.fleet.member import Member
@@ -36,8 +42,8 @@
 
     member_double: type[Member] = Member
     settler_double: type[Settler] = Settler
-    consents_double: type[Consents] = Consents
-    promise_double: type[Promise] = Promise
+    consents_double: type[EndorsementCollector] = EndorsementCollector
+    promise_double: type[EndorsementGiver] = EndorsementGiver
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
@@ -77,7 +83,7 @@
     """Its lease begins when the grant arrives."""
 
     def received(self, now: float, connection: int, message: RelayMessage) -> None:
-        if isinstance(message, Grant) and message.sequence in self._pending:
+        if isinstance(message, LeaseGrant) and message.sequence in self._pending:
             self._pending[message.sequence] = now
         super().received(now, connection, message)
 
@@ -86,10 +92,10 @@
     """Takes its clock and the relay's for one."""
 
     def _extend(self, version: int, until: float) -> None:
-        sent = until - self._span * BELIEVED_SHARE
+        sent = until - self._span * TRUSTED_SHARE
         super()._extend(version, sent + self._span)
 
-    def _take_grant(self, now: float, grant: Grant) -> None:
+    def _take_grant(self, now: float, grant: LeaseGrant) -> None:
         self._span = grant.span_ms
         super()._take_grant(now, grant)
 
@@ -126,12 +132,12 @@
         self.head = version
         return ""
 
-    def _take_text(self, now: float, message: InForce) -> None:
+    def _take_text(self, now: float, message: PolicyUpdate) -> None:
         if message.version < self.known.version:
             self.known = replace(self.known, version=message.version - 1)
         super()._take_text(now, message)
 
-    def _take_grant(self, now: float, grant: Grant) -> None:
+    def _take_grant(self, now: float, grant: LeaseGrant) -> None:
         if grant.version < self.known.version and grant.sequence in self._pending:
             self.known = replace(self.known, version=grant.version, change=grant.change)
         super()._take_grant(now, grant)
@@ -140,7 +146,7 @@
 class TakesAnyText(Participant):
     """Goes over to a text as it comes."""
 
-    def _take_text(self, now: float, message: InForce) -> None:
+    def _take_text(self, now: float, message: PolicyUpdate) -> None:
         if message.version > self.known.version:
             self.head = max(self.head, message.version)
             self._texts[message.digest] = message
@@ -151,7 +157,7 @@
 class ChecksNoDigest(Participant):
     """Takes a damaged text for what it is named."""
 
-    def _take_text(self, now: float, message: InForce) -> None:
+    def _take_text(self, now: float, message: PolicyUpdate) -> None:
         if message.version > self.known.version:
             self.head = max(self.head, message.version)
             self._texts[message.digest] = message
@@ -159,10 +165,10 @@
             self._check_next()
 
 
-# Consent.
+# Endorsement.
 
 
-class _OneOfTheOthers(Consents):
+class _OneOfTheOthers(EndorsementCollector):
     __slots__ = ()
 
     def until(self) -> float:
@@ -175,10 +181,10 @@
     consents_double = _OneOfTheOthers
 
 
-class _WhoeverLeads(Promise):
+class _WhoeverLeads(EndorsementGiver):
     __slots__ = ()
 
-    def answer(self, now: float, request: AskConsent, leads: bool, hears_store: bool) -> Consent:
+    def answer(self, now: float, request: EndorsementRequest, leads: bool, hears_store: bool) -> Endorsement:
         return super().answer(now, request, False, hears_store)
 
 
@@ -262,14 +268,14 @@
         return
 
 
-class _YesVerdicts(Verdicts):
+class _YesVerdicts(ValidationCache):
     __slots__ = ()
 
     def put(self, kind: str, digest: str, trouble: str) -> None:
         super().put(kind, digest, "")
 
 
-class _DeafPoll(Poll):
+class _DeafPoll(ValidationPoll):
     def answered(self, kind: str, name: str, trouble: str) -> None:
         super().answered(kind, name, "")
 
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -12,12 +12,12 @@
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.cell_events import after, events, happen
-from otterrudder.lab.fleet.cell_model import Apart, CellStage, CellVariant, CellWorld, settled, staged
+from otterrudder.lab.fleet.cell_model import CellStage, CellVariant, CellWorld, SetupError, settled, staged
 from otterrudder.lab.fleet.cell_seeded_faults import CellHunt
 from otterrudder.lab.fleet.explore import Found, Step
 
 LENGTH = 100  # events of a drawn walk
-HARM_MOST = 8  # of them that harm
+MAX_FAULTS = 8  # of them that harm
 HUNT_WALKS = 400
 HUNT_SEED = 7
 HARM_SHARE = 0.3  # of the weight of other events
@@ -49,7 +49,7 @@
         chance = random.Random(f"{seed}/{n}")
         try:
             world = staged(_calm(variant), chance.choice(list(CellStage)))
-        except Apart as why:
+        except SetupError as why:
             return Found(count, 0, str(why))
         found = _walk_from(world, chance)
         count += found.worlds
@@ -59,7 +59,7 @@
 
 
 def _walk_from(world: CellWorld, chance: random.Random) -> Found:
-    harm_most = chance.randint(1, HARM_MOST)
+    harm_most = chance.randint(1, MAX_FAULTS)
     leanings: dict[str, float] = {}
 
     def weight(name: str) -> float:
@@ -96,7 +96,7 @@
         return walk(variant, HUNT_SEED, walks)
     try:
         return tell(variant, what.stage, what.story)
-    except Apart as why:
+    except SetupError as why:
         return Found(0, 0, str(why))
 
 
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -59,37 +59,37 @@
     "time goes on",
     "s1 starts",
     "r00 to s1: opened",
-    "s1 to r00: Register",
-    "~r00 to s1: InForce",
+    "s1 to r00: Registration",
+    "~r00 to s1: PolicyUpdate",
     "~s1 has checked",
-    "~r00 to s1: Grant",
+    "~r00 to s1: LeaseGrant",
 )
 _LATE_GRANT = (
     "time goes on",
-    "s0 to r00: Renew",
+    "s0 to r00: LeaseRenewal",
     *_PROPOSED,
     "r00.1 read",
-    "r00 to s1: AskVerdict",
+    "r00 to s1: ValidationRequest",
     "s1 has checked",
-    "~s1 to r00: Renew",
-    "s1 to r00: Verdict",
+    "~s1 to r00: LeaseRenewal",
+    "s1 to r00: ValidationResult",
     "r00.1 vote",
     "r00.1 count",
     "r00.1 commit",
     "time goes on",
-    "r00 to s0: Grant",
+    "r00 to s0: LeaseGrant",
     *("time goes on",) * 5,
 )
 _SLOW_CLOCK = (
     "time goes on",
-    "s0 to r00: Renew",
-    "r00 to s0: Grant",
+    "s0 to r00: LeaseRenewal",
+    "r00 to s0: LeaseGrant",
     *_PROPOSED,
     "r00.1 read",
-    "r00 to s1: AskVerdict",
+    "r00 to s1: ValidationRequest",
     "s1 has checked",
-    "~s1 to r00: Renew",
-    "s1 to r00: Verdict",
+    "~s1 to r00: LeaseRenewal",
+    "s1 to r00: ValidationResult",
     "r00.1 vote",
     "r00.1 count",
     "r00.1 commit",
@@ -98,18 +98,18 @@
 )
 _SLOW_CHECK = (
     "r00.1 read",
-    *(("~s0 to r00: Renew", "~r00 to s0: InForce", "~r00 to s0: Grant", "time goes on") * 8),
+    *(("~s0 to r00: LeaseRenewal", "~r00 to s0: PolicyUpdate", "~r00 to s0: LeaseGrant", "time goes on") * 8),
 )
-_LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time goes on", "s0 to r00: Renew")
+_LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time goes on", "s0 to r00: LeaseRenewal")
 _FROZEN = ("s0 freezes", *("time goes on",) * 8, "s0 wakes")
 _SET_BACK = (
     "time goes on",
     "time goes on",
-    "s0 to r00: Renew",
+    "s0 to r00: LeaseRenewal",
     "r00 to s0: older version",
-    "r00 to s0: Grant",
+    "r00 to s0: LeaseGrant",
 )
-_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: InForce", "~s0 has checked")
+_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has checked")
 _STANDBY_CUT_OFF = ("r00 is not heard", "r01 is not heard", *_quiet(14), *_PROPOSED, *_quiet(8))
 _LEADER_CUT_OFF = ("r00 is not heard", "r00 to r01: cut", *_quiet(14), *_PROPOSED, *_quiet(8))
 _TWO_LEAD = (
@@ -123,11 +123,11 @@
     "r01 to r00: healed",
     "r01 answers r00",
     "~r01 to s0: opened",
-    "~s0 to r01: Register",
-    "~r01 to s0: Refuse",
+    "~s0 to r01: Registration",
+    "~r01 to s0: LeaseRefusal",
     "~time goes on",
     "~r00 to s0: opened",
-    "~s0 to r00: Register",
+    "~s0 to r00: Registration",
 )
 _RESTARTED = (
     "r00 is not heard",
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -4,16 +4,27 @@
 from collections import OrderedDict
 from typing import Any, TypeVar
 
-from otterrudder.fleet.cell.endorsement import Consents, Promise
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
-from otterrudder.fleet.cell.validation_poll import Poll, Verdicts, _Asked
+from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll, _Asked
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import View
 
 # What changes after it was made; everything else is a plain value and is shared.
-_MUTABLE = (Member, Settler, Relay, Session, Participant, Consents, Promise, Verdicts, Poll, _Asked)
+_MUTABLE = (
+    Member,
+    Settler,
+    Relay,
+    Session,
+    Participant,
+    EndorsementCollector,
+    EndorsementGiver,
+    ValidationCache,
+    ValidationPoll,
+    _Asked,
+)
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
 _ATTRIBUTES: dict[type, tuple[str, ...]] = {}
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -10,11 +10,11 @@
 
 from otterrudder import log
 from otterrudder.fleet.cell import agent, service
-from otterrudder.fleet.cell.endorsement import CONSENT_MS, Promise
-from otterrudder.fleet.cell.messages import AskConsent, Consent
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementGiver
+from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, Session
-from otterrudder.fleet.cell.validation_poll import Candidate, Poll
+from otterrudder.fleet.cell.validation_poll import Candidate, ValidationPoll
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import Standing
 from otterrudder.lab.processes.double import serve_as_told
@@ -45,25 +45,27 @@
 
 
 def _consents_always() -> None:
-    """Consents also while it leads, or hears the store, and takes part all the same."""
+    """Endorses also while it leads, or hears the store, and takes part all the same."""
 
-    def answer(self: Promise, _now: float, request: AskConsent, _leads: bool, _hears_store: bool) -> Consent:
-        return Consent(request.sequence, self.name, CONSENT_MS)
+    def answer(
+        self: EndorsementGiver, _now: float, request: EndorsementRequest, _leads: bool, _hears_store: bool
+    ) -> Endorsement:
+        return Endorsement(request.sequence, self.name, ENDORSEMENT_MS)
 
-    setattr(Promise, "answer", answer)  # noqa: B010
+    setattr(EndorsementGiver, "answer", answer)  # noqa: B010
 
 
 def _votes_without_asking() -> None:
     """Says yes for its servers."""
 
-    def ask(_self: Poll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
+    def ask(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
 
-    def decided(_self: Poll, _candidates: Iterable[Candidate]) -> str:
+    def decided(_self: ValidationPoll, _candidates: Iterable[Candidate]) -> str:
         return ""
 
-    setattr(Poll, "ask", ask)  # noqa: B010
-    setattr(Poll, "decided", decided)  # noqa: B010
+    setattr(ValidationPoll, "ask", ask)  # noqa: B010
+    setattr(ValidationPoll, "decided", decided)  # noqa: B010
 
 
 def _with_relay(kind: type[Relay]) -> Callable[[], None]:
--- a/otterrudder/lab/scale/network.py
+++ b/otterrudder/lab/scale/network.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterrudder.fleet.cell.messages import AskVerdict, InForce, encode
+from otterrudder.fleet.cell.messages import PolicyUpdate, ValidationRequest, encode
 from otterrudder.lab.scale.experiment import NetworkPart
 from otterrudder.lab.scale.topology import Topology, Zone
 
@@ -44,7 +44,7 @@
 
     def _measure(self, message: object) -> int:
         size = self.framing + len(encode(message))  # type: ignore[arg-type]
-        if isinstance(message, InForce | AskVerdict):
+        if isinstance(message, PolicyUpdate | ValidationRequest):
             empty = msgspec.structs.replace(message, text="")
             size = self.framing + len(encode(empty)) + self.text_bytes
         return size
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -8,7 +8,13 @@
 from typing import Protocol
 
 from otterrudder.fleet.cell.endorsement import PeerRequest
-from otterrudder.fleet.cell.messages import AskConsent, Consent, Grant, RelayMessage, ServerMessage
+from otterrudder.fleet.cell.messages import (
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    RelayMessage,
+    ServerMessage,
+)
 from otterrudder.fleet.cell.relay import (
     CellIdentity,
     EndSession,
@@ -294,7 +300,7 @@
         if not stream:
             return
         message = effect.message
-        if isinstance(message, Grant):
+        if isinstance(message, LeaseGrant):
             self._ledger.granted(self._events.now, message.version, message.span_ms)
         size = self._sizes.of(message)
         host.sent.messages += 1
@@ -317,14 +323,14 @@
 
     # The other relays of its cell.
 
-    def _ask_peer(self, host: RelayHost, peer: RelayHost, request: AskConsent) -> None:
+    def _ask_peer(self, host: RelayHost, peer: RelayHost, request: EndorsementRequest) -> None:
         self.peer_messages += 1
         if self._network.is_cut(host.zone.region, peer.zone.region):
             return
         arrives = self._events.now + self._network.way_ms(host.zone.number, peer.zone.number)
         self._events.at(arrives, self._peer_asked, peer, (host, host.life, request))
 
-    def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, AskConsent]) -> None:
+    def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]) -> None:
         host, life, request = argument
         if not peer.relay:
             return
@@ -337,7 +343,7 @@
         self._events.at(arrives, self._peer_answered, host, (life, consent))
         self._step(peer)
 
-    def _peer_answered(self, host: RelayHost, argument: tuple[int, Consent]) -> None:
+    def _peer_answered(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
         life, consent = argument
         if not host.relay or host.life != life:
             return
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -10,10 +10,10 @@
 from otterrudder.fleet.cell.participant import (
     CheckText,
     Connect,
-    Identity,
     Participant,
     ParticipantEffect,
     SendToRelay,
+    ServerIdentity,
 )
 from otterrudder.lab.scale.events import EventQueue
 from otterrudder.lab.scale.experiment import LoadPart
@@ -61,11 +61,11 @@
         host.life += 1
         host.version, host.lease_until, host.wake_at = 0, -math.inf, math.inf
         epoch = f"{host.name}.{host.life}"
-        identity = Identity(self.fleet, host.name, epoch, host.kind, host.zone.name)
+        identity = ServerIdentity(self.fleet, host.name, epoch, host.kind, host.zone.name)
         host.participant = self.make(identity, host.relays)
         self._step(host)
 
-    def make(self, identity: Identity, relays: tuple[str, ...]) -> Participant:
+    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
         """A fresh participant."""
         return Participant(self._events.now, identity, relays, self.span_ms)
 
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -20,7 +20,7 @@
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and Busy
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, DescriptorLimitError, and Busy
     if the folder is another process's."""
     anyio.run(_serve, fleet, role)
 
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -7,15 +7,21 @@
 from dataclasses import dataclass, field, replace
 
 from otterrudder.fleet.cell.endorsement import PeerRequest
-from otterrudder.fleet.cell.messages import InForce, RefusalReason, Refuse, Register, RelayMessage
+from otterrudder.fleet.cell.messages import (
+    LeaseRefusal,
+    PolicyUpdate,
+    RefusalReason,
+    Registration,
+    RelayMessage,
+)
 from otterrudder.fleet.cell.participant import (
     CheckText,
     Connect,
     Disconnect,
-    Identity,
     Participant,
     ParticipantEffect,
     SendToRelay,
+    ServerIdentity,
 )
 from otterrudder.fleet.cell.relay import (
     CellIdentity,
@@ -35,7 +41,7 @@
 FLEET = "f"
 KEYS = Keys(FLEET)
 RULES = Rules(bound_ms=3000.0, lease_ms=6000.0, is_shared=True)
-STEPS_MOST = 2000  # at one moment; more: somebody spins
+MAX_STEPS = 2000  # at one moment; more: somebody spins
 
 
 @dataclass
@@ -59,7 +65,7 @@
     silent: set[str] = field(default_factory=set)  # servers that check no text
     refuses: dict[str, str] = field(default_factory=dict)  # by kind: what is wrong with a text that ends in !
     checks: list[str] = field(default_factory=list)  # names of the servers that were asked to check a text
-    refusals: list[Refuse] = field(default_factory=list)
+    refusals: list[LeaseRefusal] = field(default_factory=list)
     disks: dict[str, Record] = field(default_factory=dict)  # of cells of one relay
     life: int = 0
 
@@ -89,7 +95,7 @@
 
     def add_server(self, name: str, relays: tuple[str, ...], kind: str = "plain") -> Participant:
         self.life += 1
-        identity = Identity(FLEET, name, f"{name}.{self.life}", kind)
+        identity = ServerIdentity(FLEET, name, f"{name}.{self.life}", kind)
         server = Participant(self.now, identity, relays, self.limits.span_ms)
         self.servers[name] = server
         return server
@@ -149,7 +155,7 @@
         self.now = until
 
     def _settle(self) -> None:
-        for _ in range(STEPS_MOST):
+        for _ in range(MAX_STEPS):
             if not self._step():
                 return
         raise AssertionError(f"it never rests at {self.now:g} ms")
@@ -188,7 +194,7 @@
             relay.completed(self.now, effect, self.now, outcome)
 
     def _to_server(self, stream: Stream, message: RelayMessage) -> None:
-        if isinstance(message, Refuse):
+        if isinstance(message, LeaseRefusal):
             self.refusals.append(message)
         self.servers[stream.server].received(self.now, stream.connection, message)
 
@@ -231,8 +237,8 @@
         return {name: server.admits(self.now) for name, server in self.servers.items()}
 
 
-def refusal(reason: RefusalReason, sequence: int = 1) -> Refuse:
-    return Refuse(sequence, reason)
+def refusal(reason: RefusalReason, sequence: int = 1) -> LeaseRefusal:
+    return LeaseRefusal(sequence, reason)
 
 
 def sent(effects: list[ParticipantEffect]) -> list[object]:
@@ -240,8 +246,8 @@
     return [effect.message for effect in effects if isinstance(effect, SendToRelay)]
 
 
-def registration(sequence: int = 1, fleet: str = FLEET, name: str = "s", kind: str = "plain") -> Register:
-    return Register(sequence, fleet, name, f"{name}.1", kind)
+def registration(sequence: int = 1, fleet: str = FLEET, name: str = "s", kind: str = "plain") -> Registration:
+    return Registration(sequence, fleet, name, f"{name}.1", kind)
 
 
 def told(relay_effects: list[RelayEffect]) -> list[RelayMessage]:
@@ -249,8 +255,8 @@
     return [effect.message for effect in relay_effects if isinstance(effect, SendToServer)]
 
 
-def in_force(version: int, text: str, digest: str) -> InForce:
-    return InForce(version, f"change {version}", digest, text)
+def in_force(version: int, text: str, digest: str) -> PolicyUpdate:
+    return PolicyUpdate(version, f"change {version}", digest, text)
 
 
 NEVER = math.inf
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -7,42 +7,47 @@
 import pytest
 from cell_harness import FLEET, KEYS, RULES, Harness, Stream, in_force, registration, sent, told
 
-from otterrudder.fleet.cell.endorsement import CONSENT_MS, Consents, PeerRequest, Promise
+from otterrudder.fleet.cell.endorsement import (
+    ENDORSEMENT_MS,
+    EndorsementCollector,
+    EndorsementGiver,
+    PeerRequest,
+)
 from otterrudder.fleet.cell.messages import (
     NAME_MOST,
-    AskConsent,
-    AskVerdict,
-    BadMessage,
-    Consent,
-    Grant,
-    InForce,
+    Endorsement,
+    EndorsementRequest,
+    InvalidMessageError,
+    LeaseGrant,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
+    Registration,
     RelayMessage,
-    Renew,
-    Verdict,
+    ValidationRequest,
+    ValidationResult,
     decode_from_peer,
     decode_from_relay,
     decode_from_server,
     encode,
 )
 from otterrudder.fleet.cell.participant import (
-    HOME_AGAIN_MS,
-    HOME_DOUBLINGS_MOST,
-    LEASE_SPAN_MS,
-    PENDING_MOST,
-    RETRY_MOST_MS,
+    DEFAULT_LEASE_MS,
+    HOME_RETRY_MS,
+    MAX_DOCUMENTS,
+    MAX_HOME_DOUBLINGS,
+    MAX_PENDING_REQUESTS,
+    MAX_RETRY_MS,
     RETRY_MS,
-    TEXTS_MOST,
     CheckText,
     Connect,
     Disconnect,
-    Identity,
     Participant,
+    ServerIdentity,
 )
 from otterrudder.fleet.cell.relay import (
-    TAKEOVER_MS,
+    TAKEOVER_VOTE_DELAY_MS,
     CellIdentity,
     EndSession,
     Relay,
@@ -50,12 +55,12 @@
     RelayLimits,
 )
 from otterrudder.fleet.cell.validation_poll import (
-    ASK_AGAIN_MS,
-    ASK_MOST_MS,
-    VERDICTS_MOST,
+    MAX_CACHED_RESULTS,
+    NEXT_SERVER_MS,
+    OVERDUE_MS,
     Candidate,
-    Poll,
-    Verdicts,
+    ValidationCache,
+    ValidationPoll,
 )
 from otterrudder.fleet.change import COUNT_MS, Settler, settle
 from otterrudder.fleet.effects import Commit, Lane, Lease, Read
@@ -72,21 +77,21 @@
 
 
 def participant(relays: tuple[str, ...] = ("a", "b")) -> Participant:
-    return Participant(0.0, Identity(FLEET, "s", "s.1", "plain"), relays)
+    return Participant(0.0, ServerIdentity(FLEET, "s", "s.1", "plain"), relays)
 
 
-def connect(server: Participant, now: float = 0.0) -> Register:
+def connect(server: Participant, now: float = 0.0) -> Registration:
     """Its connection comes about; its first message."""
     (wanted,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
     server.connected(now, wanted.connection)
     (message,) = sent(server.effects(now))
-    assert isinstance(message, Register)
+    assert isinstance(message, Registration)
     return message
 
 
 def grant(server: Participant, now: float, sequence: int, version: int = 0, span: float = 3000.0) -> None:
     change = f"change {version}" if version else ""
-    server.received(now, server.connection, Grant(sequence, version, change, span))
+    server.received(now, server.connection, LeaseGrant(sequence, version, change, span))
 
 
 def takes(server: Participant, now: float, version: int, text: str) -> None:
@@ -102,7 +107,7 @@
     assert server.standing(0.0) is Standing.STARTING and server.admits(0.0) is None
     sequence = connect(server).sequence
     grant(server, 700.0, sequence)
-    assert server.lease_until == 0.9 * LEASE_SPAN_MS
+    assert server.lease_until == 0.9 * DEFAULT_LEASE_MS
     assert server.admits(2699.0) == 0 and server.admits(2700.0) is None
     assert server.standing(2700.0) is Standing.LAPSED
 
@@ -110,9 +115,9 @@
 def test_a_lease_is_asked_for_again_after_a_quarter() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    assert 0.2 * LEASE_SPAN_MS < server.due() < 0.3 * LEASE_SPAN_MS
+    assert 0.2 * DEFAULT_LEASE_MS < server.due() < 0.3 * DEFAULT_LEASE_MS
     (message,) = sent(server.effects(server.due()))
-    assert message == Renew(2, 0, "serving")
+    assert message == LeaseRenewal(2, 0, "serving")
 
 
 def test_a_lease_goes_on_while_the_relay_is_left() -> None:
@@ -123,17 +128,17 @@
     message = connect(server, 100.0)
     assert message.version == 0 and message.sequence == 2
     grant(server, 200.0, 2)
-    assert server.lease_until == 100.0 + 0.9 * LEASE_SPAN_MS
+    assert server.lease_until == 100.0 + 0.9 * DEFAULT_LEASE_MS
 
 
 def test_a_silent_relay_is_left_for_the_next() -> None:
     server = participant()
     connect(server)
-    assert server.due() == 0.25 * LEASE_SPAN_MS
+    assert server.due() == 0.25 * DEFAULT_LEASE_MS
     effects = server.effects(server.due())
     assert [type(effect) for effect in effects] == [Disconnect, Connect] and server.relay == "b"
     assert server.refusal == "a does not answer"
-    late = Grant(1, 0, "", 3000.0)
+    late = LeaseGrant(1, 0, "", 3000.0)
     server.received(800.0, 1, late)  # of the stream that was given up
     assert server.admits(800.0) is None
 
@@ -148,7 +153,7 @@
 def test_a_refusal_leads_to_the_next_relay_at_once() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, Refuse(1, RefusalReason.NOT_LEADER))
+    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.NOT_LEADER))
     assert [type(effect) for effect in server.effects(0.0)] == [Disconnect, Connect]
     assert server.relay == "b" and server.refusal == "a: not-leader"
 
@@ -157,21 +162,21 @@
     server, waits, now = participant(), [], 0.0
     for _ in range(20):
         register = connect(server, now)
-        server.received(now, server.connection, Refuse(register.sequence, RefusalReason.FULL, "full"))
+        server.received(now, server.connection, LeaseRefusal(register.sequence, RefusalReason.FULL, "full"))
         server._effects.clear()
         waits.append(max(server.due() - now, 0.0))
         now = max(now, server.due())
     assert waits[0] == 0.0 and waits[1] >= RETRY_MS / 2
-    assert all(0 < wait <= RETRY_MOST_MS for wait in waits[1:]) and max(waits) > RETRY_MOST_MS / 2
+    assert all(0 < wait <= MAX_RETRY_MS for wait in waits[1:]) and max(waits) > MAX_RETRY_MS / 2
 
 
 def test_unanswered_keeps_the_stream() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, Refuse(1, RefusalReason.UNANSWERED, "this kind was asked"))
+    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
     assert server.effects(0.0) == [] and server.connection == 1
     assert server.due() == RETRY_MS
-    assert sent(server.effects(RETRY_MS)) == [Renew(2, 0, "starting")]
+    assert sent(server.effects(RETRY_MS)) == [LeaseRenewal(2, 0, "starting")]
 
 
 def test_a_version_that_goes_back_is_not_believed() -> None:
@@ -182,7 +187,7 @@
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
     assert server.relay == "b" and server.doubt == "a tells of version 0, older than 1"
-    assert server.lease_until == 0.9 * LEASE_SPAN_MS and server.admits(800.0) == 1
+    assert server.lease_until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
 def test_another_change_under_the_same_number_is_not_believed() -> None:
@@ -190,7 +195,7 @@
     grant(server, 0.0, connect(server).sequence, 1)
     takes(server, 0.0, 1, "one")
     server.effects(server.due())
-    server.received(800.0, 1, Grant(2, 1, "another", 3000.0))
+    server.received(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
     assert server.relay == "b" and server.doubt == "a tells of another version 1"
 
 
@@ -235,34 +240,34 @@
 def test_a_question_is_answered_once_checked_and_from_memory_after() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    question = AskVerdict(digest_of("one"), "one")
+    question = ValidationRequest(digest_of("one"), "one")
     server.received(0.0, 1, question)
     assert server.effects(0.0) == [CheckText(question.digest, "one")]
     server.received(0.0, 1, question)
     assert server.effects(0.0) == []
     server.checked(5.0, question.digest, "no")
-    assert sent(server.effects(5.0)) == [Verdict(question.digest, "no")]
+    assert sent(server.effects(5.0)) == [ValidationResult(question.digest, "no")]
     server.received(6.0, 1, question)
-    assert sent(server.effects(6.0)) == [Verdict(question.digest, "no")]
+    assert sent(server.effects(6.0)) == [ValidationResult(question.digest, "no")]
 
 
 def test_the_first_address_is_tried_again() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, Refuse(1, RefusalReason.FULL))
+    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
     grant(server, 0.0, connect(server).sequence)
     now = 0.0
-    while server.relay == "b" and now < 2 * HOME_AGAIN_MS:
+    while server.relay == "b" and now < 2 * HOME_RETRY_MS:
         now = server.due()
         for message in sent(server.effects(now)):
             grant(server, now, message.sequence)
-    assert HOME_AGAIN_MS / 2 <= now <= 1.5 * HOME_AGAIN_MS + LEASE_SPAN_MS and server.relay == "a"
+    assert HOME_RETRY_MS / 2 <= now <= 1.5 * HOME_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
     assert server.admits(now) == 0  # the lease goes on
 
 
 def test_the_first_address_is_tried_the_more_rarely_the_more_often_it_was_in_vain() -> None:
     server, now, homeward = participant(), 0.0, [0.0]
-    while now < 64 * HOME_AGAIN_MS:
+    while now < 64 * HOME_RETRY_MS:
         effects = server.effects(now)
         for effect in effects:
             if isinstance(effect, Connect):
@@ -272,14 +277,16 @@
             if server.relay == "b":
                 grant(server, now, message.sequence)
             else:
-                server.received(now, server.connection, Refuse(message.sequence, RefusalReason.NOT_LEADER))
+                server.received(
+                    now, server.connection, LeaseRefusal(message.sequence, RefusalReason.NOT_LEADER)
+                )
         assert not now or server.standing(now).admits
         now = max(server.due(), now)
     waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
     assert len(waits) >= 5
     for tries, wait in enumerate(waits):
-        expected = HOME_AGAIN_MS * 2 ** min(tries, HOME_DOUBLINGS_MOST)
-        assert expected * 0.5 <= wait <= expected * 1.5 + LEASE_SPAN_MS
+        expected = HOME_RETRY_MS * 2 ** min(tries, MAX_HOME_DOUBLINGS)
+        assert expected * 0.5 <= wait <= expected * 1.5 + DEFAULT_LEASE_MS
 
 
 def test_a_server_keeps_no_more_than_it_may() -> None:
@@ -288,19 +295,19 @@
     for number in range(20):
         text = f"text {number}"
         server.received(0.0, 1, in_force(number + 1, text, digest_of(text)))
-        server.received(0.0, 1, AskVerdict(digest_of(f"asked {number}"), f"asked {number}"))
-        server._request(0.0, Renew(number, 0))
-    assert len(server._texts) <= TEXTS_MOST and len(server._to_answer) <= TEXTS_MOST
-    assert len(server._pending) <= PENDING_MOST
+        server.received(0.0, 1, ValidationRequest(digest_of(f"asked {number}"), f"asked {number}"))
+        server._request(0.0, LeaseRenewal(number, 0))
+    assert len(server._texts) <= MAX_DOCUMENTS and len(server._to_answer) <= MAX_DOCUMENTS
+    assert len(server._pending) <= MAX_PENDING_REQUESTS
     for number in range(20):
         server.checked(0.0, f"digest {number}", "")
-    assert len(server._checked) <= TEXTS_MOST + 1
+    assert len(server._checked) <= MAX_DOCUMENTS + 1
 
 
 def test_a_damaged_question_is_not_answered() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, AskVerdict(digest_of("one"), "damaged"))
+    server.received(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
     assert not [effect for effect in server.effects(0.0) if isinstance(effect, CheckText)]
     assert server.relay == "b" and "damaged" in server.doubt
 
@@ -309,17 +316,17 @@
 
 
 def test_messages_come_back_as_they_were() -> None:
-    for message in (registration(), Renew(3, 1, "serving"), Verdict("d", "no")):
+    for message in (registration(), LeaseRenewal(3, 1, "serving"), ValidationResult("d", "no")):
         assert decode_from_server(encode(message)) == message
     relays = (
-        Grant(3, 1, "A", 3000.0),
+        LeaseGrant(3, 1, "A", 3000.0),
         in_force(1, "t", "d"),
-        AskVerdict("d", "t"),
-        Refuse(1, RefusalReason.FULL, "x"),
+        ValidationRequest("d", "t"),
+        LeaseRefusal(1, RefusalReason.FULL, "x"),
     )
     for message in relays:
         assert decode_from_relay(encode(message)) == message
-    for message in (AskConsent(1, "f", "c", "a", ("a", "b")), Consent(1, "b", 3000.0)):
+    for message in (EndorsementRequest(1, "f", "c", "a", ("a", "b")), Endorsement(1, "b", 3000.0)):
         assert decode_from_peer(encode(message)) == message
 
 
@@ -328,26 +335,26 @@
     [
         b"",
         b"\xff",
-        encode(Grant(1, 1, "", 1.0)),
+        encode(LeaseGrant(1, 1, "", 1.0)),
         encode(registration(name="n" * (NAME_MOST + 1))),
-        encode(Verdict("d" * (NAME_MOST + 1))),
-        encode(Verdict("d", "x" * 100_000)),
-        encode(Renew(1, 1, "x" * 100_000)),
+        encode(ValidationResult("d" * (NAME_MOST + 1))),
+        encode(ValidationResult("d", "x" * 100_000)),
+        encode(LeaseRenewal(1, 1, "x" * 100_000)),
     ],
 )
 def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
-    with pytest.raises(BadMessage):
+    with pytest.raises(InvalidMessageError):
         decode_from_server(data)
 
 
 def test_a_long_reason_is_cut_to_what_a_relay_takes() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    server.received(0.0, 1, AskVerdict(digest_of("one"), "one"))
+    server.received(0.0, 1, ValidationRequest(digest_of("one"), "one"))
     server.effects(0.0)
     server.checked(0.0, digest_of("one"), "x" * 100_000)
     (verdict,) = sent(server.effects(0.0))
-    assert isinstance(verdict, Verdict) and decode_from_server(encode(verdict)) == verdict
+    assert isinstance(verdict, ValidationResult) and decode_from_server(encode(verdict)) == verdict
 
 
 # Kinds.
@@ -355,51 +362,51 @@
 
 def test_a_second_server_is_asked_where_the_first_is_silent() -> None:
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2")]
-    poll = Poll("d", Verdicts())
-    assert poll.ask(0.0, servers) == [1] and poll.due() == ASK_AGAIN_MS
-    assert poll.ask(ASK_AGAIN_MS, servers) == [2]
-    assert poll.ask(2 * ASK_AGAIN_MS, servers) == [1]
-    assert not poll.is_overdue(ASK_MOST_MS - 1, "old") and poll.is_overdue(ASK_MOST_MS, "old")
+    poll = ValidationPoll("d", ValidationCache())
+    assert poll.ask(0.0, servers) == [1] and poll.due() == NEXT_SERVER_MS
+    assert poll.ask(NEXT_SERVER_MS, servers) == [2]
+    assert poll.ask(2 * NEXT_SERVER_MS, servers) == [1]
+    assert not poll.is_overdue(OVERDUE_MS - 1, "old") and poll.is_overdue(OVERDUE_MS, "old")
     poll.answered("old", "s2", "")
-    assert not poll.is_overdue(ASK_MOST_MS, "old")
+    assert not poll.is_overdue(OVERDUE_MS, "old")
 
 
 def test_a_no_names_the_server_once() -> None:
-    poll = Poll("d", Verdicts())
+    poll = ValidationPoll("d", ValidationCache())
     servers = [Candidate(1, "old", "s1")]
     poll.answered("old", "s1", "values.look: no product")
     assert poll.decided(servers) == "s1: values.look: no product"
-    again = Poll("d", poll.verdicts)
+    again = ValidationPoll("d", poll.verdicts)
     assert again.decided([Candidate(2, "old", "s2")]) == "s2: values.look: no product"
 
 
 def test_verdicts_are_bounded() -> None:
-    verdicts = Verdicts()
-    for number in range(VERDICTS_MOST + 1):
+    verdicts = ValidationCache()
+    for number in range(MAX_CACHED_RESULTS + 1):
         verdicts.put("k", str(number), "")
     assert verdicts.get("k", "0") is None and verdicts.get("k", "1") == ""
 
 
 def test_each_kind_is_asked_once_and_the_answer_is_remembered() -> None:
-    verdicts = Verdicts()
+    verdicts = ValidationCache()
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2"), Candidate(3, "new", "s3")]
-    poll = Poll("d", verdicts)
+    poll = ValidationPoll("d", verdicts)
     assert poll.ask(0.0, servers) == [1, 3] and poll.ask(1.0, servers) == []
     poll.answered("old", "s1", "")
     assert poll.decided(servers) is None
     poll.answered("new", "s3", "")
     assert poll.decided(servers) == "" and poll.due() == math.inf
-    again = Poll("d", verdicts)
+    again = ValidationPoll("d", verdicts)
     assert again.ask(9.0, servers) == [] and again.decided(servers) == ""
 
 
 def test_nobody_is_due_for_a_kind_that_has_answered_or_gone() -> None:
-    poll = Poll("d", Verdicts())
+    poll = ValidationPoll("d", ValidationCache())
     answered, gone, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
     poll.ask(0.0, [answered, gone, asked])
     poll.answered("x", "s1", "")
-    poll.ask(ASK_AGAIN_MS, [answered, asked])
-    assert poll.due() == 2 * ASK_AGAIN_MS
+    poll.ask(NEXT_SERVER_MS, [answered, asked])
+    assert poll.due() == 2 * NEXT_SERVER_MS
 
 
 # A relay.
@@ -430,7 +437,7 @@
     deliver = harness._to_server
 
     def watch(stream: Stream, message: RelayMessage) -> None:
-        if isinstance(message, AskVerdict):
+        if isinstance(message, ValidationRequest):
             asked.append(stream.server)
         deliver(stream, message)
 
@@ -447,11 +454,11 @@
     relay.member.consent_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
-        relay.received(until - left, number, Renew(99, 0))
+        relay.received(until - left, number, LeaseRenewal(99, 0))
         (message,) = told(relay._effects[-1:])
-        assert isinstance(message, Grant) and message.span_ms == pytest.approx(left)
-    relay.received(until - 100.0, number, Renew(99, 0))
-    refusals = [message for message in told(relay._effects) if isinstance(message, Refuse)]
+        assert isinstance(message, LeaseGrant) and message.span_ms == pytest.approx(left)
+    relay.received(until - 100.0, number, LeaseRenewal(99, 0))
+    refusals = [message for message in told(relay._effects) if isinstance(message, LeaseRefusal)]
     assert refusals[-1].reason is RefusalReason.NO_AUTHORITY
 
 
@@ -476,7 +483,7 @@
     harness = at_work(limits=RelayLimits(sessions_most=2))
     relay = harness.leader("east")
     relay.received(harness.now, 999, registration())
-    (refuse,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, Refuse)]
+    (refuse,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)]
     assert (refuse.reason, refuse.detail) == (
         RefusalReason.FULL,
         f"{relay.identity.address} has its 2 sessions",
@@ -488,17 +495,19 @@
     ("message", "reason"),
     [
         (registration(fleet="other"), RefusalReason.WRONG_FLEET),
-        (Register(1, FLEET, "s", "s.1", "k", protocol=2), RefusalReason.PROTOCOL),
-        (Renew(1, 0), RefusalReason.PROTOCOL),
-        (Verdict("d"), RefusalReason.PROTOCOL),
+        (Registration(1, FLEET, "s", "s.1", "k", protocol=2), RefusalReason.PROTOCOL),
+        (LeaseRenewal(1, 0), RefusalReason.PROTOCOL),
+        (ValidationResult("d"), RefusalReason.PROTOCOL),
         (registration(), RefusalReason.NOT_LEADER),
     ],
 )
-def test_a_relay_refuses_and_says_why(message: Register | Renew | Verdict, reason: RefusalReason) -> None:
+def test_a_relay_refuses_and_says_why(
+    message: Registration | LeaseRenewal | ValidationResult, reason: RefusalReason
+) -> None:
     relay = Harness().add_relay("a", "east")
     relay.received(0.0, 1, message)
     effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
-    assert [refuse.reason for refuse in told(effects) if isinstance(refuse, Refuse)] == [reason]
+    assert [refuse.reason for refuse in told(effects) if isinstance(refuse, LeaseRefusal)] == [reason]
     assert EndSession(1) in effects and not relay.sessions
 
 
@@ -507,14 +516,16 @@
     relay = harness.leader("east")
     relay.leave(harness.now)
     assert not relay.sessions and relay.authority_until(harness.now) == -math.inf
-    reasons = [message.reason for message in told(relay.effects(harness.now)) if isinstance(message, Refuse)]
+    reasons = [
+        message.reason for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+    ]
     assert reasons == [RefusalReason.LEAVING] * 2
 
 
 def test_sessions_of_silent_servers_are_swept() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    effects = relay.effects(harness.now + 2 * LEASE_SPAN_MS + 2000.0)
+    effects = relay.effects(harness.now + 2 * DEFAULT_LEASE_MS + 2000.0)
     assert sum(isinstance(effect, EndSession) for effect in effects) == 2 and not relay.sessions
 
 
@@ -530,9 +541,9 @@
 def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
     harness = at_work(silent={"east-s0", "east-s1"})
     harness.propose("A")
-    harness.run(ASK_MOST_MS + 1500.0)
+    harness.run(OVERDUE_MS + 1500.0)
     assert RefusalReason.UNANSWERED in {refuse.reason for refuse in harness.refusals}
-    harness.run(LEASE_SPAN_MS)
+    harness.run(DEFAULT_LEASE_MS)
     view = harness.view()
     assert view.policy and view.policy.version == 1 and view.change is None
     assert harness.admitted() == {"east-s0": None, "east-s1": None, "west-s0": 1, "west-s1": 1}
@@ -574,10 +585,10 @@
     while not new.leads():
         harness.run(50.0)
     led_at = harness.now
-    harness.run(TAKEOVER_MS - 200.0)
+    harness.run(TAKEOVER_VOTE_DELAY_MS - 200.0)
     assert "east" not in harness.view().votes and harness.view().change
     harness.run(1500.0)
-    assert harness.view().change is None and harness.now - led_at > TAKEOVER_MS
+    assert harness.view().change is None and harness.now - led_at > TAKEOVER_VOTE_DELAY_MS
 
 
 def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
@@ -604,9 +615,9 @@
     harness.relays[new].sessions.clear()
     for name in ("east-s0", "east-s1"):
         harness.servers[name].disconnected(harness.now, harness.servers[name].connection)
-        harness.servers[name]._connect_at = harness.now + 0.6 * TAKEOVER_MS
+        harness.servers[name]._connect_at = harness.now + 0.6 * TAKEOVER_VOTE_DELAY_MS
     harness.propose("A", "policy!")
-    harness.run(4 * TAKEOVER_MS)
+    harness.run(4 * TAKEOVER_VOTE_DELAY_MS)
     assert [end.committed for end in harness.view().settled] == [False]
 
 
@@ -682,10 +693,10 @@
     now = relay.member.fresh_at + 300.0
     relay.received(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
-    assert not [effect for effect in told(effects) if isinstance(effect, Grant)]
+    assert not [effect for effect in told(effects) if isinstance(effect, LeaseGrant)]
     (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
     relay.completed(now, read, now, harness.space.answer(now, read))
-    grants = [message for message in told(relay.effects(now)) if isinstance(message, Grant)]
+    grants = [message for message in told(relay.effects(now)) if isinstance(message, LeaseGrant)]
     assert [message.sequence for message in grants] == [5]
 
 
@@ -739,37 +750,37 @@
     assert set(harness.admitted().values()) == {0}
 
 
-# Consent.
+# Endorsement.
 
 CANDIDATES = ("a", "b", "c")
 
 
-def consents() -> Consents:
-    return Consents(0.0, FLEET, "east", "a", CANDIDATES)
+def consents() -> EndorsementCollector:
+    return EndorsementCollector(0.0, FLEET, "east", "a", CANDIDATES)
 
 
-def promise(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> Promise:
-    return Promise(0.0, FLEET, "east", name, candidates)
+def promise(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
+    return EndorsementGiver(0.0, FLEET, "east", name, candidates)
 
 
 def test_all_peers_are_needed() -> None:
     asker = consents()
     requests = asker.requests(100.0)
     assert [request.peer for request in requests] == ["b", "c"] and asker.requests(100.0) == []
-    asker.received(Consent(requests[0].message.sequence, "b", CONSENT_MS))
+    asker.received(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
     assert asker.until() == -math.inf
-    asker.received(Consent(requests[1].message.sequence, "c", CONSENT_MS))
-    assert asker.until() == 100.0 + 0.9 * CONSENT_MS
+    asker.received(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
+    assert asker.until() == 100.0 + 0.9 * ENDORSEMENT_MS
 
 
 def test_a_consent_counts_for_its_giver_and_its_request_alone() -> None:
-    asker = Consents(0.0, FLEET, "east", "a", ("a", "b"))
+    asker = EndorsementCollector(0.0, FLEET, "east", "a", ("a", "b"))
     (request,) = asker.requests(0.0)
-    asker.received(Consent(request.message.sequence, "c", CONSENT_MS))
-    asker.received(Consent(request.message.sequence, "b", CONSENT_MS))
+    asker.received(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
+    asker.received(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
     assert asker.until() == -math.inf  # the request was answered, by somebody else
     (request,) = asker.requests(1000.0)
-    asker.received(Consent(request.message.sequence, "b", 0.0, "this relay leads the cell"))
+    asker.received(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
     assert asker.until() == -math.inf
 
 
@@ -789,16 +800,18 @@
     giver = promise()
     giver.until = -math.inf
     fields = {"sequence": 1, "fleet": FLEET, "cell": "east", "sender": "a", "candidates": CANDIDATES}
-    answer = giver.answer(9000.0, AskConsent(**{**fields, **change}), leads, hears)  # type: ignore[arg-type]
+    answer = giver.answer(9000.0, EndorsementRequest(**{**fields, **change}), leads, hears)  # type: ignore[arg-type]
     assert why in answer.why and bool(answer.why) == bool(why)
-    assert (answer.span_ms, giver.until) == ((0.0, -math.inf) if why else (CONSENT_MS, 9000.0 + CONSENT_MS))
+    assert (answer.span_ms, giver.until) == (
+        (0.0, -math.inf) if why else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
+    )
 
 
 def test_a_relay_that_just_started_takes_part_in_nothing() -> None:
-    assert promise().until == CONSENT_MS and promise("a", ("a",)).until == -math.inf
+    assert promise().until == ENDORSEMENT_MS and promise("a", ("a",)).until == -math.inf
     harness = Harness()
     harness.add_cell("east")
-    harness.run(CONSENT_MS - 100.0)
+    harness.run(ENDORSEMENT_MS - 100.0)
     assert all(relay.authority_until(harness.now) == -math.inf for relay in harness.relays.values())
 
 
@@ -823,7 +836,7 @@
     renewal = EffectOfLease(member.lease)
     member.completed(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
     assert not relay.leads()
-    relay.received(harness.now, connection, Renew(99, 0))
+    relay.received(harness.now, connection, LeaseRenewal(99, 0))
     assert session.held == 99
     relay.received(harness.now, 99, registration(name="new"))
     assert relay.sessions[99].held == 1
@@ -833,8 +846,10 @@
     assert session.granted_until > harness.now and not harness.refusals
     member._lose_registration()
     member.consent_until = harness.now
-    relay.received(harness.now, connection, Renew(100, 0))
-    (refused,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, Refuse)]
+    relay.received(harness.now, connection, LeaseRenewal(100, 0))
+    (refused,) = [
+        message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+    ]
     assert refused.reason is RefusalReason.NO_AUTHORITY
 
 
@@ -1044,11 +1059,11 @@
 def test_in_force_is_told_to_all_sessions_once() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    pushed: list[InForce] = []
+    pushed: list[PolicyUpdate] = []
     deliver = harness._to_server
 
     def watch(stream: Stream, message: RelayMessage) -> None:
-        if isinstance(message, InForce) and stream.relay == relay.identity.address:
+        if isinstance(message, PolicyUpdate) and stream.relay == relay.identity.address:
             pushed.append(message)
         deliver(stream, message)
 
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -25,26 +25,26 @@
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    Consent,
-    InForce,
+    Endorsement,
+    EndorsementRequest,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
-    Renew,
+    Registration,
     decode_from_peer,
     decode_from_relay,
     encode,
 )
 from otterrudder.fleet.cell.participant import CheckText
 from otterrudder.fleet.cell.service import (
-    DESCRIPTORS_SPARE,
-    STREAMS_SPARE,
+    SPARE_DESCRIPTORS,
+    SPARE_STREAMS,
+    DescriptorLimitError,
     RelayService,
-    TooFewDescriptors,
     check_descriptors,
 )
-from otterrudder.fleet.cell.streams import INCOMING_PER_S, MessageEncoder
+from otterrudder.fleet.cell.streams import MAX_MESSAGES_PER_S, MessageEncoder
 from otterrudder.fleet.cell.wire import CONSENT, SESSION, open_channel
 from otterrudder.fleet.change import propose, whole
 from otterrudder.fleet.client import Client
@@ -133,9 +133,9 @@
         await channel.close(None)
 
 
-def register(sequence: int = 1, **other: Any) -> Register:
+def register(sequence: int = 1, **other: Any) -> Registration:
     told = dict(fleet="f", name="x", epoch="e", kind=KIND) | other
-    return Register(sequence, **told)
+    return Registration(sequence, **told)
 
 
 async def next_of(stream: Any) -> Any:
@@ -164,7 +164,7 @@
                 async with running(cells.server("again")):
                     await stream.write(encode(register()))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is RefusalReason.FULL
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.FULL
                     assert answer.detail == f"{cells.addresses[0]} has its 1 sessions"
 
     anyio.run(play)
@@ -179,7 +179,7 @@
                 for garbage in (
                     b"",
                     b"\xc1" * 50,
-                    encode(Consent(1, "x", 1.0)),
+                    encode(Endorsement(1, "x", 1.0)),
                     encode(register(name="x" * 200)),
                 ):
                     async with raw_stream(service) as stream:
@@ -247,12 +247,12 @@
             for message, reason in (
                 (register(protocol=99), RefusalReason.PROTOCOL),
                 (register(fleet="g"), RefusalReason.WRONG_FLEET),
-                (Renew(1, 0), RefusalReason.PROTOCOL),
+                (LeaseRenewal(1, 0), RefusalReason.PROTOCOL),
             ):
                 async with raw_stream(service) as stream:
                     await stream.write(encode(message))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is reason
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is reason
                     with anyio.fail_after(WAIT_S):
                         assert await stream.read() is grpc.aio.EOF
                         assert await stream.code() is grpc.StatusCode.OK
@@ -263,7 +263,7 @@
 def test_a_server_that_floods_or_says_nothing_is_ended(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTER_S", 0.2)
+    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
 
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
@@ -273,8 +273,8 @@
             async with raw_stream(service) as stream:
                 with anyio.fail_after(WAIT_S), contextlib.suppress(grpc.RpcError):
                     await stream.write(encode(register()))
-                    for number in range(3 * INCOMING_PER_S):
-                        await stream.write(encode(Renew(number + 2, 0)))
+                    for number in range(3 * MAX_MESSAGES_PER_S):
+                        await stream.write(encode(LeaseRenewal(number + 2, 0)))
                         if number % 8 == 0:
                             await stream.read()
                 with anyio.fail_after(WAIT_S):  # its own writes may fail before the status is read
@@ -295,7 +295,7 @@
                 await stream.write(encode(register()))
                 await until(lambda: len(service.relay.sessions) == 2)
                 slow = max(service._streams)
-                data = encode(InForce(1, "c", "d", "x" * TEXT_MOST))
+                data = encode(PolicyUpdate(1, "c", "d", "x" * TEXT_MOST))
                 for _ in range(200):
                     if found := service._streams.get(slow):
                         found.send(data)
@@ -324,8 +324,8 @@
 
     anyio.run(play)
     encoder = MessageEncoder()
-    first = encoder.encode(InForce(1, "c", "d", "text"))
-    assert encoder.encode(InForce(1, "c", "d", "text")) is first
+    first = encoder.encode(PolicyUpdate(1, "c", "d", "text"))
+    assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
 
 
 def test_a_frozen_server_stands_aside_in_its_first_turn_and_a_slow_check_holds_up_nothing(
@@ -370,9 +370,9 @@
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
             call = channel.unary_unary(CONSENT)
-            ask = AskConsent(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
+            ask = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
             answer = decode_from_peer(await call(encode(ask), timeout=WAIT_S))
-            assert isinstance(answer, Consent) and answer.sequence == 7 and not answer.span_ms
+            assert isinstance(answer, Endorsement) and answer.sequence == 7 and not answer.span_ms
             assert answer.why == f"this relay knows other relays of the cell: {service.role.address}"
             for garbage in (b"garbage", encode(answer)):
                 with pytest.raises(grpc.aio.AioRpcError) as failed:
@@ -413,7 +413,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
             answer = await answer_of(service, fleet)
-            assert isinstance(answer, Refuse) and answer.reason is RefusalReason.NOT_LEADER
+            assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.NOT_LEADER
             for other in (replace(fleet, cert=None, key=None), replace(fleet, ca=None)):
                 with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
                     await answer_of(service, other)
@@ -433,8 +433,8 @@
 
     anyio.run(play)
     monkeypatch.setattr("resource.getrlimit", lambda what: (1000, 4096))
-    check_descriptors(1000 - STREAMS_SPARE - DESCRIPTORS_SPARE)
-    with pytest.raises(TooFewDescriptors, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
+    check_descriptors(1000 - SPARE_STREAMS - SPARE_DESCRIPTORS)
+    with pytest.raises(DescriptorLimitError, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
         check_descriptors(1000)
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -10,8 +10,8 @@
 from helpers import ROOT
 
 from otterrudder.cli.lab import lab
-from otterrudder.fleet.cell.messages import Grant
-from otterrudder.fleet.cell.participant import Identity, Participant
+from otterrudder.fleet.cell.messages import LeaseGrant
+from otterrudder.fleet.cell.participant import Participant, ServerIdentity
 from otterrudder.fleet.cell.relay import CellIdentity, Relay
 from otterrudder.fleet.effects import Commit, Lease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
@@ -78,7 +78,7 @@
 
 
 class FaultyServers(Servers):
-    def make(self, identity: Identity, relays: tuple[str, ...]) -> Participant:
+    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
         return IgnoresTheLeaseEnd(self._events.now, identity, relays, self.span_ms)
 
 
@@ -190,5 +190,5 @@
 def test_grants_are_counted_as_they_go_over_the_wire(experiment: Experiment) -> None:
     simulation = Simulation(experiment, short(experiment, 9))
     simulation.play()
-    assert simulation.sizes.counts[Grant] > 9 * 30
+    assert simulation.sizes.counts[LeaseGrant] > 9 * 30
     assert simulation.ledger.granted_until[simulation.ledger.version] > simulation.events.now
