--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -32,7 +32,7 @@
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
-    from otterrudder.fleet.cell.service import DescriptorLimitError
+    from otterrudder.fleet.cell.descriptors import DescriptorLimitError
     from otterrudder.net import relay as process
 
     set_up(process.control_name(role))
--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -1,10 +1,10 @@
-"""The fleet's actor in a server of a cell: carries out what the participant wants, and tells the dispatcher
-what follows from it.
+"""The fleet's actor in a server of a cell: carries out what the participant wants done, and hands what
+follows to the dispatcher.
 
-The interface is that of the plain member's agent (`fleet/agent.py`). The dispatcher's turn asks it first
-(`pulse`), so a process that was frozen finds out before its first admission after waking that its lease has
-ended. No transaction waits for a relay: streams have tasks of their own, and texts are checked in a
-thread."""
+The interface is that of the plain member's agent (`fleet/agent.py`). The dispatcher asks it at the start of
+each batch (`pulse`), so a process that was frozen finds out before its first admission after it runs again
+that its lease has ended. No request waits for a relay: streams have tasks of their own, and texts are
+validated in a thread."""
 
 import functools
 import secrets
@@ -16,151 +16,152 @@
 
 from otterrudder import clock
 from otterrudder.fleet.cell.client import RelayStream, StreamClosedError
-from otterrudder.fleet.cell.messages import InvalidMessageError, ServerMessage
-from otterrudder.fleet.cell.participant import (
-    CheckText,
-    Connect,
-    Disconnect,
-    Participant,
-    ParticipantEffect,
-    ServerIdentity,
-)
+from otterrudder.fleet.cell.effects import Connect, Disconnect, ParticipantEffect, SendToRelay, ValidateText
+from otterrudder.fleet.cell.identity import ServerIdentity
+from otterrudder.fleet.cell.messages import InvalidMessageError
+from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.fleet.orders import Orders, OrderSender
+from otterrudder.fleet.validation import validate_text
 from otterrudder.log import log
 
-ERROR_RETRY_MS = 200.0  # ms until what failed is tried again: it must not spin
-MAX_SLEEP_MS = 1000.0  # ms of sleep at the most where nothing is due
+ERROR_RETRY_MS = 200.0  # after a failure of this code, so that it does not spin
+MIN_SLEEP_MS = 1.0
+MAX_SLEEP_MS = 1000.0  # where nothing is due
 
 
 class CellAgent:
+    """Runs a server's participant: its streams, validations and timers."""
+
     def __init__(
-        self, fleet: Fleet, name: str, kind: str, judge: Callable[[str], str], orders: Orders
+        self, fleet: Fleet, name: str, fingerprint: str, validate: Callable[[str], str], orders: Orders
     ) -> None:
-        """`judge`: what is wrong with a text for this server, "" if nothing."""
-        self.fleet, self.name, self.judge = fleet, name, judge
-        identity = ServerIdentity(fleet.name, name, secrets.token_hex(8), kind, fleet.zone)
+        """`validate`: why this server rejects a text, "" if it accepts it."""
+        self.fleet = fleet
+        self.name = name
+        self.validate = validate
+        identity = ServerIdentity(fleet.name, name, secrets.token_hex(8), fingerprint, fleet.zone)
         self.participant = Participant(clock.monotonic(), identity, fleet.relays, fleet.server_lease_ms)
         self.order_sender = OrderSender(orders)
         self.counts = {"connected": 0, "ended": 0, "sent": 0, "received": 0, "checks_begun": 0, "checked": 0}
         self._streams: dict[int, RelayStream] = {}
         self._scopes: dict[int, anyio.CancelScope] = {}
-        self._wake = anyio.Event()
+        self._wakeup = anyio.Event()
 
-    # In the dispatcher's turn.
+    # In the dispatcher's batch.
 
     def pulse(self, now: float) -> None:
         """Ahead of what arrives: which policy is in force, and whether this server admits."""
         participant = self.participant
         standing = participant.standing(now)
-        self.order_sender.send(participant.known, standing, participant.why)
+        self.order_sender.send(participant.known, standing, participant.status_reason)
 
     # Its own tasks.
 
     async def run(self) -> None:
+        """Runs until it is cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                self._wake = anyio.Event()
-                wait = self._begin_effects(group)
-                with anyio.move_on_after(min(max(wait, 1.0), MAX_SLEEP_MS) / 1000):
-                    await self._wake.wait()
+                self._wakeup = anyio.Event()
+                wait_ms = self._begin_effects(group)
+                with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
+                    await self._wakeup.wait()
 
     def shown(self) -> dict[str, object]:
         """For the control socket."""
-        participant, now = self.participant, clock.monotonic()
-        identity, standing = participant.identity, participant.standing(now)
+        now = clock.monotonic()
+        participant = self.participant
+        identity = participant.identity
+        standing = participant.standing(now)
         return dict(
             fleet=identity.fleet,
             name=identity.name,
             epoch=identity.epoch,
-            kind=identity.kind,
+            kind=identity.fingerprint,
             relay=participant.relay,
-            relays=list(participant.relays),
+            relays=list(participant.selector.addresses),
             standing=standing.name.lower(),
             admits=standing.admits,
-            why=participant.why or standing.value,
+            why=participant.status_reason or standing.value,
             version=participant.known.version,
             digest=participant.known.digest,
             head=participant.head,
-            lease_left_ms=round(max(participant.lease_until - now, 0.0), 1),
+            lease_left_ms=round(max(participant.lease.until - now, 0.0), 1),
             counts=self.counts | {"asides": self.order_sender.asides},
         )
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> float:
-        """How long until something is due by itself, in ms."""
+        """How long until something is due without an event, in ms."""
         try:
             for effect in self.participant.effects(clock.monotonic()):
                 self._begin(group, effect)
             return self.participant.due() - clock.monotonic()
-        except Exception:  # the fleet's part is not the server's: it is decided anew
+        except Exception:  # a failure here must not end the server: it is decided anew
             log.exception("the fleet's part failed", of="effects")
             return ERROR_RETRY_MS
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: ParticipantEffect) -> None:
-        if isinstance(effect, Connect):
-            scope = self._scopes[effect.connection] = anyio.CancelScope()
-            group.start_soon(self._keep_stream, effect, scope)
-        elif isinstance(effect, Disconnect):
-            if open_scope := self._scopes.get(effect.connection):
-                open_scope.cancel()
-        elif isinstance(effect, CheckText):
-            group.start_soon(self._check, effect)
-        else:
-            self._send(effect.connection, effect.message)
-
-    def _send(self, connection: int, message: ServerMessage) -> None:
-        if stream := self._streams.get(connection):
-            try:
-                stream.send(message)
-                self.counts["sent"] += 1
-            except StreamClosedError as why:
-                log.warning("a relay is left", relay=stream.relay, why=str(why))
-                self._scopes[connection].cancel()
-
-    async def _keep_stream(self, effect: Connect, scope: anyio.CancelScope) -> None:
-        """From the opening of a stream to its end, of which the participant is told."""
+        match effect:
+            case Connect():
+                scope = self._scopes[effect.connection] = anyio.CancelScope()
+                group.start_soon(self._run_stream, effect, scope)
+            case Disconnect():
+                if open_scope := self._scopes.get(effect.connection):
+                    open_scope.cancel()
+            case ValidateText():
+                group.start_soon(self._validate, effect)
+            case SendToRelay():
+                self._send(effect)
+
+    def _send(self, effect: SendToRelay) -> None:
+        stream = self._streams.get(effect.connection)
+        if stream is None:
+            return
+        try:
+            stream.send(effect.message)
+            self.counts["sent"] += 1
+        except StreamClosedError as error:
+            log.warning("a relay is left", relay=stream.relay, why=str(error))
+            self._scopes[effect.connection].cancel()
+
+    async def _run_stream(self, effect: Connect, scope: anyio.CancelScope) -> None:
+        """From the opening of a stream to its end, of which the participant is notified."""
         connection = effect.connection
         try:
             with scope:
-                await self._talk(connection, RelayStream(self.fleet, effect.relay))
-        except* (StreamClosedError, InvalidMessageError) as ends:
-            log.info("a relay's stream ended", relay=effect.relay, why=str(ends.exceptions[0]))
+                await self._exchange_messages(connection, RelayStream(self.fleet, effect.relay))
+        except* (StreamClosedError, InvalidMessageError) as errors:
+            log.info("a relay's stream ended", relay=effect.relay, why=str(errors.exceptions[0]))
         except* Exception:
             log.exception("the fleet's part failed", of="stream")
         finally:
             self._streams.pop(connection, None)
             self._scopes.pop(connection, None)
-            self.participant.disconnected(clock.monotonic(), connection)
+            self.participant.handle_disconnected(clock.monotonic(), connection)
             self.counts["ended"] += 1
-            self._wake.set()
+            self._wakeup.set()
 
-    async def _talk(self, connection: int, stream: RelayStream) -> None:
+    async def _exchange_messages(self, connection: int, stream: RelayStream) -> None:
         async with stream.opened():
             self._streams[connection] = stream
             self.counts["connected"] += 1
-            self.participant.connected(clock.monotonic(), connection)
-            self._wake.set()
+            self.participant.handle_connected(clock.monotonic(), connection)
+            self._wakeup.set()
             async with anyio.create_task_group() as group:
                 group.start_soon(stream.write_queued)
                 while True:
                     message = await stream.receive()
                     self.counts["received"] += 1
-                    self.participant.received(clock.monotonic(), connection, message)
-                    self._wake.set()
+                    self.participant.handle_message(clock.monotonic(), connection, message)
+                    self._wakeup.set()
 
-    async def _check(self, effect: CheckText) -> None:
-        """In a thread: a policy of hundreds of names would hold up the loop for tens of ms. A drain does not
-        wait for it."""
+    async def _validate(self, effect: ValidateText) -> None:
+        """In a thread: a policy of hundreds of names would hold up the loop for tens of ms.
+
+        A drain does not wait for it."""
         self.counts["checks_begun"] += 1
-        judge = functools.partial(self._judge, effect.text)
-        trouble = await anyio.to_thread.run_sync(judge, abandon_on_cancel=True)
+        validate = functools.partial(validate_text, self.validate, self.name, effect.text)
+        rejection = await anyio.to_thread.run_sync(validate, abandon_on_cancel=True)
         self.counts["checked"] += 1
-        self.participant.checked(clock.monotonic(), effect.digest, trouble)
-        self._wake.set()
-
-    def _judge(self, text: str) -> str:
-        try:
-            return self.judge(text)
-        except Exception as why:  # it is a no, with what there is of a reason
-            log.exception("a policy could not be judged")
-            return f"{self.name}: {type(why).__name__}: {why}"
+        self.participant.handle_validated(clock.monotonic(), effect.digest, rejection)
+        self._wakeup.set()
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -10,8 +10,8 @@
 from otterrudder.fleet.cell.relay import DEFAULT_MAX_SESSIONS
 from otterrudder.fleet.records import NAME_MOST, Absent
 
-SERVER_LEASE_MS = 3000.0  # ms of a server's lease from its relay
-MIN_SERVER_LEASE_MS = 1000.0  # ms; below it a lost renewal or two would end a lease
+SERVER_LEASE_MS = 3000.0
+MIN_SERVER_LEASE_MS = 1000.0  # below it a lost renewal or two would end a lease
 MAX_RELAYS = 16  # addresses in a list
 MAX_SESSIONS_LIMIT = 10_000  # servers of one relay
 
@@ -27,8 +27,8 @@
     address: str
     listen: str = ""
     candidates: list[str] = []
-    sessions_most: int = DEFAULT_MAX_SESSIONS
-    folder: str | None = None
+    max_sessions: int = msgspec.field(default=DEFAULT_MAX_SESSIONS, name="sessions_most")
+    state_directory: str | None = msgspec.field(default=None, name="folder")
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,10 +36,10 @@
     """Which relay of which cell a process is."""
 
     cell: str
-    address: str  # the others know it by this
-    listen: str  # listens here: the address, unless the file says otherwise (behind a forwarded port, say)
+    address: str  # as the other relays and the servers know it
+    listen: str  # the address, unless the file has another one (behind a forwarded port, say)
     candidates: tuple[str, ...]  # all relays of the cell, this one among them, sorted
-    sessions_most: int
+    max_sessions: int
 
     @property
     def is_shared(self) -> bool:
@@ -48,6 +48,7 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
+        """The host and port that it listens on."""
         return address(self.listen, "relay.listen")
 
 
@@ -61,7 +62,7 @@
 
 
 def check_relays(key: str, relays: list[str]) -> None:
-    """Addresses, each once."""
+    """Addresses with a port, each once."""
     if len(relays) > MAX_RELAYS:
         raise RelayConfigurationError(f"{key}: at most {MAX_RELAYS} addresses are wanted, not {len(relays)}")
     if len(set(relays)) < len(relays):
@@ -69,8 +70,8 @@
     for relay in relays:
         try:
             _, port = address(relay, key)
-        except BadConfiguration as trouble:
-            raise RelayConfigurationError(str(trouble)) from None
+        except BadConfiguration as error:
+            raise RelayConfigurationError(str(error)) from None
         if not port:
             raise RelayConfigurationError(f"{key}: {relay!r}: the others need a port to find it by")
 
@@ -83,22 +84,30 @@
     listen = table.listen or table.address
     check_relays("relay.listen", [listen])
     candidates = table.candidates or [table.address]
+    _check_candidates(table, candidates)
+    if not 1 <= table.max_sessions <= MAX_SESSIONS_LIMIT:
+        raise RelayConfigurationError(
+            f"relay.sessions_most: {table.max_sessions} is not from 1 to {MAX_SESSIONS_LIMIT}"
+        )
+    _check_state_directory(table, len(candidates), absent)
+    return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.max_sessions)
+
+
+def _check_candidates(table: RelayTable, candidates: list[str]) -> None:
     check_relays("relay.candidates", candidates)
     if table.address not in candidates:
         raise RelayConfigurationError(
             f"relay.candidates: this relay's own address {table.address} is not among them"
         )
-    if not 1 <= table.sessions_most <= MAX_SESSIONS_LIMIT:
-        raise RelayConfigurationError(
-            f"relay.sessions_most: {table.sessions_most} is not from 1 to {MAX_SESSIONS_LIMIT}"
-        )
-    if len(candidates) == 1 and absent == "wait" and not table.folder:
+
+
+def _check_state_directory(table: RelayTable, relays: int, absent: Absent) -> None:
+    if relays == 1 and absent == "wait" and not table.state_directory:
         raise RelayConfigurationError(
             'relay.folder: absent = "wait" with one relay needs one: a restart that has forgotten its vote '
             "could grant leases for a policy that is no longer in force"
         )
-    if len(candidates) > 1 and table.folder:
+    if relays > 1 and table.state_directory:
         raise RelayConfigurationError(
             "relay.folder: the relays of a cell share its name, and none keeps state for it"
         )
-    return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.sessions_most)
--- a/otterrudder/fleet/cell/endorsement.py
+++ b/otterrudder/fleet/cell/endorsement.py
@@ -1,106 +1,111 @@
-"""Endorsement among the relays of one cell, so that a cell serves on while the store is away. Pure.
+"""Endorsement of a leader's lease by the other relays of its cell, so that the cell serves on while the store
+is away. Pure.
 
 The relay that leads a cell holds a lease of the store, and its authority ends with it: another relay of the
 cell could have taken the cell over. While the store does not answer, the leader asks every other relay of
-the cell. One that does not hear the store either, and does not lead, consents: for a span it neither votes
-for the cell nor grants leases. While all have consented nobody can have voted in the leader's place, so
-under the rule `wait` no change can have been committed, and its authority goes on. Compare quorum leases
-(Moraru, Andersen, Kaminsky 2014); here all relays of the cell are the quorum, so no order among them has to
-be agreed on.
+the cell. One that gets no answers of the store either, and does not lead, endorses the lease: for a span it
+neither votes for the cell nor grants leases. While all have endorsed nobody can have voted in the leader's
+place, so under the rule `wait` no change can have been committed, and its authority goes on. Compare quorum
+leases (Moraru, Andersen, Kaminsky 2014); here all relays of the cell are the quorum, so no order among them
+has to be agreed on.
 
-A relay that has just started may have consented in an earlier life: it takes part in nothing for one span."""
+A relay that has just started may have endorsed before its restart: it takes part in nothing for one span."""
 
 import math
-from dataclasses import dataclass
 
+from otterrudder.fleet.cell.effects import PeerRequest
+from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 
-ENDORSEMENT_MS = 3000.0  # ms for which a consent binds its giver, by its own clock
-TRUSTED_SHARE = 0.9  # of the span, by the asker's clock from the sending: two clocks may run apart by a tenth
-RENEWAL_SHARE = 0.25  # of the span, between requests while all have consented: three may be lost
-# of the span, between requests until then: the others still heard the store when they were asked, or a
-# request was lost, and the lease of the store is running out
+ENDORSEMENT_MS = 3000.0  # for which an endorsement binds its giver, by the giver's clock
+TRUSTED_SHARE = 0.9  # of the span, by the leader's clock from the sending: clocks may run apart by a tenth
+RENEWAL_SHARE = 0.25  # of the span, between requests while all have endorsed: three may be lost
+# of the span, between requests until then: the others may have had an answer of the store until just now, or
+# a request was lost, and the lease of the store is running out
 FIRST_REQUEST_SHARE = 1 / 12
 
 
-@dataclass(frozen=True, slots=True)
-class PeerRequest:
-    """A request to another relay of the cell."""
-
-    peer: str
-    message: EndorsementRequest
-
-
 class EndorsementCollector:
-    """The leader's side: what the others have consented to."""
+    """The leader's side: asks the other relays, and counts until when all of them have endorsed."""
 
-    __slots__ = ("_ask_at", "_ends", "_sent", "_sequence", "candidates", "cell", "fleet", "name", "peers")
+    __slots__ = ("_endorsed_until", "_request_at", "_requests", "_sequence", "identity", "peers")
 
-    def __init__(self, now: float, fleet: str, cell: str, name: str, candidates: tuple[str, ...]) -> None:
-        """`candidates`: all relays of the cell, this one among them."""
-        self.fleet, self.cell, self.name = fleet, cell, name
-        self.candidates = tuple(sorted(candidates))
-        self.peers = tuple(peer for peer in self.candidates if peer != name)
-        self._ends = dict.fromkeys(self.peers, -math.inf)
-        self._sent: dict[int, tuple[str, float]] = {}
+    def __init__(self, now: float, identity: CellIdentity) -> None:
+        self.identity = identity
+        self.peers = tuple(peer for peer in sorted(identity.candidates) if peer != identity.address)
+        self._endorsed_until = dict.fromkeys(self.peers, -math.inf)
+        self._requests: dict[int, tuple[str, float]] = {}  # peer and time of sending, by sequence number
         self._sequence = 0
-        self._ask_at = now
+        self._request_at = now
 
     def until(self) -> float:
-        """Until when all others have consented, by this relay's clock."""
-        return min(self._ends.values(), default=-math.inf)
+        """Until when all others have endorsed, by this relay's clock."""
+        return min(self._endorsed_until.values(), default=-math.inf)
 
     def requests(self, now: float) -> list[PeerRequest]:
-        """To be called while consent is needed."""
-        if now < self._ask_at:
+        """The requests that are due; to be called while endorsements are needed."""
+        if now < self._request_at:
             return []
         share = RENEWAL_SHARE if self.until() > now else FIRST_REQUEST_SHARE
-        self._ask_at = now + ENDORSEMENT_MS * share
+        self._request_at = now + ENDORSEMENT_MS * share
         oldest = now - ENDORSEMENT_MS
-        self._sent = {number: sent for number, sent in self._sent.items() if sent[1] > oldest}
+        self._requests = {number: sent for number, sent in self._requests.items() if sent[1] > oldest}
         return [self._request(now, peer) for peer in self.peers]
 
-    def _request(self, now: float, peer: str) -> PeerRequest:
-        self._sequence += 1
-        self._sent[self._sequence] = (peer, now)
-        message = EndorsementRequest(self._sequence, self.fleet, self.cell, self.name, self.candidates)
-        return PeerRequest(peer, message)
-
-    def received(self, consent: Endorsement) -> None:
-        peer, sent = self._sent.pop(consent.sequence, ("", 0.0))
-        if peer != consent.sender or consent.span_ms <= 0:
+    def handle_endorsement(self, endorsement: Endorsement) -> None:
+        """Another relay has answered; a span of 0 is a refusal."""
+        peer, sent_at = self._requests.pop(endorsement.sequence, ("", 0.0))
+        if peer != endorsement.sender or endorsement.span_ms <= 0:
             return
-        self._ends[peer] = max(self._ends[peer], sent + consent.span_ms * TRUSTED_SHARE)
+        until = sent_at + endorsement.span_ms * TRUSTED_SHARE
+        self._endorsed_until[peer] = max(self._endorsed_until[peer], until)
 
     def due(self) -> float:
-        return self._ask_at
+        """When the next requests are due."""
+        return self._request_at
+
+    def _request(self, now: float, peer: str) -> PeerRequest:
+        self._sequence += 1
+        self._requests[self._sequence] = (peer, now)
+        identity = self.identity
+        message = EndorsementRequest(
+            self._sequence,
+            identity.fleet,
+            identity.cell,
+            identity.address,
+            tuple(sorted(identity.candidates)),
+        )
+        return PeerRequest(peer, message)
 
 
 class EndorsementGiver:
-    """The giver's side: until when it takes no part in the cell."""
+    """The other side: endorses a leader's lease, and remembers until when that binds this relay."""
 
-    __slots__ = ("candidates", "cell", "fleet", "name", "until")
+    __slots__ = ("identity", "until")
 
-    def __init__(self, now: float, fleet: str, cell: str, name: str, candidates: tuple[str, ...]) -> None:
-        self.fleet, self.cell, self.name = fleet, cell, name
-        self.candidates = tuple(sorted(candidates))
-        self.until = now + ENDORSEMENT_MS if len(self.candidates) > 1 else -math.inf
+    def __init__(self, now: float, identity: CellIdentity) -> None:
+        self.identity = identity
+        self.until = now + ENDORSEMENT_MS if len(identity.candidates) > 1 else -math.inf
 
-    def answer(self, now: float, request: EndorsementRequest, leads: bool, hears_store: bool) -> Endorsement:
-        """`leads`: this relay is registered for the cell, as far as it knows, or may be."""
-        why = self._why_not(request, leads, hears_store)
-        if why:
-            return Endorsement(request.sequence, self.name, 0.0, why)
+    def answer(
+        self, now: float, request: EndorsementRequest, *, leads: bool, store_answers: bool
+    ) -> Endorsement:
+        """`leads`: this relay is registered for the cell, as far as it knows."""
+        reason = self._refusal_reason(request, leads, store_answers)
+        if reason:
+            return Endorsement(request.sequence, self.identity.address, 0.0, reason)
         self.until = max(self.until, now + ENDORSEMENT_MS)
-        return Endorsement(request.sequence, self.name, ENDORSEMENT_MS)
-
-    def _why_not(self, request: EndorsementRequest, leads: bool, hears_store: bool) -> str:
-        if (request.fleet, request.cell) != (self.fleet, self.cell):
-            return f"this relay is of the cell {self.cell} of {self.fleet}"
-        if request.candidates != self.candidates or request.sender not in self.candidates:
-            return f"this relay knows other relays of the cell: {', '.join(self.candidates)}"
+        return Endorsement(request.sequence, self.identity.address, ENDORSEMENT_MS)
+
+    def _refusal_reason(self, request: EndorsementRequest, leads: bool, store_answers: bool) -> str:
+        identity = self.identity
+        candidates = tuple(sorted(identity.candidates))
+        if (request.fleet, request.cell) != (identity.fleet, identity.cell):
+            return f"this relay is of the cell {identity.cell} of {identity.fleet}"
+        if request.candidates != candidates or request.sender not in candidates:
+            return f"this relay knows other relays of the cell: {', '.join(candidates)}"
         if leads:
             return "this relay leads the cell"
-        if hears_store:
+        if store_answers:
             return "the store answers here"
         return ""
--- a/otterrudder/fleet/cell/messages.py
+++ b/otterrudder/fleet/cell/messages.py
@@ -8,11 +8,12 @@
 ignored by an earlier one."""
 
 from enum import Enum
+from typing import TypeVar
 
 import msgspec
 
 PROTOCOL_VERSION = 1
-NAME_MOST = 128  # characters of a name, an epoch or a kind
+MAX_NAME_LENGTH = 128  # characters of a name, an epoch or a fingerprint
 MAX_DETAIL_LENGTH = 500  # characters of an explanation
 
 
@@ -24,28 +25,31 @@
     """Why a relay grants no lease."""
 
     NOT_LEADER = "not-leader"  # another relay leads the cell, or none does
-    NO_AUTHORITY = "no-authority"  # it leads, and can't promise anything at the moment
+    NO_AUTHORITY = "no-authority"  # it leads, and may grant nothing at the moment
     FULL = "full"  # it has as many sessions as it may have
-    UNANSWERED = "unanswered"  # this kind of server was asked about an open change and has not answered
+    UNANSWERED = "unanswered"  # such a server was asked about an open change and has not answered
     WRONG_FLEET = "wrong-fleet"  # the relay is of another fleet
     PROTOCOL = "protocol"  # the message or its version is not known
-    LEAVING = "leaving"  # the relay is shutting down
+    SHUTTING_DOWN = "leaving"  # the relay is shutting down
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, omit_defaults=False):
     pass
 
 
+# From a server to its relay.
+
+
 class Registration(_Message, frozen=True, tag="Register"):
-    """The first message of a server: who it is, and what it goes by."""
+    """The first message of a server: who it is, and which version it goes by."""
 
     sequence: int
     fleet: str
     name: str
     epoch: str  # new with each process
-    kind: str  # digest of its configuration and program version
+    fingerprint: str  # digest of its configuration and program version
     zone: str = ""
-    version: int = 0  # of the policy it goes by
+    version: int = 0  # of the policy that it goes by
     protocol: int = PROTOCOL_VERSION
 
 
@@ -58,16 +62,19 @@
 
 
 class ValidationResult(_Message, frozen=True, tag="Verdict"):
-    """The answer to ValidationRequest: what is wrong with the text for this kind of server, "" if nothing."""
+    """The answer to a ValidationRequest: why servers with this fingerprint reject the text, "" if they
+    accept it."""
 
     digest: str
-    trouble: str = ""
+    rejection: str = ""
+
+
+# From a relay to a server.
 
 
 class LeaseGrant(_Message, frozen=True, tag="Grant"):
     """A lease: until `span_ms` from the sending of the request, no version but `version` binds the server,
-    as far
-    as it has not been told of a newer one."""
+    unless a newer one was announced to it."""
 
     sequence: int  # of the request that it answers
     version: int
@@ -75,6 +82,14 @@
     span_ms: float
 
 
+class LeaseRefusal(_Message, frozen=True, tag="Refuse"):
+    """No lease, and why; the server tries another relay."""
+
+    sequence: int
+    reason: RefusalReason
+    detail: str = ""
+
+
 class PolicyUpdate(_Message, frozen=True, tag="InForce"):
     """A policy that is in force."""
 
@@ -85,18 +100,13 @@
 
 
 class ValidationRequest(_Message, frozen=True, tag="AskVerdict"):
-    """Asks one server of a kind about the text of an open change."""
+    """Asks one server of those with one fingerprint about the text of an open change."""
 
     digest: str
     text: str
 
 
-class LeaseRefusal(_Message, frozen=True, tag="Refuse"):
-    """No lease, and why; the server tries another relay."""
-
-    sequence: int
-    reason: RefusalReason
-    detail: str = ""
+# Between the relays of one cell.
 
 
 class EndorsementRequest(_Message, frozen=True, tag="AskConsent"):
@@ -110,20 +120,19 @@
 
 
 class Endorsement(_Message, frozen=True, tag="Consent"):
-    """The sender neither grants leases nor votes for the cell for `span_ms` from now; 0: it does not
-    consent."""
+    """The sender neither grants leases nor votes for the cell for `span_ms` from now; 0: it refuses."""
 
     sequence: int
     sender: str
     span_ms: float
-    why: str = ""  # of a refusal
+    reason: str = ""  # of a refusal
 
 
-# Characters of what servers say: a relay keeps it, or hands it on to the store.
-_BOUNDS: dict[type[_Message], dict[str, int]] = {
-    Registration: dict.fromkeys(("fleet", "name", "epoch", "kind", "zone"), NAME_MOST),
-    LeaseRenewal: {"standing": NAME_MOST},
-    ValidationResult: {"digest": NAME_MOST, "trouble": MAX_DETAIL_LENGTH},
+# Characters of what a server sends, since a relay keeps it or hands it on to the store.
+_MAX_LENGTHS: dict[type[_Message], dict[str, int]] = {
+    Registration: dict.fromkeys(("fleet", "name", "epoch", "fingerprint", "zone"), MAX_NAME_LENGTH),
+    LeaseRenewal: {"standing": MAX_NAME_LENGTH},
+    ValidationResult: {"digest": MAX_NAME_LENGTH, "rejection": MAX_DETAIL_LENGTH},
 }
 
 ServerMessage = Registration | LeaseRenewal | ValidationResult
@@ -131,40 +140,39 @@
 PeerMessage = EndorsementRequest | Endorsement
 
 _ENCODER = msgspec.msgpack.Encoder()
-_FROM_SERVER = msgspec.msgpack.Decoder(ServerMessage)
-_FROM_RELAY = msgspec.msgpack.Decoder(RelayMessage)
-_FROM_PEER = msgspec.msgpack.Decoder(PeerMessage)
+_SERVER_DECODER = msgspec.msgpack.Decoder(ServerMessage)
+_RELAY_DECODER = msgspec.msgpack.Decoder(RelayMessage)
+_PEER_DECODER = msgspec.msgpack.Decoder(PeerMessage)
+
+_T = TypeVar("_T")
 
 
 def encode(message: ServerMessage | RelayMessage | PeerMessage) -> bytes:
+    """A message as it stands on the wire."""
     return _ENCODER.encode(message)
 
 
 def decode_from_server(data: bytes) -> ServerMessage:
-    """Raises InvalidMessageError."""
-    try:
-        message: ServerMessage = _FROM_SERVER.decode(data)
-    except msgspec.MsgspecError as why:
-        raise InvalidMessageError(str(why)) from None
-    for field, most in _BOUNDS[type(message)].items():
-        if len(getattr(message, field)) > most:
-            raise InvalidMessageError(f"{field}: more than {most} characters")
+    """A message of a server, within its bounds; InvalidMessageError."""
+    message = _decode(_SERVER_DECODER, data)
+    for field, max_length in _MAX_LENGTHS[type(message)].items():
+        if len(getattr(message, field)) > max_length:
+            raise InvalidMessageError(f"{field}: more than {max_length} characters")
     return message
 
 
 def decode_from_relay(data: bytes) -> RelayMessage:
-    """Raises InvalidMessageError."""
-    try:
-        message: RelayMessage = _FROM_RELAY.decode(data)
-    except msgspec.MsgspecError as why:
-        raise InvalidMessageError(str(why)) from None
-    return message
+    """A message of a relay to a server; InvalidMessageError."""
+    return _decode(_RELAY_DECODER, data)
 
 
 def decode_from_peer(data: bytes) -> PeerMessage:
-    """Raises InvalidMessageError."""
+    """A message between relays of a cell; InvalidMessageError."""
+    return _decode(_PEER_DECODER, data)
+
+
+def _decode(decoder: msgspec.msgpack.Decoder[_T], data: bytes) -> _T:
     try:
-        message: PeerMessage = _FROM_PEER.decode(data)
-    except msgspec.MsgspecError as why:
-        raise InvalidMessageError(str(why)) from None
-    return message
+        return decoder.decode(data)
+    except msgspec.MsgspecError as error:
+        raise InvalidMessageError(str(error)) from None
--- a/otterrudder/fleet/cell/peers.py
+++ b/otterrudder/fleet/cell/peers.py
@@ -1,4 +1,4 @@
-"""Requests for consent to the other relays of a cell, each with a deadline."""
+"""Requests for endorsements to the other relays of a cell, each with a deadline."""
 
 import asyncio
 from typing import Any
@@ -6,9 +6,10 @@
 import grpc
 
 from otterrudder.fleet.cancellation import raise_if_cancelled
-from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, RENEWAL_SHARE, PeerRequest
+from otterrudder.fleet.cell.effects import PeerRequest
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, RENEWAL_SHARE
 from otterrudder.fleet.cell.messages import Endorsement, InvalidMessageError, decode_from_peer, encode
-from otterrudder.fleet.cell.wire import CONSENT, open_channel
+from otterrudder.fleet.cell.wire import ENDORSE_METHOD, open_channel
 from otterrudder.fleet.configuration import Fleet
 
 PEER_TIMEOUT_MS = ENDORSEMENT_MS * RENEWAL_SHARE  # by then another request is under way
@@ -21,9 +22,9 @@
         self._fleet = fleet
         self._channels: dict[str, Any] = {}
 
-    async def ask(self, request: PeerRequest) -> Endorsement | None:
-        """None: no answer came, or it is none."""
-        call = self._channel(request.peer).unary_unary(CONSENT)(
+    async def request(self, request: PeerRequest) -> Endorsement | None:
+        """The answer of a relay; None: there was no valid one in time."""
+        call = self._channel(request.peer).unary_unary(ENDORSE_METHOD)(
             encode(request.message), timeout=PEER_TIMEOUT_MS / 1000
         )
         try:
@@ -38,6 +39,7 @@
         return answer if isinstance(answer, Endorsement) else None
 
     async def close(self) -> None:
+        """Ends the channels."""
         for channel in self._channels.values():
             await channel.close(None)
         self._channels.clear()
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -8,22 +8,25 @@
   the bound. So whatever was granted before a vote has ended by the bound after any commit that the vote
   allows, and nothing has to be remembered of grants: a relay that dies, freezes or is cut off leaves leases
   behind that end by themselves.
-- A vote says what the servers say: one of each kind is asked about the text. A server whose lease has
-  lapsed is not asked, and one whose stream has ended is waited for until its lease has lapsed. A kind that
-  does not answer gets no leases and is not waited for once those that it had have ended.
-- While a change is open that the cell has voted for, a server that has just come gets its first lease after
-  a read of the store that was sent since: what starts after a commit does not admit under the version before.
-- Who takes a cell over does not vote for a moment: until then servers of the former leader may not have
-  found it, and their kinds would not be asked. So no poll is decided before.
-- While the store is away, the leader goes on with the consent of all other relays of its cell
-  (`endorsement.py`). Who has consented does not take the cell while that binds it: it could grant nothing,
-  and the leader is to have its place again once the store is back."""
+- A vote follows the results of the servers: one of each fingerprint is asked about the text. A server whose
+  lease has lapsed is not asked, and one whose stream has ended is waited for until its lease has lapsed.
+  Servers that do not answer get no leases, and are not waited for once those that they had have ended.
+- While a change is open that the cell has voted for, a server that has just registered gets its first lease
+  after a read of the store that was sent since: what starts after a commit does not admit under the version
+  before.
+- A relay that takes a cell over does not vote for a moment: until then servers of the former leader may not
+  have found it, and would not be asked. So no poll is decided before.
+- While the store is away, the leader goes on with the endorsement of all other relays of its cell
+  (`endorsement.py`). A relay that has endorsed does not take the cell over while that binds it: it could
+  grant nothing, and the leader is to have its place again once the store is back."""
 
 import math
-from collections.abc import Iterator
 from dataclasses import dataclass
 
-from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver, PeerRequest
+from otterrudder.fleet.cell.cell_validation import CellValidation
+from otterrudder.fleet.cell.effects import EndSession, RelayEffect, SendToServer
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
+from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import (
     PROTOCOL_VERSION,
     Endorsement,
@@ -36,111 +39,54 @@
     Registration,
     RelayMessage,
     ServerMessage,
-    ValidationRequest,
     ValidationResult,
 )
 from otterrudder.fleet.cell.participant import DEFAULT_LEASE_MS
-from otterrudder.fleet.cell.validation_poll import Candidate, ValidationCache, ValidationPoll
+from otterrudder.fleet.cell.sessions import Session, SessionTable
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Outcome
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import Keys, Live, digest_of
+from otterrudder.fleet.records import Keys, Live
 from otterrudder.fleet.state import Open, Policy, Record, Rules
 
-DEFAULT_MAX_SESSIONS = 2000  # servers of a relay, unless its file says otherwise: a zone has some 300
-MIN_GRANT_MS = 200.0  # ms; a shorter lease would be over before its answer is used
-RESEND_INTERVAL_MS = 2000.0  # ms after which a text is sent again to a server that does not go by it
-SWEEP_INTERVAL_MS = 1000.0  # ms between looks for sessions whose server is gone
-SILENT_SPANS = 2.0  # spans without a word after which a session is ended
-TAKEOVER_VOTE_DELAY_MS = (
-    1500.0  # ms without a vote after taking a cell over: a server is on its next relay by then
-)
-STORE_ANSWER_SHARE = 0.35  # of the store's lease: an answer within it counts as hearing the store
-ENDORSEMENT_SHARE = 0.6  # of the store's lease left, below which the other relays are asked for consent
-
-
-@dataclass(frozen=True, slots=True)
-class SendToServer:
-    connection: int
-    message: RelayMessage
-
-
-@dataclass(frozen=True, slots=True)
-class EndSession:
-    """The stream is to be ended, after what was sent on it."""
-
-    connection: int
-
-
-RelayEffect = Effect | SendToServer | EndSession | PeerRequest
-
-
-@dataclass(slots=True)
-class Session:
-    """A server's stream, from its Registration on."""
-
-    connection: int
-    name: str
-    epoch: str
-    kind: str
-    zone: str
-    version: int
-    heard_at: float
-    standing: str = ""
-    granted_until: float = -math.inf  # by the relay's clock
-    sent_version: int = 0  # of the text that was last sent
-    sent_at: float = -math.inf
-    registered_at: float = 0.0
-    held: int = 0  # the sequence of a request that is answered after the next read; 0: none
-
-
-@dataclass(frozen=True, slots=True)
-class CellIdentity:
-    """Which relay of which cell this is. `candidates`: the addresses of all relays of the cell, this one
-    among them, under which the others know them."""
-
-    fleet: str
-    cell: str
-    address: str
-    candidates: tuple[str, ...]
-
-    @property
-    def holder(self) -> str:
-        """What the roster knows the cell's relays by: a relay with another list is another holder, and is not
-        believed, for it would not ask all of them for consent."""
-        return f"relays {digest_of(' '.join(sorted(self.candidates)))[:16]}"
+DEFAULT_MAX_SESSIONS = 2000  # a zone has some 300 servers
+MIN_GRANT_MS = 200.0  # a shorter lease would be over before its answer is used
+RESEND_INTERVAL_MS = 2000.0  # after which a text is sent again to a server that does not go by it
+SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
+SILENT_SPANS = 2.0  # spans of a lease without a message, after which a session is ended
+TAKEOVER_VOTE_DELAY_MS = 1500.0  # without a vote after a takeover: a server is on its next relay by then
+STORE_ANSWER_SHARE = 0.35  # of the store's lease: the store answers if it did within that
+ENDORSEMENT_SHARE = 0.6  # of the store's lease left, below which endorsements are asked for
 
 
 @dataclass(frozen=True, slots=True)
 class RelayLimits:
+    """What a relay's file may set."""
+
     span_ms: float = DEFAULT_LEASE_MS  # of a server's lease
-    sessions_most: int = DEFAULT_MAX_SESSIONS
+    max_sessions: int = DEFAULT_MAX_SESSIONS
 
 
 class Relay:
+    """Decides for a relay: events with the time in them go in, `effects` hands out what is to be done."""
+
     __slots__ = (
-        "_away",
         "_effects",
-        "_is_changed",
-        "_is_leaving",
-        "_led",
-        "_poll_waits",
-        "_polled",
-        "_pushed",
-        "_quiet_until",
+        "_has_news",
+        "_idle_until",
+        "_is_shutting_down",
+        "_pushed_policy",
         "_sweep_at",
-        "consents",
+        "_was_leading",
+        "endorsements",
+        "given_endorsement",
         "identity",
         "limits",
         "member",
-        "poll",
-        "poll_sent",
-        "poll_task",
-        "promise",
         "refused",
         "sessions",
         "settler",
-        "verdicts",
+        "validation",
     )
 
     def __init__(
@@ -162,14 +108,14 @@
         if limits.span_ms > rules.bound_ms:
             raise ValueError(f"a lease of {limits.span_ms:g} ms outlasts the bound of {rules.bound_ms:g} ms")
         keys = Keys(identity.fleet)
-        holder = identity.holder if rules.is_shared else folder or identity.holder
-        self.identity, self.limits = identity, limits
+        self.identity = identity
+        self.limits = limits
         self.member = Member(
             now,
             keys,
             identity.cell,
             epoch,
-            holder,
+            identity.holder if rules.is_shared else folder or identity.holder,
             rules,
             lambda text: "",
             record=record,
@@ -178,32 +124,23 @@
             cluster=cluster,
         )
         self.settler = Settler(keys, identity.cell, keeps_leadership=True)
-        self.sessions: dict[int, Session] = {}
-        self._away: dict[
-            str, tuple[float, str]
-        ] = {}  # kinds: the end of a lease whose stream has ended, whose
-        self.verdicts = ValidationCache()
-        self.poll: ValidationPoll | None = None
-        self.poll_task: Judge | None = None
-        self.poll_sent = now
-        named = (identity.fleet, identity.cell, identity.address, identity.candidates)
-        self.consents = EndorsementCollector(now, *named)
-        self.promise = EndorsementGiver(now, *named)
-        self._abstain()
+        self.sessions = SessionTable(limits.max_sessions)
+        self.validation = CellValidation(now)
+        self.endorsements = EndorsementCollector(now, identity)
+        self.given_endorsement = EndorsementGiver(now, identity)
         self.refused: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
-        self._led = False
-        self._polled = 0  # the revision that made the change that the poll is about
-        self._poll_waits = False  # all that are here have been asked, and others may come
-        self._pushed: Policy = Policy()
-        self._is_leaving = False
+        self._was_leading = False
+        self._pushed_policy = Policy()
+        self._is_shutting_down = False
         self._sweep_at = now + SWEEP_INTERVAL_MS
         self._effects: list[RelayEffect] = []
-        # A renewal asks nothing of the store, and there are hundreds a second: between other events its
+        # A renewal asks nothing of the store, and there are hundreds a second: without other events its
         # answer is all that `effects` looks for.
-        self._is_changed = True
-        self._quiet_until = -math.inf
+        self._has_news = True
+        self._idle_until = -math.inf
+        self._abstain()
 
-    # What it says.
+    # Its state.
 
     def leads(self) -> bool:
         """Whether this relay is registered for its cell, as far as it knows."""
@@ -211,83 +148,86 @@
 
     def authority_until(self, now: float) -> float:
         """Until when leases may be granted that were asked for now; -inf: none may."""
-        if now < self.promise.until or self._is_leaving:
+        if now < self.given_endorsement.until or self._is_shutting_down:
             return -math.inf
         return self.member.authority_until(now)
 
     def watched(self) -> tuple[str, ...]:
-        """The prefixes of the store whose writes are hints for this relay now."""
+        """The prefixes of the store whose watch events this relay needs now."""
         keys = self.member.keys
         return (keys.head, keys.votes, keys.queue) if self.member.is_leader else (keys.head,)
 
     def due(self) -> float:
-        """When `effects` may next say something by itself; -inf: now."""
+        """When `effects` may next have some without an event; -inf: now."""
         if self._effects:
             return -math.inf
-        return self._next_due() if self._is_changed else self._quiet_until
+        return self._next_due() if self._has_news else self._idle_until
 
     def _next_due(self) -> float:
-        times = [self.member.due(), self.settler.due(), self._sweep_at]
-        if self.poll and self.poll_task:
-            times.append(self.poll.due())
-            if self._poll_waits:
-                times.append(self.member.abstains_until)
-        if self._may_need_consent():
-            times.append(max(self.consents.due(), self._consent_from()))
+        times = [
+            self.member.due(),
+            self.settler.due(),
+            self._sweep_at,
+            self.validation.due(self.member.abstains_until),
+        ]
+        if self._may_need_endorsements():
+            times.append(max(self.endorsements.due(), self._endorsements_needed_at()))
         return min(times)
 
-    # What happens to it.
+    # Events.
 
     def hint(self, now: float, prefix: str) -> None:
         """Something under a watched prefix was written, or its watch was begun."""
-        self._is_changed = True
+        self._has_news = True
         if prefix == self.member.keys.head:
             self.member.hint()
         self.settler.hint(now)
 
-    def closed(self, connection: int) -> None:
-        """The server's stream ended. Its lease goes on to its end, and its kind is waited for until then."""
-        if session := self.sessions.pop(connection, None):
-            self._is_changed = True
-            until = self._away.get(session.kind, (-math.inf, ""))[0]
-            if session.granted_until > until:
-                self._away[session.kind] = (session.granted_until, session.name)
-
-    def received(self, now: float, connection: int, message: ServerMessage) -> None:
-        if not isinstance(message, LeaseRenewal) or self._unvoted():
-            self._is_changed = True
+    def handle_stream_closed(self, connection: int) -> None:
+        """A server's stream has ended. Its lease goes on, and it is waited for until the lease has lapsed."""
+        if self.sessions.close(connection):
+            self._has_news = True
+
+    def handle_message(self, now: float, connection: int, message: ServerMessage) -> None:
+        """A server has sent a message."""
+        if not isinstance(message, LeaseRenewal) or self._undecided_change():
+            self._has_news = True
         if isinstance(message, Registration):
-            self._register(now, connection, message)
+            self._handle_registration(now, connection, message)
             return
         session = self.sessions.get(connection)
         if session is None:
             sequence = message.sequence if isinstance(message, LeaseRenewal) else 0
-            self._refuse(connection, sequence, RefusalReason.PROTOCOL, "a Registration comes first")
+            self._refuse(connection, sequence, RefusalReason.PROTOCOL, "a Register comes first")
             return
-        session.heard_at = now
+        session.last_message_at = now
         if isinstance(message, LeaseRenewal):
-            session.version, session.standing = message.version, message.standing
-            self._answer(now, session, message.sequence)
+            session.version = message.version
+            session.status = message.standing
+            self._answer_request(now, session, message.sequence)
         else:
-            self._take_verdict(now, session, message)
+            self._handle_validation_result(now, session, message)
 
-    def peer_asked(self, now: float, request: EndorsementRequest) -> Endorsement:
+    def handle_endorsement_request(self, now: float, request: EndorsementRequest) -> Endorsement:
         """The answer to another relay of the cell."""
-        silence = now - self.member.answered_at
-        is_heard = silence < self.member.rules.lease_ms * STORE_ANSWER_SHARE
-        self._is_changed = True
-        consent = self.promise.answer(now, request, self.leads(), is_heard)
+        self._has_news = True
+        silence_ms = now - self.member.answered_at
+        store_answers = silence_ms < self.member.rules.lease_ms * STORE_ANSWER_SHARE
+        endorsement = self.given_endorsement.answer(
+            now, request, leads=self.leads(), store_answers=store_answers
+        )
         self._abstain()
-        return consent
+        return endorsement
 
-    def peer_answered(self, consent: Endorsement) -> None:
-        self._is_changed = True
-        self.consents.received(consent)
-        self.member.consent_until = self.consents.until()
+    def handle_endorsement(self, endorsement: Endorsement) -> None:
+        """Another relay of the cell has answered."""
+        self._has_news = True
+        self.endorsements.handle_endorsement(endorsement)
+        self.member.consent_until = self.endorsements.until()
 
     def completed(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
         """How an effect of the store or the disk ended; `sent`: when it was begun."""
-        self._is_changed = True
+        self._has_news = True
         if effect.lane is Lane.SETTLE:
             if isinstance(effect, Commit):
                 self.member.hint()
@@ -299,243 +239,256 @@
                 self.settler.latency_ms = now - sent
         self._after_store(now)
 
-    def leave(self, now: float) -> None:
-        """The relay shuts down: its servers are sent to the others. Its lease is for the caller to give
-        back."""
-        self._is_leaving = self._is_changed = True
-        for connection in list(self.sessions):
-            self._refuse(connection, 0, RefusalReason.LEAVING)
+    def begin_shutdown(self) -> None:
+        """Sends the servers to the other relays. To give the store's lease back is up to the caller."""
+        self._has_news = True
+        self._is_shutting_down = True
+        for connection in self.sessions.connections():
+            self._refuse(connection, 0, RefusalReason.SHUTTING_DOWN)
 
-    # What it asks for.
+    # Effects.
 
     def effects(self, now: float) -> list[RelayEffect]:
-        """What is to be begun now. `completed` is owed for those of the store and the disk."""
-        if self._is_changed or now >= self._quiet_until:
+        """What is to be begun now. The outcome of those of the store and the disk is owed to `completed`."""
+        if self._has_news or now >= self._idle_until:
             self._decide(now)
         begun, self._effects = self._effects, []
         return begun
 
     def _decide(self, now: float) -> None:
         self._take_store_effects(now)
-        self._go_on_polling(now)
-        if self._may_need_consent() and now >= self._consent_from():
-            self._effects += self.consents.requests(now)
+        self._advance_validation(now)
+        if self._may_need_endorsements() and now >= self._endorsements_needed_at():
+            self._effects += self.endorsements.requests(now)
         if now >= self._sweep_at:
             self._sweep(now)
-        self._is_changed = False
-        self._quiet_until = self._next_due()
+        self._has_news = False
+        self._idle_until = self._next_due()
 
     def _take_store_effects(self, now: float) -> None:
-        self._review_judgement(now)
+        self._review_validation(now)
         for effect in self.member.effects(now):
             if isinstance(effect, Judge):
-                self._begin_judging(now, effect)
+                self._start_validation(now, effect)
                 continue
             self._effects.append(effect)
             if isinstance(effect, Commit) and effect.what == "vote" and not self.member.pledge:
                 self.member.judge_again()  # a no is of this change alone, and stops nobody once it has ended
-        settle = self.settler.effects_of(now, self.member)
-        if settle:
-            self._effects.append(settle)
+        if coordination := self.settler.effects_of(now, self.member):
+            self._effects.append(coordination)
 
     # Sessions and leases.
 
-    def _register(self, now: float, connection: int, message: Registration) -> None:
+    def _handle_registration(self, now: float, connection: int, message: Registration) -> None:
+        sequence = message.sequence
         if message.protocol != PROTOCOL_VERSION:
-            self._refuse(connection, message.sequence, RefusalReason.PROTOCOL, f"wants {PROTOCOL_VERSION}")
+            self._refuse(connection, sequence, RefusalReason.PROTOCOL, f"wants {PROTOCOL_VERSION}")
         elif message.fleet != self.identity.fleet:
-            self._refuse(connection, message.sequence, RefusalReason.WRONG_FLEET, self.identity.fleet)
-        elif not self._has_room(connection, message):
-            detail = f"{self.identity.address} has its {self.limits.sessions_most} sessions"
-            self._refuse(connection, message.sequence, RefusalReason.FULL, detail)
-        elif not self.leads() and not self._is_coming_back(now):
-            self._refuse(connection, message.sequence, RefusalReason.NOT_LEADER)
+            self._refuse(connection, sequence, RefusalReason.WRONG_FLEET, self.identity.fleet)
+        elif not self._make_room(connection, message):
+            detail = f"{self.identity.address} has its {self.sessions.max_sessions} sessions"
+            self._refuse(connection, sequence, RefusalReason.FULL, detail)
+        elif not self.leads() and not self._is_reregistering(now):
+            self._refuse(connection, sequence, RefusalReason.NOT_LEADER)
         else:
-            session = Session(
-                connection, message.name, message.epoch, message.kind, message.zone, message.version, now
-            )
-            session.registered_at = now
-            self.sessions[connection] = session
-            self._answer(now, session, message.sequence)
-
-    def _has_room(self, connection: int, message: Registration) -> bool:
-        """An earlier stream of the same process, whose end was not heard of yet, gives up its place."""
-        if connection in self.sessions or len(self.sessions) < self.limits.sessions_most:
+            session = self.sessions.register(now, connection, message)
+            self._answer_request(now, session, sequence)
+
+    def _make_room(self, connection: int, message: Registration) -> bool:
+        """Whether there is room; an earlier stream of the same process gives up its place."""
+        if self.sessions.has_room(connection):
             return True
-        who = (message.name, message.epoch)
-        earlier = (number for number, one in self.sessions.items() if (one.name, one.epoch) == who)
-        if (replaced := next(earlier, None)) is None:
+        stale = self.sessions.stale_session(message)
+        if stale is None:
             return False
-        self.closed(replaced)
-        self._effects.append(EndSession(replaced))
+        self._end_session(stale.connection)
         return True
 
-    def _answer(self, now: float, session: Session, sequence: int) -> None:
-        """A lease, or why there is none."""
-        span = min(self.limits.span_ms, self.authority_until(now) - now)
-        if self._is_coming_back(now):
-            session.held = sequence
+    def _answer_request(self, now: float, session: Session, sequence: int) -> None:
+        """Grants a lease, refuses it, or defers the answer until a read has shown whether it may."""
+        if self._is_reregistering(now):
+            session.deferred_request = sequence
             return
+        span = min(self.limits.span_ms, self.authority_until(now) - now)
         if span < MIN_GRANT_MS:
-            reason = RefusalReason.LEAVING if self._is_leaving else RefusalReason.NO_AUTHORITY
-            self._refuse(session.connection, sequence, reason, self._why_no_authority(now))
+            reason = RefusalReason.SHUTTING_DOWN if self._is_shutting_down else RefusalReason.NO_AUTHORITY
+            self._refuse(session.connection, sequence, reason, self._authority_detail(now))
             return
-        if self.poll and self._unvoted() and self.poll.is_overdue(now, session.kind):
+        if self._owes_validation_result(now, session):
             detail = "this kind of server was asked about a change and has not answered"
             self._refuse(session.connection, sequence, RefusalReason.UNANSWERED, detail)
             return
-        if self._may_be_newer(session):
-            session.held = sequence
+        if self._may_have_missed_commit(session):
+            session.deferred_request = sequence
             self.member.hint()
-            self._is_changed = True
+            self._has_news = True
             return
+        self._grant(now, session, sequence, span)
+
+    def _grant(self, now: float, session: Session, sequence: int, span: float) -> None:
         known = self.member.known
-        self._push(now, session)
-        session.held, session.granted_until = 0, now + span
+        self._push_policy(now, session)
+        session.deferred_request = 0
+        session.granted_until = now + span
         self._send(session.connection, LeaseGrant(sequence, known.version, known.change, span))
 
-    def _is_coming_back(self, now: float) -> bool:
-        """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell:
-        its servers wait for the moment until it is registered again, and do not try all relays in turn."""
-        return not self.leads() and not self._is_leaving and now < self.member.consent_until
+    def _is_reregistering(self, now: float) -> bool:
+        """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell.
 
-    def _may_be_newer(self, session: Session) -> bool:
-        """Whether the open change may have been committed before that server came. What runs may go by the
-        version before for the bound; what starts after a commit may not."""
+        Its servers wait until it is registered again, and do not try all relays in turn."""
+        return not self.leads() and not self._is_shutting_down and now < self.member.consent_until
+
+    def _owes_validation_result(self, now: float, session: Session) -> bool:
+        poll = self.validation.poll
+        if not poll or not self._undecided_change():
+            return False
+        return poll.is_overdue(now, session.fingerprint)
+
+    def _may_have_missed_commit(self, session: Session) -> bool:
+        """Whether the open change may have been committed before that server registered.
+
+        A server that runs may go by the version before for the bound; one that starts after a commit may
+        not."""
         member = self.member
         return bool(member.pledge) and member.vote_sent and member.fresh_at < session.registered_at
 
-    def _why_no_authority(self, now: float) -> str:
-        if now < self.promise.until:
+    def _authority_detail(self, now: float) -> str:
+        if now < self.given_endorsement.until:
             return "it has consented to another relay of its cell"
         return self.member.why or self.member.standing(now).value
 
-    def _push(self, now: float, session: Session) -> None:
-        """The text in force, to a server that does not go by it."""
+    def _push_policy(self, now: float, session: Session) -> None:
+        """Sends the text in force to a server that does not go by it."""
         known = self.member.known
         if session.version >= known.version:
             return
-        if session.sent_version == known.version and now - session.sent_at < RESEND_INTERVAL_MS:
+        if session.pushed_version == known.version and now - session.pushed_at < RESEND_INTERVAL_MS:
             return
-        session.sent_version, session.sent_at = known.version, now
-        self._send(session.connection, PolicyUpdate(known.version, known.change, known.digest, known.text))
+        session.pushed_version = known.version
+        session.pushed_at = now
+        update = PolicyUpdate(known.version, known.change, known.digest, known.text)
+        self._send(session.connection, update)
 
     def _refuse(self, connection: int, sequence: int, reason: RefusalReason, detail: str = "") -> None:
         self.refused[reason] += 1
         self._send(connection, LeaseRefusal(sequence, reason, detail))
         if reason is not RefusalReason.UNANSWERED:
-            self.closed(connection)
-            self._effects.append(EndSession(connection))
+            self._end_session(connection)
+
+    def _end_session(self, connection: int) -> None:
+        self.handle_stream_closed(connection)
+        self._effects.append(EndSession(connection))
 
     def _send(self, connection: int, message: RelayMessage) -> None:
         self._effects.append(SendToServer(connection, message))
 
     def _sweep(self, now: float) -> None:
-        """Sessions of servers that say nothing any more are ended."""
+        """Ends sessions of servers that send nothing any more."""
         self._sweep_at = now + SWEEP_INTERVAL_MS
-        oldest = now - SILENT_SPANS * self.limits.span_ms
-        for connection in [c for c, session in self.sessions.items() if session.heard_at < oldest]:
-            self.closed(connection)
-            self._effects.append(EndSession(connection))
-        self._away = {kind: away for kind, away in self._away.items() if away[0] > now}
-
-    # What the servers say of a change.
-
-    def _begin_judging(self, now: float, task: Judge) -> None:
-        opened = self._unvoted()
-        created = opened.created if opened and opened.digest == task.digest else 0
-        if not self.poll or not created or created != self._polled:
-            self.poll, self._polled = ValidationPoll(task.digest, self.verdicts), created
-        self.poll_task, self.poll_sent = task, now
-        self._go_on_polling(now)
-
-    def _review_judgement(self, now: float) -> None:
-        """What servers have said counts for one change, and for the kinds that were here: until the vote is
-        sent a new change, a new kind or a no that comes late has the poll go on."""
-        opened = self._unvoted()
-        if not opened or self.poll_task or self.member.judgement(opened.digest) is None:
-            return
-        is_other = not self.poll or self._polled != opened.created
-        is_yes = self.member.judgement(opened.digest) == ""
-        if is_other or is_yes and self.poll and self.poll.decided(self._candidates(now)) != "":
+        for connection in self.sessions.silent_since(now - SILENT_SPANS * self.limits.span_ms):
+            self._end_session(connection)
+        self.sessions.drop_lapsed(now)
+
+    # The validation of an open change by the servers.
+
+    def _start_validation(self, now: float, task: Judge) -> None:
+        opened = self._undecided_change()
+        is_open = opened is not None and opened.digest == task.digest
+        self.validation.start(now, task, opened.created if opened and is_open else 0)
+        self._advance_validation(now)
+
+    def _review_validation(self, now: float) -> None:
+        """Validates the open change again where the result that the member has may no longer hold.
+
+        A result is of one change, and of the servers that were here: until the vote is sent a new change, a
+        new fingerprint or a late rejection has the poll go on."""
+        opened = self._undecided_change()
+        if opened and not self.validation.task and self._is_outdated(now, opened):
             self.member.judge_again()
 
-    def _unvoted(self) -> Open | None:
+    def _is_outdated(self, now: float, opened: Open) -> bool:
+        """Whether the member has a result for the open change that may no longer hold."""
+        result = self.member.judgement(opened.digest)
+        if result is None:
+            return False
+        poll = self.validation.poll
+        if not poll or not self.validation.is_about(opened.created):
+            return True
+        return result == "" and poll.result(self.sessions.candidates(now)) != ""
+
+    def _undecided_change(self) -> Open | None:
         """The open change, while this cell has not voted on it as far as it knows."""
         seen = self.member.seen
         if not seen or seen.voted is not None:
             return None
         return seen.open
 
-    def _go_on_polling(self, now: float) -> None:
-        if not self.poll or not self.poll_task:
+    def _advance_validation(self, now: float) -> None:
+        poll = self.validation.poll
+        if not poll or not self.validation.task:
             return
-        if not self._is_open(self.poll.digest):
-            # What is in force is not for this relay's servers to refuse; of anything else nothing is known.
+        if not self._is_open(poll.digest):
+            # A policy in force is not for this relay's servers to reject; of any other nothing is known.
             is_in_force = self.member.head > self.member.known.version
-            self._end_poll(now, "" if is_in_force else None)
+            self._finish_validation(now, "" if is_in_force else None)
             return
-        candidates = list(self._candidates(now))
-        for connection in self.poll.ask(now, candidates):
-            self._send(connection, ValidationRequest(self.poll.digest, self.poll_task.text))
-        self._poll_waits = now < self.member.abstains_until
-        if self._poll_waits:  # servers are still on their way here
+        candidates = list(self.sessions.candidates(now))
+        for connection in poll.next_questions(now, candidates):
+            self._send(connection, self.validation.request())
+        self.validation.awaits_servers = now < self.member.abstains_until
+        if self.validation.awaits_servers:
             return
-        decided = self.poll.decided(candidates)
-        if decided is not None:
-            self._end_poll(now, decided)
+        result = poll.result(candidates)
+        if result is not None:
+            self._finish_validation(now, result)
 
     def _is_open(self, digest: str) -> bool:
         seen = self.member.seen
         return bool(seen and seen.open and seen.open.digest == digest)
 
-    def _candidates(self, now: float) -> Iterator[Candidate]:
-        for session in self.sessions.values():
-            if session.granted_until > now:
-                yield Candidate(session.connection, session.kind, session.name)
-        for kind, (until, name) in self._away.items():
-            if until > now:
-                yield Candidate(0, kind, name)
-
-    def _take_verdict(self, now: float, session: Session, verdict: ValidationResult) -> None:
-        if self.poll and verdict.digest == self.poll.digest:
-            self.poll.answered(session.kind, session.name, verdict.trouble)
-            self._go_on_polling(now)
-        else:
-            self.verdicts.put(session.kind, verdict.digest, verdict.trouble)
+    def _handle_validation_result(self, now: float, session: Session, result: ValidationResult) -> None:
+        is_of_poll = self.validation.handle_result(
+            session.fingerprint, session.name, result.digest, result.rejection
+        )
+        if is_of_poll:
+            self._advance_validation(now)
 
-    def _end_poll(self, now: float, verdict: str | None) -> None:
-        task, sent = self.poll_task, self.poll_sent
-        self.poll_task = None
-        assert task
-        self.member.completed(now, task, sent, verdict)
+    def _finish_validation(self, now: float, result: str | None) -> None:
+        task, started_at = self.validation.finish()
+        self.member.completed(now, task, started_at, result)
         self._take_store_effects(now)
 
-    # What the store's word leads to.
+    # What an answer of the store leads to.
 
     def _after_store(self, now: float) -> None:
         leads = self.leads()
-        if leads and not self._led:
+        if leads and not self._was_leading:
             self.member.abstains_until = max(self.member.abstains_until, now + TAKEOVER_VOTE_DELAY_MS)
-        self._led = leads
-        for session in [held for held in self.sessions.values() if held.held]:
-            if not leads or not self._may_be_newer(session):
-                self._answer(now, session, session.held)
-        if self.member.known is not self._pushed:
-            self._pushed = self.member.known
-            for session in self.sessions.values():
-                self._push(now, session)
+        self._was_leading = leads
+        self._answer_deferred_requests(now)
+        if self.member.known is not self._pushed_policy:
+            self._pushed_policy = self.member.known
+            for session in self.sessions:
+                self._push_policy(now, session)
+
+    def _answer_deferred_requests(self, now: float) -> None:
+        for session in [session for session in self.sessions if session.deferred_request]:
+            if not self.leads() or not self._may_have_missed_commit(session):
+                self._answer_request(now, session, session.deferred_request)
 
     def _abstain(self) -> None:
-        """While the promise binds, this relay neither votes nor grants. Nor does it take the cell over, so
-        that the leader finds its place free once it hears the store again."""
-        self.member.abstains_until = max(self.member.abstains_until, self.promise.until)
-        self.member.holds_back_until = self.promise.until
+        """While its endorsement binds it, this relay neither votes nor grants.
+
+        Nor does it take the cell over, so that the leader finds its place free once the store answers it
+        again."""
+        until = self.given_endorsement.until
+        self.member.abstains_until = max(self.member.abstains_until, until)
+        self.member.holds_back_until = until
 
-    def _may_need_consent(self) -> bool:
+    def _may_need_endorsements(self) -> bool:
         rules = self.member.rules
         return rules.is_shared and rules.absent == "wait" and self.leads()
 
-    def _consent_from(self) -> float:
+    def _endorsements_needed_at(self) -> float:
         """When the store's lease has so little left that the other relays are asked."""
         return self.member.lease_until - self.member.rules.lease_ms * ENDORSEMENT_SHARE
--- /dev/null
+++ b/otterrudder/fleet/cell/relay_status.py
@@ -0,0 +1,56 @@
+"""What a relay shows of itself on the control socket."""
+
+from collections import Counter
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from otterrudder.fleet.cell.relay import Relay
+
+ENDLESS = -1.0  # in place of a time that has no end
+
+
+@dataclass(frozen=True, slots=True)
+class TransportCounts:
+    """What the relay's actor has counted."""
+
+    streams: int  # that are open
+    received: int  # messages of servers
+    streams_failed: Mapping[str, int]  # by status
+    worst_answer_ms: float  # of the store
+    store: Mapping[str, int]  # requests to the store
+
+
+def relay_status(relay: Relay, transport: TransportCounts, now: float) -> dict[str, object]:
+    """The keys are those that `fleet relay status` shows."""
+    member = relay.member
+    standing = member.standing(now)
+    return dict(
+        fleet=relay.identity.fleet,
+        cell=relay.identity.cell,
+        address=relay.identity.address,
+        leads=relay.leads(),
+        standing=standing.name.lower(),
+        why=member.why or standing.value,
+        version=member.known.version,
+        digest=member.known.digest,
+        settles=member.is_leader,
+        store_lease_left_ms=_left_ms(member.lease_until - now),
+        authority_left_ms=_left_ms(relay.authority_until(now) - now),
+        consent_left_ms=_left_ms(member.consent_until - now),
+        consented_left_ms=_left_ms(relay.given_endorsement.until - now),
+        sessions=len(relay.sessions),
+        sessions_most=relay.sessions.max_sessions,
+        streams=transport.streams,
+        received=transport.received,
+        kinds=Counter(session.fingerprint for session in relay.sessions),
+        versions=Counter(session.version for session in relay.sessions),
+        standings=Counter(session.status for session in relay.sessions),
+        refused={reason.value: count for reason, count in relay.refused.items() if count},
+        streams_failed=transport.streams_failed,
+        worst_answer_ms=transport.worst_answer_ms,
+        counts=transport.store,
+    )
+
+
+def _left_ms(span_ms: float) -> float:
+    return round(max(span_ms, 0.0), 1) if span_ms < float("inf") else ENDLESS
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -2,10 +2,9 @@
 
 Every decision takes the monotonic clock at the moment it is made, so a process that was frozen grants
 nothing on an authority that has ended meanwhile. A failure in one stream, request or effect ends that one
-alone. `run` gives the streams, the store's lease and the folder back on every way out."""
+alone. `run` releases the streams, the store's lease and the folder on every way out."""
 
 import itertools
-import resource
 import secrets
 from collections import Counter
 from typing import Any
@@ -17,7 +16,9 @@
 from otterrudder import __version__, clock
 from otterrudder.durable import Folder
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.cell.endorsement import PeerRequest
+from otterrudder.fleet.cell.descriptors import max_streams
+from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
+from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import (
     EndorsementRequest,
     InvalidMessageError,
@@ -28,14 +29,8 @@
     encode,
 )
 from otterrudder.fleet.cell.peers import Peers
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
-)
+from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay_status import TransportCounts, relay_status
 from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
 from otterrudder.fleet.configuration import Fleet
@@ -47,65 +42,52 @@
 from otterrudder.fleet.store import Store
 from otterrudder.log import log
 
-SPARE_STREAMS = 64  # streams beyond the sessions: of servers that are told that it is full, and of relays
-SPARE_DESCRIPTORS = 64  # beyond one a stream: the store, the other relays, logs
-ERROR_RETRY_MS = 200.0  # ms until what failed is tried again: it must not spin
-MAX_SLEEP_MS = 1000.0  # ms of sleep at the most where nothing is due
-CLOSE_TIMEOUT_S = 0.2  # s that connections have to close by themselves
-FLUSH_MS = 500.0  # ms that servers have at the end to read where to go
-
-
-class DescriptorLimitError(Exception):
-    """The process may not open as many files as its sessions need."""
-
-
-def check_descriptors(sessions_most: int) -> None:
-    """Raises DescriptorLimitError. The limit is the operators' to raise."""
-    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = sessions_most + SPARE_STREAMS + SPARE_DESCRIPTORS
-    if allowed != resource.RLIM_INFINITY and allowed < wanted:
-        raise DescriptorLimitError(
-            f"relay.sessions_most: {sessions_most} sessions need {wanted} descriptors, and RLIMIT_NOFILE "
-            f"allows {allowed}"
-        )
+ERROR_RETRY_MS = 200.0  # after a failure of this code, so that it does not spin
+MIN_SLEEP_MS = 1.0
+MAX_SLEEP_MS = 1000.0  # where nothing is due
+CLOSE_TIMEOUT_S = 0.2  # that connections have to close by themselves
+FLUSH_MS = 500.0  # that servers have at the end to read their refusal
 
 
 class RelayService:
+    """Runs a relay: its streams, its requests to the store and to other relays, and its timers."""
+
     def __init__(
         self, fleet: Fleet, role: RelayRole, store: Store, folder: Folder | None, record: Record | None
     ) -> None:
         """`record`: what the folder holds."""
-        self.fleet, self.role = fleet, role
+        self.fleet = fleet
+        self.role = role
         epoch = secrets.token_hex(8)
         self.relay = Relay(
             clock.monotonic(),
             CellIdentity(fleet.name, role.cell, role.address, role.candidates),
             epoch,
             fleet.rules,
-            RelayLimits(fleet.server_lease_ms, role.sessions_most),
+            RelayLimits(fleet.server_lease_ms, role.max_sessions),
             record=record,
             has_disk=folder is not None,
             live=Live(epoch, __version__, fleet.zone, relay=role.address),
             cluster=fleet.store_id,
-            folder="" if folder is None else record.folder if record else secrets.token_hex(8),
+            folder=_folder_name(folder, record),
         )
-        self.executor, self.peers = Executor(store, folder, fleet.timeout_ms), Peers(fleet)
+        self.executor = Executor(store, folder, fleet.timeout_ms)
+        self.peers = Peers(fleet)
         self._server: Any = None
         self._encoder = MessageEncoder()
         self._streams: dict[int, ServerStream] = {}
         self._connections = itertools.count(1)
         self._watches: dict[str, anyio.CancelScope] = {}
-        self._wake = anyio.Event()
+        self._wakeup = anyio.Event()
         self._is_stopping = False
-        self._led = False
+        self._was_leading = False
         self._received = 0  # messages of servers
-        self._failures: Counter[str] = Counter()  # streams that this side ended, by status
+        self._stream_errors: Counter[str] = Counter()  # streams that this side ended, by status
 
     def listen(self) -> None:
         """To be called in the event loop, before `run`. OSError: the address can't be listened on."""
-        handler = RelayHandler(self._handle_session, self._handle_consent)
-        max_streams = self.role.sessions_most + SPARE_STREAMS
-        self._server = make_server(self.fleet, self.role, handler, max_streams)
+        handler = RelayHandler(self._handle_session, self._handle_endorsement_request)
+        self._server = make_server(self.fleet, self.role, handler, max_streams(self.role.max_sessions))
 
     async def run(self) -> None:
         """Serves until `stop`."""
@@ -114,7 +96,7 @@
             log.info("relay listening", address=self.role.address, at=self.role.listen, cell=self.role.cell)
             async with anyio.create_task_group() as group:
                 while not self._is_stopping:
-                    await self._turn(group)
+                    await self._run_batch(group)
                 await self._dismiss_servers(group)
                 group.cancel_scope.cancel()
         finally:
@@ -126,72 +108,53 @@
     def stop(self) -> None:
         """The servers are sent to other relays, and the cell is free for one of them."""
         self._is_stopping = True
-        self._wake.set()
+        self._wakeup.set()
 
     def shown(self) -> dict[str, object]:
         """For the control socket."""
-        relay, now = self.relay, clock.monotonic()
-        member = relay.member
-        return dict(
-            fleet=self.fleet.name,
-            cell=self.role.cell,
-            address=self.role.address,
-            leads=relay.leads(),
-            standing=member.standing(now).name.lower(),
-            why=member.why or member.standing(now).value,
-            version=member.known.version,
-            digest=member.known.digest,
-            settles=member.is_leader,
-            store_lease_left_ms=_left(member.lease_until - now),
-            authority_left_ms=_left(relay.authority_until(now) - now),
-            consent_left_ms=_left(member.consent_until - now),
-            consented_left_ms=_left(relay.promise.until - now),
-            sessions=len(relay.sessions),
-            sessions_most=self.role.sessions_most,
+        counts = TransportCounts(
             streams=len(self._streams),
             received=self._received,
-            kinds=Counter(session.kind for session in relay.sessions.values()),
-            versions=Counter(session.version for session in relay.sessions.values()),
-            standings=Counter(session.standing for session in relay.sessions.values()),
-            refused={reason.value: count for reason, count in relay.refused.items() if count},
-            streams_failed=self._failures,
+            streams_failed=self._stream_errors,
             worst_answer_ms=round(self.executor.take_worst_ms(), 1),
-            counts=self.executor.counts,
+            store=self.executor.counts,
         )
+        return relay_status(self.relay, counts, clock.monotonic())
 
-    # Decisions.
+    # Effects.
 
-    async def _turn(self, group: anyio.abc.TaskGroup) -> None:
+    async def _run_batch(self, group: anyio.abc.TaskGroup) -> None:
         """Begins what is due, and waits for the next event or time."""
-        self._wake = anyio.Event()
+        self._wakeup = anyio.Event()
         try:
             self._begin_effects(group)
-            self._keep_watches(group)
-            wait = self.relay.due() - clock.monotonic()
+            self._update_watches(group)
+            wait_ms = self.relay.due() - clock.monotonic()
         except Exception:  # it is decided anew
             log.exception("the relay failed", of="effects")
-            wait = ERROR_RETRY_MS
-        with anyio.move_on_after(min(max(wait, 1.0), MAX_SLEEP_MS) / 1000):
-            await self._wake.wait()
+            wait_ms = ERROR_RETRY_MS
+        with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
+            await self._wakeup.wait()
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> None:
         now = clock.monotonic()
         for effect in self.relay.effects(now):
             self._begin(group, effect, now)
-        if self.relay.leads() is not self._led:
-            self._led = self.relay.leads()
-            log.info("relay leads" if self._led else "relay leads no more", cell=self.role.cell)
+        if self.relay.leads() is not self._was_leading:
+            self._was_leading = self.relay.leads()
+            log.info("relay leads" if self._was_leading else "relay leads no more", cell=self.role.cell)
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: RelayEffect, now: float) -> None:
-        if isinstance(effect, SendToServer):
-            self._send(effect)
-        elif isinstance(effect, EndSession):
-            if stream := self._streams.get(effect.connection):
-                stream.end()
-        elif isinstance(effect, PeerRequest):
-            group.start_soon(self._ask_peer, effect)
-        else:
-            group.start_soon(self._carry_out, effect, now)
+        match effect:
+            case SendToServer():
+                self._send(effect)
+            case EndSession():
+                if stream := self._streams.get(effect.connection):
+                    stream.end()
+            case PeerRequest():
+                group.start_soon(self._request_endorsement, effect)
+            case _:
+                group.start_soon(self._carry_out, effect, now)
 
     def _send(self, effect: SendToServer) -> None:
         if isinstance(effect.message, LeaseGrant):
@@ -202,7 +165,7 @@
             stream.send(self._encoder.encode(effect.message))
 
     async def _carry_out(self, effect: Effect, sent: float) -> None:
-        """A failure in one of them is not the relay's."""
+        """An effect of the store or the disk. A failure in one of them is not the relay's."""
         try:
             reached(f"before {name_of(effect)}")
             outcome = await self.executor.outcome(effect)
@@ -215,43 +178,43 @@
         except Exception:
             log.exception("the relay failed", of=type(effect).__name__.lower())
             await anyio.sleep(ERROR_RETRY_MS / 1000)
-        self._wake.set()
+        self._wakeup.set()
 
-    async def _ask_peer(self, request: PeerRequest) -> None:
+    async def _request_endorsement(self, request: PeerRequest) -> None:
         try:
-            consent = await self.peers.ask(request)
+            endorsement = await self.peers.request(request)
         except Exception:
             log.exception("the relay failed", of="consent")
             return
-        if consent:
-            self.relay.peer_answered(consent)
-            self._wake.set()
-
-    def _keep_watches(self, group: anyio.abc.TaskGroup) -> None:
-        """One on each prefix that is wanted now."""
-        wanted = self.relay.watched()
-        for prefix in [prefix for prefix in self._watches if prefix not in wanted]:
+        if endorsement:
+            self.relay.handle_endorsement(endorsement)
+            self._wakeup.set()
+
+    def _update_watches(self, group: anyio.abc.TaskGroup) -> None:
+        """One watch on each prefix that the relay needs now."""
+        prefixes = self.relay.watched()
+        for prefix in [prefix for prefix in self._watches if prefix not in prefixes]:
             self._watches.pop(prefix).cancel()
-        for prefix in wanted:
+        for prefix in prefixes:
             if prefix not in self._watches:
                 self._watches[prefix] = anyio.CancelScope()
                 group.start_soon(self._watch, prefix, self._watches[prefix])
 
     async def _watch(self, prefix: str, scope: anyio.CancelScope) -> None:
-        def hint() -> None:
+        def handle_event() -> None:
             self.relay.hint(clock.monotonic(), prefix)
-            self._wake.set()
+            self._wakeup.set()
 
         with scope:
-            await self.executor.watch(prefix, hint)
+            await self.executor.watch(prefix, handle_event)
 
     async def _dismiss_servers(self, group: anyio.abc.TaskGroup) -> None:
-        self.relay.leave(clock.monotonic())
+        self.relay.begin_shutdown()
         self._begin_effects(group)
         with anyio.move_on_after(FLUSH_MS / 1000):
             while self._streams:
-                self._wake = anyio.Event()
-                await self._wake.wait()
+                self._wakeup = anyio.Event()
+                await self._wakeup.wait()
         log.info("relay left", cell=self.role.cell, streams_left=len(self._streams))
 
     # What gRPC calls.
@@ -260,43 +223,46 @@
         """A server's stream, from its opening to its end."""
         connection = next(self._connections)
 
-        def received(message: ServerMessage) -> None:
+        def handle_message(message: ServerMessage) -> None:
             self._received += 1
-            self.relay.received(clock.monotonic(), connection, message)
-            self._wake.set()
+            self.relay.handle_message(clock.monotonic(), connection, message)
+            self._wakeup.set()
 
-        stream = self._streams[connection] = ServerStream(connection, context, received)
+        stream = self._streams[connection] = ServerStream(connection, context, handle_message)
         try:
             await stream.run()
-        except StreamError as failure:
-            self._failures[failure.code.name.lower()] += 1
-            log.warning("a stream is ended", peer=context.peer(), why=failure.why)
-            self._forget(connection)  # a server that does not read may hold up its status for long
-            await context.abort(failure.code, failure.why)
+        except StreamError as error:
+            self._stream_errors[error.code.name.lower()] += 1
+            log.warning("a stream is ended", peer=context.peer(), why=error.reason)
+            self._remove_stream(connection)  # a server that does not read may hold up its status for long
+            await context.abort(error.code, error.reason)
         finally:
-            self._forget(connection)
+            self._remove_stream(connection)
 
-    def _forget(self, connection: int) -> None:
+    def _remove_stream(self, connection: int) -> None:
         """The stream is over, as far as the relay goes."""
         if self._streams.pop(connection, None):
-            self.relay.closed(connection)
-            self._wake.set()
+            self.relay.handle_stream_closed(connection)
+            self._wakeup.set()
 
-    async def _handle_consent(self, data: bytes, context: Any) -> bytes:
-        """Another relay of the cell asks for consent."""
+    async def _handle_endorsement_request(self, data: bytes, context: Any) -> bytes:
+        """Another relay of the cell asks for an endorsement."""
         try:
             request = decode_from_peer(data)
             if not isinstance(request, EndorsementRequest):
-                raise InvalidMessageError("an EndorsementRequest is wanted")
-        except InvalidMessageError as why:
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(why))
+                raise InvalidMessageError("an AskConsent is wanted")
+        except InvalidMessageError as error:
+            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             raise  # never reached: abort raises
         reached("before consent")
-        consent = self.relay.peer_asked(clock.monotonic(), request)
+        endorsement = self.relay.handle_endorsement_request(clock.monotonic(), request)
         reached("after consent")
-        self._wake.set()
-        return encode(consent)
+        self._wakeup.set()
+        return encode(endorsement)
 
 
-def _left(ms: float) -> float:
-    return round(max(ms, 0.0), 1) if ms < float("inf") else -1.0  # -1: it has no end
+def _folder_name(folder: Folder | None, record: Record | None) -> str:
+    """The name under which the roster knows the folder: a new one for an empty folder, "" without one."""
+    if folder is None:
+        return ""
+    return record.folder if record else secrets.token_hex(8)
--- a/otterrudder/fleet/cell/validation_poll.py
+++ b/otterrudder/fleet/cell/validation_poll.py
@@ -1,55 +1,55 @@
-"""Which kinds of server accept which policy: one server of each kind is asked, and the answer is remembered.
+"""Which servers accept a policy: one server of each fingerprint is asked, and the result is cached. Pure.
 
-A kind is the digest of a server's configuration and its program's version, so two servers of one kind give
-the same answer. Pure and bounded."""
+Servers with equal fingerprints come to the same result. All state is bounded."""
 
 import math
 from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_CACHED_RESULTS = (
-    4096  # remembered answers; the one unused for longest is forgotten, and asked for again if needed
-)
-NEXT_SERVER_MS = 500.0  # ms after which another server of the same kind is asked
-MIN_RECHECK_MS = 100.0  # ms between looks for a server of a kind that can't be asked yet
-OVERDUE_MS = 1500.0  # ms after which a kind that has not answered gets no leases until it has
+MAX_CACHED_RESULTS = 4096  # the least recently used one is evicted, and asked for again if it is needed
+NEXT_SERVER_MS = 500.0  # after which another server with the same fingerprint is asked
+MIN_RECHECK_MS = 100.0  # between looks for a server with a fingerprint that nobody here can be asked for
+OVERDUE_MS = 1500.0  # after which servers with a fingerprint that has no result get no leases
 
 
 class ValidationCache:
-    """Answers by kind and digest of the policy's text; "" is a yes."""
+    """Validation results by fingerprint and digest of the text; "": accepted."""
 
-    __slots__ = ("_answers",)
+    __slots__ = ("_results",)
 
     def __init__(self) -> None:
-        self._answers: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self._results: OrderedDict[tuple[str, str], str] = OrderedDict()
 
-    def get(self, kind: str, digest: str) -> str | None:
-        """None: this kind was not asked about that text, or it is forgotten."""
-        key = (kind, digest)
-        if key not in self._answers:
+    def get(self, fingerprint: str, digest: str) -> str | None:
+        """None: there is no result, or it was evicted."""
+        key = (fingerprint, digest)
+        if key not in self._results:
             return None
-        self._answers.move_to_end(key)
-        return self._answers[key]
+        self._results.move_to_end(key)
+        return self._results[key]
 
-    def put(self, kind: str, digest: str, trouble: str) -> None:
-        self._answers[kind, digest] = trouble
-        self._answers.move_to_end((kind, digest))
-        while len(self._answers) > MAX_CACHED_RESULTS:
-            self._answers.popitem(last=False)
+    def put(self, fingerprint: str, digest: str, rejection: str) -> None:
+        """Keeps a result, and evicts the least recently used one where there are too many."""
+        self._results[fingerprint, digest] = rejection
+        self._results.move_to_end((fingerprint, digest))
+        while len(self._results) > MAX_CACHED_RESULTS:
+            self._results.popitem(last=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A server whose lease has not lapsed. `connection`: 0 if its stream has ended: it can't be asked."""
+    """A server whose lease has not lapsed. `connection`: 0 if its stream has ended, so it can't be asked."""
 
     connection: int
-    kind: str
+    fingerprint: str
     name: str
 
 
 @dataclass(slots=True)
-class _Asked:
+class PendingQuestion:
+    """Which servers with one fingerprint were asked, and when."""
+
     first_at: float
     last_at: float
     connections: set[int]
@@ -57,68 +57,77 @@
 
 @dataclass(slots=True)
 class ValidationPoll:
-    """Asks each kind once about one text. `decided` is None until every kind has answered."""
+    """Asks for each fingerprint once about one text. `result` is None until all have answered."""
 
     digest: str
-    verdicts: ValidationCache
-    _asked: dict[str, _Asked] = field(default_factory=dict)
-    _owed: set[str] = field(default_factory=set)  # kinds that have a server here and have not answered
-    _looked_at: float = -math.inf
-    _refusal: str = ""
-
-    def ask(self, now: float, candidates: Iterable[Candidate]) -> list[int]:
-        """The connections that are to be asked now."""
-        self._looked_at = now
-        by_kind: dict[str, list[Candidate]] = {}
+    cache: ValidationCache
+    _questions: dict[str, PendingQuestion] = field(default_factory=dict)  # by fingerprint
+    _missing: set[str] = field(default_factory=set)  # fingerprints of servers here that have no result
+    _checked_at: float = -math.inf
+    _rejection: str = ""  # the first one
+
+    def next_questions(self, now: float, candidates: Iterable[Candidate]) -> list[int]:
+        """The connections of the servers that are to be asked now."""
+        self._checked_at = now
+        groups: dict[str, list[Candidate]] = {}
         for candidate in candidates:
-            by_kind.setdefault(candidate.kind, []).append(candidate)
-        self._owed = {kind for kind in by_kind if self.verdicts.get(kind, self.digest) is None}
-        connections = [self._ask_kind(now, kind, by_kind[kind]) for kind in by_kind if kind in self._owed]
-        return [connection for connection in connections if connection is not None]
-
-    def _ask_kind(self, now: float, kind: str, members: list[Candidate]) -> int | None:
-        asked = self._asked.get(kind)
-        if asked and now - asked.last_at < NEXT_SERVER_MS:
+            groups.setdefault(candidate.fingerprint, []).append(candidate)
+        self._missing = {one for one in groups if self.cache.get(one, self.digest) is None}
+        found = [self._ask_one(now, one, group) for one, group in groups.items() if one in self._missing]
+        return [connection for connection in found if connection is not None]
+
+    def _ask_one(self, now: float, fingerprint: str, group: list[Candidate]) -> int | None:
+        """The connection of the next server of a group, which is asked now; None: none is."""
+        question = self._questions.get(fingerprint)
+        if question and now - question.last_at < NEXT_SERVER_MS:
             return None
-        reached = [member.connection for member in members if member.connection]
-        if not reached:
+        connections = [candidate.connection for candidate in group if candidate.connection]
+        if not connections:
             return None
-        tried = asked.connections if asked else set()
-        chosen = next((connection for connection in reached if connection not in tried), reached[0])
-        if asked:
-            asked.last_at = now
-            asked.connections.add(chosen)
+        asked = question.connections if question else set()
+        chosen = next((connection for connection in connections if connection not in asked), connections[0])
+        if question:
+            question.last_at = now
+            question.connections.add(chosen)
         else:
-            self._asked[kind] = _Asked(now, now, {chosen})
+            self._questions[fingerprint] = PendingQuestion(now, now, {chosen})
         return chosen
 
-    def answered(self, kind: str, name: str, trouble: str) -> None:
-        self.verdicts.put(kind, self.digest, trouble)
-        self._owed.discard(kind)
-        if trouble and not self._refusal:
-            self._refusal = trouble if trouble.startswith(f"{name}:") else f"{name}: {trouble}"
-
-    def is_overdue(self, now: float, kind: str) -> bool:
-        """Whether this kind was asked long ago and has not answered: it gets no lease until it does."""
-        asked = self._asked.get(kind)
-        if not asked or self.verdicts.get(kind, self.digest) is not None:
+    def handle_result(self, fingerprint: str, name: str, rejection: str) -> None:
+        """The server `name` has answered for all with its fingerprint."""
+        self.cache.put(fingerprint, self.digest, rejection)
+        self._missing.discard(fingerprint)
+        if rejection and not self._rejection:
+            self._rejection = _with_name(name, rejection)
+
+    def is_overdue(self, now: float, fingerprint: str) -> bool:
+        """Whether a question was asked long ago and has no answer: such servers get no lease until then."""
+        question = self._questions.get(fingerprint)
+        if not question or self.cache.get(fingerprint, self.digest) is not None:
             return False
-        return now - asked.first_at >= OVERDUE_MS
+        return now - question.first_at >= OVERDUE_MS
 
-    def decided(self, candidates: Iterable[Candidate]) -> str | None:
-        """ "": all kinds accept the text; else the first refusal; None: some kind has not answered yet."""
-        if self._refusal:
-            return self._refusal
+    def result(self, candidates: Iterable[Candidate]) -> str | None:
+        """ "": all accept the text; else the first rejection; None: a result is missing."""
+        if self._rejection:
+            return self._rejection
         for candidate in candidates:
-            verdict = self.verdicts.get(candidate.kind, self.digest)
-            if verdict is None:
+            rejection = self.cache.get(candidate.fingerprint, self.digest)
+            if rejection is None:
                 return None
-            if verdict:
-                return verdict if verdict.startswith(f"{candidate.name}:") else f"{candidate.name}: {verdict}"
+            if rejection:
+                return _with_name(candidate.name, rejection)
         return ""
 
     def due(self) -> float:
-        """When a kind may have to be asked again, in the caller's clock; inf: no answer is owed."""
-        last = (self._asked[kind].last_at if kind in self._asked else -math.inf for kind in self._owed)
-        times = (max(at + NEXT_SERVER_MS, self._looked_at + MIN_RECHECK_MS) for at in last)
+        """When a server may have to be asked; inf: no result is missing."""
+        last = (
+            self._questions[one].last_at if one in self._questions else -math.inf for one in self._missing
+        )
+        times = (max(at + NEXT_SERVER_MS, self._checked_at + MIN_RECHECK_MS) for at in last)
         return min(times, default=math.inf)
+
+
+def _with_name(name: str, rejection: str) -> str:
+    """A rejection names the server that gave it, once."""
+    return rejection if rejection.startswith(f"{name}:") else f"{name}: {rejection}"
--- a/otterrudder/fleet/cell/wire.py
+++ b/otterrudder/fleet/cell/wire.py
@@ -12,17 +12,19 @@
 from otterrudder.fleet.tls import channel_credentials
 
 SERVICE = "otterrudder.fleet.Relay"
-SESSION = f"/{SERVICE}/Session"  # a stream both ways between a server and a relay
-CONSENT = f"/{SERVICE}/Consent"  # one request and its answer between two relays of a cell
-MESSAGE_OVERHEAD_BYTES = 16 * 1024  # bytes of a message beside the policy's text
-MAX_RELAY_MESSAGE_BYTES = TEXT_MOST + MESSAGE_OVERHEAD_BYTES  # bytes of a message to a server
-MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # bytes of a message to a relay: none carries a text
-IDLE_CONNECTION_MS = 5000  # ms that a connection without a stream is kept
+SESSION_METHOD = f"/{SERVICE}/Session"  # a stream both ways between a server and a relay
+ENDORSE_METHOD = f"/{SERVICE}/Consent"  # one request and its answer between two relays of a cell
+MESSAGE_OVERHEAD_BYTES = 16 * 1024  # of a message, beside the policy's text
+MAX_RELAY_MESSAGE_BYTES = TEXT_MOST + MESSAGE_OVERHEAD_BYTES
+MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # none carries a text
+IDLE_CONNECTION_MS = 5000  # for which a connection without a stream is kept
 KEEPALIVE_MS = 10_000
 KEEPALIVE_TIMEOUT_MS = 2000
-# ms that an attempt to connect may take, the handshakes of TLS over some distance included; whoever asked
-# for it gives up by itself. gRPC knows it as the least time between attempts, and waits less after a refusal.
+# An attempt to connect, the handshakes of TLS over some distance included, may take as long. gRPC knows it as
+# the least time between attempts, and waits less after a refusal.
 CONNECT_TIMEOUT_MS = 5000
+MIN_RECONNECT_BACKOFF_MS = 100
+MAX_RECONNECT_BACKOFF_MS = 1000
 
 _COMMON_OPTIONS = [
     ("grpc.keepalive_time_ms", KEEPALIVE_MS),
@@ -39,9 +41,9 @@
     *_COMMON_OPTIONS,
     ("grpc.max_receive_message_length", MAX_RELAY_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
-    ("grpc.initial_reconnect_backoff_ms", 100),
+    ("grpc.initial_reconnect_backoff_ms", MIN_RECONNECT_BACKOFF_MS),
     ("grpc.min_reconnect_backoff_ms", CONNECT_TIMEOUT_MS),
-    ("grpc.max_reconnect_backoff_ms", 1000),
+    ("grpc.max_reconnect_backoff_ms", MAX_RECONNECT_BACKOFF_MS),
 ]
 
 
@@ -54,12 +56,12 @@
 
 
 def make_server(fleet: Fleet, role: RelayRole, handler: Any, max_streams: int) -> Any:
-    """A server of gRPC, bound to where the relay listens; OSError: it can't be."""
+    """A server of gRPC, bound to the address where the relay listens; OSError if it can't be."""
     server = grpc.aio.server(handlers=(handler,), options=SERVER_OPTIONS, maximum_concurrent_rpcs=max_streams)
     try:
         port = _bind(server, fleet, role)
-    except RuntimeError as why:
-        raise OSError(f"{role.listen}: {why}") from None
+    except RuntimeError as error:
+        raise OSError(f"{role.listen}: {error}") from None
     if not port:
         raise OSError(f"{role.listen}: it can't be listened on")
     return server
--- a/otterrudder/fleet/configuration.py
+++ b/otterrudder/fleet/configuration.py
@@ -142,7 +142,7 @@
         store_id = -1
     if not 0 <= store_id < 2**64:
         raise bad("store_id", f"the engine's cluster id in hex is wanted, not {told.store_id!r}")
-    lasting = told.relay.folder if told.relay else told.folder
+    lasting = told.relay.state_directory if told.relay else told.folder
     folder = (path.parent / lasting) if lasting else None
     tls = told.tls
     if tls and (tls.cert is None) != (tls.key is None):
@@ -188,7 +188,7 @@
             if told.relay
             else "folder: a server with relays keeps nothing that must outlive it"
         )
-    if told.start == "folder" and not (told.relay and told.relay.folder):
+    if told.start == "folder" and not (told.relay and told.relay.state_directory):
         raise RelayConfigurationError(
             'start: "folder" needs one: a server with relays, or several relays of a cell, have none'
         )
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -0,0 +1,90 @@
+"""Mutants of the coordination of changes in a relay: the trust in the store, and the queue."""
+
+import math
+from dataclasses import replace
+from typing import Any
+
+import msgspec
+
+from otterrudder.fleet.change import Settler
+from otterrudder.fleet.effects import Commit, Effect, Outcome, Read
+from otterrudder.fleet.member import Member
+from otterrudder.fleet.queue import open_first
+from otterrudder.fleet.records import Queued, View, encode
+from otterrudder.fleet.store import Done, Leased, Snapshot
+from otterrudder.lab.fleet.cell_relay_mutants import MutantRelay
+
+
+class _TrustsAnyStore(Member):
+    def _doubt(self, view: View) -> str:
+        return ""
+
+    def _is_believed(self, outcome: Done | Leased) -> bool:
+        return True
+
+
+class TrustsAnyStore(MutantRelay):
+    """Trusts an engine that went back to an older state."""
+
+    member_type = _TrustsAnyStore
+
+
+class _OpensTwo(Settler):
+    __slots__ = ()
+
+    def _begin_commit(self, now: float, view: View, age: float) -> Commit | None:
+        entries = {k: e for k, e in view.snapshot.entries.items() if k != view.keys.change}
+        commit = open_first(View(view.keys, view.snapshot._replace(entries=entries)))
+        if view.change and commit:
+            kept = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
+            return self._begin(now, replace(commit, compares=kept))
+        return super()._begin_commit(now, view, age)
+
+
+class OpensTwoChanges(MutantRelay):
+    """Opens a queued change while another change is open."""
+
+    coordinator_type = _OpensTwo
+
+
+class _OpensAnyBase(Settler):
+    __slots__ = ()
+
+    def completed(self, now: float, effect: Effect, outcome: Outcome) -> Commit | None:
+        return super().completed(now, effect, _without_bases(outcome))
+
+
+def _without_bases(outcome: Outcome) -> Outcome:
+    """What was read, as if each entry of the queue had been made from any policy."""
+    if not isinstance(outcome, Snapshot):
+        return outcome
+    entries = dict(outcome.entries)
+    for key, entry in entries.items():
+        if "/queue/" in key:
+            queued = msgspec.json.decode(entry.value, type=Queued)
+            entries[key] = entry._replace(value=encode(msgspec.structs.replace(queued, base="")))
+    return outcome._replace(entries=entries)
+
+
+class OpensChangeFromAnyBase(MutantRelay):
+    """Opens an entry that was made from a policy which is no longer in force."""
+
+    coordinator_type = _OpensAnyBase
+
+
+class _IgnoresQueue(Settler):
+    __slots__ = ()
+
+    def effects(self, *arguments: Any) -> Read | Commit | None:
+        effect = super().effects(*arguments)
+        if self.change or not isinstance(effect, Read):
+            return effect
+        self._busy = False
+        self._at = math.inf
+        return None
+
+
+class IgnoresTheQueue(MutantRelay):
+    """Looks for no queued change while none is open."""
+
+    coordinator_type = _IgnoresQueue
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -331,7 +331,7 @@
     """It sends its servers away, gives its lease back and ends."""
     host = world.relays[n]
     assert host.relay
-    host.relay.leave(world.clock(host))
+    host.relay.begin_shutdown()
     world.settle_down()
     lease = host.relay.member.lease
     if lease and not (world.is_store_away or host.is_mute):
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -8,7 +8,18 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from otterrudder.fleet.cell.endorsement import PeerRequest
+from otterrudder.fleet.cell.effects import (
+    Connect,
+    Disconnect,
+    EndSession,
+    ParticipantEffect,
+    PeerRequest,
+    RelayEffect,
+    SendToRelay,
+    SendToServer,
+    ValidateText,
+)
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
 from otterrudder.fleet.cell.messages import (
     Endorsement,
     EndorsementRequest,
@@ -19,23 +30,8 @@
     ServerMessage,
     ValidationResult,
 )
-from otterrudder.fleet.cell.participant import (
-    CheckText,
-    Connect,
-    Disconnect,
-    Participant,
-    ParticipantEffect,
-    SendToRelay,
-    ServerIdentity,
-)
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
-)
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import Relay, RelayLimits
 from otterrudder.fleet.change import propose, settle, whole
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, Save
 from otterrudder.fleet.records import Keys, Queued, View, decode
@@ -123,7 +119,7 @@
     started: float = 0.0
     newest: int = 0  # version that this life has gone by
     is_frozen: bool = False
-    checks: list[CheckText] = field(default_factory=list)  # under way
+    checks: list[ValidateText] = field(default_factory=list)  # under way
     rate: float = 1.0
 
     @property
@@ -342,7 +338,7 @@
         assert host.server
         if isinstance(effect, Connect):
             self._connect(n, host, effect)
-        elif isinstance(effect, CheckText):
+        elif isinstance(effect, ValidateText):
             host.checks.append(effect)
         else:
             stream = self._own_stream(n, host.life, effect.connection)
@@ -358,7 +354,7 @@
         if (host.name, effect.relay) in self.cuts:
             return  # nothing comes back
         if not self.relays[at].relay:
-            host.server.disconnected(self.clock(host), effect.connection)
+            host.server.handle_disconnected(self.clock(host), effect.connection)
             return
         self.opened += 1
         life = self.relays[at].life
@@ -465,12 +461,12 @@
         if flight.answer is not None:
             self.peer_flights.remove(flight)
             if sender.relay and sender.life == flight.life:
-                sender.relay.peer_answered(flight.answer)
+                sender.relay.handle_endorsement(flight.answer)
             return
         if not peer.relay:
             self.peer_flights.remove(flight)
             return
-        flight.answer = peer.relay.peer_asked(self.clock(peer), flight.request)
+        flight.answer = peer.relay.handle_endorsement_request(self.clock(peer), flight.request)
         if flight.answer.span_ms > 0:
             self.ledger.consents(self.now, (flight.peer, peer.life))
 
@@ -499,12 +495,12 @@
         if stream.is_ended or not host.relay or host.life != stream.relay_life:
             return
         if isinstance(message, Control):
-            host.relay.closed(stream.number)
+            host.relay.handle_stream_closed(stream.number)
             return
         if isinstance(message, ValidationResult) and self._is_registered(stream, host):
             at, opened = (stream.relay, stream.relay_life), self._change_created()
-            self.ledger.heard(at, stream.kind, message.digest, message.trouble, opened)
-        host.relay.received(self.clock(host), stream.number, message)
+            self.ledger.heard(at, stream.kind, message.digest, message.rejection, opened)
+        host.relay.handle_message(self.clock(host), stream.number, message)
 
     def _is_registered(self, stream: Stream, host: RelayHost) -> bool:
         return host.relay is not None and stream.number in host.relay.sessions
@@ -517,17 +513,17 @@
         if not host.server or host.life != stream.server_life:
             return
         if message is Control.OPENED:
-            host.server.connected(self.clock(host), stream.connection)
+            host.server.handle_connected(self.clock(host), stream.connection)
         elif message is Control.ENDED:
-            host.server.disconnected(self.clock(host), stream.connection)
+            host.server.handle_disconnected(self.clock(host), stream.connection)
         elif not isinstance(message, Control):
-            host.server.received(self.clock(host), stream.connection, message)
+            host.server.handle_message(self.clock(host), stream.connection, message)
 
     def check(self, host: ServerHost) -> None:
         """The text that has waited for longest is checked."""
         task = host.checks.pop(0)
         if host.server:
-            host.server.checked(self.clock(host), task.digest, self.trouble_with(host, task.text))
+            host.server.handle_validated(self.clock(host), task.digest, self.trouble_with(host, task.text))
 
     def trouble_with(self, host: ServerHost, text: str) -> str:
         is_bad = host.kind == "odd" and text.endswith(BAD_ENDING)
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -0,0 +1,214 @@
+"""Mutants of a relay, each without one rule that the design rests on: leases, endorsement, validation."""
+
+import math
+from dataclasses import replace
+from typing import Any
+
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
+from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.sessions import Session
+from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll
+from otterrudder.fleet.change import Settler
+from otterrudder.fleet.effects import Judge
+from otterrudder.fleet.member import Member
+from otterrudder.fleet.state import Standing
+from otterrudder.lab.fleet.mutation import mutated
+
+
+class MutantRelay(Relay):
+    """May have attributes of its own, and mutants of its parts."""
+
+    member_type: type[Member] = Member
+    coordinator_type: type[Settler] = Settler
+    collector_type: type[EndorsementCollector] = EndorsementCollector
+    giver_type: type[EndorsementGiver] = EndorsementGiver
+
+    def __init__(self, *arguments: Any, **named: Any) -> None:
+        super().__init__(*arguments, **named)
+        self.member = mutated(self.member, self.member_type)
+        self.settler = mutated(self.settler, self.coordinator_type)
+        self.endorsements = mutated(self.endorsements, self.collector_type)
+        self.given_endorsement = mutated(self.given_endorsement, self.giver_type)
+
+
+# Leases.
+
+
+class GrantsPastAuthority(MutantRelay):
+    """Grants a whole span whenever it may grant at all."""
+
+    def authority_until(self, now: float) -> float:
+        until = super().authority_until(now)
+        return math.inf if until > now else until
+
+
+class GrantsPastTheBound(MutantRelay):
+    """Its leases last for longer than a change waits for them."""
+
+    def __init__(self, *arguments: Any, **named: Any) -> None:
+        super().__init__(*arguments, **named)
+        self.limits = replace(self.limits, span_ms=2 * self.limits.span_ms)
+
+
+class GrantsToNewServersAtOnce(MutantRelay):
+    """Assumes that a change which was open when it last read is open still."""
+
+    def _may_have_missed_commit(self, session: Session) -> bool:
+        return False
+
+
+# Endorsement.
+
+
+class _AnyEndorsement(EndorsementCollector):
+    __slots__ = ()
+
+    def until(self) -> float:
+        return max(self._endorsed_until.values(), default=-math.inf)
+
+
+class TrustsOneEndorsement(MutantRelay):
+    """Goes on as soon as one of the others has endorsed."""
+
+    collector_type = _AnyEndorsement
+
+
+class _EndorsesAsLeader(EndorsementGiver):
+    __slots__ = ()
+
+    def answer(
+        self, now: float, request: EndorsementRequest, *, leads: bool, store_answers: bool
+    ) -> Endorsement:
+        return super().answer(now, request, leads=False, store_answers=store_answers)
+
+
+class EndorsesWhileItLeads(MutantRelay):
+    """Endorses another relay while it leads itself."""
+
+    giver_type = _EndorsesAsLeader
+
+
+class ForgetsEndorsementAtRestart(MutantRelay):
+    """Starts as if no process had run there before."""
+
+    def __init__(self, *arguments: Any, **named: Any) -> None:
+        super().__init__(*arguments, **named)
+        self.given_endorsement.until = -math.inf
+        self.member.abstains_until = -math.inf
+        self.member.holds_back_until = -math.inf
+
+
+class VotesThoughItEndorsed(MutantRelay):
+    """Its endorsement binds its grants alone."""
+
+    def _abstain(self) -> None:
+        return
+
+
+class GrantsThoughItEndorsed(MutantRelay):
+    """Its endorsement binds its votes alone."""
+
+    def _abstain(self) -> None:
+        self.member.abstains_until = max(self.member.abstains_until, self.given_endorsement.until)
+
+    def authority_until(self, now: float) -> float:
+        return -math.inf if self._is_shutting_down else self.member.authority_until(now)
+
+
+class _EndorsedUnderAnyRule(Member):
+    def _lease_end(self) -> float:
+        return max(self.lease_until, self.consent_until)
+
+
+class EndorsementUnderLeaveOut(MutantRelay):
+    """Goes on with the others' endorsement where a change may leave the cell out."""
+
+    member_type = _EndorsedUnderAnyRule
+
+    def _may_need_endorsements(self) -> bool:
+        return self.leads()
+
+
+class _AsIfAlone(Member):
+    def standing(self, now: float) -> Standing:
+        standing = super().standing(now)
+        return Standing.SERVING if standing is Standing.LAPSED else standing
+
+    def authority_until(self, now: float) -> float:
+        until = super().authority_until(now)
+        return math.inf if until == self._lease_end() else until
+
+
+class GrantsWithoutLease(MutantRelay):
+    """Goes on under `wait` without a lease, as a member whose name nobody shares may."""
+
+    member_type = _AsIfAlone
+
+
+class RequestsEndorsementTooLate(MutantRelay):
+    """Asks for endorsements a second after its lease has ended."""
+
+    def _endorsements_needed_at(self) -> float:
+        return self.member.lease_until + 1000.0
+
+
+# Validation and votes.
+
+
+class VotesWithoutAsking(MutantRelay):
+    """Accepts a change without its servers."""
+
+    def _start_validation(self, now: float, task: Judge) -> None:
+        self.member.completed(now, task, now, "")
+        self._take_store_effects(now)
+
+    def _review_validation(self, now: float) -> None:
+        return
+
+
+class _AcceptingCache(ValidationCache):
+    __slots__ = ()
+
+    def put(self, fingerprint: str, digest: str, rejection: str) -> None:
+        super().put(fingerprint, digest, "")
+
+
+class _AcceptingPoll(ValidationPoll):
+    def handle_result(self, fingerprint: str, name: str, rejection: str) -> None:
+        super().handle_result(fingerprint, name, "")
+
+
+class IgnoresRejections(MutantRelay):
+    """Takes each result for an acceptance."""
+
+    def __init__(self, *arguments: Any, **named: Any) -> None:
+        super().__init__(*arguments, **named)
+        self.validation.cache = _AcceptingCache()
+
+    def _start_validation(self, now: float, task: Judge) -> None:
+        super()._start_validation(now, task)
+        if self.validation.poll and self.validation.task:
+            self.validation.poll = mutated(self.validation.poll, _AcceptingPoll)
+
+
+class ReusesOldResult(MutantRelay):
+    """The result of one poll counts for later changes and fingerprints."""
+
+    def _review_validation(self, now: float) -> None:
+        return
+
+
+class ForgetsClosedStreams(MutantRelay):
+    """Does not wait for a server whose stream has ended, though its lease has not."""
+
+    def handle_stream_closed(self, connection: int) -> None:
+        self.sessions._sessions.pop(connection, None)
+
+
+class VotesAtTakeover(MutantRelay):
+    """Votes as soon as it leads."""
+
+    def _after_store(self, now: float) -> None:
+        self._was_leading = self.leads()
+        super()._after_store(now)
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -5,35 +5,39 @@
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.lab.fleet.cell_coordinator_mutants import (
+    IgnoresTheQueue,
+    OpensChangeFromAnyBase,
+    OpensTwoChanges,
+    TrustsAnyStore,
+)
 from otterrudder.lab.fleet.cell_model import RULES, SLOW_AND_FAST, CellStage, CellVariant
-from otterrudder.lab.fleet.cell_mutants import (
-    AsksNoKinds,
-    AsksTooLate,
-    BelievesAnyStore,
-    BelievesOneConsent,
-    BelievesTheWholeSpan,
-    ChecksNoDigest,
-    ConsentsWhileItLeads,
-    ConsentUnderLeaveOut,
+from otterrudder.lab.fleet.cell_participant_mutants import (
     CountsFromTheAnswer,
+    ExtendsLeaseOfOldVersion,
+    GoesBackAVersion,
+    IgnoresDigests,
+    SkipsValidation,
+    TrustsTheWholeSpan,
+    UsesStaleClock,
+)
+from otterrudder.lab.fleet.cell_relay_mutants import (
+    EndorsementUnderLeaveOut,
+    EndorsesWhileItLeads,
     ForgetsClosedStreams,
-    ForgetsItsConsent,
-    ForgetsTheQueue,
-    GoesBack,
-    GoesOnUnderTheOld,
-    GrantsLapsed,
-    GrantsLongerThanTheBound,
-    GrantsPastItsAuthority,
-    GrantsThoughItConsented,
+    ForgetsEndorsementAtRestart,
+    GrantsPastAuthority,
+    GrantsPastTheBound,
+    GrantsThoughItEndorsed,
     GrantsToNewServersAtOnce,
-    KeepsItsJudgement,
-    OpensAnyBase,
-    OpensTwo,
-    RemembersNoNo,
-    SleepsThrough,
-    TakesAnyText,
-    TakesOverAtOnce,
-    VotesThoughItConsented,
+    GrantsWithoutLease,
+    IgnoresRejections,
+    RequestsEndorsementTooLate,
+    ReusesOldResult,
+    TrustsOneEndorsement,
+    VotesAtTakeover,
+    VotesThoughItEndorsed,
+    VotesWithoutAsking,
 )
 
 
@@ -181,9 +185,9 @@
 _LEAVE_OUT = replace(RULES, absent="leave-out")
 FAULTS: dict[str, CellHunt] = {
     "grants past its authority": CellHunt(
-        CellVariant(relay=GrantsPastItsAuthority), CellStage.VOTED, _LATE_RENEWAL
+        CellVariant(relay=GrantsPastAuthority), CellStage.VOTED, _LATE_RENEWAL
     ),
-    "grants for longer than the bound": _of_relay(GrantsLongerThanTheBound),
+    "grants for longer than the bound": _of_relay(GrantsPastTheBound),
     "grants to new servers at once": CellHunt(
         CellVariant(relay=GrantsToNewServersAtOnce), CellStage.VOTED, _NEW_SERVER
     ),
@@ -194,51 +198,53 @@
         CellStage.CALM,
         _LATE_GRANT,
     ),
-    "believes the whole span of a lease": CellHunt(
-        CellVariant(participant=BelievesTheWholeSpan, server_rates=SLOW_AND_FAST), CellStage.CALM, _SLOW_CLOCK
+    "trusts the whole span of a lease": CellHunt(
+        CellVariant(participant=TrustsTheWholeSpan, server_rates=SLOW_AND_FAST), CellStage.CALM, _SLOW_CLOCK
     ),
     "frozen, goes by a stale clock": CellHunt(
-        CellVariant(participant=SleepsThrough), CellStage.COMMITTED, _FROZEN
+        CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _FROZEN
     ),
     "goes on under the old version": CellHunt(
-        CellVariant(participant=GoesOnUnderTheOld), CellStage.COMMITTED, _SLOW_CHECK
+        CellVariant(participant=ExtendsLeaseOfOldVersion), CellStage.COMMITTED, _SLOW_CHECK
     ),
-    "goes back a version": CellHunt(CellVariant(participant=GoesBack), CellStage.CALM, _SET_BACK),
-    "takes a text unchecked": _of_server(TakesAnyText, servers=3, has_odd_kind=True),
-    "takes a damaged text": CellHunt(CellVariant(participant=ChecksNoDigest), CellStage.COMMITTED, _DAMAGED),
-    "believes one consent of two": CellHunt(
-        CellVariant(relay=BelievesOneConsent, relays=3), CellStage.CALM, _STANDBY_CUT_OFF
+    "goes back a version": CellHunt(CellVariant(participant=GoesBackAVersion), CellStage.CALM, _SET_BACK),
+    "switches without validation": _of_server(SkipsValidation, servers=3, has_odd_kind=True),
+    "takes a damaged text": CellHunt(CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED),
+    "trusts one endorsement of two": CellHunt(
+        CellVariant(relay=TrustsOneEndorsement, relays=3), CellStage.CALM, _STANDBY_CUT_OFF
     ),
-    "consents while it leads": CellHunt(CellVariant(relay=ConsentsWhileItLeads), CellStage.CALM, _TWO_LEAD),
-    "forgets its consent in a restart": CellHunt(
-        CellVariant(relay=ForgetsItsConsent), CellStage.CONSENTED, _RESTARTED
+    "endorses while it leads": CellHunt(CellVariant(relay=EndorsesWhileItLeads), CellStage.CALM, _TWO_LEAD),
+    "forgets its endorsement in a restart": CellHunt(
+        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.CONSENTED, _RESTARTED
     ),
-    "votes though it has consented": CellHunt(
-        CellVariant(relay=VotesThoughItConsented), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
+    "votes though it has endorsed": CellHunt(
+        CellVariant(relay=VotesThoughItEndorsed), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
     ),
-    "grants though it has consented": CellHunt(
-        CellVariant(relay=GrantsThoughItConsented), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
+    "grants though it has endorsed": CellHunt(
+        CellVariant(relay=GrantsThoughItEndorsed), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
     ),
-    "consent under leave-out": CellHunt(
-        CellVariant(relay=ConsentUnderLeaveOut, rules=_LEAVE_OUT, cells=2, servers=3),
+    "endorsement under leave-out": CellHunt(
+        CellVariant(relay=EndorsementUnderLeaveOut, rules=_LEAVE_OUT, cells=2, servers=3),
         CellStage.CALM,
         _STANDBY_CUT_OFF,
     ),
-    "grants without a lease": CellHunt(CellVariant(relay=GrantsLapsed), CellStage.CALM, _LEADER_CUT_OFF),
-    "asks for consent too late": _of_relay(AsksTooLate),
-    "asks no kinds": _of_relay(AsksNoKinds),
-    "remembers no no": _of_relay(RemembersNoNo, has_odd_kind=True),
-    "keeps its judgement": CellHunt(
-        CellVariant(relay=KeepsItsJudgement, cells=2, servers=4, has_odd_kind=True),
+    "grants without a lease": CellHunt(
+        CellVariant(relay=GrantsWithoutLease), CellStage.CALM, _LEADER_CUT_OFF
+    ),
+    "asks for endorsement too late": _of_relay(RequestsEndorsementTooLate),
+    "votes without asking": _of_relay(VotesWithoutAsking),
+    "ignores rejections": _of_relay(IgnoresRejections, has_odd_kind=True),
+    "reuses an old result": CellHunt(
+        CellVariant(relay=ReusesOldResult, cells=2, servers=4, has_odd_kind=True),
         CellStage.CALM,
         _SAME_TEXT,
     ),
     "forgets closed streams": _of_relay(ForgetsClosedStreams),
-    "takes over at once": _of_relay(TakesOverAtOnce),
-    "believes any store": CellHunt(
-        CellVariant(relay=BelievesAnyStore, has_copies=True), CellStage.CALM, _OLD_COPY
+    "votes at takeover": _of_relay(VotesAtTakeover),
+    "trusts any store": CellHunt(
+        CellVariant(relay=TrustsAnyStore, has_copies=True), CellStage.CALM, _OLD_COPY
     ),
-    "opens two changes": _of_relay(OpensTwo),
-    "opens a change from any base": _of_relay(OpensAnyBase, has_based_changes=True),
-    "forgets the queue": _of_relay(ForgetsTheQueue),
+    "opens two changes": _of_relay(OpensTwoChanges),
+    "opens a change from any base": _of_relay(OpensChangeFromAnyBase, has_based_changes=True),
+    "ignores the queue": _of_relay(IgnoresTheQueue),
 }
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -4,10 +4,15 @@
 from collections import OrderedDict
 from typing import Any, TypeVar
 
+from otterrudder.fleet.cell.cell_validation import CellValidation
 from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, Session
-from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll, _Asked
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_selector import RelaySelector
+from otterrudder.fleet.cell.server_lease import PendingRequests, ServerLease
+from otterrudder.fleet.cell.sessions import Session, SessionTable
+from otterrudder.fleet.cell.text_validation import TextValidation
+from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import View
@@ -17,13 +22,19 @@
     Member,
     Settler,
     Relay,
+    SessionTable,
     Session,
+    CellValidation,
     Participant,
+    ServerLease,
+    PendingRequests,
+    RelaySelector,
+    TextValidation,
     EndorsementCollector,
     EndorsementGiver,
     ValidationCache,
     ValidationPoll,
-    _Asked,
+    PendingQuestion,
 )
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -13,7 +13,8 @@
 from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementGiver
 from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.sessions import Session
 from otterrudder.fleet.cell.validation_poll import Candidate, ValidationPoll
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import Standing
@@ -39,18 +40,23 @@
 class TellsNobody(Relay):
     """Sends a newer text only to servers that have none."""
 
-    def _push(self, now: float, session: Session) -> None:
+    def _push_policy(self, now: float, session: Session) -> None:
         if not session.version:
-            super()._push(now, session)
+            super()._push_policy(now, session)
 
 
 def _consents_always() -> None:
     """Endorses also while it leads, or hears the store, and takes part all the same."""
 
     def answer(
-        self: EndorsementGiver, _now: float, request: EndorsementRequest, _leads: bool, _hears_store: bool
+        self: EndorsementGiver,
+        _now: float,
+        request: EndorsementRequest,
+        *,
+        leads: bool,  # noqa: ARG001
+        store_answers: bool,  # noqa: ARG001
     ) -> Endorsement:
-        return Endorsement(request.sequence, self.name, ENDORSEMENT_MS)
+        return Endorsement(request.sequence, self.identity.address, ENDORSEMENT_MS)
 
     setattr(EndorsementGiver, "answer", answer)  # noqa: B010
 
@@ -58,14 +64,14 @@
 def _votes_without_asking() -> None:
     """Says yes for its servers."""
 
-    def ask(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
+    def next_questions(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
 
-    def decided(_self: ValidationPoll, _candidates: Iterable[Candidate]) -> str:
+    def result(_self: ValidationPoll, _candidates: Iterable[Candidate]) -> str:
         return ""
 
-    setattr(ValidationPoll, "ask", ask)  # noqa: B010
-    setattr(ValidationPoll, "decided", decided)  # noqa: B010
+    setattr(ValidationPoll, "next_questions", next_questions)  # noqa: B010
+    setattr(ValidationPoll, "result", result)  # noqa: B010
 
 
 def _with_relay(kind: type[Relay]) -> Callable[[], None]:
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -7,7 +7,8 @@
 from time import thread_time_ns
 from typing import Protocol
 
-from otterrudder.fleet.cell.endorsement import PeerRequest
+from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
+from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import (
     Endorsement,
     EndorsementRequest,
@@ -15,14 +16,7 @@
     RelayMessage,
     ServerMessage,
 )
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
-)
+from otterrudder.fleet.cell.relay import Relay, RelayLimits
 from otterrudder.fleet.effects import Commit, Lease, Outcome, Read, Renew, Request
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
@@ -118,7 +112,7 @@
         relay = host.relay
         if not relay:
             return
-        relay.leave(self._events.now)
+        relay.begin_shutdown()
         self._step(host)
         if relay.member.lease and not self._is_store_cut(host):
             arrives = self._events.now + self.store.arrival_ms(host.zone.region, Renew(0))
@@ -164,12 +158,12 @@
             return
         if self.message_cpu.is_due():
             began = thread_time_ns()
-            relay.received(now, stream.number, message)
+            relay.handle_message(now, stream.number, message)
             effects = relay.effects(now)
             due = relay.due()
             self.message_cpu.add(began)
         else:
-            relay.received(now, stream.number, message)
+            relay.handle_message(now, stream.number, message)
             effects = relay.effects(now)
             due = relay.due()
         for effect in effects:
@@ -182,7 +176,7 @@
         if stream.relay_life != host.life or not host.streams.pop(stream.number, None):
             return
         if host.relay:
-            host.relay.closed(stream.number)
+            host.relay.handle_stream_closed(stream.number)
 
     def hint(self, host: RelayHost, argument: tuple[int, str]) -> None:
         life, prefix = argument
@@ -338,7 +332,7 @@
             peer.held.append((self._peer_asked, peer, argument))
             return
         self.peer_messages += 1
-        consent = peer.relay.peer_asked(self._events.now, request)
+        consent = peer.relay.handle_endorsement_request(self._events.now, request)
         arrives = self._events.now + self._network.way_ms(peer.zone.number, host.zone.number)
         self._events.at(arrives, self._peer_answered, host, (life, consent))
         self._step(peer)
@@ -350,5 +344,5 @@
         if self._events.now < host.frozen_until:
             host.held.append((self._peer_answered, host, argument))
             return
-        host.relay.peer_answered(consent)
+        host.relay.handle_endorsement(consent)
         self._step(host)
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -6,15 +6,10 @@
 from collections.abc import Mapping
 from time import thread_time_ns
 
+from otterrudder.fleet.cell.effects import Connect, ParticipantEffect, SendToRelay, ValidateText
+from otterrudder.fleet.cell.identity import ServerIdentity
 from otterrudder.fleet.cell.messages import RelayMessage
-from otterrudder.fleet.cell.participant import (
-    CheckText,
-    Connect,
-    Participant,
-    ParticipantEffect,
-    SendToRelay,
-    ServerIdentity,
-)
+from otterrudder.fleet.cell.participant import Participant
 from otterrudder.lab.scale.events import EventQueue
 from otterrudder.lab.scale.experiment import LoadPart
 from otterrudder.lab.scale.hosts import RelayHost, ServerHost, Stream
@@ -120,11 +115,11 @@
             return
         if self.cpu.is_due():
             began = thread_time_ns()
-            participant.received(now, stream.connection, message)
+            participant.handle_message(now, stream.connection, message)
             due = participant.due()
             self.cpu.add(began)
         else:
-            participant.received(now, stream.connection, message)
+            participant.handle_message(now, stream.connection, message)
             due = participant.due()
         if due <= now:
             self._step(host)
@@ -141,7 +136,7 @@
         if self._events.now < host.frozen_until:
             host.held.append((self.connected, stream, None))
             return
-        host.participant.connected(self._events.now, stream.connection)
+        host.participant.handle_connected(self._events.now, stream.connection)
         self._step(host)
 
     def ended(self, stream: Stream, _: object) -> None:
@@ -154,7 +149,7 @@
             return
         if host.stream is stream:
             host.stream = None
-        host.participant.disconnected(self._events.now, stream.connection)
+        host.participant.handle_disconnected(self._events.now, stream.connection)
         self._step(host)
 
     def checked(self, host: ServerHost, argument: tuple[int, str]) -> None:
@@ -164,7 +159,7 @@
         if self._events.now < host.frozen_until:
             host.held.append((self.checked, host, argument))
             return
-        host.participant.checked(self._events.now, digest, "")
+        host.participant.handle_validated(self._events.now, digest, "")
         self._step(host)
 
     # What it does.
@@ -197,14 +192,14 @@
             until = min(self._events.now, host.lease_until)
             self._ledger.left(host.version, version, until)
             host.version = version
-        host.lease_until = participant.lease_until
+        host.lease_until = participant.lease.until
 
     def _carry_out(self, host: ServerHost, effect: ParticipantEffect) -> None:
         if isinstance(effect, SendToRelay):
             self._send(host, effect)
         elif isinstance(effect, Connect):
             self._connect(host, effect)
-        elif isinstance(effect, CheckText):
+        elif isinstance(effect, ValidateText):
             due = self._events.now + self._chance.uniform(*self.load.check_ms)
             self._events.at(due, self.checked, host, (host.life, effect.digest))
         else:
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -7,7 +7,8 @@
 
 from otterrudder.fleet.agent import open_folder
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.cell.service import RelayService, check_descriptors
+from otterrudder.fleet.cell.descriptors import check_descriptors
+from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.log import log
@@ -26,7 +27,7 @@
 
 
 async def _serve(fleet: Fleet, role: RelayRole) -> None:
-    check_descriptors(role.sessions_most)
+    check_descriptors(role.max_sessions)
     store = Client(fleet)
     folder, record = open_folder(fleet, role.cell)
     service = RelayService(fleet, role, store, folder, record)
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -6,7 +6,18 @@
 import math
 from dataclasses import dataclass, field, replace
 
-from otterrudder.fleet.cell.endorsement import PeerRequest
+from otterrudder.fleet.cell.effects import (
+    Connect,
+    Disconnect,
+    EndSession,
+    ParticipantEffect,
+    PeerRequest,
+    RelayEffect,
+    SendToRelay,
+    SendToServer,
+    ValidateText,
+)
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
 from otterrudder.fleet.cell.messages import (
     LeaseRefusal,
     PolicyUpdate,
@@ -14,23 +25,8 @@
     Registration,
     RelayMessage,
 )
-from otterrudder.fleet.cell.participant import (
-    CheckText,
-    Connect,
-    Disconnect,
-    Participant,
-    ParticipantEffect,
-    SendToRelay,
-    ServerIdentity,
-)
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
-)
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import Relay, RelayLimits
 from otterrudder.fleet.change import propose, whole
 from otterrudder.fleet.effects import Commit, Outcome, Save
 from otterrudder.fleet.queue import enqueue
@@ -112,7 +108,7 @@
         for number, stream in list(self.streams.items()):
             if stream.relay == address:
                 del self.streams[number]
-                self.servers[stream.server].disconnected(self.now, stream.connection)
+                self.servers[stream.server].handle_disconnected(self.now, stream.connection)
 
     def leader(self, cell: str) -> Relay:
         (found,) = [r for r in self.relays.values() if r.identity.cell == cell and r.leads()]
@@ -178,10 +174,10 @@
                 self._to_server(stream, effect.message)
         elif isinstance(effect, EndSession):
             if stream := self.streams.pop(effect.connection, None):
-                self.servers[stream.server].disconnected(self.now, stream.connection)
+                self.servers[stream.server].handle_disconnected(self.now, stream.connection)
         elif isinstance(effect, PeerRequest):
             if peer := self.relays.get(effect.peer):
-                relay.peer_answered(peer.peer_asked(self.now, effect.message))
+                relay.handle_endorsement(peer.handle_endorsement_request(self.now, effect.message))
         else:
             outcome: Outcome = None
             if isinstance(effect, Save):
@@ -196,31 +192,31 @@
     def _to_server(self, stream: Stream, message: RelayMessage) -> None:
         if isinstance(message, LeaseRefusal):
             self.refusals.append(message)
-        self.servers[stream.server].received(self.now, stream.connection, message)
+        self.servers[stream.server].handle_message(self.now, stream.connection, message)
 
     def _server_effect(self, name: str, server: Participant, effect: ParticipantEffect) -> None:
         if isinstance(effect, Connect):
             if effect.relay not in self.relays:
-                server.disconnected(self.now, effect.connection)
+                server.handle_disconnected(self.now, effect.connection)
                 return
             self.opened += 1
             self.streams[self.opened] = Stream(name, effect.connection, effect.relay)
-            server.connected(self.now, effect.connection)
+            server.handle_connected(self.now, effect.connection)
         elif isinstance(effect, Disconnect):
             if (number := self._number(name, effect.connection)) is not None:
                 self._end(number)
         elif isinstance(effect, SendToRelay):
             if (number := self._number(name, effect.connection)) is not None:
                 relay = self.relays[self.streams[number].relay]
-                relay.received(self.now, number, effect.message)
+                relay.handle_message(self.now, number, effect.message)
         else:
             self._check(name, server, effect)
 
-    def _check(self, name: str, server: Participant, effect: CheckText) -> None:
+    def _check(self, name: str, server: Participant, effect: ValidateText) -> None:
         self.checks.append(name)
         if name not in self.silent:
-            trouble = self.refuses.get(server.identity.kind, "") if effect.text.endswith("!") else ""
-            server.checked(self.now, effect.digest, trouble)
+            trouble = self.refuses.get(server.identity.fingerprint, "") if effect.text.endswith("!") else ""
+            server.handle_validated(self.now, effect.digest, trouble)
 
     def _number(self, name: str, connection: int) -> int | None:
         wanted = (name, connection)
@@ -229,7 +225,7 @@
     def _end(self, number: int) -> None:
         stream = self.streams.pop(number)
         if relay := self.relays.get(stream.relay):
-            relay.closed(number)
+            relay.handle_stream_closed(number)
 
     # What it shows.
 
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -7,14 +7,18 @@
 import pytest
 from cell_harness import FLEET, KEYS, RULES, Harness, Stream, in_force, registration, sent, told
 
-from otterrudder.fleet.cell.endorsement import (
-    ENDORSEMENT_MS,
-    EndorsementCollector,
-    EndorsementGiver,
+from otterrudder.fleet.cell.effects import (
+    Connect,
+    Disconnect,
+    EndSession,
     PeerRequest,
+    RelayEffect,
+    ValidateText,
 )
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementCollector, EndorsementGiver
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
 from otterrudder.fleet.cell.messages import (
-    NAME_MOST,
+    MAX_NAME_LENGTH,
     Endorsement,
     EndorsementRequest,
     InvalidMessageError,
@@ -32,28 +36,11 @@
     decode_from_server,
     encode,
 )
-from otterrudder.fleet.cell.participant import (
-    DEFAULT_LEASE_MS,
-    HOME_RETRY_MS,
-    MAX_DOCUMENTS,
-    MAX_HOME_DOUBLINGS,
-    MAX_PENDING_REQUESTS,
-    MAX_RETRY_MS,
-    RETRY_MS,
-    CheckText,
-    Connect,
-    Disconnect,
-    Participant,
-    ServerIdentity,
-)
-from otterrudder.fleet.cell.relay import (
-    TAKEOVER_VOTE_DELAY_MS,
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-)
+from otterrudder.fleet.cell.participant import DEFAULT_LEASE_MS, Participant
+from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay, RelayLimits
+from otterrudder.fleet.cell.relay_selector import HOME_RETRY_MS, MAX_HOME_DOUBLINGS, MAX_RETRY_MS, RETRY_MS
+from otterrudder.fleet.cell.server_lease import MAX_PENDING_REQUESTS
+from otterrudder.fleet.cell.text_validation import MAX_TEXTS
 from otterrudder.fleet.cell.validation_poll import (
     MAX_CACHED_RESULTS,
     NEXT_SERVER_MS,
@@ -83,7 +70,7 @@
 def connect(server: Participant, now: float = 0.0) -> Registration:
     """Its connection comes about; its first message."""
     (wanted,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
-    server.connected(now, wanted.connection)
+    server.handle_connected(now, wanted.connection)
     (message,) = sent(server.effects(now))
     assert isinstance(message, Registration)
     return message
@@ -91,15 +78,15 @@
 
 def grant(server: Participant, now: float, sequence: int, version: int = 0, span: float = 3000.0) -> None:
     change = f"change {version}" if version else ""
-    server.received(now, server.connection, LeaseGrant(sequence, version, change, span))
+    server.handle_message(now, server.connection, LeaseGrant(sequence, version, change, span))
 
 
 def takes(server: Participant, now: float, version: int, text: str) -> None:
     """A text comes, and is good."""
-    server.received(now, server.connection, in_force(version, text, digest_of(text)))
+    server.handle_message(now, server.connection, in_force(version, text, digest_of(text)))
     for effect in server.effects(now):
-        if isinstance(effect, CheckText):
-            server.checked(now, effect.digest, "")
+        if isinstance(effect, ValidateText):
+            server.handle_validated(now, effect.digest, "")
 
 
 def test_a_lease_counts_from_the_sending() -> None:
@@ -107,7 +94,7 @@
     assert server.standing(0.0) is Standing.STARTING and server.admits(0.0) is None
     sequence = connect(server).sequence
     grant(server, 700.0, sequence)
-    assert server.lease_until == 0.9 * DEFAULT_LEASE_MS
+    assert server.lease.until == 0.9 * DEFAULT_LEASE_MS
     assert server.admits(2699.0) == 0 and server.admits(2700.0) is None
     assert server.standing(2700.0) is Standing.LAPSED
 
@@ -123,12 +110,12 @@
 def test_a_lease_goes_on_while_the_relay_is_left() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    server.disconnected(100.0, server.connection)
+    server.handle_disconnected(100.0, server.connection)
     assert server.relay == "b" and server.admits(2000.0) == 0
     message = connect(server, 100.0)
     assert message.version == 0 and message.sequence == 2
     grant(server, 200.0, 2)
-    assert server.lease_until == 100.0 + 0.9 * DEFAULT_LEASE_MS
+    assert server.lease.until == 100.0 + 0.9 * DEFAULT_LEASE_MS
 
 
 def test_a_silent_relay_is_left_for_the_next() -> None:
@@ -139,7 +126,7 @@
     assert [type(effect) for effect in effects] == [Disconnect, Connect] and server.relay == "b"
     assert server.refusal == "a does not answer"
     late = LeaseGrant(1, 0, "", 3000.0)
-    server.received(800.0, 1, late)  # of the stream that was given up
+    server.handle_message(800.0, 1, late)  # of the stream that was given up
     assert server.admits(800.0) is None
 
 
@@ -153,7 +140,7 @@
 def test_a_refusal_leads_to_the_next_relay_at_once() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.NOT_LEADER))
+    server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.NOT_LEADER))
     assert [type(effect) for effect in server.effects(0.0)] == [Disconnect, Connect]
     assert server.relay == "b" and server.refusal == "a: not-leader"
 
@@ -162,7 +149,9 @@
     server, waits, now = participant(), [], 0.0
     for _ in range(20):
         register = connect(server, now)
-        server.received(now, server.connection, LeaseRefusal(register.sequence, RefusalReason.FULL, "full"))
+        server.handle_message(
+            now, server.connection, LeaseRefusal(register.sequence, RefusalReason.FULL, "full")
+        )
         server._effects.clear()
         waits.append(max(server.due() - now, 0.0))
         now = max(now, server.due())
@@ -173,7 +162,7 @@
 def test_unanswered_keeps_the_stream() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
+    server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
     assert server.effects(0.0) == [] and server.connection == 1
     assert server.due() == RETRY_MS
     assert sent(server.effects(RETRY_MS)) == [LeaseRenewal(2, 0, "starting")]
@@ -186,8 +175,8 @@
     assert server.admits(0.0) == 1
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
-    assert server.relay == "b" and server.doubt == "a tells of version 0, older than 1"
-    assert server.lease_until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
+    assert server.relay == "b" and server._relay_mistrust == "a tells of version 0, older than 1"
+    assert server.lease.until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
 def test_another_change_under_the_same_number_is_not_believed() -> None:
@@ -195,8 +184,8 @@
     grant(server, 0.0, connect(server).sequence, 1)
     takes(server, 0.0, 1, "one")
     server.effects(server.due())
-    server.received(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
-    assert server.relay == "b" and server.doubt == "a tells of another version 1"
+    server.handle_message(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
+    assert server.relay == "b" and server._relay_mistrust == "a tells of another version 1"
 
 
 def test_the_old_version_lasts_for_its_lease_and_no_longer() -> None:
@@ -220,19 +209,19 @@
 def test_a_damaged_text_is_not_taken() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, in_force(1, "damaged", digest_of("one")))
+    server.handle_message(0.0, 1, in_force(1, "damaged", digest_of("one")))
     assert server.relay == "b" and server.head == 0
-    assert server.doubt == "a: the text of version 1 is damaged"
+    assert server._relay_mistrust == "a: the text of version 1 is damaged"
 
 
 def test_a_text_that_is_no_good_here_stops_the_server() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
-    server.received(0.0, 1, in_force(1, "one", digest_of("one")))
+    server.handle_message(0.0, 1, in_force(1, "one", digest_of("one")))
     (check,) = server.effects(0.0)
-    assert isinstance(check, CheckText)
-    server.checked(0.0, check.digest, "values.look: no product")
-    assert server.standing(0.0) is Standing.UNFIT and server.why == "values.look: no product"
+    assert isinstance(check, ValidateText)
+    server.handle_validated(0.0, check.digest, "values.look: no product")
+    assert server.standing(0.0) is Standing.UNFIT and server.status_reason == "values.look: no product"
     takes(server, 10.0, 2, "two")
     assert server.standing(10.0) is Standing.SERVING
 
@@ -241,20 +230,20 @@
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     question = ValidationRequest(digest_of("one"), "one")
-    server.received(0.0, 1, question)
-    assert server.effects(0.0) == [CheckText(question.digest, "one")]
-    server.received(0.0, 1, question)
+    server.handle_message(0.0, 1, question)
+    assert server.effects(0.0) == [ValidateText(question.digest, "one")]
+    server.handle_message(0.0, 1, question)
     assert server.effects(0.0) == []
-    server.checked(5.0, question.digest, "no")
+    server.handle_validated(5.0, question.digest, "no")
     assert sent(server.effects(5.0)) == [ValidationResult(question.digest, "no")]
-    server.received(6.0, 1, question)
+    server.handle_message(6.0, 1, question)
     assert sent(server.effects(6.0)) == [ValidationResult(question.digest, "no")]
 
 
 def test_the_first_address_is_tried_again() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
+    server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
     grant(server, 0.0, connect(server).sequence)
     now = 0.0
     while server.relay == "b" and now < 2 * HOME_RETRY_MS:
@@ -272,12 +261,12 @@
         for effect in effects:
             if isinstance(effect, Connect):
                 homeward += [now] if effect.relay == "a" and now else []
-                server.connected(now, effect.connection)
+                server.handle_connected(now, effect.connection)
         for message in sent(effects):
             if server.relay == "b":
                 grant(server, now, message.sequence)
             else:
-                server.received(
+                server.handle_message(
                     now, server.connection, LeaseRefusal(message.sequence, RefusalReason.NOT_LEADER)
                 )
         assert not now or server.standing(now).admits
@@ -294,22 +283,22 @@
     connect(server)
     for number in range(20):
         text = f"text {number}"
-        server.received(0.0, 1, in_force(number + 1, text, digest_of(text)))
-        server.received(0.0, 1, ValidationRequest(digest_of(f"asked {number}"), f"asked {number}"))
-        server._request(0.0, LeaseRenewal(number, 0))
-    assert len(server._texts) <= MAX_DOCUMENTS and len(server._to_answer) <= MAX_DOCUMENTS
-    assert len(server._pending) <= MAX_PENDING_REQUESTS
+        server.handle_message(0.0, 1, in_force(number + 1, text, digest_of(text)))
+        server.handle_message(0.0, 1, ValidationRequest(digest_of(f"asked {number}"), f"asked {number}"))
+        server._begin_request(0.0)
+    assert len(server.validation._updates) <= MAX_TEXTS and len(server.validation._requested) <= MAX_TEXTS
+    assert len(server.requests) <= MAX_PENDING_REQUESTS
     for number in range(20):
-        server.checked(0.0, f"digest {number}", "")
-    assert len(server._checked) <= MAX_DOCUMENTS + 1
+        server.handle_validated(0.0, f"digest {number}", "")
+    assert len(server.validation._results) <= MAX_TEXTS + 1
 
 
 def test_a_damaged_question_is_not_answered() -> None:
     server = participant()
     connect(server)
-    server.received(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
-    assert not [effect for effect in server.effects(0.0) if isinstance(effect, CheckText)]
-    assert server.relay == "b" and "damaged" in server.doubt
+    server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
+    assert not [effect for effect in server.effects(0.0) if isinstance(effect, ValidateText)]
+    assert server.relay == "b" and "damaged" in server._relay_mistrust
 
 
 # Messages.
@@ -336,8 +325,8 @@
         b"",
         b"\xff",
         encode(LeaseGrant(1, 1, "", 1.0)),
-        encode(registration(name="n" * (NAME_MOST + 1))),
-        encode(ValidationResult("d" * (NAME_MOST + 1))),
+        encode(registration(name="n" * (MAX_NAME_LENGTH + 1))),
+        encode(ValidationResult("d" * (MAX_NAME_LENGTH + 1))),
         encode(ValidationResult("d", "x" * 100_000)),
         encode(LeaseRenewal(1, 1, "x" * 100_000)),
     ],
@@ -350,9 +339,9 @@
 def test_a_long_reason_is_cut_to_what_a_relay_takes() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    server.received(0.0, 1, ValidationRequest(digest_of("one"), "one"))
+    server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "one"))
     server.effects(0.0)
-    server.checked(0.0, digest_of("one"), "x" * 100_000)
+    server.handle_validated(0.0, digest_of("one"), "x" * 100_000)
     (verdict,) = sent(server.effects(0.0))
     assert isinstance(verdict, ValidationResult) and decode_from_server(encode(verdict)) == verdict
 
@@ -363,21 +352,21 @@
 def test_a_second_server_is_asked_where_the_first_is_silent() -> None:
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2")]
     poll = ValidationPoll("d", ValidationCache())
-    assert poll.ask(0.0, servers) == [1] and poll.due() == NEXT_SERVER_MS
-    assert poll.ask(NEXT_SERVER_MS, servers) == [2]
-    assert poll.ask(2 * NEXT_SERVER_MS, servers) == [1]
+    assert poll.next_questions(0.0, servers) == [1] and poll.due() == NEXT_SERVER_MS
+    assert poll.next_questions(NEXT_SERVER_MS, servers) == [2]
+    assert poll.next_questions(2 * NEXT_SERVER_MS, servers) == [1]
     assert not poll.is_overdue(OVERDUE_MS - 1, "old") and poll.is_overdue(OVERDUE_MS, "old")
-    poll.answered("old", "s2", "")
+    poll.handle_result("old", "s2", "")
     assert not poll.is_overdue(OVERDUE_MS, "old")
 
 
 def test_a_no_names_the_server_once() -> None:
     poll = ValidationPoll("d", ValidationCache())
     servers = [Candidate(1, "old", "s1")]
-    poll.answered("old", "s1", "values.look: no product")
-    assert poll.decided(servers) == "s1: values.look: no product"
-    again = ValidationPoll("d", poll.verdicts)
-    assert again.decided([Candidate(2, "old", "s2")]) == "s2: values.look: no product"
+    poll.handle_result("old", "s1", "values.look: no product")
+    assert poll.result(servers) == "s1: values.look: no product"
+    again = ValidationPoll("d", poll.cache)
+    assert again.result([Candidate(2, "old", "s2")]) == "s2: values.look: no product"
 
 
 def test_verdicts_are_bounded() -> None:
@@ -391,21 +380,21 @@
     verdicts = ValidationCache()
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2"), Candidate(3, "new", "s3")]
     poll = ValidationPoll("d", verdicts)
-    assert poll.ask(0.0, servers) == [1, 3] and poll.ask(1.0, servers) == []
-    poll.answered("old", "s1", "")
-    assert poll.decided(servers) is None
-    poll.answered("new", "s3", "")
-    assert poll.decided(servers) == "" and poll.due() == math.inf
+    assert poll.next_questions(0.0, servers) == [1, 3] and poll.next_questions(1.0, servers) == []
+    poll.handle_result("old", "s1", "")
+    assert poll.result(servers) is None
+    poll.handle_result("new", "s3", "")
+    assert poll.result(servers) == "" and poll.due() == math.inf
     again = ValidationPoll("d", verdicts)
-    assert again.ask(9.0, servers) == [] and again.decided(servers) == ""
+    assert again.next_questions(9.0, servers) == [] and again.result(servers) == ""
 
 
 def test_nobody_is_due_for_a_kind_that_has_answered_or_gone() -> None:
     poll = ValidationPoll("d", ValidationCache())
     answered, gone, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
-    poll.ask(0.0, [answered, gone, asked])
-    poll.answered("x", "s1", "")
-    poll.ask(NEXT_SERVER_MS, [answered, asked])
+    poll.next_questions(0.0, [answered, gone, asked])
+    poll.handle_result("x", "s1", "")
+    poll.next_questions(NEXT_SERVER_MS, [answered, asked])
     assert poll.due() == 2 * NEXT_SERVER_MS
 
 
@@ -454,10 +443,10 @@
     relay.member.consent_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
-        relay.received(until - left, number, LeaseRenewal(99, 0))
+        relay.handle_message(until - left, number, LeaseRenewal(99, 0))
         (message,) = told(relay._effects[-1:])
         assert isinstance(message, LeaseGrant) and message.span_ms == pytest.approx(left)
-    relay.received(until - 100.0, number, LeaseRenewal(99, 0))
+    relay.handle_message(until - 100.0, number, LeaseRenewal(99, 0))
     refusals = [message for message in told(relay._effects) if isinstance(message, LeaseRefusal)]
     assert refusals[-1].reason is RefusalReason.NO_AUTHORITY
 
@@ -480,9 +469,9 @@
 
 
 def test_a_full_relay_names_itself() -> None:
-    harness = at_work(limits=RelayLimits(sessions_most=2))
+    harness = at_work(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
-    relay.received(harness.now, 999, registration())
+    relay.handle_message(harness.now, 999, registration())
     (refuse,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)]
     assert (refuse.reason, refuse.detail) == (
         RefusalReason.FULL,
@@ -505,7 +494,7 @@
     message: Registration | LeaseRenewal | ValidationResult, reason: RefusalReason
 ) -> None:
     relay = Harness().add_relay("a", "east")
-    relay.received(0.0, 1, message)
+    relay.handle_message(0.0, 1, message)
     effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
     assert [refuse.reason for refuse in told(effects) if isinstance(refuse, LeaseRefusal)] == [reason]
     assert EndSession(1) in effects and not relay.sessions
@@ -514,12 +503,12 @@
 def test_a_relay_that_leaves_sends_its_servers_away() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    relay.leave(harness.now)
+    relay.begin_shutdown()
     assert not relay.sessions and relay.authority_until(harness.now) == -math.inf
     reasons = [
         message.reason for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
     ]
-    assert reasons == [RefusalReason.LEAVING] * 2
+    assert reasons == [RefusalReason.SHUTTING_DOWN] * 2
 
 
 def test_sessions_of_silent_servers_are_swept() -> None:
@@ -612,10 +601,10 @@
     while not harness.relays[new].leads():
         harness.run(10.0)
     harness.streams = {n: s for n, s in harness.streams.items() if s.relay != new}
-    harness.relays[new].sessions.clear()
+    harness.relays[new].sessions._sessions.clear()
     for name in ("east-s0", "east-s1"):
-        harness.servers[name].disconnected(harness.now, harness.servers[name].connection)
-        harness.servers[name]._connect_at = harness.now + 0.6 * TAKEOVER_VOTE_DELAY_MS
+        harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
+        harness.servers[name].selector.connect_at = harness.now + 0.6 * TAKEOVER_VOTE_DELAY_MS
     harness.propose("A", "policy!")
     harness.run(4 * TAKEOVER_VOTE_DELAY_MS)
     assert [end.committed for end in harness.view().settled] == [False]
@@ -655,8 +644,8 @@
     harness.run(0.0)
     harness.silent.clear()
     for name in ("east-s0", "east-s1"):
-        if check := harness.servers[name]._check:
-            harness.servers[name].checked(harness.now, check.digest, "")
+        if check := harness.servers[name].validation.task:
+            harness.servers[name].handle_validated(harness.now, check.digest, "")
     harness.run(0.0)
     assert relay.member.judgement(digest_of("policy!")) == "" and not relay.member.vote_sent
     east = tuple(address for address in harness.relays if address.startswith("east"))
@@ -676,8 +665,8 @@
         number = harness._number(name, server.connection)
         assert number is not None
         harness._end(number)
-        server.disconnected(harness.now, server.connection)
-        server._connect_at = harness.now + 400.0
+        server.handle_disconnected(harness.now, server.connection)
+        server.selector.connect_at = harness.now + 400.0
     harness.propose("A", "policy!")
     harness.run(2000.0)
     assert [end.committed for end in harness.view().settled] == [False]
@@ -691,7 +680,7 @@
     while "east" not in harness.view().votes:
         harness._step()
     now = relay.member.fresh_at + 300.0
-    relay.received(now, 999, registration(5, name="new"))
+    relay.handle_message(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
     assert not [effect for effect in told(effects) if isinstance(effect, LeaseGrant)]
     (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
@@ -740,11 +729,11 @@
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
     """The relay has not heard yet that the stream before has ended."""
-    harness = at_work(limits=RelayLimits(sessions_most=2))
+    harness = at_work(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
     for name in ("east-s0", "east-s1"):
-        harness.servers[name].disconnected(harness.now, harness.servers[name].connection)
+        harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
     harness.run(1000.0)
     assert relay.refused[RefusalReason.FULL] == 0 and len(relay.sessions) == 2
     assert set(harness.admitted().values()) == {0}
@@ -756,31 +745,31 @@
 
 
 def consents() -> EndorsementCollector:
-    return EndorsementCollector(0.0, FLEET, "east", "a", CANDIDATES)
+    return EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", CANDIDATES))
 
 
 def promise(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
-    return EndorsementGiver(0.0, FLEET, "east", name, candidates)
+    return EndorsementGiver(0.0, CellIdentity(FLEET, "east", name, candidates))
 
 
 def test_all_peers_are_needed() -> None:
     asker = consents()
     requests = asker.requests(100.0)
     assert [request.peer for request in requests] == ["b", "c"] and asker.requests(100.0) == []
-    asker.received(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
+    asker.handle_endorsement(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
     assert asker.until() == -math.inf
-    asker.received(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
+    asker.handle_endorsement(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
     assert asker.until() == 100.0 + 0.9 * ENDORSEMENT_MS
 
 
 def test_a_consent_counts_for_its_giver_and_its_request_alone() -> None:
-    asker = EndorsementCollector(0.0, FLEET, "east", "a", ("a", "b"))
+    asker = EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", ("a", "b")))
     (request,) = asker.requests(0.0)
-    asker.received(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
-    asker.received(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
+    asker.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
+    asker.handle_endorsement(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
     assert asker.until() == -math.inf  # the request was answered, by somebody else
     (request,) = asker.requests(1000.0)
-    asker.received(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
+    asker.handle_endorsement(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
     assert asker.until() == -math.inf
 
 
@@ -800,8 +789,9 @@
     giver = promise()
     giver.until = -math.inf
     fields = {"sequence": 1, "fleet": FLEET, "cell": "east", "sender": "a", "candidates": CANDIDATES}
-    answer = giver.answer(9000.0, EndorsementRequest(**{**fields, **change}), leads, hears)  # type: ignore[arg-type]
-    assert why in answer.why and bool(answer.why) == bool(why)
+    request = EndorsementRequest(**{**fields, **change})  # type: ignore[arg-type]
+    answer = giver.answer(9000.0, request, leads=leads, store_answers=hears)
+    assert why in answer.reason and bool(answer.reason) == bool(why)
     assert (answer.span_ms, giver.until) == (
         (0.0, -math.inf) if why else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
     )
@@ -831,22 +821,23 @@
     relay = harness.leader("east")
     streams = dict(harness.streams)
     harness.refusals.clear()  # of their start
-    connection, session = next(iter(relay.sessions.items()))
+    session = next(iter(relay.sessions))
+    connection = session.connection
     member = relay.member
     renewal = EffectOfLease(member.lease)
     member.completed(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
     assert not relay.leads()
-    relay.received(harness.now, connection, LeaseRenewal(99, 0))
-    assert session.held == 99
-    relay.received(harness.now, 99, registration(name="new"))
-    assert relay.sessions[99].held == 1
+    relay.handle_message(harness.now, connection, LeaseRenewal(99, 0))
+    assert session.deferred_request == 99
+    relay.handle_message(harness.now, 99, registration(name="new"))
+    assert relay.sessions._sessions[99].deferred_request == 1
     harness.is_store_away = False
     harness.run(1000.0)
-    assert relay.leads() and not session.held and harness.streams == streams
+    assert relay.leads() and not session.deferred_request and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
     member._lose_registration()
     member.consent_until = harness.now
-    relay.received(harness.now, connection, LeaseRenewal(100, 0))
+    relay.handle_message(harness.now, connection, LeaseRenewal(100, 0))
     (refused,) = [
         message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
     ]
@@ -860,7 +851,7 @@
 
     def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, PeerRequest) and self.lost:
-            consent = self.relays[effect.peer].peer_asked(self.now, effect.message)
+            consent = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
             self.lost -= consent.span_ms > 0
         else:
             super()._relay_effect(address, relay, effect)
@@ -905,7 +896,7 @@
     (other,) = (relay for a, relay in harness.relays.items() if a.startswith("east") and a != leader)
     harness.remove_relay(leader)
     harness.is_store_away = False
-    harness.run(other.promise.until - harness.now - 1.0)
+    harness.run(other.given_endorsement.until - harness.now - 1.0)
     assert not other.leads()
     harness.run(500.0)
     assert other.leads() and other.authority_until(harness.now) > harness.now
--- a/tests/fleet/test_cell_stored_bytes.py
+++ b/tests/fleet/test_cell_stored_bytes.py
@@ -11,10 +11,10 @@
 
 from otterrudder.fleet.cell.configuration import RelayTable
 from otterrudder.fleet.cell.fingerprint import server_fingerprint
+from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import decode_from_peer, decode_from_relay, decode_from_server, encode
-from otterrudder.fleet.cell.relay import CellIdentity
-from otterrudder.fleet.cell.wire import CONSENT as CONSENT_METHOD
-from otterrudder.fleet.cell.wire import SESSION as SESSION_METHOD
+from otterrudder.fleet.cell.wire import ENDORSE_METHOD as CONSENT_METHOD
+from otterrudder.fleet.cell.wire import SESSION_METHOD
 from otterrudder.fleet.policy import own_of as server_settings
 from otterrudder.fleet.records import Live, PolicyHead, Roster, Settled
 from otterrudder.fleet.state import Record
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -23,6 +23,13 @@
 from otterrudder.fleet.agent import open_folder
 from otterrudder.fleet.cell import fingerprint
 from otterrudder.fleet.cell.agent import CellAgent
+from otterrudder.fleet.cell.descriptors import (
+    SPARE_DESCRIPTORS,
+    SPARE_STREAMS,
+    DescriptorLimitError,
+    check_descriptors,
+)
+from otterrudder.fleet.cell.effects import ValidateText
 from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import (
     Endorsement,
@@ -36,16 +43,9 @@
     decode_from_relay,
     encode,
 )
-from otterrudder.fleet.cell.participant import CheckText
-from otterrudder.fleet.cell.service import (
-    SPARE_DESCRIPTORS,
-    SPARE_STREAMS,
-    DescriptorLimitError,
-    RelayService,
-    check_descriptors,
-)
+from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.cell.streams import MAX_MESSAGES_PER_S, MessageEncoder
-from otterrudder.fleet.cell.wire import CONSENT, SESSION, open_channel
+from otterrudder.fleet.cell.wire import ENDORSE_METHOD, SESSION_METHOD, open_channel
 from otterrudder.fleet.change import propose, whole
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import BadFleet, Fleet, read_fleet
@@ -56,7 +56,7 @@
 from otterrudder.net.serve import Files
 
 WAIT_S = 8.0
-KIND = "k"
+FINGERPRINT = "k"
 
 
 @pytest.fixture
@@ -104,7 +104,7 @@
 
     def server(self, name: str, judge: Callable[[str], str] = lambda text: "") -> CellAgent:
         fleet = self.file(name, f"relays = {self.addresses}".replace("'", '"'))
-        return CellAgent(fleet, name, KIND, judge, Orders(lambda text: None, lambda is_aside: None))
+        return CellAgent(fleet, name, FINGERPRINT, judge, Orders(lambda text: None, lambda is_aside: None))
 
 
 @contextlib.asynccontextmanager
@@ -128,13 +128,13 @@
     """A stream that says what the test likes."""
     channel = open_channel(service.fleet, service.role.address)
     try:
-        yield channel.stream_stream(SESSION)()
+        yield channel.stream_stream(SESSION_METHOD)()
     finally:
         await channel.close(None)
 
 
 def register(sequence: int = 1, **other: Any) -> Registration:
-    told = dict(fleet="f", name="x", epoch="e", kind=KIND) | other
+    told = dict(fleet="f", name="x", epoch="e", fingerprint=FINGERPRINT) | other
     return Registration(sequence, **told)
 
 
@@ -348,7 +348,7 @@
                 agent.pulse(clock.monotonic())
                 assert orders == ["", False, True, False]
                 await put_in_force(engine, "version = 1")
-                await until(lambda: agent.participant._check)
+                await until(lambda: agent.participant.validation.task)
                 worst, before = 0.0, clock.monotonic()
                 while not agent.counts["checked"]:
                     await anyio.sleep(0.005)
@@ -356,8 +356,8 @@
                     worst, before = max(worst, now - before), now
                 assert worst < 400.0
                 await until(lambda: agent.participant.known.version == 1)
-                agent.participant._effects.append(CheckText("d", "another text"))
-                agent._wake.set()
+                agent.participant._effects.append(ValidateText("d", "another text"))
+                agent._wakeup.set()
                 await until(lambda: agent.counts["checks_begun"] == 2)
                 began = clock.monotonic()
             assert clock.monotonic() - began < 900.0  # it ends without the thread that checks
@@ -369,11 +369,11 @@
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
-            call = channel.unary_unary(CONSENT)
+            call = channel.unary_unary(ENDORSE_METHOD)
             ask = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
             answer = decode_from_peer(await call(encode(ask), timeout=WAIT_S))
             assert isinstance(answer, Endorsement) and answer.sequence == 7 and not answer.span_ms
-            assert answer.why == f"this relay knows other relays of the cell: {service.role.address}"
+            assert answer.reason == f"this relay knows other relays of the cell: {service.role.address}"
             for garbage in (b"garbage", encode(answer)):
                 with pytest.raises(grpc.aio.AioRpcError) as failed:
                     await call(garbage, timeout=WAIT_S)
@@ -397,7 +397,7 @@
     async def answer_of(service: RelayService, fleet: Fleet) -> Any:
         channel = open_channel(fleet, service.role.address)
         try:
-            stream = channel.stream_stream(SESSION)()
+            stream = channel.stream_stream(SESSION_METHOD)()
             await stream.write(encode(register()))
             return await next_of(stream)
         finally:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -10,9 +10,10 @@
 from helpers import ROOT
 
 from otterrudder.cli.lab import lab
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
 from otterrudder.fleet.cell.messages import LeaseGrant
-from otterrudder.fleet.cell.participant import Participant, ServerIdentity
-from otterrudder.fleet.cell.relay import CellIdentity, Relay
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.effects import Commit, Lease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
 from otterrudder.lab.indexed import IndexedKeySpace
@@ -65,7 +66,7 @@
     __slots__ = ()
 
     def admits(self, now: float) -> int | None:
-        return self.known.version if self.heard else None
+        return self.known.version if self.has_held_lease else None
 
 
 class GrantsPastAuthority(Relay):
