--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -1,36 +1,75 @@
 """The validation of an open change for a whole cell, from the member's request to the result. Pure."""
 
 import math
+from dataclasses import dataclass
 
 from otterrudder.fleet.cell.messages import ValidationRequest
+from otterrudder.fleet.cell.sessions import SessionTable
 from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll
 from otterrudder.fleet.effects import Judge
+from otterrudder.fleet.member import Member
+from otterrudder.fleet.state import Open
+
+
+@dataclass(frozen=True, slots=True)
+class ValidationStep:
+    """What a validation has come to: the connections of the servers that are to be asked now, and how it
+    ended if it did. `result`: the first rejection, "" if all accept, None if nothing is known."""
+
+    questions: tuple[int, ...] = ()
+    is_finished: bool = False
+    result: str | None = None
+
+
+NO_STEP = ValidationStep()
+
+
+def undecided_change(member: Member) -> Open | None:
+    """The open change, while the cell has not voted on it as far as it knows."""
+    seen = member.seen
+    if not seen or seen.voted is not None:
+        return None
+    return seen.open
 
 
 class CellValidation:
     """One poll of the servers for each change, and the member's request that waits for its result."""
 
-    __slots__ = ("_change_revision", "awaits_servers", "cache", "poll", "started_at", "task")
+    __slots__ = ("_awaits_servers", "_change_revision", "cache", "poll", "started_at", "task")
 
     def __init__(self, now: float) -> None:
         self.cache = ValidationCache()
         self.poll: ValidationPoll | None = None
         self.task: Judge | None = None  # the member's request
         self.started_at = now
-        self.awaits_servers = False  # all that are here were asked, and others may come
+        self._awaits_servers = False  # all that are here were asked, and others may come
         self._change_revision = 0  # that created the change of the poll
 
-    def start(self, now: float, task: Judge, change_revision: int) -> None:
-        """`change_revision`: the one that created the change with this text; 0: no such change is open."""
-        if not change_revision or not self.is_about(change_revision):
+    def start(self, now: float, task: Judge, member: Member) -> None:
+        """The member asks for the validation of a text."""
+        change = undecided_change(member)
+        revision = change.created if change and change.digest == task.digest else 0
+        if not revision or not self._is_about(revision):
             self.poll = ValidationPoll(task.digest, self.cache)
-            self._change_revision = change_revision
+            self._change_revision = revision
         self.task = task
         self.started_at = now
 
-    def is_about(self, change_revision: int) -> bool:
-        """Whether the poll is about the change that this revision created."""
-        return self.poll is not None and self._change_revision == change_revision
+    def advance(self, now: float, member: Member, sessions: SessionTable) -> ValidationStep:
+        """Something has happened, or is due: whom to ask, and whether there is a result."""
+        if not self.poll or not self.task:
+            return NO_STEP
+        if not _is_open(member, self.poll.digest):
+            # A policy in force is not for this relay's servers to reject; of any other nothing is known.
+            is_in_force = member.head > member.known.version
+            return ValidationStep(is_finished=True, result="" if is_in_force else None)
+        candidates = list(sessions.candidates(now))
+        questions = tuple(self.poll.next_questions(now, candidates))
+        self._awaits_servers = now < member.abstains_until
+        if self._awaits_servers:
+            return ValidationStep(questions)
+        result = self.poll.result(candidates)
+        return ValidationStep(questions, is_finished=result is not None, result=result)
 
     def finish(self) -> tuple[Judge, float]:
         """The request that waited for the result, and when it was made."""
@@ -52,8 +91,33 @@
         self.cache.put(fingerprint, digest, rejection)
         return False
 
-    def due(self, abstains_until: float) -> float:
-        """When the poll may go on without an event; `abstains_until`: nothing is decided before."""
+    def is_outdated(self, now: float, member: Member, sessions: SessionTable) -> bool:
+        """Whether the member has a result for the open change that may no longer hold.
+
+        A result is of one change, and of the servers that were here: until the vote is sent a new change, a
+        new fingerprint or a late rejection has the poll go on."""
+        change = undecided_change(member)
+        if not change or self.task:
+            return False
+        result = member.judgement(change.digest)
+        if result is None:
+            return False
+        if not self.poll or not self._is_about(change.created):
+            return True
+        return result == "" and self.poll.result(sessions.candidates(now)) != ""
+
+    def due(self, member: Member) -> float:
+        """When `advance` is to be called without an event."""
         if not self.poll or not self.task:
             return math.inf
-        return min(self.poll.due(), abstains_until) if self.awaits_servers else self.poll.due()
+        due = self.poll.due()
+        return min(due, member.abstains_until) if self._awaits_servers else due
+
+    def _is_about(self, change_revision: int) -> bool:
+        """Whether the poll is about the change that this revision created."""
+        return self.poll is not None and self._change_revision == change_revision
+
+
+def _is_open(member: Member, digest: str) -> bool:
+    seen = member.seen
+    return bool(seen and seen.open and seen.open.digest == digest)
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from otterrudder.configuration import BadConfiguration, address
-from otterrudder.fleet.cell.relay import DEFAULT_MAX_SESSIONS
+from otterrudder.fleet.cell.limits import DEFAULT_MAX_SESSIONS
 from otterrudder.fleet.records import NAME_MOST, Absent
 
 SERVER_LEASE_MS = 3000.0
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -22,6 +22,7 @@
 
 from otterrudder.fleet.cell.effects import Connect, Disconnect, ParticipantEffect, SendToRelay
 from otterrudder.fleet.cell.identity import ServerIdentity
+from otterrudder.fleet.cell.limits import DEFAULT_LEASE_MS
 from otterrudder.fleet.cell.messages import (
     MAX_DETAIL_LENGTH,
     LeaseGrant,
@@ -41,7 +42,6 @@
 from otterrudder.fleet.records import digest_of
 from otterrudder.fleet.state import Policy, Standing
 
-DEFAULT_LEASE_MS = 3000.0
 TRUSTED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
 RENEWAL_SHARE = 0.25  # of the span, between renewals
 RENEWAL_JITTER = 0.2  # of that, over which renewals are spread
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -21,12 +21,12 @@
   grant nothing, and the leader is to have its place again once the store is back."""
 
 import math
-from dataclasses import dataclass
 
-from otterrudder.fleet.cell.cell_validation import CellValidation
+from otterrudder.fleet.cell.cell_validation import CellValidation, undecided_change
 from otterrudder.fleet.cell.effects import EndSession, RelayEffect, SendToServer
 from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
     PROTOCOL_VERSION,
     Endorsement,
@@ -41,17 +41,14 @@
     ServerMessage,
     ValidationResult,
 )
-from otterrudder.fleet.cell.participant import DEFAULT_LEASE_MS
 from otterrudder.fleet.cell.sessions import Session, SessionTable
 from otterrudder.fleet.change import Settler
 from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Outcome
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import Keys, Live
-from otterrudder.fleet.state import Open, Policy, Record, Rules
+from otterrudder.fleet.state import Policy, Record, Rules
 
-DEFAULT_MAX_SESSIONS = 2000  # a zone has some 300 servers
 MIN_GRANT_MS = 200.0  # a shorter lease would be over before its answer is used
-RESEND_INTERVAL_MS = 2000.0  # after which a text is sent again to a server that does not go by it
 SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
 SILENT_SPANS = 2.0  # spans of a lease without a message, after which a session is ended
 TAKEOVER_VOTE_DELAY_MS = 1500.0  # without a vote after a takeover: a server is on its next relay by then
@@ -59,14 +56,6 @@
 ENDORSEMENT_SHARE = 0.6  # of the store's lease left, below which endorsements are asked for
 
 
-@dataclass(frozen=True, slots=True)
-class RelayLimits:
-    """What a relay's file may set."""
-
-    span_ms: float = DEFAULT_LEASE_MS  # of a server's lease
-    max_sessions: int = DEFAULT_MAX_SESSIONS
-
-
 class Relay:
     """Decides for a relay: events with the time in them go in, `effects` hands out what is to be done."""
 
@@ -168,7 +157,7 @@
             self.member.due(),
             self.settler.due(),
             self._sweep_at,
-            self.validation.due(self.member.abstains_until),
+            self.validation.due(self.member),
         ]
         if self._may_need_endorsements():
             times.append(max(self.endorsements.due(), self._endorsements_needed_at()))
@@ -190,7 +179,7 @@
 
     def handle_message(self, now: float, connection: int, message: ServerMessage) -> None:
         """A server has sent a message."""
-        if not isinstance(message, LeaseRenewal) or self._undecided_change():
+        if not isinstance(message, LeaseRenewal) or undecided_change(self.member):
             self._has_news = True
         if isinstance(message, Registration):
             self._handle_registration(now, connection, message)
@@ -340,7 +329,7 @@
 
     def _owes_validation_result(self, now: float, session: Session) -> bool:
         poll = self.validation.poll
-        if not poll or not self._undecided_change():
+        if not poll or not undecided_change(self.member):
             return False
         return poll.is_overdue(now, session.fingerprint)
 
@@ -360,9 +349,7 @@
     def _push_policy(self, now: float, session: Session) -> None:
         """Sends the text in force to a server that does not go by it."""
         known = self.member.known
-        if session.version >= known.version:
-            return
-        if session.pushed_version == known.version and now - session.pushed_at < RESEND_INTERVAL_MS:
+        if not session.needs_policy(now, known.version):
             return
         session.pushed_version = known.version
         session.pushed_at = now
@@ -392,59 +379,21 @@
     # The validation of an open change by the servers.
 
     def _start_validation(self, now: float, task: Judge) -> None:
-        opened = self._undecided_change()
-        is_open = opened is not None and opened.digest == task.digest
-        self.validation.start(now, task, opened.created if opened and is_open else 0)
+        self.validation.start(now, task, self.member)
         self._advance_validation(now)
 
     def _review_validation(self, now: float) -> None:
-        """Validates the open change again where the result that the member has may no longer hold.
-
-        A result is of one change, and of the servers that were here: until the vote is sent a new change, a
-        new fingerprint or a late rejection has the poll go on."""
-        opened = self._undecided_change()
-        if opened and not self.validation.task and self._is_outdated(now, opened):
+        if self.validation.is_outdated(now, self.member, self.sessions):
             self.member.judge_again()
 
-    def _is_outdated(self, now: float, opened: Open) -> bool:
-        """Whether the member has a result for the open change that may no longer hold."""
-        result = self.member.judgement(opened.digest)
-        if result is None:
-            return False
-        poll = self.validation.poll
-        if not poll or not self.validation.is_about(opened.created):
-            return True
-        return result == "" and poll.result(self.sessions.candidates(now)) != ""
-
-    def _undecided_change(self) -> Open | None:
-        """The open change, while this cell has not voted on it as far as it knows."""
-        seen = self.member.seen
-        if not seen or seen.voted is not None:
-            return None
-        return seen.open
-
     def _advance_validation(self, now: float) -> None:
-        poll = self.validation.poll
-        if not poll or not self.validation.task:
-            return
-        if not self._is_open(poll.digest):
-            # A policy in force is not for this relay's servers to reject; of any other nothing is known.
-            is_in_force = self.member.head > self.member.known.version
-            self._finish_validation(now, "" if is_in_force else None)
-            return
-        candidates = list(self.sessions.candidates(now))
-        for connection in poll.next_questions(now, candidates):
+        step = self.validation.advance(now, self.member, self.sessions)
+        for connection in step.questions:
             self._send(connection, self.validation.request())
-        self.validation.awaits_servers = now < self.member.abstains_until
-        if self.validation.awaits_servers:
-            return
-        result = poll.result(candidates)
-        if result is not None:
-            self._finish_validation(now, result)
-
-    def _is_open(self, digest: str) -> bool:
-        seen = self.member.seen
-        return bool(seen and seen.open and seen.open.digest == digest)
+        if step.is_finished:
+            task, started_at = self.validation.finish()
+            self.member.completed(now, task, started_at, step.result)
+            self._take_store_effects(now)
 
     def _handle_validation_result(self, now: float, session: Session, result: ValidationResult) -> None:
         is_of_poll = self.validation.handle_result(
@@ -453,11 +402,6 @@
         if is_of_poll:
             self._advance_validation(now)
 
-    def _finish_validation(self, now: float, result: str | None) -> None:
-        task, started_at = self.validation.finish()
-        self.member.completed(now, task, started_at, result)
-        self._take_store_effects(now)
-
     # What an answer of the store leads to.
 
     def _after_store(self, now: float) -> None:
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -19,6 +19,7 @@
 from otterrudder.fleet.cell.descriptors import max_streams
 from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
 from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
     EndorsementRequest,
     InvalidMessageError,
@@ -29,7 +30,7 @@
     encode,
 )
 from otterrudder.fleet.cell.peers import Peers
-from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.cell.relay_status import TransportCounts, relay_status
 from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
--- a/otterrudder/fleet/cell/sessions.py
+++ b/otterrudder/fleet/cell/sessions.py
@@ -8,6 +8,7 @@
 from otterrudder.fleet.cell.validation_poll import Candidate
 
 NO_CONNECTION = 0
+RESEND_INTERVAL_MS = 2000.0  # after which a text is sent again to a server that does not go by it
 
 
 @dataclass(slots=True)
@@ -28,6 +29,12 @@
     pushed_at: float = -math.inf
     deferred_request: int = 0  # the sequence number of one that is answered after the next read; 0: none
 
+    def needs_policy(self, now: float, version: int) -> bool:
+        """Whether the text of `version`, which is in force, is to be sent."""
+        if self.version >= version:
+            return False
+        return self.pushed_version != version or now - self.pushed_at >= RESEND_INTERVAL_MS
+
 
 @dataclass(frozen=True, slots=True)
 class DepartedLease:
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -20,6 +20,7 @@
     ValidateText,
 )
 from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
     Endorsement,
     EndorsementRequest,
@@ -31,7 +32,7 @@
     ValidationResult,
 )
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.change import propose, settle, whole
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, Save
 from otterrudder.fleet.records import Keys, Queued, View, decode
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet.cell_coordinator_mutants import (
     IgnoresTheQueue,
     OpensChangeFromAnyBase,
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -9,6 +9,7 @@
 
 from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
 from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
     Endorsement,
     EndorsementRequest,
@@ -16,7 +17,7 @@
     RelayMessage,
     ServerMessage,
 )
-from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.effects import Commit, Lease, Outcome, Read, Renew, Request
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -18,6 +18,7 @@
     ValidateText,
 )
 from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
     LeaseRefusal,
     PolicyUpdate,
@@ -26,7 +27,7 @@
     RelayMessage,
 )
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, RelayLimits
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.change import propose, whole
 from otterrudder.fleet.effects import Commit, Outcome, Save
 from otterrudder.fleet.queue import enqueue
--- a/tests/fleet/test_cell.py
+++ b/tests/fleet/test_cell.py
@@ -17,6 +17,7 @@
 )
 from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.limits import DEFAULT_LEASE_MS, RelayLimits
 from otterrudder.fleet.cell.messages import (
     MAX_NAME_LENGTH,
     Endorsement,
@@ -36,8 +37,8 @@
     decode_from_server,
     encode,
 )
-from otterrudder.fleet.cell.participant import DEFAULT_LEASE_MS, Participant
-from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay, RelayLimits
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay
 from otterrudder.fleet.cell.relay_selector import HOME_RETRY_MS, MAX_HOME_DOUBLINGS, MAX_RETRY_MS, RETRY_MS
 from otterrudder.fleet.cell.server_lease import MAX_PENDING_REQUESTS
 from otterrudder.fleet.cell.text_validation import MAX_TEXTS
