--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterrudder.configuration import BadConfiguration, address
+from otterrudder.configuration import ConfigurationError, address
 from otterrudder.fleet.cell.limits import DEFAULT_MAX_SESSIONS
 from otterrudder.fleet.records import NAME_MOST, Absent
 
@@ -70,7 +70,7 @@
     for relay in relays:
         try:
             _, port = address(relay, key)
-        except BadConfiguration as error:
+        except ConfigurationError as error:
             raise RelayConfigurationError(str(error)) from None
         if not port:
             raise RelayConfigurationError(f"{key}: {relay!r}: the others need a port to find it by")
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -1,4 +1,4 @@
-"""One day: a site under a load, with its troubles, as one variant meets it. From files to figures."""
+"""One day: a site under a load, with its faults, as one variant meets it. From files to figures."""
 
 from dataclasses import dataclass, field, replace
 from itertools import count
@@ -7,18 +7,18 @@
 import numpy as np
 
 from otterrudder.lab.arrivals import Arrivals, Ask
-from otterrudder.lab.below import Below
 from otterrudder.lab.checker import Checker
+from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
+from otterrudder.lab.faults import EndpointNotifier, Fault, FaultTimeline
 from otterrudder.lab.gateways import Gateway
 from otterrudder.lab.ledger import Ledger, Session
 from otterrudder.lab.server import Server
 from otterrudder.lab.shapes import Part, demand
 from otterrudder.lab.site import Site
 from otterrudder.lab.streams import Streams
-from otterrudder.lab.troubles import Notice, Timeline, Trouble
-from otterrudder.levels import Bound, Damping, Ladder, Rung, Table
-from otterrudder.levels.ladder import FULL
+from otterrudder.levels import Damping, Level, LevelSelector, LevelTable, Threshold
+from otterrudder.levels.selector import FULL_SERVICE
 
 SWEEP_MS = 1000.0  # ms between looks of the checker for what is overdue
 AFTER_MS = 12_000.0  # ms played past the last arrival: longer than any expiry, so that nothing is left open
@@ -46,19 +46,19 @@
     series: dict[str, list[float]] = field(default_factory=dict)
 
 
-class Bare(Ladder):
+class Bare(LevelSelector):
     """A baseline: the same levels on bare thresholds, in at or above, out below; no stays, no damping."""
 
-    def __init__(self, rungs: tuple[Rung, ...], damping: Damping, **more: Any) -> None:
+    def __init__(self, levels: tuple[Level, ...], damping: Damping, **more: Any) -> None:
         bare = (
-            replace(rung, entry_ms=BARE_MS, exit_ms=BARE_MS, stay_ms=1.0, trial_ms=1.0, exit=rung.entry)
-            for rung in rungs
+            replace(level, entry_ms=BARE_MS, exit_ms=BARE_MS, min_stay_ms=1.0, trial_ms=1.0, exit=level.entry)
+            for level in levels
         )
         super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **more)
 
-    def _is_calm(self, bound: Bound, now: float) -> bool:
-        window = self._windows.of(bound.fact, BARE_MS)
-        return window.full(now) and window.mean() < bound.value
+    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+        window = self._windows.get(threshold.fact, BARE_MS)
+        return window.is_full(now) and window.mean() < threshold.value
 
 
 class Day:
@@ -66,11 +66,11 @@
         self,
         site: Site,
         load: list[Part],
-        troubles: list[Trouble],
-        levels: Table | None,
+        faults: list[Fault],
+        levels: LevelTable | None,
         seed: int,
         length_s: float,
-        kind: type[Ladder] = Ladder,
+        kind: type[LevelSelector] = LevelSelector,
     ) -> None:
         streams, self.length_ms = Streams(seed), length_s * 1000
         self.site, self.levels = site, levels
@@ -80,7 +80,7 @@
         self.demand = demand(load, streams, length_s)
         self.arrivals = Arrivals(site, self.demand, streams, self.length_ms)
         b = site.below
-        self.below = Below(self.engine, b.slots, b.line, b.call_ms, b.cv, streams.of("below"))
+        self.below = Downstream(self.engine, b.slots, b.line, b.call_ms, b.cv, streams.of("below"))
         self.moves: list[Move] = []
         self.logged: dict[str, int] = {}
         lives = count(1)
@@ -106,9 +106,9 @@
             )
             for n in range(site.gateways.count)
         ]
-        notice = Notice(self.engine, list(self.gateways), site.gateways.notice_ms)
-        self.timeline = Timeline(self.engine, self.servers, self.below, notice)
-        self.timeline.plan(troubles)
+        notifier = EndpointNotifier(self.engine, list(self.gateways), site.gateways.notice_ms)
+        self.fault_timeline = FaultTimeline(self.engine, self.servers, self.below, notifier)
+        self.fault_timeline.schedule(faults)
         self.heights: list[list[float]] = [[] for _ in self.servers]
         self._coming = iter(self.arrivals.asks)
 
@@ -135,7 +135,7 @@
         self._come()
         self._sweep()
         self.engine.run(self.length_ms + AFTER_MS)
-        self.checker.end(self.engine.now)
+        self.checker.check_overdue(self.engine.now)
         return self._result()
 
     def _come(self) -> None:
@@ -151,8 +151,8 @@
         self._come()
 
     def _sweep(self) -> None:
-        self.checker.sweep(self.engine.now)
-        names = [rung.name for rung in self.levels.rungs] if self.levels else []
+        self.checker.check_overdue(self.engine.now)
+        names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.levels.name if server.is_up and server.core.levels else ""
             self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
@@ -191,7 +191,7 @@
     def _of_levels(self, length_s: float) -> dict[str, float]:
         if not self.levels:
             return dict(moves_per_min=0.0, stay_breaks=0.0, level_mean=0.0)
-        stays = {rung.name: rung.stay_ms / 1000 for rung in self.levels.rungs}
+        stays = {level.name: level.min_stay_ms / 1000 for level in self.levels.levels}
         breaks = 0
         for moves in self._by_server():
             mine = [move for move in moves if move.why != "table"]
@@ -220,13 +220,14 @@
         not."""
         ends = [mine[-1] if mine else None for mine in self._by_server()]
         return max(
-            0.0 if end is None else end.at_s if end.entered == FULL else self.length_ms / 1000 for end in ends
+            0.0 if end is None else end.at_s if end.entered == FULL_SERVICE else self.length_ms / 1000
+            for end in ends
         )
 
     def _home_spread(self) -> float:
         """s between the first and the last of the servers that came back to full service for good; 0 for
         none."""
-        times = [mine[-1].at_s for mine in self._by_server() if mine and mine[-1].entered == FULL]
+        times = [mine[-1].at_s for mine in self._by_server() if mine and mine[-1].entered == FULL_SERVICE]
         return max(times, default=0.0) - min(times, default=0.0)
 
     def _of_sessions(self, length_s: float) -> dict[str, float]:
@@ -249,7 +250,7 @@
 
     def _series(self) -> dict[str, list[float]]:
         """By second: demand, value asked for and settled in time, the mean and the highest level."""
-        worth = np.array([p.value for p in self.ledger.products])
+        worth = np.array([p.priority_weight for p in self.ledger.products])
         asked, in_time = (self.ledger.table(name) for name in ("asked", "in_time"))
         length = int(self.length_ms / 1000)
         heights = np.array([row[:length] + [0.0] * (length - len(row)) for row in self.heights])
--- /dev/null
+++ b/otterrudder/vrrp/admission_gate.py
@@ -0,0 +1,163 @@
+"""The admission gate of a group: from its VRRP state to what the admission controller serves. Pure.
+
+    closed     a backup: its requests are not admitted
+    open       a master: its requests are admitted
+    held       a master again soon after it left: not admitted until the hold-down has passed
+    draining   a backup that was open: answers what it has read, until the hand-over time ends
+    retired    the process shuts down: nothing opens the gate again
+
+`TRANSITIONS` is the whole table; the one in the docs is printed from it
+(`python -m otterrudder.vrrp.admission_gate`). The hold-down grows each time that the group is master again
+within `forget_ms` of leaving, so that a flapping node stays out. The admission controller rejects at once
+what arrives meanwhile."""
+
+import math
+from dataclasses import dataclass
+from enum import Enum
+
+import msgspec
+
+from otterrudder.admission.interface import RequestScope
+from otterrudder.vrrp.state_machine import State
+
+MAX_DOUBLINGS = 32  # of the hold-down: keeps the power finite
+
+
+class GateState(Enum):
+    """The states of the gate."""
+
+    CLOSED = "closed"
+    OPEN = "open"
+    HELD = "held"
+    DRAINING = "draining"
+    RETIRED = "retired"
+
+
+class GateEvent(Enum):
+    """What changes the state of the gate."""
+
+    MASTER = "became master"
+    BACKUP = "became backup"
+    DEADLINE = "its time is up"
+    SHUTDOWN = "SIGTERM"
+
+
+@dataclass(frozen=True, slots=True)
+class SetAdmission:
+    """A command for the admission controller: serve the scope from now on, or drain it within `drain_ms`."""
+
+    scope: RequestScope
+    is_admitted: bool
+    drain_ms: float = 0.0
+
+
+class HoldDown(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How long a flapping master is not admitted: `[hold_down]` of the configuration file."""
+
+    first_ms: float = 1000.0  # at the first return within forget_ms; doubled at each further one
+    max_ms: float = msgspec.field(default=60_000.0, name="most_ms")
+    forget_ms: float = 30_000.0  # a later return does not count; each such span forgets one
+
+
+# MASTER leads to HELD instead of OPEN while a hold-down runs.
+TRANSITIONS: dict[tuple[GateState, GateEvent], GateState] = {
+    (GateState.CLOSED, GateEvent.MASTER): GateState.OPEN,
+    (GateState.CLOSED, GateEvent.BACKUP): GateState.CLOSED,
+    (GateState.CLOSED, GateEvent.DEADLINE): GateState.CLOSED,
+    (GateState.OPEN, GateEvent.MASTER): GateState.OPEN,
+    (GateState.OPEN, GateEvent.BACKUP): GateState.DRAINING,
+    (GateState.OPEN, GateEvent.DEADLINE): GateState.OPEN,
+    (GateState.HELD, GateEvent.MASTER): GateState.HELD,
+    (GateState.HELD, GateEvent.BACKUP): GateState.CLOSED,
+    (GateState.HELD, GateEvent.DEADLINE): GateState.OPEN,
+    (GateState.DRAINING, GateEvent.MASTER): GateState.OPEN,
+    (GateState.DRAINING, GateEvent.BACKUP): GateState.DRAINING,
+    (GateState.DRAINING, GateEvent.DEADLINE): GateState.CLOSED,
+}
+TRANSITIONS |= {(state, GateEvent.SHUTDOWN): GateState.RETIRED for state in GateState}
+TRANSITIONS |= {(GateState.RETIRED, event): GateState.RETIRED for event in GateEvent}
+
+
+class AdmissionGate:
+    """The gate of one group. It starts closed; `initial_commands` says so to a new admission controller."""
+
+    def __init__(self, scope: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
+        self.scope = scope
+        self.hand_over_ms = hand_over_ms
+        self.hold_down = hold_down
+        self.state = GateState.CLOSED
+        self.deadline = math.inf  # of a held or draining gate
+        self.returns = 0  # recent returns to mastership soon after leaving it
+        self._left_at: float | None = None
+        self._held_until = 0.0
+
+    def initial_commands(self) -> list[SetAdmission]:
+        """Commands for an admission controller that starts now; it admits by itself."""
+        return [] if self.state is GateState.OPEN else [SetAdmission(self.scope, False)]
+
+    def handle_state(self, now: float, state: State) -> list[SetAdmission]:
+        """The state machine has become master, or is not (or no longer) master."""
+        return self._handle(now, GateEvent.MASTER if state is State.MASTER else GateEvent.BACKUP)
+
+    def handle_time(self, now: float) -> list[SetAdmission]:
+        """Plays the deadline if it has passed."""
+        return self._handle(now, GateEvent.DEADLINE) if now >= self.deadline else []
+
+    def begin_shutdown(self, now: float) -> list[SetAdmission]:
+        """The process shuts down: its own drain answers, so there are no more commands."""
+        return self._handle(now, GateEvent.SHUTDOWN)
+
+    def _handle(self, now: float, event: GateEvent) -> list[SetAdmission]:
+        previous = self.state
+        state = TRANSITIONS[previous, event]
+        if event is GateEvent.MASTER and state is GateState.OPEN and previous is not GateState.OPEN:
+            self._count_return(now)
+            state = GateState.HELD if now < self._held_until else state
+        if state is previous:
+            return []
+        if event is GateEvent.BACKUP and previous in (GateState.OPEN, GateState.HELD):
+            self._left_at = now
+        self.state = state
+        self.deadline = self._deadline_of(state, now)
+        return self._commands(previous, state)
+
+    def _deadline_of(self, state: GateState, now: float) -> float:
+        if state is GateState.HELD:
+            return self._held_until
+        if state is GateState.DRAINING:
+            return now + self.hand_over_ms
+        return math.inf
+
+    def _commands(self, previous: GateState, state: GateState) -> list[SetAdmission]:
+        """Held and closed are drained already, and a retired gate leaves it to the process's own drain."""
+        if state is GateState.OPEN:
+            return [SetAdmission(self.scope, True)]
+        if previous is GateState.OPEN and state is GateState.DRAINING:
+            return [SetAdmission(self.scope, False, self.hand_over_ms)]
+        return []
+
+    def _count_return(self, now: float) -> None:
+        """Counts an early return to mastership and starts its hold-down; a late one forgets returns."""
+        if self._left_at is None:
+            return
+        away_ms = now - self._left_at
+        if away_ms >= self.hold_down.forget_ms:
+            self.returns = max(self.returns - int(away_ms / self.hold_down.forget_ms), 0)
+            return
+        self.returns += 1
+        span_ms = self.hold_down.first_ms * 2.0 ** min(self.returns - 1, MAX_DOUBLINGS)
+        self._held_until = now + min(span_ms, self.hold_down.max_ms)
+
+
+def transition_table() -> str:
+    """The transitions as a Markdown table, for the docs."""
+    lines = ["| gate | " + " | ".join(event.value for event in GateEvent) + " |"]
+    lines.append("| --- |" + " --- |" * len(GateEvent))
+    for state in GateState:
+        targets = (TRANSITIONS[state, event].value for event in GateEvent)
+        lines.append(f"| {state.value} | " + " | ".join(targets) + " |")
+    return "\n".join(lines)
+
+
+if __name__ == "__main__":
+    print(transition_table())
--- /dev/null
+++ b/otterrudder/vrrp/router.py
@@ -0,0 +1,287 @@
+"""The VRRP router: one UDP socket and the virtual router instances of all groups.
+
+Advertisements and timers must keep their times on a busy event loop:
+
+- `poll` runs ahead of each batch of the dispatcher as well as from this router's own task, so an
+  advertisement waits for one piece of work at most, not for a whole batch.
+- Before a timer is played, all that waits in the socket is read: an advertisement that arrived while this
+  process stalled counts before others are taken to be silent. The kernel may have dropped some meanwhile,
+  so a backup that is late by more than an interval waits for one more advertisement before it takes over.
+
+Each dropped datagram is counted by its reason, by group where one is known. `run` closes the socket."""
+
+import socket
+from collections import Counter
+from collections.abc import Callable, Mapping
+
+import anyio
+
+from otterrudder import clock
+from otterrudder.log import log
+from otterrudder.vrrp import datagrams, packet
+from otterrudder.vrrp.admission_gate import GateState, SetAdmission
+from otterrudder.vrrp.authentication import TRAILER_SIZE, Authenticator
+from otterrudder.vrrp.configuration import Peer, VrrpConfiguration
+from otterrudder.vrrp.datagrams import Datagram
+from otterrudder.vrrp.instance import VirtualRouterInstance, create_instance
+from otterrudder.vrrp.keys import KeyRing
+from otterrudder.vrrp.packet import DropReason, PacketError
+from otterrudder.vrrp.state_machine import Action, SendAdvertisement, State, StateChange, Timer
+
+MAX_READS = 64  # datagrams read in one go: a flood must not hold the event loop
+RETRY_MS = 10.0  # after a failed event
+TRACKING_INTERVAL_MS = 100.0  # between readings of the tracked facts
+MAX_LATENESS_SAMPLES = 4096  # of advertisements, kept for measurements
+
+
+class VrrpRouter:
+    """This process as a VRRP router: it takes part in each configured group."""
+
+    def __init__(
+        self,
+        configuration: VrrpConfiguration,
+        incarnation: int,
+        set_admission: Callable[[SetAdmission], None],
+        read_facts: Callable[[], Mapping[str, bool]],
+    ) -> None:
+        """`incarnation`: of this process, see Authenticator; `set_admission` takes the commands for the
+        admission controller; `read_facts` says which of the tracked facts are bad."""
+        self.configuration = configuration
+        self.authenticator = Authenticator(configuration.keys, incarnation)
+        self._set_admission = set_admission
+        self._read_facts = read_facts
+        self.instances = [create_instance(group, configuration) for group in configuration.groups]
+        self._senders = {
+            (instance.group.vrid, peer.udp): (instance, peer)
+            for instance in self.instances
+            for peer in instance.group.peers
+        }
+        self.counts: Counter[str] = Counter()  # of datagrams of no known group
+        self.lateness_ms: list[float] = []  # of the advertisements sent
+        self.sock: socket.socket | None = None
+        self.on_change: Callable[[], None] = lambda: None  # called after a gate has changed
+        self._wake = anyio.Event()
+        self._next_tracking = 0.0
+        self._is_shut_down = False
+
+    def bind(self) -> None:
+        """Opens the socket; OSError if the address cannot be bound."""
+        self.sock = datagrams.open_socket(self.configuration.listen)
+
+    def start(self) -> None:
+        """Closes the gates of an admission controller that is about to start, and starts the instances."""
+        now = clock.monotonic()
+        for instance in self.instances:
+            for command in instance.gate.initial_commands():
+                self._set_admission(command)
+            self._execute(instance, instance.state_machine.start(now), now)
+
+    def begin_shutdown(self) -> None:
+        """SIGTERM: priority 0 goes out first, then the server's own drain answers."""
+        now = clock.monotonic()
+        self._is_shut_down = True
+        for instance in self.instances:
+            instance.gate.begin_shutdown(now)
+            self._execute(instance, instance.state_machine.shutdown(now), now)
+
+    def replace_keys(self, keys: KeyRing) -> None:
+        """Uses other keys from now on; counters and replay state are kept."""
+        self.authenticator.keys = keys
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether any gate is open."""
+        return any(instance.gate.state is GateState.OPEN for instance in self.instances)
+
+    def status(self) -> list[dict[str, object]]:
+        """The state of each group, for `vrrp show`."""
+        now = clock.monotonic()
+        return [instance.status(now) for instance in self.instances]
+
+    async def run(self) -> None:
+        """Receives and keeps the timers until it is cancelled."""
+        assert self.sock is not None
+        sock = self.sock
+        try:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._receive_loop, sock)
+                await self._timer_loop()
+        finally:
+            sock.close()
+
+    async def _receive_loop(self, sock: socket.socket) -> None:
+        while True:
+            await anyio.wait_readable(sock)
+            self._run_logged(self._receive)
+            await anyio.lowlevel.checkpoint()
+
+    async def _timer_loop(self) -> None:
+        while True:
+            has_run = self._run_logged(self.poll)
+            wait_ms = self._next_deadline() - clock.monotonic()
+            if not has_run:
+                wait_ms = max(wait_ms, RETRY_MS)
+            self._wake = anyio.Event()
+            with anyio.move_on_after(max(wait_ms, 0.0) / 1000):
+                await self._wake.wait()
+
+    def _next_deadline(self) -> float:
+        return min(self._next_tracking, *(instance.deadline for instance in self.instances))
+
+    def _run_logged(self, handler: Callable[[float], None]) -> bool:
+        """Runs a handler; an exception is logged and the server goes on. Returns whether there was none."""
+        try:
+            handler(clock.monotonic())
+        except Exception:
+            log.exception("vrrp: an event failed")
+            return False
+        return True
+
+    def poll(self, now: float) -> None:
+        """Plays all that has arrived and is due by `now`; cheap when nothing is."""
+        if now < self._next_deadline():
+            return
+        self._receive(now)
+        if now >= self._next_tracking:
+            self._next_tracking = now + TRACKING_INTERVAL_MS
+            self._update_priorities(now)
+        for instance in self.instances:
+            if now >= instance.timer.at:
+                self._handle_timer(instance, now)
+            for command in instance.gate.handle_time(now):
+                self._apply(instance, command)
+
+    def _handle_timer(self, instance: VirtualRouterInstance, now: float) -> None:
+        lateness_ms = now - instance.timer.at
+        machine = instance.state_machine
+        if machine.state is State.MASTER:
+            self._note_lateness(lateness_ms)
+        elif lateness_ms > machine.interval and not instance.has_listened_again:
+            self._listen_again(instance, now)
+            return
+        instance.has_listened_again = False
+        self._execute(instance, machine.handle_timer(now, instance.timer.number), now)
+
+    @staticmethod
+    def _listen_again(instance: VirtualRouterInstance, now: float) -> None:
+        """This process itself stalled, and may have missed advertisements: waits for one more."""
+        machine = instance.state_machine
+        instance.has_listened_again = True
+        instance.counts["listened once more"] += 1
+        instance.timer = Timer(now + machine.interval + machine.skew_time, instance.timer.number)
+        machine.timer_at = instance.timer.at
+
+    def _note_lateness(self, lateness_ms: float) -> None:
+        if len(self.lateness_ms) >= MAX_LATENESS_SAMPLES:
+            del self.lateness_ms[: MAX_LATENESS_SAMPLES // 2]
+        self.lateness_ms.append(lateness_ms)
+
+    def _update_priorities(self, now: float) -> None:
+        facts = self._read_facts()
+        for instance in self.instances:
+            priority = instance.tracker.step(now, facts)
+            if priority == instance.state_machine.priority or self._is_shut_down:
+                continue
+            log.info(
+                "vrrp priority",
+                group=instance.group.name,
+                priority=priority,
+                lowered_by=instance.tracker.counting_facts,
+            )
+            self._execute(instance, instance.state_machine.set_priority(now, priority), now)
+
+    def _receive(self, now: float) -> None:
+        assert self.sock is not None
+        for _ in range(MAX_READS):
+            try:
+                datagram = datagrams.receive(self.sock)
+            except (BlockingIOError, InterruptedError):
+                return
+            except OSError as error:  # an ICMP error for a datagram sent earlier: the peer is away
+                self.counts[f"socket: {error.strerror}"] += 1
+                continue
+            self.handle_datagram(now, datagram)
+
+    def handle_datagram(self, now: float, datagram: Datagram) -> None:
+        """Plays one datagram. It never raises; without a valid MAC it changes nothing but a counter."""
+        instance: VirtualRouterInstance | None = None
+        try:
+            instance, peer = self._sender_of(datagram)
+            advertisement = self._decode(instance, peer, datagram.data)
+        except PacketError as error:
+            counts = instance.counts if instance else self.counts
+            counts[error.reason.value] += 1
+            return
+        instance.counts["heard"] += 1
+        if not self._is_shut_down:
+            actions = instance.state_machine.handle_advertisement(
+                now, advertisement.priority, advertisement.interval_ms, peer.address
+            )
+            self._execute(instance, actions, now)
+
+    def _sender_of(self, datagram: Datagram) -> tuple[VirtualRouterInstance, Peer]:
+        """The instance and the peer of a datagram, by the group's number in it and its source."""
+        if self.configuration.checks_hops and datagram.hops != packet.HOP_LIMIT:
+            raise PacketError(DropReason.HOPS)
+        if len(datagram.data) <= TRAILER_SIZE + packet.HEADER_SIZE:
+            raise PacketError(DropReason.SHORT)
+        vrid = datagram.data[1]
+        found = self._senders.get((vrid, datagram.source))
+        if found is None:
+            raise PacketError(DropReason.SENDER)
+        return found
+
+    def _decode(self, instance: VirtualRouterInstance, peer: Peer, data: bytes) -> packet.Advertisement:
+        group = instance.group
+        message = self.authenticator.verify(data, str(peer.address), group.vrid, clock.unix())
+        advertisement = packet.decode(message, peer.address, group.destination, None)
+        packet.check_group(advertisement, group.vrid, group.virtual, group.interval_ms, group.learns_interval)
+        return advertisement
+
+    def _execute(self, instance: VirtualRouterInstance, actions: list[Action], now: float) -> None:
+        for action in actions:
+            match action:
+                case SendAdvertisement(priority):
+                    self._send(instance, priority)
+                case Timer():
+                    instance.timer = action
+                    self._wake.set()
+                case StateChange():
+                    self._handle_state_change(instance, action, now)
+
+    def _handle_state_change(self, instance: VirtualRouterInstance, change: StateChange, now: float) -> None:
+        log.info(
+            "vrrp",
+            group=instance.group.name,
+            state=change.state.value,
+            before=change.previous.value,
+            why=change.reason,
+        )
+        instance.counts[f"became {change.state.value}"] += 1
+        if change.state is not State.INITIALIZE:
+            for command in instance.gate.handle_state(now, change.state):
+                self._apply(instance, command)
+            self._wake.set()
+
+    def _apply(self, instance: VirtualRouterInstance, command: SetAdmission) -> None:
+        log.info(
+            "vrrp door",
+            group=instance.group.name,
+            door=instance.gate.state.value,
+            serves=command.is_admitted,
+        )
+        self._set_admission(command)
+        self.on_change()
+
+    def _send(self, instance: VirtualRouterInstance, priority: int) -> None:
+        assert self.sock is not None
+        group = instance.group
+        addresses = tuple(sorted(group.virtual, key=int))
+        advertisement = packet.Advertisement(group.vrid, priority, group.interval_ms, addresses)
+        message = packet.encode(advertisement, group.address, group.destination)
+        for peer in group.peers:
+            try:
+                self.sock.sendto(self.authenticator.sign(message, str(group.address)), peer.udp)
+                instance.counts["sent"] += 1
+            except OSError:  # refused, or no buffer space: the next advertisement follows
+                instance.counts["unsent"] += 1
