--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -234,6 +234,18 @@
         return {name: server.admits(self.now) for name, server in self.servers.items()}
 
 
+def at_work(**options: object) -> Harness:
+    """Two cells of two relays, two servers each, all admitting under the servers' own files."""
+    harness = Harness(**options)  # type: ignore[arg-type]
+    for cell in ("east", "west"):
+        relays = harness.add_cell(cell)
+        for number in range(2):
+            harness.add_server(f"{cell}-s{number}", relays, f"kind of {cell}")
+    harness.run(10_000.0)
+    assert set(harness.admitted().values()) == {0}
+    return harness
+
+
 def refusal(reason: RefusalReason, sequence: int = 1) -> LeaseRefusal:
     return LeaseRefusal(sequence, reason)
 
--- /dev/null
+++ b/tests/fleet/test_cell_endorsement.py
@@ -0,0 +1,228 @@
+"""The endorsement of a leader's lease by the other relays, and cells while the store is away."""
+
+import math
+from dataclasses import replace
+
+import pytest
+from cell_harness import FLEET, RULES, Harness, at_work, registration, told
+
+from otterrudder.fleet.cell.effects import (
+    PeerRequest,
+    RelayEffect,
+)
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementCollector, EndorsementGiver
+from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
+from otterrudder.fleet.cell.messages import (
+    Endorsement,
+    EndorsementRequest,
+    LeaseRefusal,
+    LeaseRenewal,
+    RefusalReason,
+)
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.effects import Renew as EffectOfLease
+
+CANDIDATES = ("a", "b", "c")
+
+
+def consents() -> EndorsementCollector:
+    return EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", CANDIDATES))
+
+
+def promise(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
+    return EndorsementGiver(0.0, CellIdentity(FLEET, "east", name, candidates))
+
+
+def test_all_peers_are_needed() -> None:
+    asker = consents()
+    requests = asker.requests(100.0)
+    assert [request.peer for request in requests] == ["b", "c"] and asker.requests(100.0) == []
+    asker.handle_endorsement(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
+    assert asker.until() == -math.inf
+    asker.handle_endorsement(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
+    assert asker.until() == 100.0 + 0.9 * ENDORSEMENT_MS
+
+
+def test_a_consent_counts_for_its_giver_and_its_request_alone() -> None:
+    asker = EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", ("a", "b")))
+    (request,) = asker.requests(0.0)
+    asker.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
+    asker.handle_endorsement(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
+    assert asker.until() == -math.inf  # the request was answered, by somebody else
+    (request,) = asker.requests(1000.0)
+    asker.handle_endorsement(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
+    assert asker.until() == -math.inf
+
+
+@pytest.mark.parametrize(
+    ("change", "leads", "hears", "why"),
+    [
+        ({}, False, False, ""),
+        ({}, True, False, "leads the cell"),
+        ({}, False, True, "the store answers here"),
+        ({"candidates": ("a", "b")}, False, False, "knows other relays"),
+        ({"sender": "d"}, False, False, "knows other relays"),
+        ({"cell": "west"}, False, False, "is of the cell east"),
+        ({"fleet": "g"}, False, False, "is of the cell east"),
+    ],
+)
+def test_who_consents(change: dict[str, object], leads: bool, hears: bool, why: str) -> None:
+    giver = promise()
+    giver.until = -math.inf
+    fields = {"sequence": 1, "fleet": FLEET, "cell": "east", "sender": "a", "candidates": CANDIDATES}
+    request = EndorsementRequest(**{**fields, **change})  # type: ignore[arg-type]
+    answer = giver.answer(9000.0, request, leads=leads, store_answers=hears)
+    assert why in answer.reason and bool(answer.reason) == bool(why)
+    assert (answer.span_ms, giver.until) == (
+        (0.0, -math.inf) if why else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
+    )
+
+
+def test_a_relay_that_just_started_takes_part_in_nothing() -> None:
+    assert promise().until == ENDORSEMENT_MS and promise("a", ("a",)).until == -math.inf
+    harness = Harness()
+    harness.add_cell("east")
+    harness.run(ENDORSEMENT_MS - 100.0)
+    assert all(relay.authority_until(harness.now) == -math.inf for relay in harness.relays.values())
+
+
+def test_a_cell_serves_on_while_the_store_is_away() -> None:
+    harness = at_work()
+    harness.is_store_away = True
+    for _ in range(600):
+        harness.run(100.0)
+        assert set(harness.admitted().values()) == {0}, harness.now
+
+
+def test_servers_wait_for_a_leader_that_registers_again() -> None:
+    """The store is back, and the lease has lapsed in it: they were refused, and tried all relays in turn."""
+    harness = at_work()
+    harness.is_store_away = True
+    harness.run(10_000.0)
+    relay = harness.leader("east")
+    streams = dict(harness.streams)
+    harness.refusals.clear()  # of their start
+    session = next(iter(relay.sessions))
+    connection = session.connection
+    member = relay.member
+    renewal = EffectOfLease(member.lease)
+    member.completed(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
+    assert not relay.leads()
+    relay.handle_message(harness.now, connection, LeaseRenewal(99, 0))
+    assert session.deferred_request == 99
+    relay.handle_message(harness.now, 99, registration(name="new"))
+    assert relay.sessions._sessions[99].deferred_request == 1
+    harness.is_store_away = False
+    harness.run(1000.0)
+    assert relay.leads() and not session.deferred_request and harness.streams == streams
+    assert session.granted_until > harness.now and not harness.refusals
+    member._lose_registration()
+    member.consent_until = harness.now
+    relay.handle_message(harness.now, connection, LeaseRenewal(100, 0))
+    (refused,) = [
+        message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+    ]
+    assert refused.reason is RefusalReason.NO_AUTHORITY
+
+
+class LossyHarness(Harness):
+    """The first consents that are given are lost on their way."""
+
+    lost = 0
+
+    def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
+        if isinstance(effect, PeerRequest) and self.lost:
+            consent = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
+            self.lost -= consent.span_ms > 0
+        else:
+            super()._relay_effect(address, relay, effect)
+
+
+@pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
+def test_a_cell_serves_on_without_the_store_though_consents_are_lost(lease_ms: float) -> None:
+    """Two of each cell, whenever the store went, and though the others have heard it until then."""
+    for phase_ms in range(13, 1600, 200):
+        harness = LossyHarness(rules=replace(RULES, lease_ms=lease_ms), limits=RelayLimits(span_ms=1500.0))
+        for cell in ("east", "west"):
+            harness.add_server(f"{cell}-s", harness.add_cell(cell))
+        harness.run(10_000.0 + phase_ms)
+        harness.is_store_away, harness.lost = True, 4
+        for relay in harness.relays.values():
+            relay.member.answered_at = harness.now
+        for _ in range(240):
+            harness.run(25.0)
+            assert set(harness.admitted().values()) == {0}, (phase_ms, harness.now)
+
+
+def test_a_cell_serves_on_when_the_store_is_back() -> None:
+    """The leader's lease has lapsed in the store meanwhile. A relay that had consented took the cell first,
+    and could grant nothing before its consent had ended."""
+    for away_ms in range(8000, 12_000, 400):
+        harness = at_work()
+        harness.is_store_away = True
+        harness.run(float(away_ms))
+        leaders = {cell: harness.leader(cell) for cell in ("east", "west")}
+        harness.is_store_away = False
+        for _ in range(240):
+            harness.run(25.0)
+            assert set(harness.admitted().values()) == {0}, (away_ms, harness.now)
+        assert leaders == {cell: harness.leader(cell) for cell in ("east", "west")}
+
+
+def test_who_has_consented_takes_the_cell_once_that_is_over() -> None:
+    harness = at_work()
+    harness.is_store_away = True
+    harness.run(10_000.0)
+    leader = harness.leader("east").identity.address
+    (other,) = (relay for a, relay in harness.relays.items() if a.startswith("east") and a != leader)
+    harness.remove_relay(leader)
+    harness.is_store_away = False
+    harness.run(other.given_endorsement.until - harness.now - 1.0)
+    assert not other.leads()
+    harness.run(500.0)
+    assert other.leads() and other.authority_until(harness.now) > harness.now
+
+
+def test_a_cell_whose_relays_are_not_all_there_ends_with_the_lease() -> None:
+    harness = at_work()
+    harness.is_store_away = True
+    leader = harness.leader("east").identity.address
+    harness.remove_relay(next(a for a in harness.relays if a.startswith("east") and a != leader))
+    harness.run(10_000.0)
+    assert harness.admitted() == {"east-s0": None, "east-s1": None, "west-s0": 0, "west-s1": 0}
+
+
+def test_no_consent_counts_under_leave_out() -> None:
+    harness = at_work(rules=replace(RULES, absent="leave-out"))
+    harness.is_store_away = True
+    harness.run(10_000.0)
+    assert set(harness.admitted().values()) == {None}
+
+
+def test_a_cell_of_one_relay_is_a_plain_member() -> None:
+    harness = Harness()
+    relays = harness.add_cell("east", 1)
+    harness.add_server("s", relays)
+    harness.run(3000.0)
+    harness.is_store_away = True
+    harness.run(30_000.0)
+    assert harness.admitted() == {"s": 0}
+
+
+def test_the_leader_comes_back_with_the_store() -> None:
+    """A relay that has consented does not take the cell over, for it could grant nothing with it. While the
+    leader registers again a server may be between two tries."""
+    harness = at_work()
+    leaders = [harness.leader(cell) for cell in ("east", "west")]
+    for _ in range(5):
+        harness.is_store_away = True
+        harness.run(20_000.0)
+        harness.is_store_away = False
+        aside = dict.fromkeys(harness.servers, 0.0)
+        for _ in range(100):
+            harness.run(100.0)
+            for name, version in harness.admitted().items():
+                aside[name] += 100.0 * (version is None)
+        assert max(aside.values()) <= 200.0
+        assert [harness.leader(cell) for cell in ("east", "west")] == leaders
--- /dev/null
+++ b/tests/fleet/test_cell_queue.py
@@ -0,0 +1,197 @@
+"""Queued changes, and their coordination by relays."""
+
+import pytest
+from cell_harness import FLEET, KEYS, Harness, Stream, at_work
+
+from otterrudder.fleet.cell.effects import (
+    RelayEffect,
+)
+from otterrudder.fleet.cell.messages import (
+    PolicyUpdate,
+    RelayMessage,
+)
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.change import COUNT_MS, Settler, settle
+from otterrudder.fleet.effects import Commit, Lane, Read
+from otterrudder.fleet.queue import InForce as PolicyInForce
+from otterrudder.fleet.queue import QueueRefused, enqueue, leave_queue, open_first, place
+from otterrudder.fleet.records import QUEUE_MOST, SETTLED_MOST, Queued, digest_of
+from otterrudder.fleet.records import encode as encode_record
+from otterrudder.fleet.store import Done, Put
+
+
+def test_the_queue_is_in_the_order_of_the_store() -> None:
+    harness = Harness()
+    for ident in ("z", "a", "m"):
+        harness.enqueue(ident)
+    view = harness.view()
+    assert [entry.id for entry in view.queue] == ["z", "a", "m"]
+    assert [place(view, ident) for ident in ("z", "a", "m", "x")] == [0, 1, 2, None]
+    first = open_first(view)
+    assert first
+    harness.commit(first)
+    view = harness.view()
+    assert view.change and view.change.id == "z"
+    assert [place(view, ident) for ident in ("z", "a", "m")] == [0, 1, 2]
+    assert open_first(view) is None
+    harness.commit(leave_queue(view, "a"))
+    assert [entry.id for entry in harness.view().queue] == ["m"]
+    with pytest.raises(QueueRefused, match="does not wait"):
+        leave_queue(harness.view(), "a")
+
+
+def test_a_full_queue_names_its_bound() -> None:
+    harness = Harness()
+    entry = encode_record(Queued("x"))
+    harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(QUEUE_MOST)))
+    with pytest.raises(QueueRefused, match=f"{QUEUE_MOST} changes wait already"):
+        enqueue(harness.view(), Queued("y"), "text")
+
+
+def test_a_change_made_from_what_is_no_longer_in_force_ends_and_says_so() -> None:
+    harness = at_work()
+    base = digest_of("policy A")
+    harness.propose("A")
+    harness.run(2000.0)
+    harness.enqueue("B", base=base)
+    harness.enqueue("C", base=base)
+    harness.enqueue("D")
+    harness.run(6000.0)
+    ends = {end.id: end for end in harness.view().settled}
+    assert [ends[ident].committed for ident in "ABCD"] == [True, True, False, True]
+    assert ends["C"].why == f"it was made from policy {base[:12]}, which is not in force at its turn"
+    assert set(harness.admitted().values()) == {3} and not harness.view().queue
+
+
+def test_the_text_of_a_change_that_waits_is_kept() -> None:
+    harness = at_work()
+    for number in range(40):  # more ends than are kept
+        harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
+    harness.run(120_000.0)
+    assert [end.committed for end in harness.view().settled] == [True] * 32
+    assert set(harness.admitted().values()) == {40}
+
+
+def test_the_next_change_is_opened_at_once() -> None:
+    harness = at_work()
+    for ident in "ABC":
+        harness.enqueue(ident)
+    start, opened = harness.now, {}
+    while len(harness.view().settled) < 3 and harness.now < start + 10_000.0:
+        harness.run(1.0)
+        if change := harness.view().change:
+            opened.setdefault(change.id, harness.now)
+    assert harness.now - start < 3000.0
+    assert {end.committed for end in harness.view().settled} == {True}
+
+
+def test_what_follows_an_end_is_opened_by_what_was_read_before_it() -> None:
+    harness = at_work()
+    harness.enqueue("A")
+    harness.enqueue("B")
+    first = open_first(harness.view())
+    assert first
+    harness.commit(first)
+    view = harness.view()
+    assert view.change
+    after = open_first(view, PolicyInForce(1, view.change.digest, 99))
+    assert after and after.what == "open" and after.compares[1].equals == 99
+
+
+def test_a_settler_of_relays_keeps_the_leadership_and_follows_hints() -> None:
+    harness = at_work()
+    leaders = [relay for relay in harness.relays.values() if relay.member.is_leader]
+    assert len(leaders) == 1
+    (leader,) = leaders
+    assert leader.watched() == (KEYS.head, KEYS.votes, KEYS.queue)
+    assert all(relay.watched() == (KEYS.head,) for relay in harness.relays.values() if relay is not leader)
+    harness.run(30_000.0)
+    assert [relay for relay in harness.relays.values() if relay.member.is_leader] == [leader]
+    settler = Settler(KEYS, "east", keeps_leadership=True)
+    read = settler.effects(5000.0, "", True, True, 1, 1)
+    assert isinstance(read, Read) and read.lane is Lane.SETTLE
+    settler.completed(5000.0, read, harness.space.read(read.names))
+    assert settler.due() > 5000.0
+    settler.hint(5000.0)
+    assert settler.due() == 5000.0 and isinstance(settler.effects(5000.0, "", True, True, 1, 1), Read)
+    lead = Settler(KEYS, "west", keeps_leadership=True).effects(1.0, "", False, False, 1, 1)
+    assert lead is None or isinstance(lead, Commit) and lead.what == "lead"
+
+
+def test_in_force_is_told_to_all_sessions_once() -> None:
+    harness = at_work()
+    relay = harness.leader("east")
+    pushed: list[PolicyUpdate] = []
+    deliver = harness._to_server
+
+    def watch(stream: Stream, message: RelayMessage) -> None:
+        if isinstance(message, PolicyUpdate) and stream.relay == relay.identity.address:
+            pushed.append(message)
+        deliver(stream, message)
+
+    harness._to_server = watch  # type: ignore[method-assign]
+    harness.propose("A")
+    harness.run(3000.0)
+    assert len(pushed) == 2 and {message.version for message in pushed} == {1}
+
+
+def test_a_change_that_the_member_has_not_seen_is_not_read_in_a_row() -> None:
+    harness = at_work()
+    (leader,) = [relay for relay in harness.relays.values() if relay.member.is_leader]
+    reads: list[float] = []
+    begin = harness._relay_effect
+
+    def watch(address: str, relay: Relay, effect: RelayEffect) -> None:
+        if isinstance(effect, Read) and effect.lane is Lane.SETTLE:
+            reads.append(harness.now)
+        begin(address, relay, effect)
+
+    harness._relay_effect = watch  # type: ignore[method-assign]
+    harness.propose("A")
+    leader.member._retry_at = harness.now + 1000.0  # its own reads are held up
+    harness.run(900.0)
+    assert len(reads) <= 900.0 / COUNT_MS + 4  # hints: of the change, of two votes
+
+
+@pytest.mark.parametrize("held", [True, False])
+def test_a_settler_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
+    """Whether it leads its member says, once it has read."""
+    settler, now = Settler(KEYS, "east", keeps_leadership=True), 0.0
+    while not (lead := settler.effects(now, "", False, False, 1, 1)):
+        now = settler.due()
+    assert isinstance(lead, Commit) and lead.what == "lead"
+    assert settler.completed(now, lead, Done(held, 9, 1)) is None
+    assert settler.due() >= now + COUNT_MS
+
+
+def with_ends(harness: Harness, count: int) -> None:
+    """So many changes of texts of their own have ended."""
+    for number in range(count):
+        harness.enqueue(f"c{number}", f"text {number}")
+    while len(harness.view().queue) or harness.view().change:
+        harness.run(1000.0)
+
+
+def test_a_text_that_is_queued_again_while_its_end_falls_out_is_kept() -> None:
+    harness = at_work()
+    with_ends(harness, SETTLED_MOST)
+    harness.propose("last")
+    counted = settle(harness.view(), True)  # what somebody has counted, and has not sent
+    assert counted
+    harness.enqueue("again", "text 0")  # the oldest end's
+    assert not harness.space.commit(counted.compares, counted.writes).held
+    harness.run(5000.0)
+    assert [(end.id, end.committed) for end in harness.view().settled][-2:] == [
+        ("last", True),
+        ("again", True),
+    ]
+
+
+def test_texts_of_dropped_changes_go_with_their_ends() -> None:
+    harness = at_work()
+    for number in range(SETTLED_MOST + 8):
+        harness.enqueue(f"c{number}", f"text {number}", base="another")
+    harness.run(60_000.0)
+    assert not harness.view().queue and len(harness.view().settled) == SETTLED_MOST
+    texts = [key for key in harness.space.keys if key.startswith(f"{FLEET}/text/")]
+    assert len(texts) == SETTLED_MOST
--- /dev/null
+++ b/tests/fleet/test_cell_relay.py
@@ -0,0 +1,358 @@
+"""A relay: sessions, leases, takeover, and votes that follow the results of its servers."""
+
+import math
+
+import pytest
+from cell_harness import FLEET, KEYS, RULES, Harness, Stream, at_work, registration, told
+
+from otterrudder.fleet.cell.effects import (
+    EndSession,
+    RelayEffect,
+)
+from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import DEFAULT_LEASE_MS, RelayLimits
+from otterrudder.fleet.cell.messages import (
+    LeaseGrant,
+    LeaseRefusal,
+    LeaseRenewal,
+    RefusalReason,
+    Registration,
+    RelayMessage,
+    ValidationRequest,
+    ValidationResult,
+)
+from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay
+from otterrudder.fleet.cell.validation_poll import (
+    OVERDUE_MS,
+)
+from otterrudder.fleet.change import settle
+from otterrudder.fleet.effects import Commit, Lane, Lease, Read
+from otterrudder.fleet.member import VOTE_FIRST_MS
+from otterrudder.fleet.records import digest_of
+from otterrudder.fleet.state import Rules
+
+
+def test_cells_agree_and_their_servers_switch() -> None:
+    harness = at_work()
+    harness.propose("A")
+    harness.run(2000.0)
+    assert set(harness.admitted().values()) == {1} and harness.view().change is None
+
+
+def test_one_server_of_a_kind_is_asked() -> None:
+    harness = at_work()
+    asked: list[str] = []
+    deliver = harness._to_server
+
+    def watch(stream: Stream, message: RelayMessage) -> None:
+        if isinstance(message, ValidationRequest):
+            asked.append(stream.server)
+        deliver(stream, message)
+
+    harness._to_server = watch  # type: ignore[method-assign]
+    harness.propose("A")
+    harness.run(2000.0)
+    assert sorted(name.split("-")[0] for name in asked) == ["east", "west"]
+
+
+def test_a_grant_ends_with_the_authority_of_the_relay() -> None:
+    harness = at_work()
+    relay = harness.leader("east")
+    until = relay.member.lease_until
+    relay.member.consent_until = -math.inf
+    number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
+    for left in (2000.0, 500.0):
+        relay.handle_message(until - left, number, LeaseRenewal(99, 0))
+        (message,) = told(relay._effects[-1:])
+        assert isinstance(message, LeaseGrant) and message.span_ms == pytest.approx(left)
+    relay.handle_message(until - 100.0, number, LeaseRenewal(99, 0))
+    refusals = [message for message in told(relay._effects) if isinstance(message, LeaseRefusal)]
+    assert refusals[-1].reason is RefusalReason.NO_AUTHORITY
+
+
+def test_a_grant_ends_by_the_bound_after_a_vote() -> None:
+    harness = at_work()
+    harness.propose("A")
+    relay = harness.leader("east")
+    harness.is_store_away = False
+    while not relay.member.pledge:
+        assert harness._step()
+    until = relay.member.fresh_at + relay.member.rules.bound_ms
+    assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
+
+
+def test_no_lease_may_outlast_the_bound() -> None:
+    identity = CellIdentity(FLEET, "east", "a", ("a",))
+    with pytest.raises(ValueError, match="outlasts the bound"):
+        Relay(0.0, identity, "a.1", Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
+
+
+def test_a_full_relay_names_itself() -> None:
+    harness = at_work(limits=RelayLimits(max_sessions=2))
+    relay = harness.leader("east")
+    relay.handle_message(harness.now, 999, registration())
+    (refuse,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)]
+    assert (refuse.reason, refuse.detail) == (
+        RefusalReason.FULL,
+        f"{relay.identity.address} has its 2 sessions",
+    )
+    assert relay.refused[RefusalReason.FULL] == 1 and len(relay.sessions) == 2
+
+
+@pytest.mark.parametrize(
+    ("message", "reason"),
+    [
+        (registration(fleet="other"), RefusalReason.WRONG_FLEET),
+        (Registration(1, FLEET, "s", "s.1", "k", protocol=2), RefusalReason.PROTOCOL),
+        (LeaseRenewal(1, 0), RefusalReason.PROTOCOL),
+        (ValidationResult("d"), RefusalReason.PROTOCOL),
+        (registration(), RefusalReason.NOT_LEADER),
+    ],
+)
+def test_a_relay_refuses_and_says_why(
+    message: Registration | LeaseRenewal | ValidationResult, reason: RefusalReason
+) -> None:
+    relay = Harness().add_relay("a", "east")
+    relay.handle_message(0.0, 1, message)
+    effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
+    assert [refuse.reason for refuse in told(effects) if isinstance(refuse, LeaseRefusal)] == [reason]
+    assert EndSession(1) in effects and not relay.sessions
+
+
+def test_a_relay_that_leaves_sends_its_servers_away() -> None:
+    harness = at_work()
+    relay = harness.leader("east")
+    relay.begin_shutdown()
+    assert not relay.sessions and relay.authority_until(harness.now) == -math.inf
+    reasons = [
+        message.reason for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+    ]
+    assert reasons == [RefusalReason.SHUTTING_DOWN] * 2
+
+
+def test_sessions_of_silent_servers_are_swept() -> None:
+    harness = at_work()
+    relay = harness.leader("east")
+    effects = relay.effects(harness.now + 2 * DEFAULT_LEASE_MS + 2000.0)
+    assert sum(isinstance(effect, EndSession) for effect in effects) == 2 and not relay.sessions
+
+
+def test_a_no_ends_up_in_the_vote_with_the_server_and_the_key() -> None:
+    harness = at_work(refuses={"kind of east": "values.look: no product"})
+    harness.propose("A", "policy!")
+    harness.run(2000.0)
+    (end,) = harness.view().settled
+    assert not end.committed and end.why.startswith("east: east-s")
+    assert end.why.endswith(": values.look: no product") and set(harness.admitted().values()) == {0}
+
+
+def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
+    harness = at_work(silent={"east-s0", "east-s1"})
+    harness.propose("A")
+    harness.run(OVERDUE_MS + 1500.0)
+    assert RefusalReason.UNANSWERED in {refuse.reason for refuse in harness.refusals}
+    harness.run(DEFAULT_LEASE_MS)
+    view = harness.view()
+    assert view.policy and view.policy.version == 1 and view.change is None
+    assert harness.admitted() == {"east-s0": None, "east-s1": None, "west-s0": 1, "west-s1": 1}
+
+
+def test_a_text_in_force_is_not_polled() -> None:
+    harness = at_work()
+    harness.propose("A", "policy A")
+    harness.run(2000.0)
+    harness.checks.clear()
+    harness.refuses = {"kind of east": "no"}
+    for address in list(harness.relays):
+        if harness.relays[address].identity.cell == "east":
+            harness.remove_relay(address)
+    harness.add_cell("east")
+    harness.run(20_000.0)
+    assert harness.checks == [] and harness.admitted()["east-s0"] == 1
+
+
+def test_a_relay_of_a_cell_takes_over() -> None:
+    harness = at_work()
+    harness.propose("A")
+    harness.run(2000.0)
+    harness.remove_relay(harness.leader("east").identity.address)
+    harness.run(15_000.0)
+    assert harness.admitted()["east-s0"] == 1
+    harness.propose("B")
+    harness.run(3000.0)
+    assert set(harness.admitted().values()) == {2}
+
+
+def test_who_takes_over_does_not_vote_for_a_moment() -> None:
+    harness = at_work()
+    old = harness.leader("east").identity.address
+    harness.remove_relay(old)
+    harness.propose("A")
+    harness.run(1000.0)
+    new = next(relay for address, relay in harness.relays.items() if address.startswith("east"))
+    while not new.leads():
+        harness.run(50.0)
+    led_at = harness.now
+    harness.run(TAKEOVER_VOTE_DELAY_MS - 200.0)
+    assert "east" not in harness.view().votes and harness.view().change
+    harness.run(1500.0)
+    assert harness.view().change is None and harness.now - led_at > TAKEOVER_VOTE_DELAY_MS
+
+
+def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
+    harness = at_work()
+    relay = harness.leader("east")
+    relay.member.abstains_until = harness.now + 500.0
+    harness.propose("A")
+    harness.run(100.0)
+    end = settle(harness.view(), True)
+    assert end
+    harness.commit(end)
+    harness.run(5000.0)
+
+
+def test_who_takes_over_asks_the_kinds_that_come_to_it() -> None:
+    """It polls no earlier than it may vote: until then servers are still on their way to it."""
+    harness = at_work(refuses={"kind of east": "no"})
+    old = harness.leader("east").identity.address
+    new = next(a for a in harness.relays if a.startswith("east") and a != old)
+    harness.remove_relay(old)
+    while not harness.relays[new].leads():
+        harness.run(10.0)
+    harness.streams = {n: s for n, s in harness.streams.items() if s.relay != new}
+    harness.relays[new].sessions._sessions.clear()
+    for name in ("east-s0", "east-s1"):
+        harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
+        harness.servers[name].selector.connect_at = harness.now + 0.6 * TAKEOVER_VOTE_DELAY_MS
+    harness.propose("A", "policy!")
+    harness.run(4 * TAKEOVER_VOTE_DELAY_MS)
+    assert [end.committed for end in harness.view().settled] == [False]
+
+
+def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
+    harness = at_work(refuses={"kind of west": "no", "kind of north": "no"})
+    harness.propose("A", "policy!")
+    harness.run(2000.0)
+    assert [end.committed for end in harness.view().settled] == [False]  # east has said yes, west no
+    for name in ("west-s0", "west-s1"):
+        harness.remove_server(name)
+    harness.add_server("east-s2", tuple(a for a in harness.relays if a.startswith("east")), "kind of north")
+    harness.run(4000.0)
+    harness.propose("B", "policy!")
+    harness.run(3000.0)
+    assert [end.committed for end in harness.view().settled] == [False, False]
+    assert harness.view().settled[-1].why == "east: east-s2: no"
+
+
+def test_a_kind_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
+    harness = at_work(refuses={"kind of north": "no"}, silent={"east-s0", "east-s1"})
+    relay = harness.leader("east")
+    held: list[Read] = []
+    begin = harness._relay_effect
+
+    def hold_reads(address: str, of: Relay, effect: RelayEffect) -> None:
+        if of is relay and isinstance(effect, Read) and effect.lane is Lane.STORE:
+            held.append(effect)
+        else:
+            begin(address, of, effect)
+
+    harness.propose("A", "policy!")
+    harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
+    harness._relay_effect = hold_reads  # type: ignore[method-assign]
+    relay.hint(harness.now, KEYS.head)
+    harness.run(0.0)
+    harness.silent.clear()
+    for name in ("east-s0", "east-s1"):
+        if check := harness.servers[name].validation.task:
+            harness.servers[name].handle_validated(harness.now, check.digest, "")
+    harness.run(0.0)
+    assert relay.member.judgement(digest_of("policy!")) == "" and not relay.member.vote_sent
+    east = tuple(address for address in harness.relays if address.startswith("east"))
+    harness.add_server("east-s2", east, "kind of north")
+    harness.run(50.0)
+    harness._relay_effect = begin  # type: ignore[method-assign]
+    sent_at = harness.now - 50.0
+    relay.completed(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
+    harness.run(1000.0)
+    assert [end.committed for end in harness.view().settled] == [False]
+
+
+def test_a_kind_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
+    harness = at_work(refuses={"kind of east": "no"})
+    for name in ("east-s0", "east-s1"):
+        server = harness.servers[name]
+        number = harness._number(name, server.connection)
+        assert number is not None
+        harness._end(number)
+        server.handle_disconnected(harness.now, server.connection)
+        server.selector.connect_at = harness.now + 400.0
+    harness.propose("A", "policy!")
+    harness.run(2000.0)
+    assert [end.committed for end in harness.view().settled] == [False]
+
+
+def test_a_server_that_has_just_started_waits_for_a_read() -> None:
+    """The change may have been committed before it started, and the relay not know yet."""
+    harness = at_work()
+    relay = harness.leader("east")
+    harness.propose("A")
+    while "east" not in harness.view().votes:
+        harness._step()
+    now = relay.member.fresh_at + 300.0
+    relay.handle_message(now, 999, registration(5, name="new"))
+    effects = relay.effects(now)
+    assert not [effect for effect in told(effects) if isinstance(effect, LeaseGrant)]
+    (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
+    relay.completed(now, read, now, harness.space.answer(now, read))
+    grants = [message for message in told(relay.effects(now)) if isinstance(message, LeaseGrant)]
+    assert [message.sequence for message in grants] == [5]
+
+
+def test_a_relay_that_starts_where_another_engine_answers_waits() -> None:
+    harness = Harness()
+    identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
+    relay = Relay(0.0, identity, "a.1", RULES, cluster=harness.space.cluster + 1)
+    (read,) = [effect for effect in relay.effects(0.0) if isinstance(effect, Read)]
+    relay.completed(0.0, read, 0.0, harness.space.answer(0.0, read))
+    for now in range(0, 1500, 100):
+        assert not [effect for effect in relay.effects(float(now)) if isinstance(effect, Read)]
+    assert relay.member.why.startswith("another engine answers") and relay.due() == 1500.0
+
+
+def test_a_pledge_of_an_earlier_life_is_no_vote() -> None:
+    """The vote did not reach the store; the servers that are here now have not been asked."""
+    harness = Harness(refuses={"kind of north": "no"})
+    relays = harness.add_cell("east", 1)
+    harness.add_server("s0", relays)
+    harness.run(5000.0)
+    begin = harness._relay_effect
+
+    def lose_votes(address: str, relay: Relay, effect: RelayEffect) -> None:
+        if isinstance(effect, Commit) and effect.what == "vote":
+            relay.completed(harness.now, effect, harness.now, None)
+        else:
+            begin(address, relay, effect)
+
+    harness._relay_effect = lose_votes  # type: ignore[method-assign]
+    harness.propose("A", "policy!")
+    harness.run(100.0)
+    assert harness.disks[relays[0]].pledge
+    harness.remove_relay(relays[0])
+    harness._relay_effect = begin  # type: ignore[method-assign]
+    harness.remove_server("s0")
+    harness.add_server("s1", relays, "kind of north")
+    harness.add_relay(relays[0], "east")
+    harness.run(15_000.0)
+    assert [(end.committed, end.why) for end in harness.view().settled] == [(False, "east: s1: no")]
+
+
+def test_a_server_that_connects_anew_takes_its_own_place() -> None:
+    """The relay has not heard yet that the stream before has ended."""
+    harness = at_work(limits=RelayLimits(max_sessions=2))
+    relay = harness.leader("east")
+    harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
+    for name in ("east-s0", "east-s1"):
+        harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
+    harness.run(1000.0)
+    assert relay.refused[RefusalReason.FULL] == 0 and len(relay.sessions) == 2
+    assert set(harness.admitted().values()) == {0}
