--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -3,7 +3,6 @@
 Time goes on to the next moment at which somebody is due; who is due at the same moment over and over fails
 the test."""
 
-import math
 from dataclasses import dataclass, field, replace
 
 from otterrudder.fleet.cell.effects import (
@@ -22,14 +21,13 @@
 from otterrudder.fleet.cell.messages import (
     LeaseRefusal,
     PolicyUpdate,
-    RefusalReason,
     Registration,
     RelayMessage,
 )
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.change import propose, whole
-from otterrudder.fleet.effects import Commit, Outcome, Save
+from otterrudder.fleet.effects import Commit, Effect, Outcome, Save
 from otterrudder.fleet.queue import enqueue
 from otterrudder.fleet.records import Keys, Queued, View
 from otterrudder.fleet.state import Record, Rules
@@ -43,6 +41,8 @@
 
 @dataclass
 class Stream:
+    """Between a server and a relay. `connection`: the server's number for it."""
+
     server: str
     connection: int
     relay: str
@@ -50,32 +50,35 @@
 
 @dataclass
 class Harness:
+    """Relays, servers and a store, with the time that all of them share."""
+
     rules: Rules = RULES
     limits: RelayLimits = field(default_factory=RelayLimits)
     now: float = 0.0
     space: KeySpace = field(default_factory=KeySpace)
     relays: dict[str, Relay] = field(default_factory=dict)
     servers: dict[str, Participant] = field(default_factory=dict)
-    streams: dict[int, Stream] = field(default_factory=dict)
-    opened: int = 0
+    streams: dict[int, Stream] = field(default_factory=dict)  # by the relay's number
+    stream_count: int = 0  # so far
     is_store_away: bool = False
-    silent: set[str] = field(default_factory=set)  # servers that check no text
-    refuses: dict[str, str] = field(default_factory=dict)  # by kind: what is wrong with a text that ends in !
-    checks: list[str] = field(default_factory=list)  # names of the servers that were asked to check a text
+    silent: set[str] = field(default_factory=set)  # servers that validate no text
+    rejections: dict[str, str] = field(default_factory=dict)  # by fingerprint: of a text that ends in !
+    validations: list[str] = field(default_factory=list)  # the servers that were asked to validate a text
     refusals: list[LeaseRefusal] = field(default_factory=list)
     disks: dict[str, Record] = field(default_factory=dict)  # of cells of one relay
-    life: int = 0
+    incarnations: int = 0  # processes so far
 
-    # Who there is.
+    # Processes.
 
     def add_relay(self, address: str, cell: str, candidates: tuple[str, ...] = ()) -> Relay:
-        self.life += 1
+        """A relay starts; one of a cell by itself keeps its state."""
+        self.incarnations += 1
         identity = CellIdentity(FLEET, cell, address, candidates or (address,))
         rules = replace(self.rules, is_shared=len(identity.candidates) > 1)
         relay = Relay(
             self.now,
             identity,
-            f"{address}.{self.life}",
+            f"{address}.{self.incarnations}",
             rules,
             self.limits,
             record=self.disks.get(address),
@@ -85,26 +88,29 @@
         return relay
 
     def add_cell(self, cell: str, relays: int = 2) -> tuple[str, ...]:
+        """The relays of a cell start; their addresses."""
         addresses = tuple(f"{cell}-{n}" for n in range(relays))
         for address in addresses:
             self.add_relay(address, cell, addresses)
         return addresses
 
-    def add_server(self, name: str, relays: tuple[str, ...], kind: str = "plain") -> Participant:
-        self.life += 1
-        identity = ServerIdentity(FLEET, name, f"{name}.{self.life}", kind)
+    def add_server(self, name: str, relays: tuple[str, ...], fingerprint: str = "plain") -> Participant:
+        """A server starts."""
+        self.incarnations += 1
+        identity = ServerIdentity(FLEET, name, f"{name}.{self.incarnations}", fingerprint)
         server = Participant(self.now, identity, relays, self.limits.span_ms)
         self.servers[name] = server
         return server
 
     def remove_server(self, name: str) -> None:
+        """A server dies: its streams end."""
         del self.servers[name]
         for number, stream in list(self.streams.items()):
             if stream.server == name:
-                self._end(number)
+                self._end_stream(number)
 
     def remove_relay(self, address: str) -> None:
-        """It dies: its streams end."""
+        """A relay dies: its streams end."""
         del self.relays[address]
         for number, stream in list(self.streams.items()):
             if stream.relay == address:
@@ -112,25 +118,30 @@
                 self.servers[stream.server].handle_disconnected(self.now, stream.connection)
 
     def leader(self, cell: str) -> Relay:
+        """The one relay that leads the cell."""
         (found,) = [r for r in self.relays.values() if r.identity.cell == cell and r.leads()]
         return found
 
     # The store.
 
     def view(self) -> View:
+        """All that the store holds."""
         return View(KEYS, self.space.read(whole(KEYS)))
 
     def commit(self, commit: Commit) -> None:
+        """A commit that has to take effect."""
         assert self.space.commit(commit.compares, commit.writes).held
-        self._hint(commit)
+        self._notify_watches(commit)
 
     def propose(self, ident: str, text: str = "") -> None:
+        """Opens a change."""
         self.commit(propose(self.view(), ident, text or f"policy {ident}", ident, "", 0.0, 30_000.0))
 
     def enqueue(self, ident: str, text: str = "", base: str = "") -> None:
+        """Queues a change."""
         self.commit(enqueue(self.view(), Queued(ident, base=base), text or f"policy {ident}"))
 
-    def _hint(self, commit: Commit) -> None:
+    def _notify_watches(self, commit: Commit) -> None:
         for relay in self.relays.values():
             for prefix in relay.watched():
                 if any(write.key.startswith(prefix) for write in commit.writes):
@@ -139,11 +150,11 @@
     # Time.
 
     def run(self, span_ms: float) -> None:
+        """Lets the time pass, and all that is due in it happen."""
         until = self.now + span_ms
         while True:
-            self._settle()
-            due = min(part.due() for part in (*self.relays.values(), *self.servers.values()))
-            due = min(due, *(end for _, end in self.space.leases.values())) if self.space.leases else due
+            self._run_until_idle()
+            due = self._next_due()
             if due > until:
                 break
             assert due > self.now, "due now, and nothing to do"
@@ -151,28 +162,35 @@
             self.space.lapse(self.now)
         self.now = until
 
-    def _settle(self) -> None:
+    def _next_due(self) -> float:
+        relays = [relay.due() for relay in self.relays.values()]
+        servers = [server.due() for server in self.servers.values()]
+        lease_ends = [end for _, end in self.space.leases.values()]
+        return min(relays + servers + lease_ends)
+
+    def _run_until_idle(self) -> None:
         for _ in range(MAX_STEPS):
-            if not self._step():
+            if not self._run_effects():
                 return
         raise AssertionError(f"it never rests at {self.now:g} ms")
 
-    def _step(self) -> bool:
+    def _run_effects(self) -> bool:
+        """Whether there were any."""
         is_busy = False
         for address, relay in list(self.relays.items()):
             for effect in relay.effects(self.now):
                 is_busy = True
                 self._relay_effect(address, relay, effect)
         for name, server in list(self.servers.items()):
-            for effect in server.effects(self.now):
+            for server_effect in server.effects(self.now):
                 is_busy = True
-                self._server_effect(name, server, effect)
+                self._server_effect(name, server, server_effect)
         return is_busy
 
     def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, SendToServer):
             if stream := self.streams.get(effect.connection):
-                self._to_server(stream, effect.message)
+                self._deliver_to_server(stream, effect.message)
         elif isinstance(effect, EndSession):
             if stream := self.streams.pop(effect.connection, None):
                 self.servers[stream.server].handle_disconnected(self.now, stream.connection)
@@ -180,17 +198,21 @@
             if peer := self.relays.get(effect.peer):
                 relay.handle_endorsement(peer.handle_endorsement_request(self.now, effect.message))
         else:
-            outcome: Outcome = None
-            if isinstance(effect, Save):
-                assert isinstance(effect.record, Record)
-                self.disks[address], outcome = effect.record, True
-            elif not self.is_store_away:
-                outcome = self.space.answer(self.now, effect)  # type: ignore[arg-type]
-                if isinstance(effect, Commit):
-                    self._hint(effect)
-            relay.completed(self.now, effect, self.now, outcome)
-
-    def _to_server(self, stream: Stream, message: RelayMessage) -> None:
+            relay.completed(self.now, effect, self.now, self._outcome(address, effect))
+
+    def _outcome(self, address: str, effect: Effect) -> Outcome:
+        if isinstance(effect, Save):
+            assert isinstance(effect.record, Record)
+            self.disks[address] = effect.record
+            return True
+        if self.is_store_away:
+            return None
+        outcome = self.space.answer(self.now, effect)  # type: ignore[arg-type]
+        if isinstance(effect, Commit):
+            self._notify_watches(effect)
+        return outcome
+
+    def _deliver_to_server(self, stream: Stream, message: RelayMessage) -> None:
         if isinstance(message, LeaseRefusal):
             self.refusals.append(message)
         self.servers[stream.server].handle_message(self.now, stream.connection, message)
@@ -200,72 +222,77 @@
             if effect.relay not in self.relays:
                 server.handle_disconnected(self.now, effect.connection)
                 return
-            self.opened += 1
-            self.streams[self.opened] = Stream(name, effect.connection, effect.relay)
+            self.stream_count += 1
+            self.streams[self.stream_count] = Stream(name, effect.connection, effect.relay)
             server.handle_connected(self.now, effect.connection)
         elif isinstance(effect, Disconnect):
-            if (number := self._number(name, effect.connection)) is not None:
-                self._end(number)
+            if (number := self._stream_number(name, effect.connection)) is not None:
+                self._end_stream(number)
         elif isinstance(effect, SendToRelay):
-            if (number := self._number(name, effect.connection)) is not None:
+            if (number := self._stream_number(name, effect.connection)) is not None:
                 relay = self.relays[self.streams[number].relay]
                 relay.handle_message(self.now, number, effect.message)
         else:
-            self._check(name, server, effect)
+            self._validate(name, server, effect)
 
-    def _check(self, name: str, server: Participant, effect: ValidateText) -> None:
-        self.checks.append(name)
+    def _validate(self, name: str, server: Participant, effect: ValidateText) -> None:
+        self.validations.append(name)
         if name not in self.silent:
-            trouble = self.refuses.get(server.identity.fingerprint, "") if effect.text.endswith("!") else ""
-            server.handle_validated(self.now, effect.digest, trouble)
+            is_bad = effect.text.endswith("!")
+            rejection = self.rejections.get(server.identity.fingerprint, "") if is_bad else ""
+            server.handle_validated(self.now, effect.digest, rejection)
 
-    def _number(self, name: str, connection: int) -> int | None:
+    def _stream_number(self, name: str, connection: int) -> int | None:
         wanted = (name, connection)
         return next((n for n, s in self.streams.items() if (s.server, s.connection) == wanted), None)
 
-    def _end(self, number: int) -> None:
+    def _end_stream(self, number: int) -> None:
         stream = self.streams.pop(number)
         if relay := self.relays.get(stream.relay):
             relay.handle_stream_closed(number)
 
     # What it shows.
 
-    def admitted(self) -> dict[str, int | None]:
+    def admitted_versions(self) -> dict[str, int | None]:
+        """Under which version each server admits now; None: it admits nothing."""
         return {name: server.admits(self.now) for name, server in self.servers.items()}
 
 
-def at_work(**options: object) -> Harness:
+def at_work(
+    *,
+    rules: Rules = RULES,
+    limits: RelayLimits = RelayLimits(),  # noqa: B008 (frozen)
+    rejections: dict[str, str] | None = None,
+    silent: set[str] | None = None,
+) -> Harness:
     """Two cells of two relays, two servers each, all admitting under the servers' own files."""
-    harness = Harness(**options)  # type: ignore[arg-type]
+    harness = Harness(rules, limits, rejections=rejections or {}, silent=silent or set())
     for cell in ("east", "west"):
         relays = harness.add_cell(cell)
         for number in range(2):
             harness.add_server(f"{cell}-s{number}", relays, f"kind of {cell}")
     harness.run(10_000.0)
-    assert set(harness.admitted().values()) == {0}
+    assert set(harness.admitted_versions().values()) == {0}
     return harness
 
 
-def refusal(reason: RefusalReason, sequence: int = 1) -> LeaseRefusal:
-    return LeaseRefusal(sequence, reason)
-
-
-def sent(effects: list[ParticipantEffect]) -> list[object]:
-    """The messages among them."""
+def messages_to_relay(effects: list[ParticipantEffect]) -> list[object]:
+    """The messages to a relay among a server's effects."""
     return [effect.message for effect in effects if isinstance(effect, SendToRelay)]
 
 
-def registration(sequence: int = 1, fleet: str = FLEET, name: str = "s", kind: str = "plain") -> Registration:
-    return Registration(sequence, fleet, name, f"{name}.1", kind)
+def registration(
+    sequence: int = 1, fleet: str = FLEET, name: str = "s", fingerprint: str = "plain"
+) -> Registration:
+    """The first message of a server."""
+    return Registration(sequence, fleet, name, f"{name}.1", fingerprint)
 
 
-def told(relay_effects: list[RelayEffect]) -> list[RelayMessage]:
-    """What servers are told among a relay's effects."""
+def messages_to_servers(relay_effects: list[RelayEffect]) -> list[RelayMessage]:
+    """The messages to servers among a relay's effects."""
     return [effect.message for effect in relay_effects if isinstance(effect, SendToServer)]
 
 
 def in_force(version: int, text: str, digest: str) -> PolicyUpdate:
+    """The message that brings a version."""
     return PolicyUpdate(version, f"change {version}", digest, text)
-
-
-NEVER = math.inf
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from cell_harness import FLEET, RULES, Harness, at_work, registration, told
+from cell_harness import FLEET, RULES, Harness, at_work, messages_to_servers, registration
 
 from otterrudder.fleet.cell.effects import (
     PeerRequest,
@@ -92,7 +92,7 @@
     harness.is_store_away = True
     for _ in range(600):
         harness.run(100.0)
-        assert set(harness.admitted().values()) == {0}, harness.now
+        assert set(harness.admitted_versions().values()) == {0}, harness.now
 
 
 def test_servers_wait_for_a_leader_that_registers_again() -> None:
@@ -121,7 +121,9 @@
     member.consent_until = harness.now
     relay.handle_message(harness.now, connection, LeaseRenewal(100, 0))
     (refused,) = [
-        message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+        message
+        for message in messages_to_servers(relay.effects(harness.now))
+        if isinstance(message, LeaseRefusal)
     ]
     assert refused.reason is RefusalReason.NO_AUTHORITY
 
@@ -152,7 +154,7 @@
             relay.member.answered_at = harness.now
         for _ in range(240):
             harness.run(25.0)
-            assert set(harness.admitted().values()) == {0}, (phase_ms, harness.now)
+            assert set(harness.admitted_versions().values()) == {0}, (phase_ms, harness.now)
 
 
 def test_a_cell_serves_on_when_the_store_is_back() -> None:
@@ -166,7 +168,7 @@
         harness.is_store_away = False
         for _ in range(240):
             harness.run(25.0)
-            assert set(harness.admitted().values()) == {0}, (away_ms, harness.now)
+            assert set(harness.admitted_versions().values()) == {0}, (away_ms, harness.now)
         assert leaders == {cell: harness.leader(cell) for cell in ("east", "west")}
 
 
@@ -190,14 +192,14 @@
     leader = harness.leader("east").identity.address
     harness.remove_relay(next(a for a in harness.relays if a.startswith("east") and a != leader))
     harness.run(10_000.0)
-    assert harness.admitted() == {"east-s0": None, "east-s1": None, "west-s0": 0, "west-s1": 0}
+    assert harness.admitted_versions() == {"east-s0": None, "east-s1": None, "west-s0": 0, "west-s1": 0}
 
 
 def test_no_consent_counts_under_leave_out() -> None:
     harness = at_work(rules=replace(RULES, absent="leave-out"))
     harness.is_store_away = True
     harness.run(10_000.0)
-    assert set(harness.admitted().values()) == {None}
+    assert set(harness.admitted_versions().values()) == {None}
 
 
 def test_a_cell_of_one_relay_is_a_plain_member() -> None:
@@ -207,7 +209,7 @@
     harness.run(3000.0)
     harness.is_store_away = True
     harness.run(30_000.0)
-    assert harness.admitted() == {"s": 0}
+    assert harness.admitted_versions() == {"s": 0}
 
 
 def test_the_leader_comes_back_with_the_store() -> None:
@@ -222,7 +224,7 @@
         aside = dict.fromkeys(harness.servers, 0.0)
         for _ in range(100):
             harness.run(100.0)
-            for name, version in harness.admitted().items():
+            for name, version in harness.admitted_versions().items():
                 aside[name] += 100.0 * (version is None)
         assert max(aside.values()) <= 200.0
         assert [harness.leader(cell) for cell in ("east", "west")] == leaders
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from cell_harness import FLEET, in_force, sent
+from cell_harness import FLEET, in_force, messages_to_relay
 
 from otterrudder.fleet.cell.effects import (
     Connect,
@@ -38,7 +38,7 @@
     """Its connection comes about; its first message."""
     (wanted,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
     server.handle_connected(now, wanted.connection)
-    (message,) = sent(server.effects(now))
+    (message,) = messages_to_relay(server.effects(now))
     assert isinstance(message, Registration)
     return message
 
@@ -70,7 +70,7 @@
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     assert 0.2 * DEFAULT_LEASE_MS < server.due() < 0.3 * DEFAULT_LEASE_MS
-    (message,) = sent(server.effects(server.due()))
+    (message,) = messages_to_relay(server.effects(server.due()))
     assert message == LeaseRenewal(2, 0, "serving")
 
 
@@ -132,7 +132,7 @@
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
     assert server.effects(0.0) == [] and server.connection == 1
     assert server.due() == RETRY_MS
-    assert sent(server.effects(RETRY_MS)) == [LeaseRenewal(2, 0, "starting")]
+    assert messages_to_relay(server.effects(RETRY_MS)) == [LeaseRenewal(2, 0, "starting")]
 
 
 def test_a_version_that_goes_back_is_not_believed() -> None:
@@ -202,9 +202,9 @@
     server.handle_message(0.0, 1, question)
     assert server.effects(0.0) == []
     server.handle_validated(5.0, question.digest, "no")
-    assert sent(server.effects(5.0)) == [ValidationResult(question.digest, "no")]
+    assert messages_to_relay(server.effects(5.0)) == [ValidationResult(question.digest, "no")]
     server.handle_message(6.0, 1, question)
-    assert sent(server.effects(6.0)) == [ValidationResult(question.digest, "no")]
+    assert messages_to_relay(server.effects(6.0)) == [ValidationResult(question.digest, "no")]
 
 
 def test_the_first_address_is_tried_again() -> None:
@@ -215,7 +215,7 @@
     now = 0.0
     while server.relay == "b" and now < 2 * HOME_RETRY_MS:
         now = server.due()
-        for message in sent(server.effects(now)):
+        for message in messages_to_relay(server.effects(now)):
             grant(server, now, message.sequence)
     assert HOME_RETRY_MS / 2 <= now <= 1.5 * HOME_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
     assert server.admits(now) == 0  # the lease goes on
@@ -229,7 +229,7 @@
             if isinstance(effect, Connect):
                 homeward += [now] if effect.relay == "a" and now else []
                 server.handle_connected(now, effect.connection)
-        for message in sent(effects):
+        for message in messages_to_relay(effects):
             if server.relay == "b":
                 grant(server, now, message.sequence)
             else:
@@ -274,5 +274,5 @@
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "one"))
     server.effects(0.0)
     server.handle_validated(0.0, digest_of("one"), "x" * 100_000)
-    (verdict,) = sent(server.effects(0.0))
+    (verdict,) = messages_to_relay(server.effects(0.0))
     assert isinstance(verdict, ValidationResult) and decode_from_server(encode(verdict)) == verdict
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -60,7 +60,7 @@
     ends = {end.id: end for end in harness.view().settled}
     assert [ends[ident].committed for ident in "ABCD"] == [True, True, False, True]
     assert ends["C"].why == f"it was made from policy {base[:12]}, which is not in force at its turn"
-    assert set(harness.admitted().values()) == {3} and not harness.view().queue
+    assert set(harness.admitted_versions().values()) == {3} and not harness.view().queue
 
 
 def test_the_text_of_a_change_that_waits_is_kept() -> None:
@@ -69,7 +69,7 @@
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
     harness.run(120_000.0)
     assert [end.committed for end in harness.view().settled] == [True] * 32
-    assert set(harness.admitted().values()) == {40}
+    assert set(harness.admitted_versions().values()) == {40}
 
 
 def test_the_next_change_is_opened_at_once() -> None:
@@ -122,14 +122,14 @@
     harness = at_work()
     relay = harness.leader("east")
     pushed: list[PolicyUpdate] = []
-    deliver = harness._to_server
+    deliver = harness._deliver_to_server
 
     def watch(stream: Stream, message: RelayMessage) -> None:
         if isinstance(message, PolicyUpdate) and stream.relay == relay.identity.address:
             pushed.append(message)
         deliver(stream, message)
 
-    harness._to_server = watch  # type: ignore[method-assign]
+    harness._deliver_to_server = watch  # type: ignore[method-assign]
     harness.propose("A")
     harness.run(3000.0)
     assert len(pushed) == 2 and {message.version for message in pushed} == {1}
@@ -176,7 +176,7 @@
     harness = at_work()
     with_ends(harness, SETTLED_MOST)
     harness.propose("last")
-    counted = settle(harness.view(), True)  # what somebody has counted, and has not sent
+    counted = settle(harness.view(), True)  # what somebody has counted, and has not messages_to_relay
     assert counted
     harness.enqueue("again", "text 0")  # the oldest end's
     assert not harness.space.commit(counted.compares, counted.writes).held
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from cell_harness import FLEET, KEYS, RULES, Harness, Stream, at_work, registration, told
+from cell_harness import FLEET, KEYS, RULES, Harness, Stream, at_work, messages_to_servers, registration
 
 from otterrudder.fleet.cell.effects import (
     EndSession,
@@ -36,20 +36,20 @@
     harness = at_work()
     harness.propose("A")
     harness.run(2000.0)
-    assert set(harness.admitted().values()) == {1} and harness.view().change is None
+    assert set(harness.admitted_versions().values()) == {1} and harness.view().change is None
 
 
 def test_one_server_of_a_kind_is_asked() -> None:
     harness = at_work()
     asked: list[str] = []
-    deliver = harness._to_server
+    deliver = harness._deliver_to_server
 
     def watch(stream: Stream, message: RelayMessage) -> None:
         if isinstance(message, ValidationRequest):
             asked.append(stream.server)
         deliver(stream, message)
 
-    harness._to_server = watch  # type: ignore[method-assign]
+    harness._deliver_to_server = watch  # type: ignore[method-assign]
     harness.propose("A")
     harness.run(2000.0)
     assert sorted(name.split("-")[0] for name in asked) == ["east", "west"]
@@ -63,10 +63,12 @@
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
         relay.handle_message(until - left, number, LeaseRenewal(99, 0))
-        (message,) = told(relay._effects[-1:])
+        (message,) = messages_to_servers(relay._effects[-1:])
         assert isinstance(message, LeaseGrant) and message.span_ms == pytest.approx(left)
     relay.handle_message(until - 100.0, number, LeaseRenewal(99, 0))
-    refusals = [message for message in told(relay._effects) if isinstance(message, LeaseRefusal)]
+    refusals = [
+        message for message in messages_to_servers(relay._effects) if isinstance(message, LeaseRefusal)
+    ]
     assert refusals[-1].reason is RefusalReason.NO_AUTHORITY
 
 
@@ -76,7 +78,7 @@
     relay = harness.leader("east")
     harness.is_store_away = False
     while not relay.member.pledge:
-        assert harness._step()
+        assert harness._run_effects()
     until = relay.member.fresh_at + relay.member.rules.bound_ms
     assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
 
@@ -91,7 +93,11 @@
     harness = at_work(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     relay.handle_message(harness.now, 999, registration())
-    (refuse,) = [message for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)]
+    (refuse,) = [
+        message
+        for message in messages_to_servers(relay.effects(harness.now))
+        if isinstance(message, LeaseRefusal)
+    ]
     assert (refuse.reason, refuse.detail) == (
         RefusalReason.FULL,
         f"{relay.identity.address} has its 2 sessions",
@@ -115,7 +121,9 @@
     relay = Harness().add_relay("a", "east")
     relay.handle_message(0.0, 1, message)
     effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
-    assert [refuse.reason for refuse in told(effects) if isinstance(refuse, LeaseRefusal)] == [reason]
+    assert [refuse.reason for refuse in messages_to_servers(effects) if isinstance(refuse, LeaseRefusal)] == [
+        reason
+    ]
     assert EndSession(1) in effects and not relay.sessions
 
 
@@ -125,7 +133,9 @@
     relay.begin_shutdown()
     assert not relay.sessions and relay.authority_until(harness.now) == -math.inf
     reasons = [
-        message.reason for message in told(relay.effects(harness.now)) if isinstance(message, LeaseRefusal)
+        message.reason
+        for message in messages_to_servers(relay.effects(harness.now))
+        if isinstance(message, LeaseRefusal)
     ]
     assert reasons == [RefusalReason.SHUTTING_DOWN] * 2
 
@@ -138,12 +148,12 @@
 
 
 def test_a_no_ends_up_in_the_vote_with_the_server_and_the_key() -> None:
-    harness = at_work(refuses={"kind of east": "values.look: no product"})
+    harness = at_work(rejections={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
     (end,) = harness.view().settled
     assert not end.committed and end.why.startswith("east: east-s")
-    assert end.why.endswith(": values.look: no product") and set(harness.admitted().values()) == {0}
+    assert end.why.endswith(": values.look: no product") and set(harness.admitted_versions().values()) == {0}
 
 
 def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
@@ -154,21 +164,21 @@
     harness.run(DEFAULT_LEASE_MS)
     view = harness.view()
     assert view.policy and view.policy.version == 1 and view.change is None
-    assert harness.admitted() == {"east-s0": None, "east-s1": None, "west-s0": 1, "west-s1": 1}
+    assert harness.admitted_versions() == {"east-s0": None, "east-s1": None, "west-s0": 1, "west-s1": 1}
 
 
 def test_a_text_in_force_is_not_polled() -> None:
     harness = at_work()
     harness.propose("A", "policy A")
     harness.run(2000.0)
-    harness.checks.clear()
-    harness.refuses = {"kind of east": "no"}
+    harness.validations.clear()
+    harness.rejections = {"kind of east": "no"}
     for address in list(harness.relays):
         if harness.relays[address].identity.cell == "east":
             harness.remove_relay(address)
     harness.add_cell("east")
     harness.run(20_000.0)
-    assert harness.checks == [] and harness.admitted()["east-s0"] == 1
+    assert harness.validations == [] and harness.admitted_versions()["east-s0"] == 1
 
 
 def test_a_relay_of_a_cell_takes_over() -> None:
@@ -177,10 +187,10 @@
     harness.run(2000.0)
     harness.remove_relay(harness.leader("east").identity.address)
     harness.run(15_000.0)
-    assert harness.admitted()["east-s0"] == 1
+    assert harness.admitted_versions()["east-s0"] == 1
     harness.propose("B")
     harness.run(3000.0)
-    assert set(harness.admitted().values()) == {2}
+    assert set(harness.admitted_versions().values()) == {2}
 
 
 def test_who_takes_over_does_not_vote_for_a_moment() -> None:
@@ -213,7 +223,7 @@
 
 def test_who_takes_over_asks_the_kinds_that_come_to_it() -> None:
     """It polls no earlier than it may vote: until then servers are still on their way to it."""
-    harness = at_work(refuses={"kind of east": "no"})
+    harness = at_work(rejections={"kind of east": "no"})
     old = harness.leader("east").identity.address
     new = next(a for a in harness.relays if a.startswith("east") and a != old)
     harness.remove_relay(old)
@@ -230,7 +240,7 @@
 
 
 def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
-    harness = at_work(refuses={"kind of west": "no", "kind of north": "no"})
+    harness = at_work(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
     assert [end.committed for end in harness.view().settled] == [False]  # east has said yes, west no
@@ -245,7 +255,7 @@
 
 
 def test_a_kind_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
-    harness = at_work(refuses={"kind of north": "no"}, silent={"east-s0", "east-s1"})
+    harness = at_work(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
     relay = harness.leader("east")
     held: list[Read] = []
     begin = harness._relay_effect
@@ -278,12 +288,12 @@
 
 
 def test_a_kind_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
-    harness = at_work(refuses={"kind of east": "no"})
+    harness = at_work(rejections={"kind of east": "no"})
     for name in ("east-s0", "east-s1"):
         server = harness.servers[name]
-        number = harness._number(name, server.connection)
+        number = harness._stream_number(name, server.connection)
         assert number is not None
-        harness._end(number)
+        harness._end_stream(number)
         server.handle_disconnected(harness.now, server.connection)
         server.selector.connect_at = harness.now + 400.0
     harness.propose("A", "policy!")
@@ -297,14 +307,16 @@
     relay = harness.leader("east")
     harness.propose("A")
     while "east" not in harness.view().votes:
-        harness._step()
+        harness._run_effects()
     now = relay.member.fresh_at + 300.0
     relay.handle_message(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
-    assert not [effect for effect in told(effects) if isinstance(effect, LeaseGrant)]
+    assert not [effect for effect in messages_to_servers(effects) if isinstance(effect, LeaseGrant)]
     (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
     relay.completed(now, read, now, harness.space.answer(now, read))
-    grants = [message for message in told(relay.effects(now)) if isinstance(message, LeaseGrant)]
+    grants = [
+        message for message in messages_to_servers(relay.effects(now)) if isinstance(message, LeaseGrant)
+    ]
     assert [message.sequence for message in grants] == [5]
 
 
@@ -321,7 +333,7 @@
 
 def test_a_pledge_of_an_earlier_life_is_no_vote() -> None:
     """The vote did not reach the store; the servers that are here now have not been asked."""
-    harness = Harness(refuses={"kind of north": "no"})
+    harness = Harness(rejections={"kind of north": "no"})
     relays = harness.add_cell("east", 1)
     harness.add_server("s0", relays)
     harness.run(5000.0)
@@ -355,4 +367,4 @@
         harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
     harness.run(1000.0)
     assert relay.refused[RefusalReason.FULL] == 0 and len(relay.sessions) == 2
-    assert set(harness.admitted().values()) == {0}
+    assert set(harness.admitted_versions().values()) == {0}
