--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -21,7 +21,7 @@
 from otterrudder.fleet.cell.messages import InvalidMessageError
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.orders import Orders, OrderSender
+from otterrudder.fleet.server_control import ServerControl, ServerControlSender
 from otterrudder.fleet.validation import validate_text
 from otterrudder.log import log
 
@@ -34,7 +34,7 @@
     """Runs a server's participant: its streams, validations and timers."""
 
     def __init__(
-        self, fleet: Fleet, name: str, fingerprint: str, validate: Callable[[str], str], orders: Orders
+        self, fleet: Fleet, name: str, fingerprint: str, validate: Callable[[str], str], orders: ServerControl
     ) -> None:
         """`validate`: why this server rejects a text, "" if it accepts it."""
         self.fleet = fleet
@@ -42,7 +42,7 @@
         self.validate = validate
         identity = ServerIdentity(fleet.name, name, secrets.token_hex(8), fingerprint, fleet.zone)
         self.participant = Participant(clock.monotonic(), identity, fleet.relays, fleet.server_lease_ms)
-        self.order_sender = OrderSender(orders)
+        self.control_sender = ServerControlSender(orders)
         self.counts = {"connected": 0, "ended": 0, "sent": 0, "received": 0, "checks_begun": 0, "checked": 0}
         self._streams: dict[int, RelayStream] = {}
         self._scopes: dict[int, anyio.CancelScope] = {}
@@ -53,8 +53,8 @@
     def pulse(self, now: float) -> None:
         """Ahead of what arrives: which policy is in force, and whether this server admits."""
         participant = self.participant
-        standing = participant.standing(now)
-        self.order_sender.send(participant.known, standing, participant.status_reason)
+        admission_status = participant.admission_status(now)
+        self.control_sender.send(participant.known, admission_status, participant.status_detail)
 
     # Its own tasks.
 
@@ -72,22 +72,22 @@
         now = clock.monotonic()
         participant = self.participant
         identity = participant.identity
-        standing = participant.standing(now)
+        admission_status = participant.admission_status(now)
         return dict(
             fleet=identity.fleet,
             name=identity.name,
-            epoch=identity.epoch,
+            epoch=identity.incarnation,
             kind=identity.fingerprint,
             relay=participant.relay,
             relays=list(participant.selector.addresses),
-            standing=standing.name.lower(),
-            admits=standing.admits,
-            why=participant.status_reason or standing.value,
+            standing=admission_status.label,
+            admits=admission_status.admits,
+            why=participant.status_detail or admission_status.description,
             version=participant.known.version,
             digest=participant.known.digest,
             head=participant.head,
             lease_left_ms=round(max(participant.lease.until - now, 0.0), 1),
-            counts=self.counts | {"asides": self.order_sender.asides},
+            counts=self.counts | {"asides": self.control_sender.asides},
         )
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> float:
--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -6,9 +6,9 @@
 from otterrudder.fleet.cell.messages import ValidationRequest
 from otterrudder.fleet.cell.sessions import SessionTable
 from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll
-from otterrudder.fleet.effects import Judge
+from otterrudder.fleet.effects import ValidatePolicy
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.state import Open
+from otterrudder.fleet.state import OpenChange
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,9 +24,9 @@
 NO_STEP = ValidationStep()
 
 
-def undecided_change(member: Member) -> Open | None:
+def undecided_change(member: Member) -> OpenChange | None:
     """The open change, while the cell has not voted on it as far as it knows."""
-    seen = member.seen
+    seen = member.observed
     if not seen or seen.voted is not None:
         return None
     return seen.open
@@ -40,12 +40,12 @@
     def __init__(self, now: float) -> None:
         self.cache = ValidationCache()
         self.poll: ValidationPoll | None = None
-        self.task: Judge | None = None  # the member's request
+        self.task: ValidatePolicy | None = None  # the member's request
         self.started_at = now
         self._awaits_servers = False  # all that are here were asked, and others may come
         self._change_revision = 0  # that created the change of the poll
 
-    def start(self, now: float, task: Judge, member: Member) -> None:
+    def start(self, now: float, task: ValidatePolicy, member: Member) -> None:
         """The member asks for the validation of a text."""
         change = undecided_change(member)
         revision = change.created if change and change.digest == task.digest else 0
@@ -71,7 +71,7 @@
         result = self.poll.result(candidates)
         return ValidationStep(questions, is_finished=result is not None, result=result)
 
-    def finish(self) -> tuple[Judge, float]:
+    def finish(self) -> tuple[ValidatePolicy, float]:
         """The request that waited for the result, and when it was made."""
         assert self.task
         task = self.task
@@ -99,7 +99,7 @@
         change = undecided_change(member)
         if not change or self.task:
             return False
-        result = member.judgement(change.digest)
+        result = member.validation_result(change.digest)
         if result is None:
             return False
         if not self.poll or not self._is_about(change.created):
@@ -119,5 +119,5 @@
 
 
 def _is_open(member: Member, digest: str) -> bool:
-    seen = member.seen
+    seen = member.observed
     return bool(seen and seen.open and seen.open.digest == digest)
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -8,7 +8,7 @@
 
 from otterrudder.configuration import ConfigurationError, address
 from otterrudder.fleet.cell.limits import DEFAULT_MAX_SESSIONS
-from otterrudder.fleet.records import NAME_MOST, Absent
+from otterrudder.fleet.records import MAX_NAME_LENGTH, Absent
 
 SERVER_LEASE_MS = 3000.0
 MIN_SERVER_LEASE_MS = 1000.0  # below it a lost renewal or two would end a lease
@@ -78,7 +78,7 @@
 
 def role_of(table: RelayTable, absent: Absent) -> RelayRole:
     """The checked table."""
-    if not table.cell or "/" in table.cell or len(table.cell) > NAME_MOST:
+    if not table.cell or "/" in table.cell or len(table.cell) > MAX_NAME_LENGTH:
         raise RelayConfigurationError(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
     check_relays("relay.address", [table.address])
     listen = table.listen or table.address
--- a/otterrudder/fleet/cell/identity.py
+++ b/otterrudder/fleet/cell/identity.py
@@ -13,7 +13,7 @@
 
     fleet: str
     name: str
-    epoch: str
+    incarnation: str
     fingerprint: str
     zone: str = ""
 
--- a/otterrudder/fleet/cell/messages.py
+++ b/otterrudder/fleet/cell/messages.py
@@ -46,7 +46,7 @@
     sequence: int
     fleet: str
     name: str
-    epoch: str  # new with each process
+    incarnation: str  # new with each process
     fingerprint: str  # digest of its configuration and program version
     zone: str = ""
     version: int = 0  # of the policy that it goes by
@@ -58,7 +58,7 @@
 
     sequence: int
     version: int
-    standing: str = ""  # for operators
+    admission_status: str = ""  # for operators
 
 
 class ValidationResult(_Message, frozen=True, tag="Verdict"):
@@ -130,8 +130,8 @@
 
 # Characters of what a server sends, since a relay keeps it or hands it on to the store.
 _MAX_LENGTHS: dict[type[_Message], dict[str, int]] = {
-    Registration: dict.fromkeys(("fleet", "name", "epoch", "fingerprint", "zone"), MAX_NAME_LENGTH),
-    LeaseRenewal: {"standing": MAX_NAME_LENGTH},
+    Registration: dict.fromkeys(("fleet", "name", "incarnation", "fingerprint", "zone"), MAX_NAME_LENGTH),
+    LeaseRenewal: {"admission_status": MAX_NAME_LENGTH},
     ValidationResult: {"digest": MAX_NAME_LENGTH, "rejection": MAX_DETAIL_LENGTH},
 }
 
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -40,7 +40,7 @@
 from otterrudder.fleet.cell.server_lease import PendingRequests, ServerLease
 from otterrudder.fleet.cell.text_validation import TextValidation
 from otterrudder.fleet.records import digest_of
-from otterrudder.fleet.state import Policy, Standing
+from otterrudder.fleet.state import AdmissionStatus, Policy
 
 TRUSTED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
 RENEWAL_SHARE = 0.25  # of the span, between renewals
@@ -51,7 +51,7 @@
 class Participant:
     """Decides for a server which relay it asks for a lease, and whether it may admit.
 
-    Events with the time in them go in; `effects` hands out what is to be done. `status_reason` is for
+    Events with the time in them go in; `effects` hands out what is to be done. `status_detail` is for
     operators."""
 
     __slots__ = (
@@ -98,22 +98,22 @@
 
     # Its state.
 
-    def standing(self, now: float) -> Standing:
+    def admission_status(self, now: float) -> AdmissionStatus:
         """At the moment of an admission, by the time of that moment."""
         if not self.has_held_lease:
-            return Standing.STARTING
+            return AdmissionStatus.STARTING
         if self._unfit:
-            return Standing.UNFIT
+            return AdmissionStatus.POLICY_REJECTED
         if now < self.lease.until:
-            return Standing.SERVING
-        return Standing.BEHIND if self.head > self.known.version else Standing.LAPSED
+            return AdmissionStatus.SERVING
+        return AdmissionStatus.OUTDATED if self.head > self.known.version else AdmissionStatus.LEASE_EXPIRED
 
     def admits(self, now: float) -> int | None:
         """The version that the server admits under; None: it admits nothing."""
-        return self.known.version if self.standing(now).admits else None
+        return self.known.version if self.admission_status(now).admits else None
 
     @property
-    def status_reason(self) -> str:
+    def status_detail(self) -> str:
         """More on its status, for operators."""
         return self._unfit or self._relay_mistrust or self.refusal
 
@@ -156,7 +156,7 @@
             self._begin_request(now),
             identity.fleet,
             identity.name,
-            identity.epoch,
+            identity.incarnation,
             identity.fingerprint,
             identity.zone,
             self.known.version,
@@ -309,8 +309,8 @@
         self.selector.schedule_connect(now, self._jitter("retry"))
 
     def _renew(self, now: float) -> None:
-        standing = self.standing(now).name.lower()
-        self._send(LeaseRenewal(self._begin_request(now), self.known.version, standing))
+        admission_status = self.admission_status(now).label
+        self._send(LeaseRenewal(self._begin_request(now), self.known.version, admission_status))
 
     def _begin_request(self, now: float) -> int:
         """The sequence number of a request that is sent now."""
@@ -325,5 +325,5 @@
         """From 0 to 1, spread over servers and moments, the same in every replay."""
         identity = self.identity
         moment = f"{self.selector.failures}/{self.requests.sequence}"
-        seed = f"{identity.name}/{identity.epoch}/{purpose}/{moment}"
+        seed = f"{identity.name}/{identity.incarnation}/{purpose}/{moment}"
         return zlib.crc32(seed.encode()) / 2**32
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -42,11 +42,11 @@
     ValidationResult,
 )
 from otterrudder.fleet.cell.sessions import Session, SessionTable
-from otterrudder.fleet.change import Settler
-from otterrudder.fleet.effects import Commit, Effect, Judge, Lane, Outcome
+from otterrudder.fleet.change import ChangeCoordinator
+from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, ValidatePolicy
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import Keys, Live
-from otterrudder.fleet.state import Policy, Record, Rules
+from otterrudder.fleet.records import Keys, MemberStatus
+from otterrudder.fleet.state import MemberState, Policy, Rules
 
 MIN_GRANT_MS = 200.0  # a shorter lease would be over before its answer is used
 SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
@@ -74,7 +74,7 @@
         "member",
         "refused",
         "sessions",
-        "settler",
+        "coordinator",
         "validation",
     )
 
@@ -82,18 +82,18 @@
         self,
         now: float,
         identity: CellIdentity,
-        epoch: str,
+        incarnation: str,
         rules: Rules,
         limits: RelayLimits = RelayLimits(),  # noqa: B008 (frozen)
         *,
-        record: Record | None = None,
+        state: MemberState | None = None,
         has_disk: bool = False,
-        live: Live | None = None,
+        status: MemberStatus | None = None,
         cluster: int = 0,
-        folder: str = "",
+        directory_id: str = "",
     ) -> None:
-        """`rules.is_shared` where the cell has more than one relay; `record`, `has_disk`, `cluster`: as for
-        a Member. `folder`: the holder's name for a cell of one relay, as its folder has it."""
+        """`rules.is_shared` where the cell has more than one relay; `state`, `has_disk`, `cluster`: as for
+        a Member. `directory_id`: of the state directory, which is the holder of a cell of one relay."""
         if limits.span_ms > rules.bound_ms:
             raise ValueError(f"a lease of {limits.span_ms:g} ms outlasts the bound of {rules.bound_ms:g} ms")
         keys = Keys(identity.fleet)
@@ -103,16 +103,16 @@
             now,
             keys,
             identity.cell,
-            epoch,
-            identity.holder if rules.is_shared else folder or identity.holder,
+            incarnation,
+            identity.holder if rules.is_shared else directory_id or identity.holder,
             rules,
             lambda text: "",
-            record=record,
+            record=state,
             has_disk=has_disk,
-            live=live,
+            status=status,
             cluster=cluster,
         )
-        self.settler = Settler(keys, identity.cell, keeps_leadership=True)
+        self.coordinator = ChangeCoordinator(keys, identity.cell, retains_leadership=True)
         self.sessions = SessionTable(limits.max_sessions)
         self.validation = CellValidation(now)
         self.endorsements = EndorsementCollector(now, identity)
@@ -155,7 +155,7 @@
     def _next_due(self) -> float:
         times = [
             self.member.due(),
-            self.settler.due(),
+            self.coordinator.due(),
             self._sweep_at,
             self.validation.due(self.member),
         ]
@@ -165,12 +165,12 @@
 
     # Events.
 
-    def hint(self, now: float, prefix: str) -> None:
+    def handle_watch_event(self, now: float, prefix: str) -> None:
         """Something under a watched prefix was written, or its watch was begun."""
         self._has_news = True
         if prefix == self.member.keys.head:
-            self.member.hint()
-        self.settler.hint(now)
+            self.member.handle_watch_event()
+        self.coordinator.handle_watch_event(now)
 
     def handle_stream_closed(self, connection: int) -> None:
         """A server's stream has ended. Its lease goes on, and it is waited for until the lease has lapsed."""
@@ -192,7 +192,7 @@
         session.last_message_at = now
         if isinstance(message, LeaseRenewal):
             session.version = message.version
-            session.status = message.standing
+            session.status = message.admission_status
             self._answer_request(now, session, message.sequence)
         else:
             self._handle_validation_result(now, session, message)
@@ -212,20 +212,20 @@
         """Another relay of the cell has answered."""
         self._has_news = True
         self.endorsements.handle_endorsement(endorsement)
-        self.member.consent_until = self.endorsements.until()
+        self.member.endorsed_until = self.endorsements.until()
 
-    def completed(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
+    def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
         """How an effect of the store or the disk ended; `sent`: when it was begun."""
         self._has_news = True
-        if effect.lane is Lane.SETTLE:
+        if effect.lane is Lane.COORDINATE:
             if isinstance(effect, Commit):
-                self.member.hint()
-            if following := self.settler.completed(now, effect, outcome):
+                self.member.handle_watch_event()
+            if following := self.coordinator.handle_result(now, effect, outcome):
                 self._effects.append(following)
         else:
-            self.member.completed(now, effect, sent, outcome)
+            self.member.handle_result(now, effect, sent, outcome)
             if effect.lane is Lane.STORE and outcome is not None:
-                self.settler.latency_ms = now - sent
+                self.coordinator.latency_ms = now - sent
         self._after_store(now)
 
     def begin_shutdown(self) -> None:
@@ -257,13 +257,14 @@
     def _take_store_effects(self, now: float) -> None:
         self._review_validation(now)
         for effect in self.member.effects(now):
-            if isinstance(effect, Judge):
+            if isinstance(effect, ValidatePolicy):
                 self._start_validation(now, effect)
                 continue
             self._effects.append(effect)
-            if isinstance(effect, Commit) and effect.what == "vote" and not self.member.pledge:
-                self.member.judge_again()  # a no is of this change alone, and stops nobody once it has ended
-        if coordination := self.settler.effects_of(now, self.member):
+            if isinstance(effect, Commit) and effect.purpose == "vote" and not self.member.prepared_vote:
+                # A rejection is of this change alone, and stops nobody once it has ended.
+                self.member.discard_validation()
+        if coordination := self.coordinator.effects_for(now, self.member):
             self._effects.append(coordination)
 
     # Sessions and leases.
@@ -309,7 +310,7 @@
             return
         if self._may_have_missed_commit(session):
             session.deferred_request = sequence
-            self.member.hint()
+            self.member.handle_watch_event()
             self._has_news = True
             return
         self._grant(now, session, sequence, span)
@@ -325,7 +326,7 @@
         """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell.
 
         Its servers wait until it is registered again, and do not try all relays in turn."""
-        return not self.leads() and not self._is_shutting_down and now < self.member.consent_until
+        return not self.leads() and not self._is_shutting_down and now < self.member.endorsed_until
 
     def _owes_validation_result(self, now: float, session: Session) -> bool:
         poll = self.validation.poll
@@ -339,12 +340,12 @@
         A server that runs may go by the version before for the bound; one that starts after a commit may
         not."""
         member = self.member
-        return bool(member.pledge) and member.vote_sent and member.fresh_at < session.registered_at
+        return bool(member.prepared_vote) and member.vote_sent and member.fresh_at < session.registered_at
 
     def _authority_detail(self, now: float) -> str:
         if now < self.given_endorsement.until:
             return "it has consented to another relay of its cell"
-        return self.member.why or self.member.standing(now).value
+        return self.member.status_detail or self.member.admission_status(now).description
 
     def _push_policy(self, now: float, session: Session) -> None:
         """Sends the text in force to a server that does not go by it."""
@@ -378,13 +379,13 @@
 
     # The validation of an open change by the servers.
 
-    def _start_validation(self, now: float, task: Judge) -> None:
+    def _start_validation(self, now: float, task: ValidatePolicy) -> None:
         self.validation.start(now, task, self.member)
         self._advance_validation(now)
 
     def _review_validation(self, now: float) -> None:
         if self.validation.is_outdated(now, self.member, self.sessions):
-            self.member.judge_again()
+            self.member.discard_validation()
 
     def _advance_validation(self, now: float) -> None:
         step = self.validation.advance(now, self.member, self.sessions)
@@ -392,7 +393,7 @@
             self._send(connection, self.validation.request())
         if step.is_finished:
             task, started_at = self.validation.finish()
-            self.member.completed(now, task, started_at, step.result)
+            self.member.handle_result(now, task, started_at, step.result)
             self._take_store_effects(now)
 
     def _handle_validation_result(self, now: float, session: Session, result: ValidationResult) -> None:
@@ -427,7 +428,7 @@
         again."""
         until = self.given_endorsement.until
         self.member.abstains_until = max(self.member.abstains_until, until)
-        self.member.holds_back_until = until
+        self.member.registers_from = until
 
     def _may_need_endorsements(self) -> bool:
         rules = self.member.rules
--- a/otterrudder/fleet/cell/relay_status.py
+++ b/otterrudder/fleet/cell/relay_status.py
@@ -23,20 +23,20 @@
 def relay_status(relay: Relay, transport: TransportCounts, now: float) -> dict[str, object]:
     """The keys are those that `fleet relay status` shows."""
     member = relay.member
-    standing = member.standing(now)
+    admission_status = member.admission_status(now)
     return dict(
         fleet=relay.identity.fleet,
         cell=relay.identity.cell,
         address=relay.identity.address,
         leads=relay.leads(),
-        standing=standing.name.lower(),
-        why=member.why or standing.value,
+        standing=admission_status.label,
+        why=member.status_detail or admission_status.description,
         version=member.known.version,
         digest=member.known.digest,
         settles=member.is_leader,
         store_lease_left_ms=_left_ms(member.lease_until - now),
         authority_left_ms=_left_ms(relay.authority_until(now) - now),
-        consent_left_ms=_left_ms(member.consent_until - now),
+        consent_left_ms=_left_ms(member.endorsed_until - now),
         consented_left_ms=_left_ms(relay.given_endorsement.until - now),
         sessions=len(relay.sessions),
         sessions_most=relay.sessions.max_sessions,
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -2,7 +2,7 @@
 
 Every decision takes the monotonic clock at the moment it is made, so a process that was frozen grants
 nothing on an authority that has ended meanwhile. A failure in one stream, request or effect ends that one
-alone. `run` releases the streams, the store's lease and the folder on every way out."""
+alone. `run` releases the streams, the store's lease and the state directory on every way out."""
 
 import itertools
 import secrets
@@ -14,7 +14,7 @@
 import grpc
 
 from otterrudder import __version__, clock
-from otterrudder.durable import Folder
+from otterrudder.durable import StateDirectory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.descriptors import max_streams
 from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
@@ -35,11 +35,11 @@
 from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.effects import Effect, name_of
-from otterrudder.fleet.executor import LEAVE_MS, Executor
-from otterrudder.fleet.points import reached
-from otterrudder.fleet.records import Live
-from otterrudder.fleet.state import Record
+from otterrudder.fleet.effects import Effect, effect_name
+from otterrudder.fleet.executor import CLOSE_TIMEOUT_MS, Executor
+from otterrudder.fleet.failpoints import reach_failpoint
+from otterrudder.fleet.records import MemberStatus
+from otterrudder.fleet.state import MemberState
 from otterrudder.fleet.store import Store
 from otterrudder.log import log
 
@@ -54,25 +54,30 @@
     """Runs a relay: its streams, its requests to the store and to other relays, and its timers."""
 
     def __init__(
-        self, fleet: Fleet, role: RelayRole, store: Store, folder: Folder | None, record: Record | None
+        self,
+        fleet: Fleet,
+        role: RelayRole,
+        store: Store,
+        directory: StateDirectory | None,
+        state: MemberState | None,
     ) -> None:
-        """`record`: what the folder holds."""
+        """`state`: what the state directory holds."""
         self.fleet = fleet
         self.role = role
-        epoch = secrets.token_hex(8)
+        incarnation = secrets.token_hex(8)
         self.relay = Relay(
             clock.monotonic(),
             CellIdentity(fleet.name, role.cell, role.address, role.candidates),
-            epoch,
+            incarnation,
             fleet.rules,
             RelayLimits(fleet.server_lease_ms, role.max_sessions),
-            record=record,
-            has_disk=folder is not None,
-            live=Live(epoch, __version__, fleet.zone, relay=role.address),
+            state=state,
+            has_disk=directory is not None,
+            status=MemberStatus(incarnation, __version__, fleet.zone, relay=role.address),
             cluster=fleet.store_id,
-            folder=_folder_name(folder, record),
+            directory_id=_directory_id(directory, state),
         )
-        self.executor = Executor(store, folder, fleet.timeout_ms)
+        self.executor = Executor(store, directory, fleet.timeout_ms)
         self.peers = Peers(fleet)
         self._server: Any = None
         self._encoder = MessageEncoder()
@@ -101,8 +106,8 @@
                 await self._dismiss_servers(group)
                 group.cancel_scope.cancel()
         finally:
-            with anyio.CancelScope(shield=True), anyio.move_on_after((LEAVE_MS + FLUSH_MS) / 1000):
-                await self.executor.leave(self.relay.member.lease)
+            with anyio.CancelScope(shield=True), anyio.move_on_after((CLOSE_TIMEOUT_MS + FLUSH_MS) / 1000):
+                await self.executor.close(self.relay.member.lease)
                 await self.peers.close()
                 await self._server.stop(CLOSE_TIMEOUT_S)
 
@@ -159,25 +164,25 @@
 
     def _send(self, effect: SendToServer) -> None:
         if isinstance(effect.message, LeaseGrant):
-            reached("before grant")
+            reach_failpoint("before grant")
         elif isinstance(effect.message, PolicyUpdate):
-            reached("before in force")
+            reach_failpoint("before in force")
         if stream := self._streams.get(effect.connection):
             stream.send(self._encoder.encode(effect.message))
 
     async def _carry_out(self, effect: Effect, sent: float) -> None:
         """An effect of the store or the disk. A failure in one of them is not the relay's."""
         try:
-            reached(f"before {name_of(effect)}")
-            outcome = await self.executor.outcome(effect)
-            reached(f"after {name_of(effect)}")
+            reach_failpoint(f"before {effect_name(effect)}")
+            outcome = await self.executor.perform(effect)
+            reach_failpoint(f"after {effect_name(effect)}")
             now = clock.monotonic()
             self.executor.worst_ms = max(self.executor.worst_ms, now - sent)
-            self.relay.completed(now, effect, sent, outcome)
-            if self.relay.member.doubt:
-                await self.executor.doubt(now, self.relay.member.doubt)
+            self.relay.handle_result(now, effect, sent, outcome)
+            if self.relay.member.mistrust:
+                await self.executor.mistrust(now, self.relay.member.mistrust)
         except Exception:
-            log.exception("the relay failed", of=type(effect).__name__.lower())
+            log.exception("the relay failed", of=effect_name(effect))
             await anyio.sleep(ERROR_RETRY_MS / 1000)
         self._wakeup.set()
 
@@ -203,7 +208,7 @@
 
     async def _watch(self, prefix: str, scope: anyio.CancelScope) -> None:
         def handle_event() -> None:
-            self.relay.hint(clock.monotonic(), prefix)
+            self.relay.handle_watch_event(clock.monotonic(), prefix)
             self._wakeup.set()
 
         with scope:
@@ -255,15 +260,15 @@
         except InvalidMessageError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             raise  # never reached: abort raises
-        reached("before consent")
+        reach_failpoint("before consent")
         endorsement = self.relay.handle_endorsement_request(clock.monotonic(), request)
-        reached("after consent")
+        reach_failpoint("after consent")
         self._wakeup.set()
         return encode(endorsement)
 
 
-def _folder_name(folder: Folder | None, record: Record | None) -> str:
-    """The name under which the roster knows the folder: a new one for an empty folder, "" without one."""
-    if folder is None:
+def _directory_id(directory: StateDirectory | None, state: MemberState | None) -> str:
+    """The name under which the roster knows the directory: a new one for an empty one, "" without one."""
+    if directory is None:
         return ""
-    return record.folder if record else secrets.token_hex(8)
+    return state.directory_id if state else secrets.token_hex(8)
--- a/otterrudder/fleet/cell/sessions.py
+++ b/otterrudder/fleet/cell/sessions.py
@@ -17,7 +17,7 @@
 
     connection: int
     name: str
-    epoch: str
+    incarnation: str
     fingerprint: str
     zone: str
     version: int  # that the server goes by
@@ -76,7 +76,7 @@
         session = Session(
             connection,
             registration.name,
-            registration.epoch,
+            registration.incarnation,
             registration.fingerprint,
             registration.zone,
             registration.version,
@@ -92,8 +92,8 @@
 
     def stale_session(self, registration: Registration) -> Session | None:
         """A session of the same process on an earlier stream, whose end is not known yet."""
-        process = (registration.name, registration.epoch)
-        return next((session for session in self if (session.name, session.epoch) == process), None)
+        process = (registration.name, registration.incarnation)
+        return next((session for session in self if (session.name, session.incarnation) == process), None)
 
     def close(self, connection: int) -> bool:
         """The stream has ended; the lease goes on to its end. Whether there was such a session."""
--- a/otterrudder/fleet/cell/wire.py
+++ b/otterrudder/fleet/cell/wire.py
@@ -8,14 +8,14 @@
 
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.records import TEXT_MOST
+from otterrudder.fleet.records import MAX_TEXT_BYTES
 from otterrudder.fleet.tls import channel_credentials
 
 SERVICE = "otterrudder.fleet.Relay"
 SESSION_METHOD = f"/{SERVICE}/Session"  # a stream both ways between a server and a relay
 ENDORSE_METHOD = f"/{SERVICE}/Consent"  # one request and its answer between two relays of a cell
 MESSAGE_OVERHEAD_BYTES = 16 * 1024  # of a message, beside the policy's text
-MAX_RELAY_MESSAGE_BYTES = TEXT_MOST + MESSAGE_OVERHEAD_BYTES
+MAX_RELAY_MESSAGE_BYTES = MAX_TEXT_BYTES + MESSAGE_OVERHEAD_BYTES
 MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # none carries a text
 IDLE_CONNECTION_MS = 5000  # for which a connection without a stream is kept
 KEEPALIVE_MS = 10_000
--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from otterrudder.fleet.change import Settler
+from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.effects import Commit, Effect, Outcome, Read
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.queue import open_first
-from otterrudder.fleet.records import Queued, View, encode
-from otterrudder.fleet.store import Done, Leased, Snapshot
+from otterrudder.fleet.queue import open_next
+from otterrudder.fleet.records import FleetSnapshot, QueuedChange, encode
+from otterrudder.fleet.store import CommitResult, LeaseResult, Snapshot
 from otterrudder.lab.fleet.cell_relay_mutants import MutantRelay
 
 
 class _TrustsAnyStore(Member):
-    def _doubt(self, view: View) -> str:
+    def _doubt(self, view: FleetSnapshot) -> str:
         return ""
 
-    def _is_believed(self, outcome: Done | Leased) -> bool:
+    def _is_believed(self, outcome: CommitResult | LeaseResult) -> bool:
         return True
 
 
@@ -29,12 +29,12 @@
     member_type = _TrustsAnyStore
 
 
-class _OpensTwo(Settler):
+class _OpensTwo(ChangeCoordinator):
     __slots__ = ()
 
-    def _begin_commit(self, now: float, view: View, age: float) -> Commit | None:
+    def _begin_commit(self, now: float, view: FleetSnapshot, age: float) -> Commit | None:
         entries = {k: e for k, e in view.snapshot.entries.items() if k != view.keys.change}
-        commit = open_first(View(view.keys, view.snapshot._replace(entries=entries)))
+        commit = open_next(FleetSnapshot(view.keys, view.snapshot._replace(entries=entries)))
         if view.change and commit:
             kept = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
             return self._begin(now, replace(commit, compares=kept))
@@ -47,11 +47,11 @@
     coordinator_type = _OpensTwo
 
 
-class _OpensAnyBase(Settler):
+class _OpensAnyBase(ChangeCoordinator):
     __slots__ = ()
 
-    def completed(self, now: float, effect: Effect, outcome: Outcome) -> Commit | None:
-        return super().completed(now, effect, _without_bases(outcome))
+    def handle_result(self, now: float, effect: Effect, outcome: Outcome) -> Commit | None:
+        return super().handle_result(now, effect, _without_bases(outcome))
 
 
 def _without_bases(outcome: Outcome) -> Outcome:
@@ -61,7 +61,7 @@
     entries = dict(outcome.entries)
     for key, entry in entries.items():
         if "/queue/" in key:
-            queued = msgspec.json.decode(entry.value, type=Queued)
+            queued = msgspec.json.decode(entry.value, type=QueuedChange)
             entries[key] = entry._replace(value=encode(msgspec.structs.replace(queued, base="")))
     return outcome._replace(entries=entries)
 
@@ -72,7 +72,7 @@
     coordinator_type = _OpensAnyBase
 
 
-class _IgnoresQueue(Settler):
+class _IgnoresQueue(ChangeCoordinator):
     __slots__ = ()
 
     def effects(self, *arguments: Any) -> Read | Commit | None:
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -33,14 +33,14 @@
 )
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.change import propose, settle, whole
-from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, Save
-from otterrudder.fleet.records import Keys, Queued, View, decode
-from otterrudder.fleet.state import Record, Rules, Standing
+from otterrudder.fleet.change import coordination_keys, finish_change, propose
+from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, SaveState
+from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange, decode
+from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Put
-from otterrudder.lab.fleet.cell_history_checker import CellLedger, RelayLife
+from otterrudder.lab.fleet.cell_history_checker import CellHistoryChecker, RelayHistory
 from otterrudder.lab.fleet.cloning import clone, freeze
-from otterrudder.lab.fleet.ledger import wrong_admission
+from otterrudder.lab.fleet.history_checker import wrong_admission
 from otterrudder.lab.keyspace import KeySpace
 
 FLEET = "f"
@@ -99,7 +99,7 @@
     candidates: tuple[str, ...]
     relay: Relay | None = None
     life: int = 0
-    disk: Record | None = None  # of a cell of one relay
+    disk: MemberState | None = None  # of a cell of one relay
     is_frozen: bool = False
     is_mute: bool = False  # what it asks of the store does not arrive
     is_deaf: bool = False  # what the store answers does not arrive
@@ -189,7 +189,7 @@
     opened: int = 0  # streams so far
     spent: int = 0  # harm so far
     trail: tuple[str, ...] = ()
-    ledger: CellLedger = field(default_factory=lambda: CellLedger(KEYS, RULES.bound_ms))
+    checker: CellHistoryChecker = field(default_factory=lambda: CellHistoryChecker(KEYS, RULES.bound_ms))
 
     def copy(self) -> "CellWorld":
         return CellWorld(
@@ -213,7 +213,7 @@
             self.opened,
             self.spent,
             self.trail,
-            self.ledger.copy(),
+            self.checker.copy(),
         )
 
     def clock(self, host: RelayHost | ServerHost) -> float:
@@ -226,19 +226,19 @@
         host, variant = self.relays[n], self.variant
         host.life += 1
         host.is_frozen = False
-        epoch = f"{host.address}.{host.life}"
+        incarnation = f"{host.address}.{host.life}"
         is_shared = variant.relays > 1
         host.relay = variant.relay(
             self.clock(host),
             CellIdentity(FLEET, host.cell, host.address, host.candidates),
-            epoch,
+            incarnation,
             replace(variant.rules, is_shared=is_shared),
             variant.limits,
-            record=host.disk,
+            state=host.disk,
             has_disk=not is_shared,
             cluster=STORE_ID,
         )
-        self.ledger.lives[n, host.life] = RelayLife(host.address, epoch, host.rate)
+        self.checker.relays[n, host.life] = RelayHistory(host.address, incarnation, host.rate)
 
     def start_server(self, n: int) -> None:
         host = self.servers[n]
@@ -301,16 +301,16 @@
                 stream.to_server.append(Control.ENDED)
         elif isinstance(effect, PeerRequest):
             self._ask_peer(n, host, effect)
-        elif isinstance(effect, Save):
-            assert isinstance(effect.record, Record)
+        elif isinstance(effect, SaveState):
+            assert isinstance(effect.record, MemberState)
             host.disk = effect.record
-            host.relay.completed(self.clock(host), effect, self.clock(host), True)
-        elif effect.lane is Lane.LEASE or isinstance(effect, Commit) and effect.what == "tell":
+            host.relay.handle_result(self.clock(host), effect, self.clock(host), True)
+        elif effect.lane is Lane.LEASE or isinstance(effect, Commit) and effect.purpose == "tell":
             now = self.clock(host)
-            host.relay.completed(now, effect, now, self._exchange(host, effect))
+            host.relay.handle_result(now, effect, now, self._exchange(host, effect))
         else:
-            if isinstance(effect, Commit) and effect.what == "vote":
-                self.ledger.votes(self.now, (n, host.life), effect)
+            if isinstance(effect, Commit) and effect.purpose == "vote":
+                self.checker.record_vote(self.now, (n, host.life), effect)
             self.flights.append(StoreFlight(n, host.life, effect, self.clock(host)))
 
     def _tell_server(self, n: int, host: RelayHost, effect: SendToServer) -> None:
@@ -319,7 +319,7 @@
             return
         stream.to_server.append(effect.message)
         if isinstance(effect.message, LeaseGrant):
-            self.ledger.granted(self.now, (n, host.life), stream.kind, effect.message)
+            self.checker.record_grant(self.now, (n, host.life), stream.kind, effect.message)
 
     def _ask_peer(self, n: int, host: RelayHost, effect: PeerRequest) -> None:
         peer = next(at for at, other in enumerate(self.relays) if other.address == effect.peer)
@@ -384,25 +384,25 @@
         self.store.lapse(self.now)
         before = self.view()
         done = self.store.commit(commit.compares, commit.writes)
-        if done.held:
+        if done.succeeded:
             if not self.right:  # what another engine was told is not the fleet's
-                self.ledger.wrote(self.now, commit, before)
+                self.checker.record_commit(self.now, commit, before)
                 self._note_texts(commit)
-            if commit.what != "tell":
+            if commit.purpose != "tell":
                 self._hint(commit)
         return done
 
     def _note_texts(self, commit: Commit) -> None:
         if opened := self.view().change:
-            self.ledger.changes[self._change_created()] = opened.digest
+            self.checker.changes[self._change_created()] = opened.digest
         for write in commit.writes:
             if isinstance(write, Put) and write.key.startswith(KEYS.queue):
-                queued = decode(write.value, Queued)
-                self.ledger.bases[queued.id] = queued.base
+                queued = decode(write.value, QueuedChange)
+                self.checker.bases[queued.id] = queued.base
         head = self.view().policy
-        if head and head.version not in self.ledger.texts:
+        if head and head.version not in self.checker.texts:
             entry = self.store.keys.get(KEYS.text(head.digest))
-            self.ledger.texts[head.version] = entry.value.decode() if entry else ""
+            self.checker.texts[head.version] = entry.value.decode() if entry else ""
 
     def _hint(self, commit: Commit) -> None:
         for host in self.relays:
@@ -410,18 +410,18 @@
                 continue
             for prefix in host.relay.watched():
                 if any(write.key.startswith(prefix) for write in commit.writes):
-                    host.relay.hint(self.clock(host), prefix)
+                    host.relay.handle_watch_event(self.clock(host), prefix)
 
     def hint_all(self, host: RelayHost) -> None:
         """Its watches are begun anew."""
         if host.runs and host.relay:
             for prefix in host.relay.watched():
-                host.relay.hint(self.clock(host), prefix)
+                host.relay.handle_watch_event(self.clock(host), prefix)
 
-    def view(self, of_fleet: bool = False) -> View:
+    def view(self, of_fleet: bool = False) -> FleetSnapshot:
         """`of_fleet`: of the store itself, also while another engine answers."""
         store = self.right if of_fleet and self.right else self.store
-        return View(KEYS, store.read(whole(KEYS)))
+        return FleetSnapshot(KEYS, store.read(coordination_keys(KEYS)))
 
     def _change_created(self) -> int:
         entry = (self.right or self.store).keys.get(KEYS.change)
@@ -454,7 +454,7 @@
         host = self.relays[flight.host]
         if host.relay and host.life == flight.life:
             outcome = None if host.is_deaf else flight.outcome
-            host.relay.completed(self.clock(host), flight.effect, flight.sent, outcome)
+            host.relay.handle_result(self.clock(host), flight.effect, flight.sent, outcome)
 
     def take_peer_flight(self, flight: PeerFlight) -> None:
         """A request is answered, and the answer waits; or an answer arrives."""
@@ -469,7 +469,7 @@
             return
         flight.answer = peer.relay.handle_endorsement_request(self.clock(peer), flight.request)
         if flight.answer.span_ms > 0:
-            self.ledger.consents(self.now, (flight.peer, peer.life))
+            self.checker.record_endorsement(self.now, (flight.peer, peer.life))
 
     def can_take_peer(self, flight: PeerFlight) -> bool:
         sender, peer = self.relays[flight.sender], self.relays[flight.peer]
@@ -500,7 +500,7 @@
             return
         if isinstance(message, ValidationResult) and self._is_registered(stream, host):
             at, opened = (stream.relay, stream.relay_life), self._change_created()
-            self.ledger.heard(at, stream.kind, message.digest, message.rejection, opened)
+            self.checker.record_result(at, stream.kind, message.digest, message.rejection, opened)
         host.relay.handle_message(self.clock(host), stream.number, message)
 
     def _is_registered(self, stream: Stream, host: RelayHost) -> bool:
@@ -587,10 +587,10 @@
 
     # What it promises.
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """Which promise does not hold now, "": all do."""
-        if self.ledger.broken:
-            return self.ledger.broken
+        if self.checker.violation:
+            return self.checker.violation
         for host in self.servers:
             if host.runs and host.server and (trouble := self._wrong(host, host.server)):
                 return f"{host.name} at {self.now / 1000:g} s: {trouble}"
@@ -603,21 +603,21 @@
         version = server.admits(self.clock(host))
         if version is None:
             return ""
-        if version and known.text != self.ledger.texts.get(version):
+        if version and known.text != self.checker.texts.get(version):
             return f"it admits under {version}, whose text is another one"
         if self.trouble_with(host, known.text):
             return f"it admits under {version}, which its configuration refuses"
-        bound_ms, committed = self.variant.slowest_bound_ms, self.ledger.committed
+        bound_ms, committed = self.variant.slowest_bound_ms, self.checker.committed
         trouble = wrong_admission(version, known.change, host.started, self.now, bound_ms, committed)
         return f"it admits under {version}: {trouble}" if trouble else ""
 
-    def in_peace(self) -> str:
+    def recovery_violation(self) -> str:
         """From here on with everything delivered and everybody up: "" if all come to admit under the one
         version in force with no change left open and none waiting, and admit on while the store is away."""
         world = self.copy()
         world.heal()
         for _ in range(PEACE_STEPS):
-            if trouble := world.deliver_all() or world.broken():
+            if trouble := world.deliver_all() or world.violation():
                 return f"in peace: {trouble}"
             if not world._odd_ones():
                 return world._without_store()
@@ -647,10 +647,12 @@
         odd += [f"{view.change.id} is open"] if view.change else []
         for host in self.servers:
             assert host.server
-            standing = host.server.standing(self.clock(host))
-            is_unfit = standing is Standing.UNFIT and bool(self.trouble_with(host, host.server.known.text))
+            admission_status = host.server.admission_status(self.clock(host))
+            is_unfit = admission_status is AdmissionStatus.POLICY_REJECTED and bool(
+                self.trouble_with(host, host.server.known.text)
+            )
             if host.server.admits(self.clock(host)) != version and not is_unfit:
-                odd.append(f"{host.name} {standing.name} {host.server.known.version}/{version}")
+                odd.append(f"{host.name} {admission_status.name} {host.server.known.version}/{version}")
         return odd
 
     def _without_store(self) -> str:
@@ -662,7 +664,7 @@
             self.is_store_away = is_away
             for _ in range(steps):
                 self.lose_unserved()
-                if trouble := self.deliver_all() or self.broken():
+                if trouble := self.deliver_all() or self.violation():
                     return f"the store is away: {trouble}"
                 if is_away and (odd := self._odd_ones()):
                     return f"the store is away, nothing is open: {', '.join(odd)}"
@@ -671,7 +673,7 @@
 
     # Whether two worlds are one.
 
-    def key(self) -> int:
+    def fingerprint(self) -> int:
         """Of its state at this time."""
         hosts = [(h.life, h.disk, h.is_frozen, h.is_mute, h.is_deaf, freeze(h.relay)) for h in self.relays]
         servers = [(h.life, h.is_frozen, freeze(h.checks), freeze(h.server)) for h in self.servers]
@@ -704,7 +706,7 @@
     return repr(message) if isinstance(message, PolicyUpdate | Registration) else message
 
 
-class SetupError(Exception):
+class NotConvergedError(Exception):
     """The cells never became a fleet: a double's fault can be that plain."""
 
 
@@ -724,7 +726,7 @@
 def settled(variant: CellVariant) -> CellWorld:
     """Cells at work: all servers are of it, and version 1 is in force."""
     world = CellWorld(variant)
-    world.ledger.bound_ms = variant.rules.bound_ms
+    world.checker.bound_ms = variant.rules.bound_ms
     for cell in range(variant.cells):
         addresses = tuple(f"r{cell}{n}" for n in range(variant.relays))
         for address in addresses:
@@ -742,10 +744,10 @@
     _run(world, 20)
     world.write(propose(world.view(), "first", "policy", "", "", 0.0, DEADLINE_MS))
     _run(world, 20)
-    if trouble := world.broken():
-        raise SetupError(trouble)
+    if trouble := world.violation():
+        raise NotConvergedError(trouble)
     if odd := world._odd_ones():
-        raise SetupError(f"the fleet does not come together: {', '.join(odd)}")
+        raise NotConvergedError(f"the fleet does not come together: {', '.join(odd)}")
     return world
 
 
@@ -754,7 +756,7 @@
     for _ in range(steps):
         world.lose_unserved()
         if trouble := world.deliver_all():
-            raise SetupError(trouble)
+            raise NotConvergedError(trouble)
         world.pass_time()
     world.deliver_all()
 
@@ -774,9 +776,11 @@
 
 
 def leader_of(world: CellWorld, cell: str) -> int:
-    live = world.view(True).live(cell)
+    status = world.view(True).status(cell)
     epochs = (f"{host.address}.{host.life}" for host in world.relays)
-    return next((n for n, epoch in enumerate(epochs) if live and epoch == live.epoch), 0)
+    return next(
+        (n for n, incarnation in enumerate(epochs) if status and incarnation == status.incarnation), 0
+    )
 
 
 def _stage_change(world: CellWorld, stage: CellStage) -> None:
@@ -788,7 +792,7 @@
     votes = [flight for flight in world.flights if _is_vote(flight)]
     for flight in votes[:1] if stage is CellStage.HALF else votes:
         world.take_store_flight(flight)
-    if stage is CellStage.COMMITTED and (commit := settle(world.view(), False)):
+    if stage is CellStage.COMMITTED and (commit := finish_change(world.view(), False)):
         world.write(commit)
     world.settle_down()
 
@@ -799,11 +803,11 @@
 
 
 def _is_vote(flight: StoreFlight) -> bool:
-    return isinstance(flight.effect, Commit) and flight.effect.what == "vote"
+    return isinstance(flight.effect, Commit) and flight.effect.purpose == "vote"
 
 
 def _is_settling(flight: StoreFlight) -> bool:
-    return flight.effect.lane is Lane.SETTLE
+    return flight.effect.lane is Lane.COORDINATE
 
 
 def all_variants() -> Iterator[tuple[str, CellVariant]]:
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -5,7 +5,7 @@
 
 from otterrudder.fleet.cell.messages import LeaseGrant, PolicyUpdate, RelayMessage
 from otterrudder.fleet.cell.participant import TRUSTED_SHARE, Participant
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 
 
 class CountsFromTheAnswer(Participant):
@@ -38,8 +38,8 @@
         super().__init__(now, *arguments, **named)
         self.last_event_at = now
 
-    def standing(self, now: float) -> Standing:
-        return super().standing(self.last_event_at)
+    def admission_status(self, now: float) -> AdmissionStatus:
+        return super().admission_status(self.last_event_at)
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
         self.last_event_at = now
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -9,10 +9,10 @@
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.cell.sessions import Session
 from otterrudder.fleet.cell.validation_poll import ValidationCache, ValidationPoll
-from otterrudder.fleet.change import Settler
-from otterrudder.fleet.effects import Judge
+from otterrudder.fleet.change import ChangeCoordinator
+from otterrudder.fleet.effects import ValidatePolicy
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.fleet.mutation import mutated
 
 
@@ -20,14 +20,14 @@
     """May have attributes of its own, and mutants of its parts."""
 
     member_type: type[Member] = Member
-    coordinator_type: type[Settler] = Settler
+    coordinator_type: type[ChangeCoordinator] = ChangeCoordinator
     collector_type: type[EndorsementCollector] = EndorsementCollector
     giver_type: type[EndorsementGiver] = EndorsementGiver
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.member = mutated(self.member, self.member_type)
-        self.settler = mutated(self.settler, self.coordinator_type)
+        self.coordinator = mutated(self.coordinator, self.coordinator_type)
         self.endorsements = mutated(self.endorsements, self.collector_type)
         self.given_endorsement = mutated(self.given_endorsement, self.giver_type)
 
@@ -96,7 +96,7 @@
         super().__init__(*arguments, **named)
         self.given_endorsement.until = -math.inf
         self.member.abstains_until = -math.inf
-        self.member.holds_back_until = -math.inf
+        self.member.registers_from = -math.inf
 
 
 class VotesThoughItEndorsed(MutantRelay):
@@ -118,7 +118,7 @@
 
 class _EndorsedUnderAnyRule(Member):
     def _lease_end(self) -> float:
-        return max(self.lease_until, self.consent_until)
+        return max(self.lease_until, self.endorsed_until)
 
 
 class EndorsementUnderLeaveOut(MutantRelay):
@@ -131,9 +131,11 @@
 
 
 class _AsIfAlone(Member):
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing is Standing.LAPSED else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        admission_status = super().admission_status(now)
+        return (
+            AdmissionStatus.SERVING if admission_status is AdmissionStatus.LEASE_EXPIRED else admission_status
+        )
 
     def authority_until(self, now: float) -> float:
         until = super().authority_until(now)
@@ -159,8 +161,8 @@
 class VotesWithoutAsking(MutantRelay):
     """Accepts a change without its servers."""
 
-    def _start_validation(self, now: float, task: Judge) -> None:
-        self.member.completed(now, task, now, "")
+    def _start_validation(self, now: float, task: ValidatePolicy) -> None:
+        self.member.handle_result(now, task, now, "")
         self._take_store_effects(now)
 
     def _review_validation(self, now: float) -> None:
@@ -186,7 +188,7 @@
         super().__init__(*arguments, **named)
         self.validation.cache = _AcceptingCache()
 
-    def _start_validation(self, now: float, task: Judge) -> None:
+    def _start_validation(self, now: float, task: ValidatePolicy) -> None:
         super()._start_validation(now, task)
         if self.validation.poll and self.validation.task:
             self.validation.poll = mutated(self.validation.poll, _AcceptingPoll)
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -13,14 +13,14 @@
 from otterrudder.fleet.cell.sessions import Session, SessionTable
 from otterrudder.fleet.cell.text_validation import TextValidation
 from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
-from otterrudder.fleet.change import Settler
+from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import View
+from otterrudder.fleet.records import FleetSnapshot
 
 # What changes after it was made; everything else is a plain value and is shared.
 _MUTABLE = (
     Member,
-    Settler,
+    ChangeCoordinator,
     Relay,
     SessionTable,
     Session,
@@ -51,7 +51,7 @@
 
 def freeze(value: Any) -> Any:
     """A hashable value; equal for two states that behave alike from here on."""
-    if isinstance(value, View):
+    if isinstance(value, FleetSnapshot):
         return ("view", value.snapshot.revision)
     if names := _attributes(type(value)):
         parts = tuple(freeze(getattr(value, name)) for name in names)
--- a/otterrudder/lab/processes/cell_double.py
+++ b/otterrudder/lab/processes/cell_double.py
@@ -17,7 +17,7 @@
 from otterrudder.fleet.cell.sessions import Session
 from otterrudder.fleet.cell.validation_poll import Candidate, ValidationPoll
 from otterrudder.fleet.configuration import read_fleet
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.processes.double import serve_as_told
 from otterrudder.net import relay
 
@@ -25,9 +25,13 @@
 class IgnoresLeaseEnd(Participant):
     """Admits by what it last heard, for as long as it hears nothing."""
 
-    def standing(self, now: float) -> Standing:
-        standing = super().standing(now)
-        return Standing.SERVING if standing in (Standing.LAPSED, Standing.BEHIND) else standing
+    def admission_status(self, now: float) -> AdmissionStatus:
+        admission_status = super().admission_status(now)
+        return (
+            AdmissionStatus.SERVING
+            if admission_status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
+            else admission_status
+        )
 
 
 class GrantsPastAuthority(Relay):
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -26,11 +26,11 @@
 )
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.change import propose, whole
-from otterrudder.fleet.effects import Commit, Effect, Outcome, Save
+from otterrudder.fleet.change import coordination_keys, propose
+from otterrudder.fleet.effects import Commit, Effect, Outcome, SaveState
 from otterrudder.fleet.queue import enqueue
-from otterrudder.fleet.records import Keys, Queued, View
-from otterrudder.fleet.state import Record, Rules
+from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange
+from otterrudder.fleet.state import MemberState, Rules
 from otterrudder.lab.keyspace import KeySpace
 
 FLEET = "f"
@@ -65,7 +65,7 @@
     rejections: dict[str, str] = field(default_factory=dict)  # by fingerprint: of a text that ends in !
     validations: list[str] = field(default_factory=list)  # the servers that were asked to validate a text
     refusals: list[LeaseRefusal] = field(default_factory=list)
-    disks: dict[str, Record] = field(default_factory=dict)  # of cells of one relay
+    disks: dict[str, MemberState] = field(default_factory=dict)  # of cells of one relay
     incarnations: int = 0  # processes so far
 
     # Processes.
@@ -81,7 +81,7 @@
             f"{address}.{self.incarnations}",
             rules,
             self.limits,
-            record=self.disks.get(address),
+            state=self.disks.get(address),
             has_disk=not rules.is_shared,
         )
         self.relays[address] = relay
@@ -124,13 +124,13 @@
 
     # The store.
 
-    def view(self) -> View:
+    def view(self) -> FleetSnapshot:
         """All that the store holds."""
-        return View(KEYS, self.space.read(whole(KEYS)))
+        return FleetSnapshot(KEYS, self.space.read(coordination_keys(KEYS)))
 
     def commit(self, commit: Commit) -> None:
         """A commit that has to take effect."""
-        assert self.space.commit(commit.compares, commit.writes).held
+        assert self.space.commit(commit.compares, commit.writes).succeeded
         self._notify_watches(commit)
 
     def propose(self, ident: str, text: str = "") -> None:
@@ -139,13 +139,13 @@
 
     def enqueue(self, ident: str, text: str = "", base: str = "") -> None:
         """Queues a change."""
-        self.commit(enqueue(self.view(), Queued(ident, base=base), text or f"policy {ident}"))
+        self.commit(enqueue(self.view(), QueuedChange(ident, base=base), text or f"policy {ident}"))
 
     def _notify_watches(self, commit: Commit) -> None:
         for relay in self.relays.values():
             for prefix in relay.watched():
                 if any(write.key.startswith(prefix) for write in commit.writes):
-                    relay.hint(self.now, prefix)
+                    relay.handle_watch_event(self.now, prefix)
 
     # Time.
 
@@ -198,11 +198,11 @@
             if peer := self.relays.get(effect.peer):
                 relay.handle_endorsement(peer.handle_endorsement_request(self.now, effect.message))
         else:
-            relay.completed(self.now, effect, self.now, self._outcome(address, effect))
+            relay.handle_result(self.now, effect, self.now, self._outcome(address, effect))
 
     def _outcome(self, address: str, effect: Effect) -> Outcome:
-        if isinstance(effect, Save):
-            assert isinstance(effect.record, Record)
+        if isinstance(effect, SaveState):
+            assert isinstance(effect.record, MemberState)
             self.disks[address] = effect.record
             return True
         if self.is_store_away:
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -21,7 +21,7 @@
     RefusalReason,
 )
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.effects import Renew as EffectOfLease
+from otterrudder.fleet.effects import RenewLease as EffectOfLease
 
 CANDIDATES = ("a", "b", "c")
 
@@ -107,7 +107,7 @@
     connection = session.connection
     member = relay.member
     renewal = EffectOfLease(member.lease)
-    member.completed(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
+    member.handle_result(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
     assert not relay.leads()
     relay.handle_message(harness.now, connection, LeaseRenewal(99, 0))
     assert session.deferred_request == 99
@@ -118,7 +118,7 @@
     assert relay.leads() and not session.deferred_request and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
     member._lose_registration()
-    member.consent_until = harness.now
+    member.endorsed_until = harness.now
     relay.handle_message(harness.now, connection, LeaseRenewal(100, 0))
     (refused,) = [
         message
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -27,7 +27,7 @@
 from otterrudder.fleet.cell.server_lease import MAX_PENDING_REQUESTS
 from otterrudder.fleet.cell.text_validation import MAX_TEXTS
 from otterrudder.fleet.records import digest_of
-from otterrudder.fleet.state import Standing
+from otterrudder.fleet.state import AdmissionStatus
 
 
 def participant(relays: tuple[str, ...] = ("a", "b")) -> Participant:
@@ -58,12 +58,12 @@
 
 def test_a_lease_counts_from_the_sending() -> None:
     server = participant()
-    assert server.standing(0.0) is Standing.STARTING and server.admits(0.0) is None
+    assert server.admission_status(0.0) is AdmissionStatus.STARTING and server.admits(0.0) is None
     sequence = connect(server).sequence
     grant(server, 700.0, sequence)
     assert server.lease.until == 0.9 * DEFAULT_LEASE_MS
     assert server.admits(2699.0) == 0 and server.admits(2700.0) is None
-    assert server.standing(2700.0) is Standing.LAPSED
+    assert server.admission_status(2700.0) is AdmissionStatus.LEASE_EXPIRED
 
 
 def test_a_lease_is_asked_for_again_after_a_quarter() -> None:
@@ -101,7 +101,7 @@
     server = participant()
     connect(server)
     grant(server, 0.0, 7)
-    assert server.standing(0.0) is Standing.STARTING
+    assert server.admission_status(0.0) is AdmissionStatus.STARTING
 
 
 def test_a_refusal_leads_to_the_next_relay_at_once() -> None:
@@ -160,7 +160,7 @@
     grant(server, 0.0, connect(server).sequence)
     server.effects(server.due())
     grant(server, 800.0, 2, 1)  # its text has not come
-    assert server.admits(2699.0) == 0 and server.standing(2700.0) is Standing.BEHIND
+    assert server.admits(2699.0) == 0 and server.admission_status(2700.0) is AdmissionStatus.OUTDATED
     takes(server, 2800.0, 1, "one")
     assert server.admits(2800.0) == 1
 
@@ -168,7 +168,7 @@
 def test_a_server_that_knew_nothing_admits_nothing_before_the_text() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
-    assert server.standing(0.0) is Standing.BEHIND
+    assert server.admission_status(0.0) is AdmissionStatus.OUTDATED
     takes(server, 0.0, 1, "one")
     assert server.admits(0.0) == 1
 
@@ -188,9 +188,12 @@
     (check,) = server.effects(0.0)
     assert isinstance(check, ValidateText)
     server.handle_validated(0.0, check.digest, "values.look: no product")
-    assert server.standing(0.0) is Standing.UNFIT and server.status_reason == "values.look: no product"
+    assert (
+        server.admission_status(0.0) is AdmissionStatus.POLICY_REJECTED
+        and server.status_detail == "values.look: no product"
+    )
     takes(server, 10.0, 2, "two")
-    assert server.standing(10.0) is Standing.SERVING
+    assert server.admission_status(10.0) is AdmissionStatus.SERVING
 
 
 def test_a_question_is_answered_once_checked_and_from_memory_after() -> None:
@@ -236,7 +239,7 @@
                 server.handle_message(
                     now, server.connection, LeaseRefusal(message.sequence, RefusalReason.NOT_LEADER)
                 )
-        assert not now or server.standing(now).admits
+        assert not now or server.admission_status(now).admits
         now = max(server.due(), now)
     waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
     assert len(waits) >= 5
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -25,8 +25,8 @@
 from otterrudder.fleet.cell.validation_poll import (
     OVERDUE_MS,
 )
-from otterrudder.fleet.change import settle
-from otterrudder.fleet.effects import Commit, Lane, Lease, Read
+from otterrudder.fleet.change import finish_change
+from otterrudder.fleet.effects import Commit, GrantLease, Lane, Read
 from otterrudder.fleet.member import VOTE_FIRST_MS
 from otterrudder.fleet.records import digest_of
 from otterrudder.fleet.state import Rules
@@ -59,7 +59,7 @@
     harness = at_work()
     relay = harness.leader("east")
     until = relay.member.lease_until
-    relay.member.consent_until = -math.inf
+    relay.member.endorsed_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
         relay.handle_message(until - left, number, LeaseRenewal(99, 0))
@@ -77,7 +77,7 @@
     harness.propose("A")
     relay = harness.leader("east")
     harness.is_store_away = False
-    while not relay.member.pledge:
+    while not relay.member.prepared_vote:
         assert harness._run_effects()
     until = relay.member.fresh_at + relay.member.rules.bound_ms
     assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
@@ -120,7 +120,7 @@
 ) -> None:
     relay = Harness().add_relay("a", "east")
     relay.handle_message(0.0, 1, message)
-    effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | Lease)]
+    effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | GrantLease)]
     assert [refuse.reason for refuse in messages_to_servers(effects) if isinstance(refuse, LeaseRefusal)] == [
         reason
     ]
@@ -151,9 +151,11 @@
     harness = at_work(rejections={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    (end,) = harness.view().settled
-    assert not end.committed and end.why.startswith("east: east-s")
-    assert end.why.endswith(": values.look: no product") and set(harness.admitted_versions().values()) == {0}
+    (end,) = harness.view().finished
+    assert not end.committed and end.reason.startswith("east: east-s")
+    assert end.reason.endswith(": values.look: no product") and set(harness.admitted_versions().values()) == {
+        0
+    }
 
 
 def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
@@ -215,7 +217,7 @@
     relay.member.abstains_until = harness.now + 500.0
     harness.propose("A")
     harness.run(100.0)
-    end = settle(harness.view(), True)
+    end = finish_change(harness.view(), True)
     assert end
     harness.commit(end)
     harness.run(5000.0)
@@ -236,22 +238,22 @@
         harness.servers[name].selector.connect_at = harness.now + 0.6 * TAKEOVER_VOTE_DELAY_MS
     harness.propose("A", "policy!")
     harness.run(4 * TAKEOVER_VOTE_DELAY_MS)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
     harness = at_work(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().settled] == [False]  # east has said yes, west no
+    assert [end.committed for end in harness.view().finished] == [False]  # east has said yes, west no
     for name in ("west-s0", "west-s1"):
         harness.remove_server(name)
     harness.add_server("east-s2", tuple(a for a in harness.relays if a.startswith("east")), "kind of north")
     harness.run(4000.0)
     harness.propose("B", "policy!")
     harness.run(3000.0)
-    assert [end.committed for end in harness.view().settled] == [False, False]
-    assert harness.view().settled[-1].why == "east: east-s2: no"
+    assert [end.committed for end in harness.view().finished] == [False, False]
+    assert harness.view().finished[-1].reason == "east: east-s2: no"
 
 
 def test_a_kind_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
@@ -269,22 +271,22 @@
     harness.propose("A", "policy!")
     harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
     harness._relay_effect = hold_reads  # type: ignore[method-assign]
-    relay.hint(harness.now, KEYS.head)
+    relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
     harness.silent.clear()
     for name in ("east-s0", "east-s1"):
         if check := harness.servers[name].validation.task:
             harness.servers[name].handle_validated(harness.now, check.digest, "")
     harness.run(0.0)
-    assert relay.member.judgement(digest_of("policy!")) == "" and not relay.member.vote_sent
+    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.vote_sent
     east = tuple(address for address in harness.relays if address.startswith("east"))
     harness.add_server("east-s2", east, "kind of north")
     harness.run(50.0)
     harness._relay_effect = begin  # type: ignore[method-assign]
     sent_at = harness.now - 50.0
-    relay.completed(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
+    relay.handle_result(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
     harness.run(1000.0)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_a_kind_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
@@ -298,7 +300,7 @@
         server.selector.connect_at = harness.now + 400.0
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().settled] == [False]
+    assert [end.committed for end in harness.view().finished] == [False]
 
 
 def test_a_server_that_has_just_started_waits_for_a_read() -> None:
@@ -313,7 +315,7 @@
     effects = relay.effects(now)
     assert not [effect for effect in messages_to_servers(effects) if isinstance(effect, LeaseGrant)]
     (read,) = [effect for effect in effects if isinstance(effect, Read) and effect.lane is Lane.STORE]
-    relay.completed(now, read, now, harness.space.answer(now, read))
+    relay.handle_result(now, read, now, harness.space.answer(now, read))
     grants = [
         message for message in messages_to_servers(relay.effects(now)) if isinstance(message, LeaseGrant)
     ]
@@ -325,10 +327,10 @@
     identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
     relay = Relay(0.0, identity, "a.1", RULES, cluster=harness.space.cluster + 1)
     (read,) = [effect for effect in relay.effects(0.0) if isinstance(effect, Read)]
-    relay.completed(0.0, read, 0.0, harness.space.answer(0.0, read))
+    relay.handle_result(0.0, read, 0.0, harness.space.answer(0.0, read))
     for now in range(0, 1500, 100):
         assert not [effect for effect in relay.effects(float(now)) if isinstance(effect, Read)]
-    assert relay.member.why.startswith("another engine answers") and relay.due() == 1500.0
+    assert relay.member.status_detail.startswith("another engine answers") and relay.due() == 1500.0
 
 
 def test_a_pledge_of_an_earlier_life_is_no_vote() -> None:
@@ -340,22 +342,22 @@
     begin = harness._relay_effect
 
     def lose_votes(address: str, relay: Relay, effect: RelayEffect) -> None:
-        if isinstance(effect, Commit) and effect.what == "vote":
-            relay.completed(harness.now, effect, harness.now, None)
+        if isinstance(effect, Commit) and effect.purpose == "vote":
+            relay.handle_result(harness.now, effect, harness.now, None)
         else:
             begin(address, relay, effect)
 
     harness._relay_effect = lose_votes  # type: ignore[method-assign]
     harness.propose("A", "policy!")
     harness.run(100.0)
-    assert harness.disks[relays[0]].pledge
+    assert harness.disks[relays[0]].prepared_vote
     harness.remove_relay(relays[0])
     harness._relay_effect = begin  # type: ignore[method-assign]
     harness.remove_server("s0")
     harness.add_server("s1", relays, "kind of north")
     harness.add_relay(relays[0], "east")
     harness.run(15_000.0)
-    assert [(end.committed, end.why) for end in harness.view().settled] == [(False, "east: s1: no")]
+    assert [(end.committed, end.reason) for end in harness.view().finished] == [(False, "east: s1: no")]
 
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -17,13 +17,13 @@
 from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, read_fleet
-from otterrudder.fleet.orders import Orders
-from otterrudder.fleet.records import Live
+from otterrudder.fleet.records import MemberStatus
+from otterrudder.fleet.server_control import ServerControl
 from otterrudder.net import control
 from otterrudder.vrrp.configuration_reader import read_configuration
 from otterrudder.vrrp.router import VrrpRouter
 
-ORDERS = Orders(lambda text: None, lambda is_aside: None)
+ORDERS = ServerControl(lambda text: None, lambda is_aside: None)
 FLEET = 'version = 1\nfleet = "f"\nstore = ["127.0.0.1:1"]\nbound_ms = 3000\n'
 RELAY = '[relay]\ncell = "a"\naddress = "127.0.0.1:7301"\nfolder = "state-a"\nsessions_most = 20\n'
 KEYS = 'signs = 1\n[[key]]\nnumber = 1\nsecret = "%s"\n' % ("5a" * 32)
@@ -93,7 +93,7 @@
 
 def member(folder: Path) -> object:
     fleet = fleet_of(folder, f'folder = "{folder}/state"\n')
-    return Agent(fleet, Client(fleet), "n1", Live(""), lambda text: "", ORDERS, None, None).shown()
+    return Agent(fleet, Client(fleet), "n1", MemberStatus(""), lambda text: "", ORDERS, None, None).shown()
 
 
 def cell_server(folder: Path) -> object:
