--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -61,11 +61,11 @@
             return NO_STEP
         if not _is_open(member, self.poll.digest):
             # A policy in force is not for this relay's servers to reject; of any other nothing is known.
-            is_in_force = member.head > member.known.version
+            is_in_force = member.policies.head > member.known.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
         questions = tuple(self.poll.next_questions(now, candidates))
-        self._awaits_servers = now < member.abstains_until
+        self._awaits_servers = now < member.voting.abstains_until
         if self._awaits_servers:
             return ValidationStep(questions)
         result = self.poll.result(candidates)
@@ -111,7 +111,7 @@
         if not self.poll or not self.task:
             return math.inf
         due = self.poll.due()
-        return min(due, member.abstains_until) if self._awaits_servers else due
+        return min(due, member.voting.abstains_until) if self._awaits_servers else due
 
     def _is_about(self, change_revision: int) -> bool:
         """Whether the poll is about the change that this revision created."""
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -212,7 +212,7 @@
         """Another relay of the cell has answered."""
         self._has_news = True
         self.endorsements.handle_endorsement(endorsement)
-        self.member.endorsed_until = self.endorsements.until()
+        self.member.registration.endorsed_until = self.endorsements.until()
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
         """How an effect of the store or the disk ended; `sent`: when it was begun."""
@@ -326,7 +326,9 @@
         """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell.
 
         Its servers wait until it is registered again, and do not try all relays in turn."""
-        return not self.leads() and not self._is_shutting_down and now < self.member.endorsed_until
+        return (
+            not self.leads() and not self._is_shutting_down and now < self.member.registration.endorsed_until
+        )
 
     def _owes_validation_result(self, now: float, session: Session) -> bool:
         poll = self.validation.poll
@@ -340,7 +342,11 @@
         A server that runs may go by the version before for the bound; one that starts after a commit may
         not."""
         member = self.member
-        return bool(member.prepared_vote) and member.vote_sent and member.fresh_at < session.registered_at
+        return (
+            bool(member.prepared_vote)
+            and member.voting.vote_sent
+            and member.voting.fresh_at < session.registered_at
+        )
 
     def _authority_detail(self, now: float) -> str:
         if now < self.given_endorsement.until:
@@ -408,7 +414,9 @@
     def _after_store(self, now: float) -> None:
         leads = self.leads()
         if leads and not self._was_leading:
-            self.member.abstains_until = max(self.member.abstains_until, now + TAKEOVER_VOTE_DELAY_MS)
+            self.member.voting.abstains_until = max(
+                self.member.voting.abstains_until, now + TAKEOVER_VOTE_DELAY_MS
+            )
         self._was_leading = leads
         self._answer_deferred_requests(now)
         if self.member.known is not self._pushed_policy:
@@ -427,8 +435,8 @@
         Nor does it take the cell over, so that the leader finds its place free once the store answers it
         again."""
         until = self.given_endorsement.until
-        self.member.abstains_until = max(self.member.abstains_until, until)
-        self.member.registers_from = until
+        self.member.voting.abstains_until = max(self.member.voting.abstains_until, until)
+        self.member.registration.registers_from = until
 
     def _may_need_endorsements(self) -> bool:
         rules = self.member.rules
@@ -436,4 +444,4 @@
 
     def _endorsements_needed_at(self) -> float:
         """When the store's lease has so little left that the other relays are asked."""
-        return self.member.lease_until - self.member.rules.lease_ms * ENDORSEMENT_SHARE
+        return self.member.registration.lease_until - self.member.rules.lease_ms * ENDORSEMENT_SHARE
--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -8,25 +8,17 @@
 
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.effects import Commit, Effect, Outcome, Read
-from otterrudder.fleet.member import Member
 from otterrudder.fleet.queue import open_next
 from otterrudder.fleet.records import FleetSnapshot, QueuedChange, encode
-from otterrudder.fleet.store import CommitResult, LeaseResult, Snapshot
+from otterrudder.fleet.store import Snapshot
 from otterrudder.lab.fleet.cell_relay_mutants import MutantRelay
+from otterrudder.lab.fleet.mutants import TrustsAnyStore
 
 
-class _TrustsAnyStore(Member):
-    def _doubt(self, view: FleetSnapshot) -> str:
-        return ""
-
-    def _is_believed(self, outcome: CommitResult | LeaseResult) -> bool:
-        return True
-
-
-class TrustsAnyStore(MutantRelay):
+class RelayTrustsAnyStore(MutantRelay):
     """Trusts an engine that went back to an older state."""
 
-    member_type = _TrustsAnyStore
+    trust_type = TrustsAnyStore
 
 
 class _OpensTwo(ChangeCoordinator):
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -12,6 +12,8 @@
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.effects import ValidatePolicy
 from otterrudder.fleet.member import Member
+from otterrudder.fleet.member.registration import Registration as MemberRegistration
+from otterrudder.fleet.member.store_trust import StoreTrust
 from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.fleet.mutation import mutated
 
@@ -20,6 +22,8 @@
     """May have attributes of its own, and mutants of its parts."""
 
     member_type: type[Member] = Member
+    registration_type: type[MemberRegistration] = MemberRegistration
+    trust_type: type[StoreTrust] = StoreTrust
     coordinator_type: type[ChangeCoordinator] = ChangeCoordinator
     collector_type: type[EndorsementCollector] = EndorsementCollector
     giver_type: type[EndorsementGiver] = EndorsementGiver
@@ -27,6 +31,8 @@
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.member = mutated(self.member, self.member_type)
+        self.member.registration = mutated(self.member.registration, self.registration_type)
+        self.member.trust = mutated(self.member.trust, self.trust_type)
         self.coordinator = mutated(self.coordinator, self.coordinator_type)
         self.endorsements = mutated(self.endorsements, self.collector_type)
         self.given_endorsement = mutated(self.given_endorsement, self.giver_type)
@@ -95,8 +101,8 @@
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.given_endorsement.until = -math.inf
-        self.member.abstains_until = -math.inf
-        self.member.registers_from = -math.inf
+        self.member.voting.abstains_until = -math.inf
+        self.member.registration.registers_from = -math.inf
 
 
 class VotesThoughItEndorsed(MutantRelay):
@@ -110,21 +116,23 @@
     """Its endorsement binds its votes alone."""
 
     def _abstain(self) -> None:
-        self.member.abstains_until = max(self.member.abstains_until, self.given_endorsement.until)
+        self.member.voting.abstains_until = max(
+            self.member.voting.abstains_until, self.given_endorsement.until
+        )
 
     def authority_until(self, now: float) -> float:
         return -math.inf if self._is_shutting_down else self.member.authority_until(now)
 
 
-class _EndorsedUnderAnyRule(Member):
-    def _lease_end(self) -> float:
+class _EndorsedUnderAnyRule(MemberRegistration):
+    def valid_until(self) -> float:
         return max(self.lease_until, self.endorsed_until)
 
 
 class EndorsementUnderLeaveOut(MutantRelay):
     """Goes on with the others' endorsement where a change may leave the cell out."""
 
-    member_type = _EndorsedUnderAnyRule
+    registration_type = _EndorsedUnderAnyRule
 
     def _may_need_endorsements(self) -> bool:
         return self.leads()
@@ -139,7 +147,7 @@
 
     def authority_until(self, now: float) -> float:
         until = super().authority_until(now)
-        return math.inf if until == self._lease_end() else until
+        return math.inf if until == self.registration.valid_until() else until
 
 
 class GrantsWithoutLease(MutantRelay):
@@ -152,7 +160,7 @@
     """Asks for endorsements a second after its lease has ended."""
 
     def _endorsements_needed_at(self) -> float:
-        return self.member.lease_until + 1000.0
+        return self.member.registration.lease_until + 1000.0
 
 
 # Validation and votes.
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -10,7 +10,7 @@
     IgnoresTheQueue,
     OpensChangeFromAnyBase,
     OpensTwoChanges,
-    TrustsAnyStore,
+    RelayTrustsAnyStore,
 )
 from otterrudder.lab.fleet.cell_model import RULES, SLOW_AND_FAST, CellStage, CellVariant
 from otterrudder.lab.fleet.cell_participant_mutants import (
@@ -243,7 +243,7 @@
     "forgets closed streams": _of_relay(ForgetsClosedStreams),
     "votes at takeover": _of_relay(VotesAtTakeover),
     "trusts any store": CellHunt(
-        CellVariant(relay=TrustsAnyStore, has_copies=True), CellStage.CALM, _OLD_COPY
+        CellVariant(relay=RelayTrustsAnyStore, has_copies=True), CellStage.CALM, _OLD_COPY
     ),
     "opens two changes": _of_relay(OpensTwoChanges),
     "opens a change from any base": _of_relay(OpensChangeFromAnyBase, has_based_changes=True),
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -15,11 +15,28 @@
 from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
+from otterrudder.fleet.member.local_state import LocalState
+from otterrudder.fleet.member.policy_state import PolicyState
+from otterrudder.fleet.member.read_schedule import ReadSchedule
+from otterrudder.fleet.member.registration import Registration
+from otterrudder.fleet.member.status_reporter import StatusReporter
+from otterrudder.fleet.member.store_trust import StoreTrust
+from otterrudder.fleet.member.voting import Voting
 from otterrudder.fleet.records import FleetSnapshot
 
+_MEMBER_PARTS = (
+    LocalState,
+    PolicyState,
+    ReadSchedule,
+    Registration,
+    StatusReporter,
+    StoreTrust,
+    Voting,
+)
 # What changes after it was made; everything else is a plain value and is shared.
 _MUTABLE = (
     Member,
+    *_MEMBER_PARTS,
     ChangeCoordinator,
     Relay,
     SessionTable,
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -117,8 +117,8 @@
     harness.run(1000.0)
     assert relay.leads() and not session.deferred_request and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
-    member._lose_registration()
-    member.endorsed_until = harness.now
+    member.lose_registration()
+    member.registration.endorsed_until = harness.now
     relay.handle_message(harness.now, connection, LeaseRenewal(100, 0))
     (refused,) = [
         message
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -154,7 +154,7 @@
 
     harness._relay_effect = watch  # type: ignore[method-assign]
     harness.propose("A")
-    leader.member._retry_at = harness.now + 1000.0  # its own reads are held up
+    leader.member.reads.retry_at = harness.now + 1000.0  # its own reads are held up
     harness.run(900.0)
     assert len(reads) <= 900.0 / COUNT_MS + 4  # hints: of the change, of two votes
 
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -58,8 +58,8 @@
 def test_a_grant_ends_with_the_authority_of_the_relay() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    until = relay.member.lease_until
-    relay.member.endorsed_until = -math.inf
+    until = relay.member.registration.lease_until
+    relay.member.registration.endorsed_until = -math.inf
     number = next(n for n, stream in harness.streams.items() if stream.relay == relay.identity.address)
     for left in (2000.0, 500.0):
         relay.handle_message(until - left, number, LeaseRenewal(99, 0))
@@ -79,8 +79,8 @@
     harness.is_store_away = False
     while not relay.member.prepared_vote:
         assert harness._run_effects()
-    until = relay.member.fresh_at + relay.member.rules.bound_ms
-    assert relay.member.vote_sent and relay.authority_until(harness.now) <= until
+    until = relay.member.voting.fresh_at + relay.member.rules.bound_ms
+    assert relay.member.voting.vote_sent and relay.authority_until(harness.now) <= until
 
 
 def test_no_lease_may_outlast_the_bound() -> None:
@@ -214,7 +214,7 @@
 def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
     harness = at_work()
     relay = harness.leader("east")
-    relay.member.abstains_until = harness.now + 500.0
+    relay.member.voting.abstains_until = harness.now + 500.0
     harness.propose("A")
     harness.run(100.0)
     end = finish_change(harness.view(), True)
@@ -278,7 +278,7 @@
         if check := harness.servers[name].validation.task:
             harness.servers[name].handle_validated(harness.now, check.digest, "")
     harness.run(0.0)
-    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.vote_sent
+    assert relay.member.validation_result(digest_of("policy!")) == "" and not relay.member.voting.vote_sent
     east = tuple(address for address in harness.relays if address.startswith("east"))
     harness.add_server("east-s2", east, "kind of north")
     harness.run(50.0)
@@ -310,7 +310,7 @@
     harness.propose("A")
     while "east" not in harness.view().votes:
         harness._run_effects()
-    now = relay.member.fresh_at + 300.0
+    now = relay.member.voting.fresh_at + 300.0
     relay.handle_message(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
     assert not [effect for effect in messages_to_servers(effects) if isinstance(effect, LeaseGrant)]
