--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -32,13 +32,13 @@
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
-    from otterrudder.fleet.cell.service import TooFewDescriptors
+    from otterrudder.fleet.cell.descriptors import DescriptorLimitError
     from otterrudder.net import relay as process
 
     configure_logging(process.control_name(role))
     try:
         process.run(fleet, role)
-    except (DirectoryInUseError, TooFewDescriptors) as trouble:
+    except (DirectoryInUseError, DescriptorLimitError) as trouble:
         give_up(trouble)
     except OSError as trouble:
         log.error("cannot start", why=str(trouble))
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -4,10 +4,15 @@
 from collections import OrderedDict
 from typing import Any, TypeVar
 
-from otterrudder.fleet.cell.consent import Consents, Promise
-from otterrudder.fleet.cell.kinds import Poll, Verdicts, _Asked
+from otterrudder.fleet.cell.cell_validation import CellValidation
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_selector import RelaySelector
+from otterrudder.fleet.cell.server_lease import PendingRequests, ServerLease
+from otterrudder.fleet.cell.sessions import Session, SessionTable
+from otterrudder.fleet.cell.text_validation import TextValidation
+from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.member.local_state import LocalState
@@ -19,7 +24,6 @@
 from otterrudder.fleet.member.voting import Voting
 from otterrudder.fleet.records import FleetSnapshot
 
-# What changes after it was made; everything else is a plain value and is shared.
 _MEMBER_PARTS = (
     LocalState,
     PolicyState,
@@ -29,18 +33,25 @@
     StoreTrust,
     Voting,
 )
+# What changes after it was made; everything else is a plain value and is shared.
 _MUTABLE = (
     Member,
     *_MEMBER_PARTS,
     ChangeCoordinator,
     Relay,
+    SessionTable,
     Session,
+    CellValidation,
     Participant,
-    Consents,
-    Promise,
-    Verdicts,
-    Poll,
-    _Asked,
+    ServerLease,
+    PendingRequests,
+    RelaySelector,
+    TextValidation,
+    EndorsementCollector,
+    EndorsementGiver,
+    ValidationCache,
+    ValidationPoll,
+    PendingQuestion,
 )
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -10,9 +10,10 @@
 from helpers import ROOT
 
 from otterrudder.cli.lab import lab
-from otterrudder.fleet.cell.messages import Grant
-from otterrudder.fleet.cell.participant import Identity, Participant
-from otterrudder.fleet.cell.relay import CellIdentity, Relay
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.messages import LeaseGrant
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.effects import Commit, GrantLease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
 from otterrudder.lab.indexed import IndexedKeySpace
@@ -65,7 +66,7 @@
     __slots__ = ()
 
     def admits(self, now: float) -> int | None:
-        return self.known.version if self.heard else None
+        return self.known.version if self.has_held_lease else None
 
 
 class GrantsPastAuthority(Relay):
@@ -78,7 +79,7 @@
 
 
 class FaultyServers(Servers):
-    def make(self, identity: Identity, relays: tuple[str, ...]) -> Participant:
+    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
         return IgnoresTheLeaseEnd(self._events.now, identity, relays, self.span_ms)
 
 
@@ -190,5 +191,5 @@
 def test_grants_are_counted_as_they_go_over_the_wire(experiment: Experiment) -> None:
     simulation = Simulation(experiment, short(experiment, 9))
     simulation.play()
-    assert simulation.sizes.counts[Grant] > 9 * 30
+    assert simulation.sizes.counts[LeaseGrant] > 9 * 30
     assert simulation.ledger.granted_until[simulation.ledger.version] > simulation.events.now
