--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -10,6 +10,8 @@
 from otterrudder.lab.processes.cell_faults import DECK, CellFault, CellRound
 from otterrudder.lab.processes.linked_cells import CellMutants
 
+pytestmark = pytest.mark.exclusive
+
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/cells.toml")
 CELLS = tuple(EXPERIMENT.cells)
 SERVERS = 6
--- a/tests/fleet/test_durable.py
+++ b/tests/fleet/test_durable.py
@@ -13,6 +13,8 @@
 from otterrudder.durable import DirectoryInUseError, InvalidStateFileError, StateDirectory
 from otterrudder.durable.state_directory import decode_state_file, encode_state_file
 
+pytestmark = pytest.mark.exclusive
+
 WRITER = """
 import sys
 from otterrudder.durable import StateDirectory
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -23,6 +23,8 @@
 from otterrudder.lab.processes.launch import ROOT
 from otterrudder.lab.processes.round_runner import RunResult, check_run
 
+pytestmark = pytest.mark.exclusive
+
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/fleet-policy.toml")
 CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
 VOTED = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("freeze later", 0),), 2.8)]
--- a/tests/fleet/test_fleet_queue.py
+++ b/tests/fleet/test_fleet_queue.py
@@ -15,6 +15,8 @@
 from otterrudder.fleet.records import Keys, RosterEntry, encode
 from otterrudder.fleet.store import Put
 
+pytestmark = pytest.mark.exclusive
+
 ABORTED, BAD_INPUT = 3, 2
 WAIT_S = 15.0
 
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -36,6 +36,8 @@
 from otterrudder.lab.processes.launch import ROOT
 from otterrudder.lab.processes.link import Link, LinkFault
 
+pytestmark = pytest.mark.exclusive
+
 TIMEOUT_MS = 1000.0  # longer than a loaded machine takes to make a channel
 
 
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -55,6 +55,8 @@
 from otterrudder.lab.processes.link import Link, LinkFault, free_port
 from otterrudder.net.server_files import ServerFiles
 
+pytestmark = pytest.mark.exclusive
+
 WAIT_S = 8.0
 FINGERPRINT = "k"
 
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -4,12 +4,15 @@
 from pathlib import Path
 
 import anyio
+import pytest
 
 from otterrudder.lab.processes.cells import CellCluster, CellLayout, RelayProcess
 from otterrudder.lab.processes.history import RequestOutcome
 from otterrudder.lab.processes.round_runner import RunResult, check_run
 from otterrudder.lab.processes.server_process import ServerProcess
 
+pytestmark = pytest.mark.exclusive
+
 ABORTED = 3
 DEADLINE_S, WAIT_S = 8.0, 12.0
 BAD_POLICY = "version = 1\n[products.nothing]\nvalue = 1.0\n"
--- a/tests/lab/test_hollow.py
+++ b/tests/lab/test_hollow.py
@@ -25,6 +25,8 @@
 )
 from otterrudder.lab.scale.processes.tcp import Connections, Traffic, carried, connections_to
 
+pytestmark = pytest.mark.exclusive
+
 IDLE_S = 12.0  # an idle minute scaled down, with leases of 3 s: 16 renewals, 4 reads
 TRIES_MOST = 3
 UP_S = 20.0  # s until the hollow server serves
--- a/tests/lab/test_scale_processes.py
+++ b/tests/lab/test_scale_processes.py
@@ -18,6 +18,8 @@
 from otterrudder.lab.scale.processes.measure import QUICK, measure_at_once
 from otterrudder.lab.scale.processes.report import make_report, markdown
 
+pytestmark = pytest.mark.exclusive
+
 EXPERIMENT = "experiments/capacity.toml"
 MARK = "OTTERRUDDER_TEST_MARK"  # in the environment of what a test begins
 CHILDREN_LEAST = 5  # itself, a store, a relay and more
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -16,6 +16,8 @@
 from benchmarks.capacity.slope import Limit, Series, Slope
 from benchmarks.capacity.sockets import held_up_to, replayed_p99_ms, wanted_us
 
+pytestmark = pytest.mark.exclusive
+
 SIZES = (10.0, 100.0, 1_000.0, 10_000.0, 100_000.0)
 COUNTS = {  # at the users' size
     "policy/text": size.TENANTS * len("[tenants.tenant-100000]\nper_s = 5.0\n"),
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -45,6 +45,8 @@
 from otterrudder.net.records import RecordsPool
 from otterrudder.net.server_parts import ServerParts
 
+pytestmark = pytest.mark.exclusive
+
 A, B, C, MARK = "00000000000000aa", "00000000000000bb", "00000000000000cc", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 ANSWERS = 30  # longest ones: some 160 KB
 IDLE_MS = 1000.0  # ms as a sweep is told them
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -23,6 +23,8 @@
 from otterrudder.vrrp.configuration_reader import read_configuration
 from otterrudder.vrrp.router import VrrpRouter
 
+pytestmark = pytest.mark.exclusive
+
 ORDERS = ServerControl(lambda text: None, lambda is_aside: None)
 FLEET = 'version = 1\nfleet = "f"\nstore = ["127.0.0.1:1"]\nbound_ms = 3000\n'
 RELAY = '[relay]\ncell = "a"\naddress = "127.0.0.1:7301"\nfolder = "state-a"\nsessions_most = 20\n'
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -20,6 +20,8 @@
 
 from otterrudder.cli.migrate import migrate_settings
 
+pytestmark = pytest.mark.exclusive
+
 A, B, C, MARK = "00000000000000aa", "00000000000000bb", "00000000000000cc", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -25,6 +25,8 @@
 from otterrudder.vrrp.authentication import TRAILER_SIZE, Authenticator
 from otterrudder.vrrp.keys import read_keys
 
+pytestmark = pytest.mark.exclusive
+
 MINE, ITS, VIRTUAL, GROUP = map(ip_address, ("192.0.2.12", "192.0.2.11", "192.0.2.1", "224.0.0.18"))
 INTERVAL_MS = 100
 TURNS = int(os.environ.get("VRRP_TURNS", "4"))  # forced transitions there and back; 100 take two minutes
