--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -213,14 +213,14 @@
     """Whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
-        from otterrudder.lab.scale.processes.bench import NotInTime
+        from otterrudder.lab.scale.processes.bench import NotInTimeError
     except ModuleNotFoundError as missing:
         give_up(f"this needs {missing.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTime) as trouble:
+    except (BadInput, NotInTimeError) as trouble:
         give_up(trouble)
-    except command.Interrupted:
+    except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
     return report.holds
 
--- a/otterrudder/lab/scale/ledger.py
+++ b/otterrudder/lab/scale/history_checker.py
@@ -1,5 +1,6 @@
-"""The ledger: what was committed, as the store wrote it; what was granted, as it went over the wire; and what
-servers admit under, as they answer at the moment. It believes nothing that a relay says of itself.
+"""An independent checker with a history of its own: what was committed, as the store wrote it; what was
+granted, as it went over the wire; and what servers admit under, as they answer at the moment. It takes no
+relay's word.
 
 Time is the simulation's, and all clocks run alike in it."""
 
@@ -12,13 +13,13 @@
 from otterrudder.fleet.records import Change, FinishedChange, Keys, PolicyHead, QueuedChange, decode
 from otterrudder.fleet.store import Put
 
-BREACHES_KEPT = 5  # that are told in words
+MAX_DESCRIBED_BREACHES = 5  # past that they are only counted
 TOLERANCE_MS = 1e-6  # of sums of floating-point numbers
 
 
 @dataclass(slots=True)
-class Asked:
-    """A change from its proposer's asking on; times in ms, inf: it has not come to that."""
+class ChangeTimes:
+    """When a change passed each stage, in ms from the start; inf: it has not come to that."""
 
     ident: str
     asked_at: float
@@ -31,33 +32,39 @@
 
     @property
     def took_ms(self) -> float:
+        """From the proposal to in force everywhere."""
         return self.everywhere_at - self.asked_at
 
 
 @dataclass(slots=True)
-class Ledger:
+class HistoryChecker:
+    """The history of a run, and how often it broke a promise."""
+
     keys: Keys
     bound_ms: float
-    changes: dict[str, Asked] = field(default_factory=dict)
+    changes: dict[str, ChangeTimes] = field(default_factory=dict)
     committed_at: list[float] = field(default_factory=lambda: [0.0])  # by version
     change_of: list[str] = field(default_factory=lambda: [""])  # by version
     admitted_until: list[float] = field(default_factory=lambda: [0.0])  # by version: under an earlier one
     granted_until: list[float] = field(default_factory=lambda: [0.0])  # by version, of all grants sent
     aborted: list[str] = field(default_factory=list)
     breaches: int = 0
-    told: list[str] = field(default_factory=list)
+    described: list[str] = field(default_factory=list)
     oldest_ms: float = 0.0  # longest time admitted under a version after a later one was committed
 
     @property
     def version(self) -> int:
+        """The version in force, as the store has it."""
         return len(self.committed_at) - 1
 
     def asked(self, now: float, ident: str) -> None:
-        self.changes[ident] = Asked(ident, now)
+        """A change is proposed."""
+        self.changes[ident] = ChangeTimes(ident, now)
 
-    # What the store wrote.
+    # What the store writes.
 
     def wrote(self, now: float, commit: Commit) -> None:
+        """The store carried out a commit."""
         for write in commit.writes:
             if not isinstance(write, Put):
                 continue
@@ -71,8 +78,8 @@
             elif write.key == self.keys.finished and commit.purpose == "abort":
                 self._aborted(now, write.value)
 
-    def _change(self, ident: str) -> Asked:
-        return self.changes.setdefault(ident, Asked(ident, -math.inf))
+    def _change(self, ident: str) -> ChangeTimes:
+        return self.changes.setdefault(ident, ChangeTimes(ident, -math.inf))
 
     def _committed(self, now: float, head: PolicyHead) -> None:
         if head.version != self.version + 1:
@@ -82,7 +89,8 @@
         self.admitted_until.append(now)
         self.granted_until.append(0.0)
         change = self._change(head.change)
-        change.version, change.ended_at = head.version, now
+        change.version = head.version
+        change.ended_at = now
         for version in range(head.version):
             late = self.granted_until[version] - self.committed_at[version + 1] - self.bound_ms
             if late > TOLERANCE_MS:
@@ -94,9 +102,10 @@
         self._change(end.id).ended_at = now
         self.aborted.append(f"{end.id}: {end.reason}")
 
-    # What relays granted.
+    # What relays grant.
 
     def granted(self, now: float, version: int, span_ms: float) -> None:
+        """A relay sent a lease for a version."""
         until = now + span_ms
         if version >= self.version:
             if version > self.version:
@@ -124,10 +133,10 @@
 
     def left(self, version: int, newer: int, until: float) -> None:
         """A server stopped admitting under a version at that time, and goes by a newer one, or none."""
-        ends = self.admitted_until
+        admitted_until = self.admitted_until
         for later in range(version + 1, min(newer, self.version) + 1):
-            if until > ends[later]:
-                ends[later] = until
+            if until > admitted_until[later]:
+                admitted_until[later] = until
         if version < self.version:
             age = until - self.committed_at[version + 1]
             if age > self.oldest_ms:
@@ -143,5 +152,5 @@
 
     def _breach(self, what: str) -> None:
         self.breaches += 1
-        if len(self.told) < BREACHES_KEPT:
-            self.told.append(what)
+        if len(self.described) < MAX_DESCRIBED_BREACHES:
+            self.described.append(what)
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -26,7 +26,7 @@
 from otterrudder.fleet.policy import Content, LocalConfiguration, local_configuration_of
 from otterrudder.log import configure_logging
 
-COUNT_MOST = 500  # servers of one process
+MAX_COUNT = 500  # servers of one process
 START_SPACING_S = 0.01  # s between the starts of two servers
 # s between looks at a server's standing: a server takes turns at least as often as its tick
 PULSE_S = 0.02
@@ -48,7 +48,7 @@
     at_ms: float
 
 
-Told = Switched | Counted
+HollowMessage = Switched | Counted
 
 
 class HollowServer:
@@ -58,17 +58,17 @@
         self.name = name
         self._admits = False
         self._version = 0
-        self._told = (0, False)
-        self.agent = make_agent(fleet, name, own, self._apply, self._stand_aside)
+        self._last_sent = (0, False)
+        self.agent = make_agent(fleet, name, own, self._apply, self._suspend_admission)
 
     def pulse(self, now: float) -> Switched | None:
         """What has changed since the last one."""
         self.agent.pulse(now)
         policy = self.agent.control_sender.taken
         present = (policy.version if policy else 0, self._admits)
-        if present == self._told:
+        if present == self._last_sent:
             return None
-        self._told = present
+        self._last_sent = present
         return Switched(self.name, *present, now)
 
     def counts(self) -> dict[str, int]:
@@ -80,8 +80,8 @@
     def _apply(self, content: Content) -> None:
         """A server's core would go by it from here on."""
 
-    def _stand_aside(self, is_aside: bool) -> None:
-        self._admits = not is_aside
+    def _suspend_admission(self, is_suspended: bool) -> None:
+        self._admits = not is_suspended
 
 
 async def run_servers(servers: Sequence[HollowServer], lines: asyncio.StreamReader) -> None:
@@ -111,7 +111,7 @@
         await anyio.sleep(PULSE_S)
 
 
-def _write(told: Sequence[Told]) -> None:
+def _write(told: Sequence[HollowMessage]) -> None:
     sys.stdout.buffer.write(b"".join(msgspec.json.encode(one) + b"\n" for one in told))
     sys.stdout.buffer.flush()
 
@@ -127,7 +127,7 @@
     parser = argparse.ArgumentParser(description="Servers without requests, many in one process.")
     parser.add_argument("fleet", type=Path, help="TOML file of the fleet")
     parser.add_argument("configuration", help="JSON file of a server's configuration")
-    parser.add_argument("--count", type=int, required=True, choices=range(1, COUNT_MOST + 1), metavar="N")
+    parser.add_argument("--count", type=int, required=True, choices=range(1, MAX_COUNT + 1), metavar="N")
     parser.add_argument("--folder", type=Path, required=True, help="the servers' folders are made there")
     parser.add_argument("--first", type=int, default=0, help="number of the first server")
     parser.add_argument("--prefix", default="h", help="of a server's name, before its number")
--- a/otterrudder/lab/scale/hosts.py
+++ b/otterrudder/lab/scale/hosts.py
@@ -10,7 +10,7 @@
 from otterrudder.lab.scale.network import Traffic
 from otterrudder.lab.scale.topology import Zone
 
-Held = tuple[Handler, Any, Any]  # an event that waits while a process is frozen
+DeferredEvent = tuple[Handler, Any, Any]  # an event that waits while a process is frozen
 
 
 @dataclass(slots=True, eq=False)
@@ -23,13 +23,13 @@
     kind: str
     relays: tuple[str, ...]
     participant: Participant | None = None
-    life: int = 0
+    incarnation: int = 0
     stream: "Stream | None" = None
-    wake_at: float = math.inf
+    timer_at: float = math.inf
     version: int = 0
     lease_until: float = -math.inf
     frozen_until: float = -math.inf
-    held: list[Held] = field(default_factory=list)
+    deferred: list[DeferredEvent] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
@@ -42,15 +42,15 @@
     zone: Zone
     relay: Relay | None = None
     is_machine_up: bool = True
-    life: int = 0
-    wake_at: float = math.inf
+    incarnation: int = 0
+    timer_at: float = math.inf
     streams: dict[int, "Stream"] = field(default_factory=dict)
     last_stream: int = 0
     watching: frozenset[str] = frozenset()
     received: Traffic = field(default_factory=Traffic)
     sent: Traffic = field(default_factory=Traffic)
     frozen_until: float = -math.inf
-    held: list[Held] = field(default_factory=list)
+    deferred: list[DeferredEvent] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
@@ -59,10 +59,10 @@
     none arrives before `to_relay_at` or `to_server_at`."""
 
     server: ServerHost
-    server_life: int
+    server_incarnation: int
     connection: int
     relay: RelayHost
-    relay_life: int = 0
+    relay_incarnation: int = 0
     number: int = 0
     to_relay_at: float = 0.0
     to_server_at: float = 0.0
--- a/otterrudder/lab/scale/play.py
+++ b/otterrudder/lab/scale/play.py
@@ -8,7 +8,7 @@
 from time import process_time
 
 from otterrudder.lab.scale.experiment import Experiment
-from otterrudder.lab.scale.ledger import Asked
+from otterrudder.lab.scale.history_checker import ChangeTimes
 from otterrudder.lab.scale.network import Traffic
 from otterrudder.lab.scale.simulation import CALM_MS, Setting, Simulation
 
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run's figures by name, and what else is to be told of it."""
+    """One run's figures by name, and notes on it."""
 
     setting: Setting
     figures: dict[str, float]
-    told: tuple[str, ...]
+    notes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
     at_ms: float
     store: dict[str, int]
-    hints: int
+    watch_events: int
     received: Traffic
     sent: Traffic
     connects: int
@@ -41,7 +41,7 @@
         return _Reading(
             simulation.events.now,
             dict(simulation.store.counts),
-            simulation.relays.hints,
+            simulation.relays.watch_events,
             _sum(host.received for host in hosts),
             _sum(host.sent for host in hosts),
             simulation.servers.connects,
@@ -49,11 +49,11 @@
 
 
 def _sum(traffics: Iterator[Traffic]) -> Traffic:
-    whole = Traffic()
+    total = Traffic()
     for traffic in traffics:
-        whole.messages += traffic.messages
-        whole.size += traffic.size
-    return whole
+        total.messages += traffic.messages
+        total.size += traffic.size
+    return total
 
 
 def settings_of(
@@ -104,44 +104,44 @@
         gc.unfreeze()
     took = process_time() - began
     _read(simulation, readings)
-    return Run(setting, _figures(simulation, readings, took), _told(simulation))
+    return Run(setting, _figures(simulation, readings, took), _notes(simulation))
 
 
 def _read(simulation: Simulation, readings: list[_Reading]) -> None:
     readings.append(_Reading.of(simulation))
 
 
-def _told(simulation: Simulation) -> tuple[str, ...]:
-    ledger = simulation.ledger
+def _notes(simulation: Simulation) -> tuple[str, ...]:
+    history = simulation.history
     faults = ", ".join(f"{count} {kind}" for kind, count in sorted(simulation.churn.counts.items()))
-    return (*ledger.told, *ledger.aborted[:3], f"churn: {faults or 'none'}")
+    return (*history.described, *history.aborted[:3], f"churn: {faults or 'none'}")
 
 
 def _figures(simulation: Simulation, readings: list[_Reading], took: float) -> dict[str, float]:
-    calm, begin, end = readings
+    quiet, begin, end = readings
     return {
         **_change_figures(simulation),
-        **_store_figures(simulation, calm, begin, end),
-        **_wire_figures(simulation, calm, begin, end),
-        **_standing_figures(simulation),
+        **_store_figures(simulation, quiet, begin, end),
+        **_wire_figures(simulation, quiet, begin, end),
+        **_suspension_figures(simulation),
         **_cpu_figures(simulation),
         "cells": float(len(simulation.topology.zones)),
-        "breaches": float(simulation.ledger.breaches),
-        "oldest_ms": simulation.ledger.oldest_ms,
+        "breaches": float(simulation.history.breaches),
+        "oldest_ms": simulation.history.oldest_ms,
         "events": float(simulation.events.played),
         "cpu_s": took,
     }
 
 
 def _change_figures(simulation: Simulation) -> dict[str, float]:
-    changes = list(simulation.ledger.changes.values())
+    changes = list(simulation.history.changes.values())
     done = [change for change in changes if change.version and change.everywhere_at < float("inf")]
     took = sorted(change.took_ms for change in done) or [float("nan")]
     in_time = sum(change.took_ms <= IN_TIME_MS for change in done)
     figures = {
         "asked": float(simulation.proposers.asked),
-        "committed": float(simulation.ledger.version),
-        "aborted": float(len(simulation.ledger.aborted)),
+        "committed": float(simulation.history.version),
+        "aborted": float(len(simulation.history.aborted)),
         "never_opened": float(sum(change.opened_at == float("inf") for change in changes)),
         "in_4_s": in_time / max(len(changes), 1),
         "took_p50_ms": _rank(took, 0.5),
@@ -151,7 +151,7 @@
     return figures | _parts(done)
 
 
-def _parts(done: list[Asked]) -> dict[str, float]:
+def _parts(done: list[ChangeTimes]) -> dict[str, float]:
     """Medians of the parts of a change's way."""
     if not done:
         return {}
@@ -169,29 +169,34 @@
 
 
 def _store_figures(
-    simulation: Simulation, calm: _Reading, begin: _Reading, end: _Reading
+    simulation: Simulation, quiet: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
     """Requests a change beyond those of the same time without load."""
-    changes = max(simulation.ledger.version, 1)
-    calm_s, load_s = (begin.at_ms - calm.at_ms) / 1000.0, (end.at_ms - begin.at_ms) / 1000.0
+    changes = max(simulation.history.version, 1)
+    quiet_s = (begin.at_ms - quiet.at_ms) / 1000.0
+    load_s = (end.at_ms - begin.at_ms) / 1000.0
     figures = {}
     for name in ("reads", "writes", "renewals"):
-        admission_status = (begin.store.get(name, 0) - calm.store.get(name, 0)) / calm_s
-        more = end.store.get(name, 0) - begin.store.get(name, 0) - admission_status * load_s
+        quiet_per_s = (begin.store.get(name, 0) - quiet.store.get(name, 0)) / quiet_s
+        more = end.store.get(name, 0) - begin.store.get(name, 0) - quiet_per_s * load_s
         figures[f"{name}_a_change"] = more / changes
-        figures[f"{name}_calm_per_s"] = admission_status
-    figures["watch_events_a_change"] = (end.hints - begin.hints) / changes
+        figures[f"{name}_calm_per_s"] = quiet_per_s
+    figures["watch_events_a_change"] = (end.watch_events - begin.watch_events) / changes
     return figures
 
 
-def _wire_figures(simulation: Simulation, calm: _Reading, begin: _Reading, end: _Reading) -> dict[str, float]:
+def _wire_figures(
+    simulation: Simulation, quiet: _Reading, begin: _Reading, end: _Reading
+) -> dict[str, float]:
     """Both directions together, by server, and of the relay's machine that has the most."""
-    servers, load_s = len(simulation.servers.hosts), (end.at_ms - begin.at_ms) / 1000.0
-    calm_s, network = (begin.at_ms - calm.at_ms) / 1000.0, simulation.experiment.network
+    servers = len(simulation.servers.hosts)
+    network = simulation.experiment.network
+    load_s = (end.at_ms - begin.at_ms) / 1000.0
+    quiet_s = (begin.at_ms - quiet.at_ms) / 1000.0
     connects = end.connects - begin.connects
     messages = _messages(end) - _messages(begin) + connects * network.connect_messages
     size = _size(end) - _size(begin) + connects * network.connect_bytes
-    whole_s = simulation.events.now / 1000.0
+    run_s = simulation.events.now / 1000.0
     busiest: dict[int, Traffic] = {}
     for host in simulation.relays.hosts:
         traffic = busiest.setdefault(host.zone.number, Traffic())
@@ -200,10 +205,10 @@
     return {
         "server_messages_per_s": messages / servers / load_s,
         "server_bytes_per_s": size / servers / load_s,
-        "server_messages_calm_per_s": (_messages(begin) - _messages(calm)) / servers / calm_s,
-        "server_bytes_calm_per_s": (_size(begin) - _size(calm)) / servers / calm_s,
-        "relay_messages_per_s": max(traffic.messages for traffic in busiest.values()) / whole_s,
-        "relay_bytes_per_s": max(traffic.size for traffic in busiest.values()) / whole_s,
+        "server_messages_calm_per_s": (_messages(begin) - _messages(quiet)) / servers / quiet_s,
+        "server_bytes_calm_per_s": (_size(begin) - _size(quiet)) / servers / quiet_s,
+        "relay_messages_per_s": max(traffic.messages for traffic in busiest.values()) / run_s,
+        "relay_bytes_per_s": max(traffic.size for traffic in busiest.values()) / run_s,
         "connects": float(connects),
         "messages": float(messages),
         "bytes": float(size),
@@ -219,17 +224,17 @@
     return reading.received.size + reading.sent.size
 
 
-def _standing_figures(simulation: Simulation) -> dict[str, float]:
+def _suspension_figures(simulation: Simulation) -> dict[str, float]:
     servers = simulation.servers
-    looks = max(servers.looks, 1)
-    figures = {f"aside_{cause}": count / looks for cause, count in sorted(servers.aside.items())}
+    samples = max(servers.samples, 1)
+    figures = {f"aside_{cause}": count / samples for cause, count in sorted(servers.suspended.items())}
     scripted = simulation.setting.case.faults
     first_s = scripted[0].at_s if scripted else 0.0
-    aside_s = servers.aside_at / 1000.0 - first_s
+    suspended_s = servers.suspended_at / 1000.0 - first_s
     return {
-        "aside": servers.aside.total() / looks,
-        "aside_server_s": servers.aside.total() * simulation.setting.case.look_ms / 1000.0,
-        "aside_until_s": max(aside_s, 0.0) if scripted else 0.0,  # from the first scripted fault on
+        "aside": servers.suspended.total() / samples,
+        "aside_server_s": servers.suspended.total() * simulation.setting.case.look_ms / 1000.0,
+        "aside_until_s": max(suspended_s, 0.0) if scripted else 0.0,  # from the first scripted fault on
         **figures,
     }
 
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -44,7 +44,7 @@
     return Usage(sum(one.cpu_s for one in each), sum(one.rss_mb for one in each))
 
 
-class NotInTime(Exception):
+class NotInTimeError(Exception):
     """Servers did not do in time what was waited for."""
 
 
@@ -149,7 +149,7 @@
         self.keys = Keys(self._fleet.name)
 
     async def propose(self, text: str, ident: str = "") -> Proposed:
-        """StoreUnavailableError; NotInTime: another change is open. `ident`: the change's, from which
+        """StoreUnavailableError; NotInTimeError: another change is open. `ident`: the change's, from which
         coordinators draw when they come forward; else a new one."""
         client = Client(self._fleet)
         try:
@@ -161,7 +161,7 @@
             with anyio.CancelScope(shield=True):
                 await client.close()
         if not done.succeeded:
-            raise NotInTime("another change is open")
+            raise NotInTimeError("another change is open")
         return Proposed(view.policy.version + 1 if view.policy else 1, sent_ms)
 
 
@@ -203,7 +203,7 @@
         )
 
     async def until_all_admit(self, version: int, most_s: float) -> None:
-        """Until all go by that version or a later one. NotInTime: some do not."""
+        """Until all go by that version or a later one. NotInTimeError: some do not."""
         with anyio.move_on_after(most_s):
             while not self.all_admit(version):
                 await self._news.wait()
@@ -211,7 +211,7 @@
         late = sorted(
             name for name in self.names if name not in self.latest or self.latest[name].version < version
         )
-        raise NotInTime(f"{len(late)} of {len(self.names)} are not at version {version}: {late[:3]}")
+        raise NotInTimeError(f"{len(late)} of {len(self.names)} are not at version {version}: {late[:3]}")
 
     def usage(self) -> Usage:
         """Of all their processes together."""
@@ -246,13 +246,13 @@
 
     async def until_settled(self, most_s: float) -> None:
         """Until all servers admit, by one connection each: a relay that was tried and left ends its own a
-        little later. NotInTime: it is not so by then."""
+        little later. NotInTimeError: it is not so by then."""
         await self.servers.until_all_admit(0, most_s)
         with anyio.move_on_after(most_s):
             while len(self.connections()) != len(self.servers.names):
                 await anyio.sleep(LOOK_S)
             return
-        raise NotInTime(f"{len(self.servers.names)} servers have {len(self.connections())} connections")
+        raise NotInTimeError(f"{len(self.servers.names)} servers have {len(self.connections())} connections")
 
 
 @contextlib.asynccontextmanager
@@ -315,7 +315,7 @@
 
 
 async def _until_granting(control_path: Path) -> None:
-    """Until a relay leads its cell and may grant leases. NotInTime: it does not."""
+    """Until a relay leads its cell and may grant leases. NotInTimeError: it does not."""
     with anyio.move_on_after(RELAY_UP_S):
         while True:
             with contextlib.suppress(OSError, ValueError):
@@ -324,7 +324,7 @@
                 if isinstance(relay, dict) and relay["leads"] and relay["authority_left_ms"]:
                     return
             await anyio.sleep(LOOK_S)
-    raise NotInTime(f"{control_path.name}: it grants no leases")
+    raise NotInTimeError(f"{control_path.name}: it grants no leases")
 
 
 async def _start_servers(
--- a/otterrudder/lab/scale/processes/children.py
+++ b/otterrudder/lab/scale/processes/children.py
@@ -15,7 +15,7 @@
 
 from otterrudder.lab.processes.launch import ROOT, child_environment
 
-LINE_MOST = 4 * 2**20  # bytes of a line
+MAX_LINE_BYTES = 4 * 2**20  # bytes of a line
 END_S = 5.0  # s that a child may take to end after its input has
 
 
@@ -34,7 +34,7 @@
 
     async def read_line(self) -> bytes:
         """The next line of its output; EndOfStream: there is none any more."""
-        return await self._output.receive_until(b"\n", LINE_MOST)
+        return await self._output.receive_until(b"\n", MAX_LINE_BYTES)
 
     async def tell(self, line: bytes) -> None:
         await self._input.send(line + b"\n")
--- a/otterrudder/lab/scale/processes/command.py
+++ b/otterrudder/lab/scale/processes/command.py
@@ -1,5 +1,5 @@
-"""The processes part as a command plays it: read, measured, written. Told to end by a signal, it ends its
-children first."""
+"""The processes part as a command plays it: read, measured, written. HollowMessage to end by a signal, it
+ends its children first."""
 
 import signal
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 ENDING = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
-class Interrupted(Exception):
+class RunInterruptedError(Exception):
     """A signal told it to end; its children are gone."""
 
 
@@ -31,7 +31,8 @@
 
 
 def play(plan: Plan, is_quick: bool, folder: Path, say: Callable[[str], None]) -> Report:
-    """Measures, writes and tells the results. Interrupted; NotInTime. Quick: both kinds side by side."""
+    """Measures, writes and tells the results. RunInterruptedError; NotInTimeError. Quick: both kinds side by
+    side."""
     rows = anyio.run(_measure_until_signalled, plan, is_quick, say)
     report = make_report(plan, rows)
     for path in write_report(report, folder):
@@ -48,7 +49,7 @@
         rows += await (measure_at_once if is_quick else measure)(plan, say)
         group.cancel_scope.cancel()
     if not rows:
-        raise Interrupted
+        raise RunInterruptedError
     return rows
 
 
--- a/otterrudder/lab/scale/processes/measure.py
+++ b/otterrudder/lab/scale/processes/measure.py
@@ -78,8 +78,8 @@
 
 
 async def measure(plan: Plan, say: Callable[[str], None]) -> list[Row]:
-    """Size after size, so that none disturbs another. NotInTime: servers did not come up, or a change was
-    not in force in time."""
+    """Size after size, so that none disturbs another. NotInTimeError: servers did not come up, or a change
+    was not in force in time."""
     rows = []
     for kind, sizes in (("members", plan.member_sizes), ("cells", plan.cell_sizes)):
         rows += await _measure_kind(plan, kind, sizes, say)  # type: ignore[arg-type]
--- a/otterrudder/lab/scale/processes/tcp.py
+++ b/otterrudder/lab/scale/processes/tcp.py
@@ -16,7 +16,7 @@
 INET_DIAG_INFO = 2  # the attribute that holds struct tcp_info
 FAMILIES = (socket.AF_INET, socket.AF_INET6)  # grpcio makes sockets of the latter for both
 ESTABLISHED = 1 << 1  # in the mask of states
-ANSWER_MOST = 1 << 20  # bytes of a datagram of the answer
+MAX_ANSWER_BYTES = 1 << 20  # bytes of a datagram of the answer
 
 HEADER = struct.Struct("=IHHII")  # nlmsghdr: length, type, flags, sequence, port
 REQUEST = struct.Struct("=BBBxI48s")  # inet_diag_req_v2: family, protocol, extensions, states, socket
@@ -93,7 +93,7 @@
         flags = NLM_F_REQUEST | NLM_F_DUMP
         sock.send(HEADER.pack(HEADER.size + len(request), SOCK_DIAG_BY_FAMILY, flags, 1, 0) + request)
         while True:
-            answer = sock.recv(ANSWER_MOST)
+            answer = sock.recv(MAX_ANSWER_BYTES)
             for kind, body in _messages(answer):
                 if kind == NLMSG_DONE:
                     return
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -8,7 +8,7 @@
 from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange
 from otterrudder.fleet.store import CommitResult, Snapshot
 from otterrudder.lab.scale.events import EventQueue, Handler
-from otterrudder.lab.scale.ledger import Ledger
+from otterrudder.lab.scale.history_checker import HistoryChecker
 from otterrudder.lab.scale.network import Network
 from otterrudder.lab.scale.store import StoreService
 from otterrudder.lab.scale.topology import Topology
@@ -34,13 +34,13 @@
         events: EventQueue,
         network: Network,
         store: StoreService,
-        ledger: Ledger,
+        history: HistoryChecker,
         chance: random.Random,
     ) -> None:
         self.asked = 0
         self.refused = 0
         self._keys, self._topology, self._events, self._network = keys, topology, events, network
-        self._store, self._ledger, self._chance = store, ledger, chance
+        self._store, self._history, self._chance = store, history, chance
         self._regions = sorted({zone.region for zone in topology.zones})
 
     def schedule(self, begin: float, end: float, per_s: float) -> None:
@@ -61,7 +61,7 @@
         return Proposal(f"change-{self.asked:05}", self._chance.choice(self._regions))
 
     def _ask(self, proposal: Proposal, _: object) -> None:
-        self._ledger.asked(self._events.now, proposal.ident)
+        self._history.asked(self._events.now, proposal.ident)
         self._read(proposal, None)
 
     def _read(self, proposal: Proposal, _: object) -> None:
@@ -85,7 +85,7 @@
 
     def _placed(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, Snapshot)
-        self._ledger.changes[proposal.ident].place = queue_position(
+        self._history.changes[proposal.ident].place = queue_position(
             FleetSnapshot(self._keys, outcome), proposal.ident
         )
 
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -21,14 +21,14 @@
 from otterrudder.fleet.effects import Commit, GrantLease, Outcome, Read, RenewLease, StoreRequest
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
+from otterrudder.lab.scale.history_checker import HistoryChecker
 from otterrudder.lab.scale.hosts import RelayHost, Stream
-from otterrudder.lab.scale.ledger import Ledger
 from otterrudder.lab.scale.network import Network, Sizes
 from otterrudder.lab.scale.sampling import CpuSample
 from otterrudder.lab.scale.store import StoreService
 from otterrudder.lab.scale.topology import Topology
 
-TIMEOUT_MOST_MS = 2000.0  # ms for a request to the store, at most
+MAX_TIMEOUT_MS = 2000.0  # ms for a request to the store, at most
 TIMEOUT_SHARE = 0.25  # of the bound
 
 
@@ -36,7 +36,7 @@
 class Call:
     """A request to the store that is under way."""
 
-    life: int
+    incarnation: int
     effect: StoreRequest
     sent: float
     outcome: Outcome = None
@@ -63,7 +63,7 @@
         events: EventQueue,
         network: Network,
         sizes: Sizes,
-        ledger: Ledger,
+        history: HistoryChecker,
         chance: random.Random,
         message_cpu: CpuSample,
         store_cpu: CpuSample,
@@ -71,25 +71,25 @@
         self.fleet, self.hosts, self.rules, self.span_ms = fleet, hosts, rules, span_ms
         self.by_address = {host.address: host for host in hosts}
         self.message_cpu, self.store_cpu = message_cpu, store_cpu
-        self.hints = 0
+        self.watch_events = 0
         self.peer_messages = 0
-        self.timeout_ms = min(rules.bound_ms * TIMEOUT_SHARE, TIMEOUT_MOST_MS)
+        self.timeout_ms = min(rules.bound_ms * TIMEOUT_SHARE, MAX_TIMEOUT_MS)
         self._topology, self._events, self._network = topology, events, network
-        self._sizes, self._ledger, self._chance = sizes, ledger, chance
+        self._sizes, self._history, self._chance = sizes, history, chance
         self._store_region = topology.store_regions[0]
 
     def use(self, store: StoreService, servers: ServerSide) -> None:
         self.store, self.servers = store, servers
 
-    # Its life.
+    # Its incarnation.
 
     def start(self, host: RelayHost, _: object = None) -> None:
         if host.relay or not host.is_machine_up:
             return
-        host.life += 1
-        host.wake_at = math.inf
+        host.incarnation += 1
+        host.timer_at = math.inf
         identity = CellIdentity(self.fleet, host.cell, host.address, host.candidates)
-        host.relay = self.make(identity, f"{host.address}.{host.life}")
+        host.relay = self.make(identity, f"{host.address}.{host.incarnation}")
         self._step(host)
         self._watch(host)
 
@@ -100,9 +100,9 @@
 
     def stop(self, host: RelayHost, is_silent: bool) -> None:
         """The process ends: its machine closes the streams, or is gone as well."""
-        host.relay, host.wake_at = None, math.inf
+        host.relay, host.timer_at = None, math.inf
         host.watching = frozenset()
-        host.held.clear()
+        host.deferred.clear()
         streams, host.streams = host.streams, {}
         if not is_silent:
             for stream in streams.values():
@@ -128,7 +128,7 @@
         self._events.at(until, self.thaw, host)
 
     def thaw(self, host: RelayHost, _: object = None) -> None:
-        held, host.held = host.held, []
+        held, host.deferred = host.deferred, []
         for handler, subject, argument in held:
             handler(subject, argument)
         if host.relay:
@@ -136,26 +136,26 @@
 
     # What happens to it.
 
-    def wake(self, host: RelayHost, at: float) -> None:
-        if host.wake_at != at or not host.relay:
+    def fire_timer(self, host: RelayHost, at: float) -> None:
+        if host.timer_at != at or not host.relay:
             return
-        host.wake_at = math.inf
+        host.timer_at = math.inf
         if self._events.now >= host.frozen_until:
             self._step(host)
 
     def accept(self, stream: Stream) -> None:
         host = stream.relay
         host.last_stream += 1
-        stream.number, stream.relay_life = host.last_stream, host.life
+        stream.number, stream.relay_incarnation = host.last_stream, host.incarnation
         host.streams[stream.number] = stream
 
     def receive(self, stream: Stream, message: ServerMessage) -> None:
         host = stream.relay
         relay, now = host.relay, self._events.now
-        if not relay or stream.relay_life != host.life or stream.number not in host.streams:
+        if not relay or stream.relay_incarnation != host.incarnation or stream.number not in host.streams:
             return
         if now < host.frozen_until:
-            host.held.append((self.receive, stream, message))
+            host.deferred.append((self.receive, stream, message))
             return
         if self.message_cpu.is_due():
             began = thread_time_ns()
@@ -174,17 +174,22 @@
     def closed(self, stream: Stream, _: object) -> None:
         """The server's end was closed."""
         host = stream.relay
-        if stream.relay_life != host.life or not host.streams.pop(stream.number, None):
+        if stream.relay_incarnation != host.incarnation or not host.streams.pop(stream.number, None):
             return
         if host.relay:
             host.relay.handle_stream_closed(stream.number)
 
     def handle_watch_event(self, host: RelayHost, argument: tuple[int, str]) -> None:
-        life, prefix = argument
-        if not host.relay or host.life != life or prefix not in host.watching or self._is_store_cut(host):
+        incarnation, prefix = argument
+        if (
+            not host.relay
+            or host.incarnation != incarnation
+            or prefix not in host.watching
+            or self._is_store_cut(host)
+        ):
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self.handle_watch_event, host, argument))
+            host.deferred.append((self.handle_watch_event, host, argument))
             return
         host.relay.handle_watch_event(self._events.now, prefix)
         self._step(host)
@@ -198,9 +203,9 @@
                 continue
             for prefix in host.watching:
                 if any(key.startswith(prefix) for key in keys):
-                    self.hints += 1
+                    self.watch_events += 1
                     due = self._events.now + self.store.watch_ms(host.zone.region)
-                    self._events.at(due, self.handle_watch_event, host, (host.life, prefix))
+                    self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
     def _watch(self, host: RelayHost) -> None:
         """Watches are begun and ended as the relay wants them; one that begins is a hint."""
@@ -213,7 +218,7 @@
         begun, host.watching = wanted - host.watching, wanted
         for prefix in sorted(begun):
             due = self._events.now + 2 * self.store.watch_ms(host.zone.region)
-            self._events.at(due, self.handle_watch_event, host, (host.life, prefix))
+            self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
     def watch_again(self, host: RelayHost) -> None:
         """The store is in reach again: the watches that were cut are begun anew."""
@@ -225,7 +230,7 @@
 
     def _ask_store(self, host: RelayHost, effect: StoreRequest) -> None:
         now = self._events.now
-        call = Call(host.life, effect, now)
+        call = Call(host.incarnation, effect, now)
         if self._is_store_cut(host):
             self._events.at(now + self.timeout_ms, self._answered, host, call)
             return
@@ -240,15 +245,15 @@
         if due >= too_late or self._is_store_cut(host):
             self._events.at(max(too_late, self._events.now), self._answered, host, call)
         else:
-            answered = Call(call.life, call.effect, call.sent, outcome)
+            answered = Call(call.incarnation, call.effect, call.sent, outcome)
             self._events.at(due, self._answered, host, answered)
 
     def _answered(self, host: RelayHost, call: Call) -> None:
-        if not host.relay or host.life != call.life:
+        if not host.relay or host.incarnation != call.incarnation:
             return
         now = self._events.now
         if now < host.frozen_until:
-            host.held.append((self._answered, host, call))
+            host.deferred.append((self._answered, host, call))
             return
         began = thread_time_ns()
         host.relay.handle_result(now, call.effect, call.sent, call.outcome)
@@ -271,10 +276,10 @@
         self._schedule(host, relay.due())
 
     def _schedule(self, host: RelayHost, due: float) -> None:
-        if due < host.wake_at:
+        if due < host.timer_at:
             due = max(due, self._events.now)
-            host.wake_at = due
-            self._events.at(due, self.wake, host, due)
+            host.timer_at = due
+            self._events.at(due, self.fire_timer, host, due)
 
     def _carry_out(self, host: RelayHost, effect: RelayEffect) -> None:
         if isinstance(effect, SendToServer):
@@ -296,7 +301,7 @@
             return
         message = effect.message
         if isinstance(message, LeaseGrant):
-            self._ledger.granted(self._events.now, message.version, message.span_ms)
+            self._history.granted(self._events.now, message.version, message.span_ms)
         size = self._sizes.of(message)
         host.sent.messages += 1
         host.sent.size += size
@@ -323,27 +328,27 @@
         if self._network.is_cut(host.zone.region, peer.zone.region):
             return
         arrives = self._events.now + self._network.way_ms(host.zone.number, peer.zone.number)
-        self._events.at(arrives, self._peer_asked, peer, (host, host.life, request))
+        self._events.at(arrives, self._peer_asked, peer, (host, host.incarnation, request))
 
     def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]) -> None:
-        host, life, request = argument
+        host, incarnation, request = argument
         if not peer.relay:
             return
         if self._events.now < peer.frozen_until:
-            peer.held.append((self._peer_asked, peer, argument))
+            peer.deferred.append((self._peer_asked, peer, argument))
             return
         self.peer_messages += 1
         consent = peer.relay.handle_endorsement_request(self._events.now, request)
         arrives = self._events.now + self._network.way_ms(peer.zone.number, host.zone.number)
-        self._events.at(arrives, self._peer_answered, host, (life, consent))
+        self._events.at(arrives, self._peer_answered, host, (incarnation, consent))
         self._step(peer)
 
     def _peer_answered(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
-        life, consent = argument
-        if not host.relay or host.life != life:
+        incarnation, consent = argument
+        if not host.relay or host.incarnation != incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self._peer_answered, host, argument))
+            host.deferred.append((self._peer_answered, host, argument))
             return
         host.relay.handle_endorsement(consent)
         self._step(host)
--- a/otterrudder/lab/scale/report.py
+++ b/otterrudder/lab/scale/report.py
@@ -79,7 +79,7 @@
         "regions": setting.regions,
         "seed": setting.seed,
         "minutes": setting.minutes,
-        "told": list(run.told),
+        "told": list(run.notes),
         "figures": {name: _finite(value) for name, value in run.figures.items()},
     }
 
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -12,8 +12,8 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.lab.scale.events import EventQueue
 from otterrudder.lab.scale.experiment import LoadPart
+from otterrudder.lab.scale.history_checker import HistoryChecker
 from otterrudder.lab.scale.hosts import RelayHost, ServerHost, Stream
-from otterrudder.lab.scale.ledger import Ledger
 from otterrudder.lab.scale.network import Network, Sizes
 from otterrudder.lab.scale.relays import Relays
 from otterrudder.lab.scale.sampling import CpuSample
@@ -33,7 +33,7 @@
         network: Network,
         sizes: Sizes,
         load: LoadPart,
-        ledger: Ledger,
+        history: HistoryChecker,
         chance: random.Random,
         span_ms: float,
         cpu: CpuSample,
@@ -41,21 +41,21 @@
         self.fleet, self.hosts, self.relays = fleet, hosts, relays
         self.span_ms, self.cpu, self.load = span_ms, cpu, load
         self.connects = 0
-        self.looks = 0
-        self.aside_at = -math.inf  # when a server that runs was last seen to stand aside
-        self.aside: Counter[str] = Counter()
+        self.samples = 0
+        self.suspended_at = -math.inf  # when a server that runs was last seen to stand aside
+        self.suspended: Counter[str] = Counter()
         self._events, self._network, self._sizes = events, network, sizes
-        self._ledger, self._chance = ledger, chance
+        self._history, self._chance = history, chance
         self._by_address: Mapping[str, RelayHost] = relays.by_address
 
-    # Its life.
+    # Its incarnation.
 
     def start(self, host: ServerHost, _: object = None) -> None:
         if host.participant:
             return
-        host.life += 1
-        host.version, host.lease_until, host.wake_at = 0, -math.inf, math.inf
-        incarnation = f"{host.name}.{host.life}"
+        host.incarnation += 1
+        host.version, host.lease_until, host.timer_at = 0, -math.inf, math.inf
+        incarnation = f"{host.name}.{host.incarnation}"
         identity = ServerIdentity(self.fleet, host.name, incarnation, host.kind, host.zone.name)
         host.participant = self.make(identity, host.relays)
         self._step(host)
@@ -68,12 +68,12 @@
         """The process ends: its machine closes the stream, or is gone as well."""
         if not host.participant:
             return
-        self._ledger.left(host.version, self._ledger.version, min(self._events.now, host.lease_until))
-        host.participant, host.wake_at = None, math.inf
-        host.held.clear()
+        self._history.left(host.version, self._history.version, min(self._events.now, host.lease_until))
+        host.participant, host.timer_at = None, math.inf
+        host.deferred.clear()
         stream, host.stream = host.stream, None
         if stream and not is_silent:
-            self._tell_closed(stream)
+            self._send_close(stream)
 
     def freeze(self, host: ServerHost, until: float) -> None:
         host.frozen_until = until
@@ -81,8 +81,8 @@
 
     def thaw(self, host: ServerHost, _: object = None) -> None:
         """An admission that waited is the first thing that a server sees, then its messages."""
-        self._look(host)
-        held, host.held = host.held, []
+        self._sample(host)
+        held, host.deferred = host.deferred, []
         for handler, subject, argument in held:
             handler(subject, argument)
         if host.participant:
@@ -90,15 +90,15 @@
 
     # What happens to it.
 
-    def wake(self, host: ServerHost, at: float) -> None:
+    def fire_timer(self, host: ServerHost, at: float) -> None:
         participant = host.participant
-        if host.wake_at != at or not participant:
+        if host.timer_at != at or not participant:
             return
         now = self._events.now
         if now < host.frozen_until:
-            host.wake_at = math.inf
+            host.timer_at = math.inf
             return
-        host.wake_at = math.inf
+        host.timer_at = math.inf
         if participant.due() > now:
             self._schedule(host, participant)
             return
@@ -107,11 +107,11 @@
     def receive(self, stream: Stream, message: RelayMessage) -> None:
         host = stream.server
         participant = host.participant
-        if not participant or host.life != stream.server_life:
+        if not participant or host.incarnation != stream.server_incarnation:
             return
         now = self._events.now
         if now < host.frozen_until:
-            host.held.append((self.receive, stream, message))
+            host.deferred.append((self.receive, stream, message))
             return
         if self.cpu.is_due():
             began = thread_time_ns()
@@ -125,16 +125,16 @@
             self._step(host)
             return
         self._note(host, participant)
-        if due < host.wake_at:
-            host.wake_at = due
-            self._events.at(due, self.wake, host, due)
+        if due < host.timer_at:
+            host.timer_at = due
+            self._events.at(due, self.fire_timer, host, due)
 
     def connected(self, stream: Stream, _: object) -> None:
         host = stream.server
-        if not host.participant or host.life != stream.server_life:
+        if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self.connected, stream, None))
+            host.deferred.append((self.connected, stream, None))
             return
         host.participant.handle_connected(self._events.now, stream.connection)
         self._step(host)
@@ -142,10 +142,10 @@
     def ended(self, stream: Stream, _: object) -> None:
         """The relay's end was closed, or nobody listens there."""
         host = stream.server
-        if not host.participant or host.life != stream.server_life:
+        if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self.ended, stream, None))
+            host.deferred.append((self.ended, stream, None))
             return
         if host.stream is stream:
             host.stream = None
@@ -153,11 +153,11 @@
         self._step(host)
 
     def checked(self, host: ServerHost, argument: tuple[int, str]) -> None:
-        life, digest = argument
-        if not host.participant or host.life != life:
+        incarnation, digest = argument
+        if not host.participant or host.incarnation != incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.held.append((self.checked, host, argument))
+            host.deferred.append((self.checked, host, argument))
             return
         host.participant.handle_validated(self._events.now, digest, "")
         self._step(host)
@@ -180,17 +180,17 @@
 
     def _schedule(self, host: ServerHost, participant: Participant) -> None:
         due = participant.due()
-        if due < host.wake_at:
+        if due < host.timer_at:
             due = max(due, self._events.now)
-            host.wake_at = due
-            self._events.at(due, self.wake, host, due)
+            host.timer_at = due
+            self._events.at(due, self.fire_timer, host, due)
 
     def _note(self, host: ServerHost, participant: Participant) -> None:
         """What it goes by from now on."""
         version = participant.known.version
         if version != host.version:
             until = min(self._events.now, host.lease_until)
-            self._ledger.left(host.version, version, until)
+            self._history.left(host.version, version, until)
             host.version = version
         host.lease_until = participant.lease.until
 
@@ -201,11 +201,11 @@
             self._connect(host, effect)
         elif isinstance(effect, ValidateText):
             due = self._events.now + self._chance.uniform(*self.load.check_ms)
-            self._events.at(due, self.checked, host, (host.life, effect.digest))
+            self._events.at(due, self.checked, host, (host.incarnation, effect.digest))
         else:
             stream, host.stream = host.stream, None
             if stream and stream.connection == effect.connection:
-                self._tell_closed(stream)
+                self._send_close(stream)
 
     def _send(self, host: ServerHost, effect: SendToRelay) -> None:
         stream = host.stream
@@ -225,7 +225,7 @@
     def _connect(self, host: ServerHost, effect: Connect) -> None:
         self.connects += 1
         relay = self._by_address[effect.relay]
-        stream = Stream(host, host.life, effect.connection, relay)
+        stream = Stream(host, host.incarnation, effect.connection, relay)
         host.stream = stream
         if not self._network.is_cut(host.zone.region, relay.zone.region):
             way = self._network.way_ms(host.zone.number, relay.zone.number)
@@ -243,7 +243,7 @@
         stream.to_server_at = self._events.now + SET_UP_WAYS * way
         self._events.at(stream.to_server_at, self.connected, stream, None)
 
-    def _tell_closed(self, stream: Stream) -> None:
+    def _send_close(self, stream: Stream) -> None:
         host, relay = stream.server, stream.relay
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
@@ -253,33 +253,33 @@
 
     # What it would answer.
 
-    def look_at_all(self) -> None:
-        """What each server that runs admits under now, for the ledger and the share that stands aside."""
+    def sample_all(self) -> None:
+        """What each server that runs admits under now, for the history and the share that stands aside."""
         for host in self.hosts:
             if host.participant and self._events.now >= host.frozen_until:
-                self._look(host)
+                self._sample(host)
 
-    def _look(self, host: ServerHost) -> None:
+    def _sample(self, host: ServerHost) -> None:
         participant, now = host.participant, self._events.now
         if not participant:
             return
-        self.looks += 1
+        self.samples += 1
         version = participant.admits(now)
         if version is None:
-            self.aside[participant.admission_status(now).label] += 1
-            self.aside_at = now
-        elif version != self._ledger.version:
-            self._ledger.admits(now, host.name, version)
+            self.suspended[participant.admission_status(now).label] += 1
+            self.suspended_at = now
+        elif version != self._history.version:
+            self._history.admits(now, host.name, version)
 
     def close(self) -> None:
         """The run is over: whoever still goes by an older version has left none yet."""
         for host in self.hosts:
-            if host.participant and host.version < self._ledger.version:
+            if host.participant and host.version < self._history.version:
                 until = host.lease_until if host.lease_until < self._events.now else math.inf
                 self._left_behind(host, until)
 
     def _left_behind(self, host: ServerHost, until: float) -> None:
         """`until`: inf where it still admits."""
-        ends = self._ledger.admitted_until
-        for later in range(host.version + 1, self._ledger.version + 1):
+        ends = self._history.admitted_until
+        for later in range(host.version + 1, self._history.version + 1):
             ends[later] = max(ends[later], until)
--- a/otterrudder/lab/scale/simulation.py
+++ b/otterrudder/lab/scale/simulation.py
@@ -1,5 +1,5 @@
 """A whole fleet by cells in simulated time: participants and relays as they are, the store, the network, load
-and churn, and the ledger that checks them."""
+and churn, and the history that checks them."""
 
 import random
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 from otterrudder.lab.scale.churn import Churn
 from otterrudder.lab.scale.events import EventQueue
 from otterrudder.lab.scale.experiment import CasePart, Experiment
+from otterrudder.lab.scale.history_checker import HistoryChecker
 from otterrudder.lab.scale.hosts import RelayHost, ServerHost
-from otterrudder.lab.scale.ledger import Ledger
 from otterrudder.lab.scale.network import Network, Sizes
 from otterrudder.lab.scale.proposers import Proposers
 from otterrudder.lab.scale.relays import Relays
@@ -56,7 +56,7 @@
         self.topology = Topology.of(experiment, setting.regions)
         self.keys, self.events = Keys(FLEET), EventQueue()
         rules = experiment.rules
-        self.ledger = Ledger(self.keys, rules.bound_ms)
+        self.history = HistoryChecker(self.keys, rules.bound_ms)
         self.network = Network(self.topology, experiment.network, self.chance)
         self.sizes = Sizes(experiment.network.framing_bytes, experiment.load.text_bytes)
         cost = reading_cost_ns()
@@ -69,7 +69,7 @@
         )
         self.relays.use(self.store, self.servers)
         self.proposers = Proposers(
-            self.keys, self.topology, self.events, self.network, self.store, self.ledger, self.chance
+            self.keys, self.topology, self.events, self.network, self.store, self.history, self.chance
         )
         self.churn = Churn(
             self.topology,
@@ -94,7 +94,7 @@
             self.events,
             self.network,
             self.sizes,
-            self.ledger,
+            self.history,
             self.chance,
             self.message_cpu,
             self.store_cpu,
@@ -118,7 +118,7 @@
             self.network,
             self.sizes,
             self.experiment.load,
-            self.ledger,
+            self.history,
             self.chance,
             self.experiment.rules.server_lease_ms,
             self.server_cpu,
@@ -143,12 +143,12 @@
         """To the end; figures are read off the parts."""
         self._start_all()
         self._load()
-        self.events.at(self.setting.case.look_ms, self._look, None)
+        self.events.at(self.setting.case.look_ms, self._sample, None)
         self.events.at(LAPSE_MS, self._lapse, None)
         self.events.run(self.end_ms)
-        self.servers.look_at_all()
+        self.servers.sample_all()
         self.servers.close()
-        self.ledger.close()
+        self.history.close()
 
     def _start_all(self) -> None:
         for number, relay in enumerate(self.relays.hosts):
@@ -171,23 +171,23 @@
         for fault in case.faults:
             self.churn.script(fault)
 
-    def _look(self, _: object, __: object) -> None:
-        self.servers.look_at_all()
-        self.events.at(self.events.now + self.setting.case.look_ms, self._look, None)
+    def _sample(self, _: object, __: object) -> None:
+        self.servers.sample_all()
+        self.events.at(self.events.now + self.setting.case.look_ms, self._sample, None)
 
     def _lapse(self, _: object, __: object) -> None:
         self.store.lapse(self.events.now)
         self.events.at(self.events.now + LAPSE_MS, self._lapse, None)
 
     def _written(self, commit: Commit) -> None:
-        before = self.ledger.version
-        self.ledger.wrote(self.events.now, commit)
-        if self.ledger.version != before:
-            self.events.at(self.events.now + self.ledger.bound_ms, self._look_once, None)
+        before = self.history.version
+        self.history.wrote(self.events.now, commit)
+        if self.history.version != before:
+            self.events.at(self.events.now + self.history.bound_ms, self._look_once, None)
 
     def _look_once(self, _: object, __: object) -> None:
         """As the bound of a commit passes."""
-        self.servers.look_at_all()
+        self.servers.sample_all()
 
 
 def _addresses(zone: Zone) -> tuple[str, str]:
--- a/otterrudder/lab/scale/verdicts.py
+++ b/otterrudder/lab/scale/verdicts.py
@@ -11,7 +11,7 @@
 def broken(runs: list[Run]) -> list[str]:
     """What does not hold, in a line each."""
     found = [
-        f"{run.setting.label}: {run.figures['breaches']:.0f} breaches: {'; '.join(run.told)}"
+        f"{run.setting.label}: {run.figures['breaches']:.0f} breaches: {'; '.join(run.notes)}"
         for run in runs
         if run.figures["breaches"]
     ]
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Agreement by cells at scale, in simulated time: laws by number of servers, the ledger, and the file."""
+"""Agreement by cells at scale, in simulated time: laws by number of servers, the history, and the file."""
 
 import json
 from collections.abc import Callable
@@ -192,4 +192,4 @@
     simulation = Simulation(experiment, short(experiment, 9))
     simulation.play()
     assert simulation.sizes.counts[LeaseGrant] > 9 * 30
-    assert simulation.ledger.granted_until[simulation.ledger.version] > simulation.events.now
+    assert simulation.history.granted_until[simulation.history.version] > simulation.events.now
