--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -19,7 +19,7 @@
 from otterrudder.fleet import agent
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.state import AdmissionStatus
-from otterrudder.lab.fleet.mutants import AnyPolicy, NeverAside, SleepsThrough
+from otterrudder.lab.fleet.mutants import AppliesBeforeCommit, NeverSuspends, UsesClockOfLastAnswer
 from otterrudder.net import core, discovery, serve
 from otterrudder.net.request_table import RequestTable
 from otterrudder.net.requests import PendingRequest
@@ -163,9 +163,9 @@
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
-    "never aside": _with_member(NeverAside),
-    "sleeps through": _with_member(SleepsThrough),
-    "any policy": _with_member(AnyPolicy),
+    "never aside": _with_member(NeverSuspends),
+    "sleeps through": _with_member(UsesClockOfLastAnswer),
+    "any policy": _with_member(AppliesBeforeCommit),
     "serves at once": _with_member(ServesAtOnce),
     "loses": _loses_answers,
     "runs twice": _runs_twice,
