--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -1,6 +1,6 @@
-"""fleet: who is of it; its relays, and by `policy.py` the policy in force.
+"""`otterrudder fleet`: members and status of a fleet; its policy is in policy.py, its relays in relay.py.
 
-Exit codes: 0 as asked, 2 bad input, 3 aborted or refused, 4 undecided, with what is still owed."""
+Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
 
 import json
 import sys
@@ -13,13 +13,14 @@
 from otterrudder.cli.common import give_up
 from otterrudder.cli.fleet_store import (
     ABORTED,
-    AS_JSON,
-    FILE,
-    TRIES_MOST,
+    FLEET_OPTION,
+    JSON_OPTION,
+    MAX_COMMIT_ATTEMPTS,
     UNDECIDED,
-    Store,
-    end_with,
-    in_words,
+    CommandStore,
+    conditions_text,
+    exit_with,
+    read_snapshot,
     with_store,
 )
 from otterrudder.cli.policy import policy
@@ -28,12 +29,14 @@
 from otterrudder.fleet.records import FleetSnapshot
 from otterrudder.net import control
 
-WATCH_S = 1.0  # s between looks of `status --live`
+LIVE_INTERVAL_S = 1.0  # of `status --live`
+
+JsonObject = dict[str, Any]
 
 
 @click.group()
 def fleet() -> None:
-    """A fleet of servers: who is of it, and the one policy in force."""
+    """A fleet of servers: its members, and the one policy in force."""
 
 
 fleet.add_command(policy)
@@ -41,143 +44,166 @@
 
 
 @fleet.command()
-@FILE
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.option("--live", is_flag=True, help="Look again each second until interrupted.")
 @click.option("--here", metavar="NAME", help="Ask the server NAME on this machine instead of the store.")
 def status(file: str, as_json: bool, live: bool, here: str | None) -> None:
-    """Members, cells with the relay that leads each, versions, votes, and who an open change waits for."""
+    """Show members, cells with their leaders, versions, votes, and who an open change waits for."""
     if here:
-        try:
-            told = control.query(here, "fleet")
-        except (OSError, ValueError) as why:
-            give_up(f"no server answers at {control.socket_path(here)}: {why}")
-        click.echo(json.dumps(told.get("fleet", told), indent=1))
+        _show_server_status(here)
         return
     while True:
-        told = _status(with_store(file, lambda store: store.view()))
+        report = _status_report(read_snapshot(file))
         if live and sys.stdout.isatty():
             click.clear()
-        click.echo(json.dumps(told, indent=1) if as_json else "\n".join(_lines(told)))
+        click.echo(json.dumps(report, indent=1) if as_json else "\n".join(_status_lines(report)))
         if not live:
             return
-        time.sleep(WATCH_S)
-
-
-def _status(view: FleetSnapshot) -> dict[str, Any]:
-    """What the store knows, as plain values."""
-    head, change, lives, votes = view.policy, view.change, view.statuses, view.votes
-    told = count_votes(view) if change else None
-    members = []
-    for name, roster in sorted(view.rosters.items()):
-        live, vote = lives.get(name), votes.get(name)
-        members.append(
-            dict(
-                name=name,
-                alive=live is not None,
-                state=live.state if live else "down or cut off",
-                version=live.version if live else None,
-                zone=live.zone if live else "",
-                program=live.program if live else "",
-                relay=live.relay if live else "",
-                absent=roster.absent,
-                vote=None if vote is None else "yes" if vote.accepted else f"no: {vote.reason}",
-            )
-        )
+        time.sleep(LIVE_INTERVAL_S)
+
+
+def _show_server_status(name: str) -> None:
+    try:
+        response = control.query(name, "fleet")
+    except (OSError, ValueError) as error:
+        give_up(f"no server answers at {control.socket_path(name)}: {error}")
+    click.echo(json.dumps(response.get("fleet", response), indent=1))
+
+
+def _status_report(snapshot: FleetSnapshot) -> JsonObject:
+    """The output of `status --json`; its keys are what scripts read."""
+    return dict(
+        fleet=snapshot.keys.fleet,
+        store_id=f"{snapshot.snapshot.cluster:x}",
+        revision=snapshot.snapshot.revision,
+        policy=_policy_report(snapshot),
+        change=_change_report(snapshot),
+        waiting=len(snapshot.queue),
+        trial=_trial_report(snapshot),
+        members=[_member_report(snapshot, name) for name in sorted(snapshot.rosters)],
+        strangers=sorted(set(snapshot.statuses) - set(snapshot.rosters)),
+    )
+
+
+def _policy_report(snapshot: FleetSnapshot) -> JsonObject | None:
+    head = snapshot.policy
+    if not head:
+        return None
+    return dict(
+        version=head.version,
+        digest=head.digest,
+        author=head.author,
+        note=head.note,
+        at=_time_text(head.proposed_at_ms),
+    )
+
+
+def _change_report(snapshot: FleetSnapshot) -> JsonObject | None:
+    change = snapshot.change
+    if not change:
+        return None
+    count = count_votes(snapshot)
     return dict(
-        fleet=view.keys.fleet,
-        store_id=f"{view.snapshot.cluster:x}",
-        revision=view.snapshot.revision,
-        policy=dict(
-            version=head.version,
-            digest=head.digest,
-            author=head.author,
-            note=head.note,
-            at=_when(head.proposed_at_ms),
-        )
-        if head
-        else None,
-        change=dict(
-            id=change.id,
-            version=change.version,
-            author=change.author,
-            note=change.note,
-            owed=list(told.pending),
-            left_out=list(told.left_out),
-            noes=[f"{name}: {why}" for name, why in told.rejections],
-        )
-        if change and told
-        else None,
-        waiting=len(view.queue),
-        trial=_trial(view),
-        members=members,
-        strangers=sorted(set(lives) - set(view.rosters)),
+        id=change.id,
+        version=change.version,
+        author=change.author,
+        note=change.note,
+        owed=list(count.pending),
+        left_out=list(count.left_out),
+        noes=[f"{name}: {reason}" for name, reason in count.rejections],
     )
 
 
-def _trial(view: FleetSnapshot) -> dict[str, str] | None:
-    trial = view.trial
+def _trial_report(snapshot: FleetSnapshot) -> JsonObject | None:
+    trial = snapshot.trial
     if not trial:
         return None
-    now = trial_metrics(view, trial)
+    metrics = trial_metrics(snapshot, trial)
     return dict(
-        conditions=in_words(trial.conditions),
-        now=", ".join(f"{fact} {value:.3g}" for fact, value in now.items()) or "not known yet",
+        conditions=conditions_text(trial.conditions),
+        now=", ".join(f"{fact} {value:.3g}" for fact, value in metrics.items()) or "not known yet",
     )
 
 
-def _lines(told: dict[str, Any]) -> list[str]:
-    policy, change = told["policy"], told["change"]
-    in_force = (
-        f"version {policy['version']} in force since {policy['at']} "
-        f"({policy['author'] or 'unnamed'}: {policy['note'] or 'no note'})"
-        if policy
-        else "no policy yet: each server goes by its own files"
+def _member_report(snapshot: FleetSnapshot, name: str) -> JsonObject:
+    member = snapshot.statuses.get(name)
+    vote = snapshot.votes.get(name)
+    vote_text = None
+    if vote is not None:
+        vote_text = "yes" if vote.accepted else f"no: {vote.reason}"
+    return dict(
+        name=name,
+        alive=member is not None,
+        state=member.state if member else "down or cut off",
+        version=member.version if member else None,
+        zone=member.zone if member else "",
+        program=member.program if member else "",
+        relay=member.relay if member else "",
+        absent=snapshot.rosters[name].absent,
+        vote=vote_text,
     )
-    lines = [f"{told['fleet']}, on the store {told['store_id']}: {in_force}"]
-    if told["trial"]:
-        trial = told["trial"]
+
+
+def _status_lines(report: JsonObject) -> list[str]:
+    """The report for reading."""
+    lines = [f"{report['fleet']}, on the store {report['store_id']}: {_policy_text(report['policy'])}"]
+    if trial := report["trial"]:
         lines.append(f"on trial: goes back if {trial['conditions']}; now {trial['now']}")
-    if change:
-        waits = f", waits for {', '.join(change['owed'])}" if change["owed"] else ", all have voted"
-        lines.append(f"open: version {change['version']} by {change['author'] or 'unnamed'}{waits}")
-    if told["waiting"]:
-        lines.append(f"waiting: {told['waiting']}, see fleet policy queue")
-    wide = max([len(member["name"]) for member in told["members"]], default=4)
-    for member in told["members"]:
-        version = "-" if member["version"] is None else str(member["version"])
-        vote = f"  {member['vote']}" if member["vote"] else ""
-        lines.append(
-            f"  {member['name']:{wide}}  {version:>4}  {member['state']}"
-            f"{'  ' + member['zone'] if member['zone'] else ''}"
-            f"{'  cell, led by ' + member['relay'] if member['relay'] else ''}{vote}"
-        )
-    return lines
-
-
-def _when(at: float) -> str:
-    return datetime.fromtimestamp(at / 1000, UTC).strftime("%Y-%m-%d %H:%M:%SZ") if at else "-"
+    if change := report["change"]:
+        pending = f", waits for {', '.join(change['owed'])}" if change["owed"] else ", all have voted"
+        lines.append(f"open: version {change['version']} by {change['author'] or 'unnamed'}{pending}")
+    if report["waiting"]:
+        lines.append(f"waiting: {report['waiting']}, see fleet policy queue")
+    width = max([len(member["name"]) for member in report["members"]], default=4)
+    return lines + [_member_line(member, width) for member in report["members"]]
+
+
+def _policy_text(policy_report: JsonObject | None) -> str:
+    if not policy_report:
+        return "no policy yet: each server goes by its own files"
+    author = policy_report["author"] or "unnamed"
+    note = policy_report["note"] or "no note"
+    return f"version {policy_report['version']} in force since {policy_report['at']} ({author}: {note})"
+
+
+def _member_line(member: JsonObject, width: int) -> str:
+    version = "-" if member["version"] is None else str(member["version"])
+    line = f"  {member['name']:{width}}  {version:>4}  {member['state']}"
+    if member["zone"]:
+        line += f"  {member['zone']}"
+    if member["relay"]:
+        line += f"  cell, led by {member['relay']}"
+    if member["vote"]:
+        line += f"  {member['vote']}"
+    return line
+
+
+def _time_text(unix_ms: float) -> str:
+    if not unix_ms:
+        return "-"
+    return datetime.fromtimestamp(unix_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
 @fleet.command()
-@FILE
+@FLEET_OPTION
 @click.argument("name")
 def gone(file: str, name: str) -> None:
-    """Say that the server or cell NAME is gone for good: no change waits for it any more.
-
-    Its folder must never serve again, nor any relay of the cell lead. One that comes back joins anew, with
-    what is in force then."""
-
-    async def act(store: Store) -> None:
-        for _ in range(TRIES_MOST):
-            try:
-                commit = remove_member(await store.view(), name)
-            except ChangeRejectedError as why:
-                end_with(ABORTED, why)
-            done = await store.commit(commit)
-            if done and done.succeeded or name not in (await store.view()).rosters:
-                click.echo(f"{name} is off the roster")
-                return
-        end_with(UNDECIDED, f"{name} is still on the roster: it changes under way, try again")
-
-    with_store(file, act)
+    """Remove the server or cell NAME, which is gone for good: no change waits for it any more.
+
+    Its state directory must never serve again, nor any relay of the cell lead. One that comes back joins
+    anew, with what is in force then."""
+    with_store(file, lambda store: _remove_member(store, name))
+
+
+async def _remove_member(store: CommandStore, name: str) -> None:
+    for _ in range(MAX_COMMIT_ATTEMPTS):
+        try:
+            commit = remove_member(await store.read(), name)
+        except ChangeRejectedError as error:
+            exit_with(ABORTED, error)
+        result = await store.commit(commit)
+        if result and result.succeeded or name not in (await store.read()).rosters:
+            click.echo(f"{name} is off the roster")
+            return
+    exit_with(UNDECIDED, f"{name} is still on the roster: it changes under way, try again")
--- a/otterrudder/cli/fleet_store.py
+++ b/otterrudder/cli/fleet_store.py
@@ -1,6 +1,6 @@
 """What the fleet's commands share: one client of the store for a command, and how a command ends.
 
-Exit codes: 0 as asked, 2 bad input, 3 aborted or refused, 4 undecided, with what is still owed."""
+Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
 
 import asyncio
 import sys
@@ -18,12 +18,13 @@
 from otterrudder.fleet.records import FleetSnapshot, InvalidRecordError, Keys
 from otterrudder.fleet.store import CommitResult, StoreUnavailableError
 
-ABORTED, UNDECIDED = 3, 4
-TIMEOUT_MS = 2000.0  # of a request
-TRIES_MOST = 5  # of a commit whose answer was lost, each after a reading of what became of it
-_T = TypeVar("_T")
+ABORTED = 3
+UNDECIDED = 4
+REQUEST_TIMEOUT_MS = 2000.0
+MAX_COMMIT_ATTEMPTS = 5  # each after reading what became of the last one
+Result = TypeVar("Result")
 
-FILE = click.option(
+FLEET_OPTION = click.option(
     "--fleet",
     "file",
     envvar=FLEET_VARIABLE,
@@ -31,28 +32,30 @@
     metavar="FILE",
     help="TOML file of the fleet (or OTTERRUDDER_FLEET).",
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="As JSON, for scripts.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="As JSON, for scripts.")
 
 
-class Store:
-    """A client for one command: what it needs of the store, and the end of the command where it is away."""
+class CommandStore:
+    """The store's client of one command."""
 
     def __init__(self, file: str) -> None:
         try:
             self.fleet: Fleet = read_fleet(file)
-        except InvalidFleetError as trouble:
-            give_up(trouble)
+        except InvalidFleetError as error:
+            give_up(error)
         if not self.fleet.stores:
             give_up(f"{file}: store: a command needs the store's address, also where servers do not")
         from otterrudder.fleet.client import Client
 
         self.keys = Keys(self.fleet.name)
         self.client = Client(self.fleet)
-        self.store_id = self.fleet.store_id  # of the engine that is believed; 0: the first that is heard
+        self.store_id = self.fleet.store_id  # of the trusted engine; 0: the first that answers
 
-    async def view(self, *more: str) -> FleetSnapshot:
-        """StoreUnavailableError also where another engine answers than named, or than before."""
-        snapshot = await self.client.read((*coordination_keys(self.keys), *more), TIMEOUT_MS)
+    async def read(self, *more_keys: str) -> FleetSnapshot:
+        """A snapshot of the fleet; StoreUnavailableError also if another engine answers than the file names,
+        or than answered before."""
+        keys = (*coordination_keys(self.keys), *more_keys)
+        snapshot = await self.client.read(keys, REQUEST_TIMEOUT_MS)
         self.store_id = self.store_id or snapshot.cluster
         if snapshot.cluster != self.store_id:
             raise StoreUnavailableError(
@@ -61,37 +64,45 @@
         return FleetSnapshot(self.keys, snapshot)
 
     async def commit(self, commit: Commit) -> CommitResult | None:
-        """None: no answer came, and it may have taken effect."""
+        """Commits; None: no answer came, and the commit may have taken effect."""
         reach_failpoint(f"before {commit.purpose}")
         try:
-            return await self.client.commit(commit.compares, commit.writes, TIMEOUT_MS)
+            return await self.client.commit(commit.compares, commit.writes, REQUEST_TIMEOUT_MS)
         except StoreUnavailableError:
             return None
         finally:
             reach_failpoint(f"after {commit.purpose}")
 
 
-def with_store(file: str, what: Callable[[Store], Coroutine[Any, Any, _T]]) -> _T:
-    async def whole_command() -> _T:
-        store = Store(file)
+def with_store(file: str, command: Callable[[CommandStore], Coroutine[Any, Any, Result]]) -> Result:
+    """Runs a command with a client of the store; exits if the store is unavailable or its content invalid."""
+
+    async def run() -> Result:
+        store = CommandStore(file)
         try:
-            return await what(store)
+            return await command(store)
         finally:
             await store.client.close()
 
     try:
-        return asyncio.run(whole_command())
-    except StoreUnavailableError as why:
-        end_with(UNDECIDED, f"the store does not answer: {why}")
-    except InvalidRecordError as trouble:
-        end_with(UNDECIDED, f"the store holds what is no record of this fleet: {trouble}")
+        return asyncio.run(run())
+    except StoreUnavailableError as error:
+        exit_with(UNDECIDED, f"the store does not answer: {error}")
+    except InvalidRecordError as error:
+        exit_with(UNDECIDED, f"the store holds what is no record of this fleet: {error}")
+
+
+def read_snapshot(file: str) -> FleetSnapshot:
+    """Runs a command that reads the fleet's snapshot and no more."""
+    return with_store(file, lambda store: store.read())
 
 
-def end_with(code: int, why: object) -> NoReturn:
-    click.echo(f"otterrudder: {why}", err=True)
+def exit_with(code: int, reason: object) -> NoReturn:
+    """Prints one line on standard error and exits."""
+    click.echo(f"otterrudder: {reason}", err=True)
     sys.exit(code)
 
 
-def in_words(conditions: tuple[tuple[str, float], ...]) -> str:
-    """A trial's conditions, for reading."""
-    return " or ".join(f"{fact} > {bound:g}" for fact, bound in conditions)
+def conditions_text(conditions: tuple[tuple[str, float], ...]) -> str:
+    """A trial's conditions, as operators write them."""
+    return " or ".join(f"{fact} > {threshold:g}" for fact, threshold in conditions)
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -1,6 +1,6 @@
-"""fleet policy: the one policy of a fleet looked at, changed, queued or taken back.
+"""`otterrudder fleet policy`: shows, changes, queues and takes back the one policy of a fleet.
 
-Exit codes: 0 as asked, 2 bad input, 3 aborted or refused, 4 undecided, with what is still owed."""
+Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
 
 import contextlib
 import difflib
@@ -11,21 +11,22 @@
 import tomllib
 from collections.abc import Callable, Coroutine
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 
 from otterrudder.cli.common import give_up, named_in, tables_in
-from otterrudder.cli.fleet_change import Asked, follow, follow_queued
+from otterrudder.cli.fleet_change import ChangeRequest, follow, follow_queued
 from otterrudder.cli.fleet_store import (
     ABORTED,
-    AS_JSON,
-    FILE,
-    TRIES_MOST,
+    FLEET_OPTION,
+    JSON_OPTION,
+    MAX_COMMIT_ATTEMPTS,
     UNDECIDED,
-    Store,
-    end_with,
-    in_words,
+    CommandStore,
+    conditions_text,
+    exit_with,
+    read_snapshot,
     with_store,
 )
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
@@ -42,37 +43,64 @@
 )
 from otterrudder.levels.facts import FACTS
 
+CHANGE_ID_BYTES = 8
+Follow = Callable[[CommandStore, ChangeRequest], Coroutine[Any, Any, FinishedChange]]
+
+
+class NamedPolicy(NamedTuple):
+    """A committed policy for showing: "version N" and its text."""
+
+    name: str
+    text: str
+
+
+AUTHOR_OPTION = click.option(
+    "--author", default=lambda: os.environ.get("USER", ""), help="Who asks for the change."
+)
+NOTE_OPTION = click.option("--note", default="", help="Why, for the history.")
+DEADLINE_OPTION = click.option(
+    "--deadline",
+    "deadline_s",
+    type=click.FloatRange(1, 3600),
+    default=30.0,
+    show_default=True,
+    help="Seconds until a change that waits is given up.",
+)
+
 
 @click.group()
 def policy() -> None:
-    """The one policy of the fleet: look at it, change it, take it back."""
+    """The one policy of the fleet: show it, change it, take it back."""
 
 
 @policy.command()
 @click.argument("policy_file", type=click.Path(path_type=Path))
 def check(policy_file: Path) -> None:
-    """Say what is wrong with POLICY_FILE, if anything; against NODE_CONFIG's products where that is set."""
-    _check(_text_of(policy_file), policy_file)
+    """Check POLICY_FILE; against NODE_CONFIG's products if that is set."""
+    _check_policy(_read_text(policy_file), policy_file)
     click.echo(f"{policy_file}: good")
 
 
 @policy.command()
-@FILE
+@FLEET_OPTION
 @click.option("--version", "version", type=int, help="An earlier one of the last that were committed.")
 def show(file: str, version: int | None) -> None:
     """Print the policy in force, or an earlier one."""
-    click.echo(_text(file, version)[1], nl=False)
+    click.echo(_committed_policy(file, version).text, nl=False)
 
 
 @policy.command()
-@FILE
+@FLEET_OPTION
 @click.argument("policy_file", type=click.Path(path_type=Path))
 def diff(file: str, policy_file: Path) -> None:
-    """What POLICY_FILE would change; exits with 1 if anything."""
-    name, before = _text(file, None, "")
+    """Show what POLICY_FILE would change; exits with 1 if anything."""
+    present = _committed_policy(file, None, text_if_none="")
     lines = list(
         difflib.unified_diff(
-            before.splitlines(True), _text_of(policy_file).splitlines(True), name, str(policy_file)
+            present.text.splitlines(True),
+            _read_text(policy_file).splitlines(True),
+            present.name,
+            str(policy_file),
         )
     )
     click.echo("".join(lines), nl=False)
@@ -80,48 +108,25 @@
 
 
 @policy.command()
-@FILE
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 def history(file: str, as_json: bool) -> None:
-    """How the last changes ended, the newest last."""
-    ends = with_store(file, lambda store: store.view()).finished
+    """Show how the last changes ended, the newest last."""
+    changes = read_snapshot(file).finished
     if as_json:
-        click.echo(json.dumps([stored_fields(end) for end in ends], indent=1))
+        click.echo(json.dumps([stored_fields(change) for change in changes], indent=1))
         return
-    for end in ends:
-        how = "in force" if end.committed else f"aborted: {end.reason}"
-        left = f", without {', '.join(end.left_out)}" if end.left_out else ""
-        click.echo(f"{end.version:4}  {end.author or 'unnamed'}: {end.note or 'no note'}  {how}{left}")
-
-
-_AUTHOR = click.option("--author", default=lambda: os.environ.get("USER", ""), help="Who asks for it.")
-_NOTE = click.option("--note", default="", help="Why, for the history.")
-_DEADLINE = click.option(
-    "--deadline",
-    "deadline_s",
-    type=click.FloatRange(1, 3600),
-    default=30.0,
-    show_default=True,
-    help="Seconds until a change that waits is given up.",
-)
-
-
-def _conditions(told: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
-    """From `given_up > 0.05`, each."""
-    found = []
-    for text in told:
-        fact, _, bound = (part.strip() for part in text.partition(">"))
-        try:
-            found.append((fact, float(bound)))
-        except ValueError:
-            give_up(f"--if {text!r}: wanted is FIGURE > NUMBER")
-        if fact not in FACTS:
-            give_up(f"--if {text!r}: figures are {', '.join(FACTS)}")
-    return tuple(found)
+    for change in changes:
+        result = "in force" if change.committed else f"aborted: {change.reason}"
+        left_out = f", without {', '.join(change.left_out)}" if change.left_out else ""
+        click.echo(
+            f"{change.version:4}  {change.author or 'unnamed'}: {change.note or 'no note'}  "
+            f"{result}{left_out}"
+        )
 
 
 @policy.command()
-@FILE
+@FLEET_OPTION
 @click.argument("policy_file", type=click.Path(path_type=Path))
 @click.option("--trial", "trial_s", type=click.FloatRange(1, 86_400), help="Seconds on trial.")
 @click.option(
@@ -131,10 +136,10 @@
     metavar="'FIGURE > NUMBER'",
     help="In the mean of the fleet during the trial: it goes back by itself. May be given again.",
 )
-@_AUTHOR
-@_NOTE
-@_DEADLINE
-@click.option("--first", is_flag=True, help="Also where nobody is of the fleet yet.")
+@AUTHOR_OPTION
+@NOTE_OPTION
+@DEADLINE_OPTION
+@click.option("--first", is_flag=True, help="Also where the fleet has no members yet.")
 @click.option("--queue", "queued", is_flag=True, help="Wait for the turn instead of being refused.")
 @click.option(
     "--base",
@@ -158,150 +163,187 @@
     """Bring POLICY_FILE into force on all servers, or on none.
 
     Prints each vote as it comes. Interrupted, the change goes on by itself: `fleet status` shows it. On trial
-    the servers tell their figures, and go back everywhere where one is too high, whoever is dead by then.
+    the servers report their figures, and go back everywhere if one is too high, whoever has failed by then.
     With --queue it waits behind what is open and what came before; its deadline counts from its turn, and
     interrupted it keeps its place."""
     if (trial_s is None) != (not conditions):
         give_up("--trial and --if go together")
     if base_version is not None and not queued:
         give_up("--base goes with --queue")
-    text = _text_of(policy_file)
-    _check(text, policy_file)
-    base = "" if base_version is None else digest_of(_text(file, base_version)[1])
-    ident, trial_ms = secrets.token_hex(8), (trial_s or 0.0) * 1000
-    found = _conditions(conditions)
-    asked = Asked(ident, text, author, note, deadline_s * 1000, trial_ms, found, first, base)
-    _change(file, asked, follow_queued if queued else follow)
+    text = _read_text(policy_file)
+    _check_policy(text, policy_file)
+    base = "" if base_version is None else digest_of(_committed_policy(file, base_version).text)
+    request = ChangeRequest(
+        _new_change_id(),
+        text,
+        author,
+        note,
+        deadline_s * 1000,
+        (trial_s or 0.0) * 1000,
+        _parse_conditions(conditions),
+        first,
+        base,
+    )
+    _change(file, request, follow_queued if queued else follow)
 
 
 @policy.command()
-@FILE
+@FLEET_OPTION
 @click.option("--to", "version", type=int, help="This version; else the one before the one in force.")
-@_AUTHOR
-@_NOTE
-@_DEADLINE
+@AUTHOR_OPTION
+@NOTE_OPTION
+@DEADLINE_OPTION
 def back(file: str, version: int | None, author: str, note: str, deadline_s: float) -> None:
     """Go back to an earlier policy: a change like any other, with a new number."""
     if version is None:
-        view = with_store(file, lambda store: store.view())
-        committed = [end.version for end in view.finished if end.committed]
+        committed = [change.version for change in read_snapshot(file).finished if change.committed]
         if len(committed) < 2:
-            end_with(ABORTED, "there is no earlier policy to go back to")
+            exit_with(ABORTED, "there is no earlier policy to go back to")
         version = committed[-2]
-    text, note = _text(file, version)[1], note or f"back to version {version}"
-    _change(file, Asked(secrets.token_hex(8), text, author, note, deadline_s * 1000), follow)
+    text = _committed_policy(file, version).text
+    note = note or f"back to version {version}"
+    _change(file, ChangeRequest(_new_change_id(), text, author, note, deadline_s * 1000), follow)
 
 
-def _change(
-    file: str, asked: Asked, follows: Callable[[Store, Asked], Coroutine[Any, Any, FinishedChange]]
-) -> None:
-    """To the end of it; exits with what became of it."""
-    end = with_store(file, lambda store: follows(store, asked))
-    if not end.committed:
-        end_with(ABORTED, f"aborted, nothing has changed: {end.reason}")
-    left = f", without {', '.join(end.left_out)}: aside until they know" if end.left_out else ""
-    click.echo(f"version {end.version} is in force{left}")
-    if asked.trial_ms:
-        when = in_words(asked.conditions)
-        click.echo(f"on trial for {asked.trial_ms / 1000:g} s: the fleet goes back by itself if {when}")
+def _new_change_id() -> str:
+    return secrets.token_hex(CHANGE_ID_BYTES)
+
+
+def _parse_conditions(texts: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
+    """The conditions of a trial, each as `given_up > 0.05`."""
+    conditions = []
+    for text in texts:
+        fact, _, threshold = (part.strip() for part in text.partition(">"))
+        try:
+            conditions.append((fact, float(threshold)))
+        except ValueError:
+            give_up(f"--if {text!r}: wanted is FIGURE > NUMBER")
+        if fact not in FACTS:
+            give_up(f"--if {text!r}: figures are {', '.join(FACTS)}")
+    return tuple(conditions)
+
+
+def _change(file: str, request: ChangeRequest, follow_change: Follow) -> None:
+    """Makes a change; exits by how it ended."""
+    change = with_store(file, lambda store: follow_change(store, request))
+    if not change.committed:
+        exit_with(ABORTED, f"aborted, nothing has changed: {change.reason}")
+    left_out = ""
+    if change.left_out:
+        left_out = f", without {', '.join(change.left_out)}: suspended until they know"
+    click.echo(f"version {change.version} is in force{left_out}")
+    if request.trial_ms:
+        conditions = conditions_text(request.conditions)
+        seconds = request.trial_ms / 1000
+        click.echo(f"on trial for {seconds:g} s: the fleet goes back by itself if {conditions}")
 
 
 @policy.command("queue")
-@FILE
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 def queue_command(file: str, as_json: bool) -> None:
-    """The change that is open and those that wait, in the order of their turns."""
-    view = with_store(file, lambda store: store.view())
-    opened: list[Change] = [view.change] if view.change else []
+    """Show the open change and those that wait, in their order."""
+    snapshot = read_snapshot(file)
+    opened: list[Change] = [snapshot.change] if snapshot.change else []
     if as_json:
-        waiting = [dict(id=entry.id, author=entry.author, note=entry.note) for entry in view.queue]
+        waiting = [dict(id=entry.id, author=entry.author, note=entry.note) for entry in snapshot.queue]
         click.echo(json.dumps(dict(open=[change.id for change in opened], waiting=waiting), indent=1))
         return
-    entries: list[Change | QueuedChange] = [*opened, *view.queue]
+    entries: list[Change | QueuedChange] = [*opened, *snapshot.queue]
     for number, entry in enumerate(entries, 1 - len(opened)):
-        turn = str(number) if number else "open"
-        click.echo(f"{turn:>4}  {entry.id}  {entry.author or 'unnamed'}: {entry.note or 'no note'}")
+        position = str(number) if number else "open"
+        click.echo(f"{position:>4}  {entry.id}  {entry.author or 'unnamed'}: {entry.note or 'no note'}")
 
 
 @policy.command("withdraw")
-@FILE
-@click.argument("ident")
-def withdraw_command(file: str, ident: str) -> None:
-    """Give up the change IDENT, open or waiting (`fleet policy queue` names it)."""
-    with_store(file, lambda store: _withdraw(store, ident))
-
-
-async def _withdraw(store: Store, ident: str) -> None:
-    for _ in range(TRIES_MOST):
-        view = await store.view()
-        if not queue_position(view, ident):
-            break
-        with contextlib.suppress(QueueRejectedError):
-            await store.commit(withdraw_queued(view, ident))
-    else:
-        end_with(UNDECIDED, "it waits still")
-    if not _is_ended_unopened(view, ident):
+@FLEET_OPTION
+@click.argument("change_id", metavar="IDENT")
+def withdraw_command(file: str, change_id: str) -> None:
+    """Withdraw the change IDENT, open or waiting (`fleet policy queue` names it)."""
+    with_store(file, lambda store: _withdraw(store, change_id))
+
+
+async def _withdraw(store: CommandStore, change_id: str) -> None:
+    snapshot = await _withdraw_from_queue(store, change_id)
+    if not _has_ended_unopened(snapshot, change_id):
         try:
-            await store.commit(withdraw(view, ident, "withdrawn"))
-        except ChangeRejectedError as why:
-            end_with(ABORTED, why)
-    told = find_change(await store.view(), ident)
-    if not isinstance(told, FinishedChange):
-        end_with(UNDECIDED, "it is open still")
-    if told.committed:
-        end_with(ABORTED, f"too late: version {told.version} is in force")
+            await store.commit(withdraw(snapshot, change_id, "withdrawn"))
+        except ChangeRejectedError as error:
+            exit_with(ABORTED, error)
+    change = find_change(await store.read(), change_id)
+    if not isinstance(change, FinishedChange):
+        exit_with(UNDECIDED, "it is open still")
+    if change.committed:
+        exit_with(ABORTED, f"too late: version {change.version} is in force")
     click.echo("withdrawn: nothing has changed")
 
 
-def _is_ended_unopened(view: FleetSnapshot, ident: str) -> bool:
+async def _withdraw_from_queue(store: CommandStore, change_id: str) -> FleetSnapshot:
+    """The snapshot in which it does not wait any more, or is next."""
+    for _ in range(MAX_COMMIT_ATTEMPTS):
+        snapshot = await store.read()
+        if not queue_position(snapshot, change_id):
+            return snapshot
+        with contextlib.suppress(QueueRejectedError):
+            await store.commit(withdraw_queued(snapshot, change_id))
+    exit_with(UNDECIDED, "it waits still")
+
+
+def _has_ended_unopened(snapshot: FleetSnapshot, change_id: str) -> bool:
     """Whether it left the queue before its turn."""
-    told = find_change(view, ident)
-    return isinstance(told, FinishedChange) and not told.version
-
-
-def _text(file: str, version: int | None, none: str | None = None) -> tuple[str, str]:
-    """A committed policy's name and text. `none`: what stands for it where there was never one."""
-
-    async def read(store: Store) -> tuple[str, str]:
-        view = await store.view()
-        head = view.policy
-        found = {end.version: end.digest for end in view.finished if end.committed}
-        if head:
-            found[head.version] = head.digest
-        wanted = version if version is not None else head.version if head else 0
-        if wanted not in found:
-            if none is not None and not head:
-                return "no policy", none
-            end_with(
-                ABORTED, f"no version {wanted}: there are {', '.join(map(str, sorted(found))) or 'none'}"
-            )
-        text = (await store.view(store.keys.text(found[wanted]))).text(found[wanted])
-        if text is None:
-            end_with(ABORTED, f"the text of version {wanted} is not in the store")
-        return f"version {wanted}", text
-
-    return with_store(file, read)
-
-
-def _text_of(path: Path) -> str:
+    change = find_change(snapshot, change_id)
+    return isinstance(change, FinishedChange) and not change.version
+
+
+def _committed_policy(file: str, version: int | None, text_if_none: str | None = None) -> NamedPolicy:
+    """The policy in force, or an earlier one. `text_if_none`: what stands for it if there was never one."""
+    return with_store(file, lambda store: _read_policy(store, version, text_if_none))
+
+
+async def _read_policy(store: CommandStore, version: int | None, text_if_none: str | None) -> NamedPolicy:
+    snapshot = await store.read()
+    head = snapshot.policy
+    digests = {change.version: change.digest for change in snapshot.finished if change.committed}
+    if head:
+        digests[head.version] = head.digest
+    if version is None:
+        version = head.version if head else 0
+    if version not in digests:
+        if text_if_none is not None and not head:
+            return NamedPolicy("no policy", text_if_none)
+        known = ", ".join(map(str, sorted(digests))) or "none"
+        exit_with(ABORTED, f"no version {version}: there are {known}")
+    digest = digests[version]
+    text = (await store.read(store.keys.text(digest))).text(digest)
+    if text is None:
+        exit_with(ABORTED, f"the text of version {version} is not in the store")
+    return NamedPolicy(f"version {version}", text)
+
+
+def _read_text(path: Path) -> str:
     try:
         return path.read_text("utf-8")
-    except (OSError, UnicodeDecodeError) as why:
-        give_up(f"cannot read {path}: {why}")
+    except (OSError, UnicodeDecodeError) as error:
+        give_up(f"cannot read {path}: {error}")
 
 
-def _check(text: str, path: Path) -> None:
-    """Against this machine's configuration where there is one; else by the names that the file itself has."""
+def _check_policy(text: str, path: Path) -> None:
+    """Checks a policy against this machine's configuration, or by the names that the file itself uses."""
     try:
         if config := os.environ.get(CONFIGURATION_VARIABLE):
-            own = local_configuration_of(read_configuration(config).settings)
+            local = local_configuration_of(read_configuration(config).settings)
         else:
-            told = tomllib.loads(text)
-            named = [c for lv in tables_in(told.get("levels"), "level") for c in tables_in(lv, "cut")]
-            named += [
-                {key: list(told[key])} for key in ("products", "tenants") if isinstance(told.get(key), dict)
-            ]
-            own = LocalConfiguration(*named_in(named))
-        parse(text, own)
-    except (InvalidPolicyError, ConfigurationError, ValueError) as trouble:
-        give_up(f"{path.name}: {trouble}")
+            local = LocalConfiguration(*named_in(_tables_with_names(tomllib.loads(text))))
+        parse(text, local)
+    except (InvalidPolicyError, ConfigurationError, ValueError) as error:
+        give_up(f"{path.name}: {error}")
+
+
+def _tables_with_names(values: dict[str, Any]) -> list[dict[str, object]]:
+    """Tables of a policy that name products and tenants: the cuts of its levels, and its own keys."""
+    levels = tables_in(values.get("levels"), "level")
+    tables = [cut for level in levels for cut in tables_in(level, "cut")]
+    for key in ("products", "tenants"):
+        if isinstance(values.get(key), dict):
+            tables.append({key: list(values[key])})
+    return tables
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -1,6 +1,6 @@
-"""fleet relay: the process that leads a cell, and what a running one says of itself.
+"""`otterrudder fleet relay`: the process that leads a cell, and the status of a running one.
 
-Exit codes: 0 as asked, 1 it can't start, 2 bad input."""
+Exit codes: 0 done, 1 it cannot start, 2 bad input."""
 
 import json
 import sys
@@ -8,27 +8,28 @@
 import click
 
 from otterrudder.cli.common import give_up
+from otterrudder.configuration import FLEET_VARIABLE
 from otterrudder.durable import DirectoryInUseError
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
 from otterrudder.log import configure_logging, log
 from otterrudder.net import control
 
-FILE = click.option(
+CANNOT_START = 1
+RELAY_FILE_OPTION = click.option(
     "--fleet",
     "file",
-    envvar="OTTERRUDDER_FLEET",
+    envvar=FLEET_VARIABLE,
     metavar="FILE",
     help="TOML file of the relay, with a table [relay] (or OTTERRUDDER_FLEET).",
 )
-CANNOT_START = 1
 
 
 @click.group(invoke_without_command=True)
-@FILE
+@RELAY_FILE_OPTION
 @click.pass_context
 def relay(context: click.Context, file: str | None) -> None:
-    """Lead a cell, or stand by to: serve until SIGTERM, then send the servers to another relay and end."""
+    """Lead a cell, or stand by: serve until SIGTERM, then send the servers to another relay and exit."""
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
@@ -38,26 +39,26 @@
     configure_logging(process.control_name(role))
     try:
         process.run(fleet, role)
-    except (DirectoryInUseError, TooFewDescriptors) as trouble:
-        give_up(trouble)
-    except OSError as trouble:
-        log.error("cannot start", why=str(trouble))
+    except (DirectoryInUseError, TooFewDescriptors) as error:
+        give_up(error)
+    except OSError as error:
+        log.error("cannot start", why=str(error))
         sys.exit(CANNOT_START)
 
 
 @relay.command()
-@FILE
+@RELAY_FILE_OPTION
 def status(file: str | None) -> None:
-    """What the relay of FILE on this machine says of itself, as JSON."""
+    """Show the status of the relay of FILE on this machine, as JSON."""
     from otterrudder.net.relay import control_name
 
     _, role = _read(file)
     name = control_name(role)
     try:
-        told = control.query(name, "relay")
-    except (OSError, ValueError) as why:
-        give_up(f"no relay answers at {control.socket_path(name)}: {why}")
-    click.echo(json.dumps(told.get("relay", told), indent=1))
+        response = control.query(name, "relay")
+    except (OSError, ValueError) as error:
+        give_up(f"no relay answers at {control.socket_path(name)}: {error}")
+    click.echo(json.dumps(response.get("relay", response), indent=1))
 
 
 def _read(file: str | None) -> tuple[Fleet, RelayRole]:
@@ -65,8 +66,8 @@
         raise click.UsageError("Missing option '--fleet'.")
     try:
         fleet = read_fleet(file)
-    except InvalidFleetError as trouble:
-        give_up(trouble)
+    except InvalidFleetError as error:
+        give_up(error)
     if not fleet.relay:
         give_up(f"{file}: relay: the file has no such table, so it is no relay's")
     return fleet, fleet.relay
