--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -75,8 +75,8 @@
     """The output of `status --json`; its keys are what scripts read."""
     return dict(
         fleet=snapshot.keys.fleet,
-        store_id=f"{snapshot.snapshot.cluster:x}",
-        revision=snapshot.snapshot.revision,
+        store_id=f"{snapshot.raw.cluster:x}",
+        revision=snapshot.raw.revision,
         policy=_policy_report(snapshot),
         change=_change_report(snapshot),
         waiting=len(snapshot.queue),
--- a/otterrudder/cli/fleet_change.py
+++ b/otterrudder/cli/fleet_change.py
@@ -177,6 +177,6 @@
         return
     exit_with(
         ABORTED,
-        f"nobody is of {snapshot.keys.fleet} yet on the store {snapshot.snapshot.cluster:x}: is it "
+        f"nobody is of {snapshot.keys.fleet} yet on the store {snapshot.raw.cluster:x}: is it "
         "the right one? --first puts a policy in force for servers to come",
     )
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -102,9 +102,9 @@
     original = RequestTable._answer
 
     def answer(self: RequestTable, request: PendingRequest, *arguments: Any) -> None:
-        sent = len(self._outbox.messages)
+        sent = len(self._outbox)
         original(self, request, *arguments)
-        self._outbox.messages += self._outbox.messages[sent:]
+        self._outbox += self._outbox[sent:]
 
     _patch(RequestTable, "_answer", answer)
 
