--- a/otterrudder/fleet/assembly.py
+++ b/otterrudder/fleet/assembly.py
@@ -2,8 +2,7 @@
 policies against the server's own configuration. Shared by `serve --fleet` and by the lab's servers without
 transactions.
 
-What only one of the two needs is imported when it is made: a server of a cell carries no client of the
-store."""
+What only one of the two needs is imported when it is made: a server of a cell has no client of the store."""
 
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
@@ -31,14 +30,14 @@
         """What is wrong with the text here; "": nothing."""
         try:
             content = parse(text, self._own)
-        except InvalidPolicyError as trouble:
-            return f"{self._name}: {trouble}"
+        except InvalidPolicyError as error:
+            return f"{self._name}: {error}"
         self._parsed.clear()
         self._parsed[text] = content
         return ""
 
     def content(self, text: str) -> Content | None:
-        """What a text in force says ("": no policy is in force); None: it can't be taken here."""
+        """The content of a text in force ("": no policy is in force); None: it can't be applied here."""
         try:
             return self._parsed.get(text) or parse(text or EMPTY_POLICY, self._own)
         except InvalidPolicyError:
@@ -51,21 +50,22 @@
     own: LocalConfiguration,
     apply: Callable[[Content], None],
     suspend_admission: Callable[[bool], None],
-    facts: Callable[[], Mapping[str, float]] = dict,
+    load_report: Callable[[], Mapping[str, float]] = dict,
 ) -> "Agent | CellAgent":
-    """The agent of the server `name`. `apply` and `suspend_admission` are called from the agent's `pulse`.
-    DirectoryInUseError: another process has the state directory; OSError: it or a key file can't be read."""
+    """The agent of the server `name`. `apply` and `suspend_admission` are called from the agent's `pulse`;
+    `load_report`: the server's metrics, for trials. DirectoryInUseError: another process has the state
+    directory; OSError: it or a key file can't be read."""
     checker = PolicyChecker(name, own)
 
-    def take(text: str) -> None:
+    def apply_policy(text: str) -> None:
         content = checker.content(text)
-        if content:  # else it stands aside, and says why
+        if content:  # else admission is suspended, and the log says why
             apply(content)
 
-    orders = ServerControl(take, suspend_admission)
+    control = ServerControl(apply_policy, suspend_admission)
     if fleet.relays:
-        return _make_cell_agent(fleet, name, own, checker, orders)
-    return _make_member_agent(fleet, name, own, checker, orders, facts)
+        return _make_cell_agent(fleet, name, own, checker, control)
+    return _make_member_agent(fleet, name, own, checker, control, load_report)
 
 
 def _make_member_agent(
@@ -73,34 +73,34 @@
     name: str,
     own: LocalConfiguration,
     checker: PolicyChecker,
-    orders: ServerControl,
-    facts: Callable[[], Mapping[str, float]],
+    control: ServerControl,
+    load_report: Callable[[], Mapping[str, float]],
 ) -> "Agent":
-    """A member of its own, with its folder taken."""
-    from otterrudder.fleet.agent import Agent, open_state_directory
+    """A member of its own, with its state directory locked."""
+    from otterrudder.fleet.agent import Agent
     from otterrudder.fleet.client import Client
     from otterrudder.fleet.records import MemberStatus
+    from otterrudder.fleet.state_file import open_state_directory
 
     store = Client(fleet)
-    folder, record = open_state_directory(fleet, name)
-    status = MemberStatus(
-        "", __version__, fleet.zone, products=tuple(product.name for product in own.products)
-    )
-    agent = Agent(fleet, store, name, status, checker.check, orders, folder, record, facts)
+    directory, record = open_state_directory(fleet, name)
+    products = tuple(request_class.name for request_class in own.products)
+    status = MemberStatus("", __version__, fleet.zone, products=products)
+    agent = Agent(fleet, store, name, status, checker.check, control, directory, record, load_report)
     log.info(
         "of a fleet",
         fleet=fleet.name,
         absent=fleet.rules.absent,
         bound_ms=fleet.rules.bound_ms,
         known=agent.member.known.version,
-        pledged=bool(agent.member.prepared_vote),
-        folder=str(fleet.state_directory),
+        prepared=bool(agent.member.prepared_vote),
+        state_directory=str(fleet.state_directory),
     )
     return agent
 
 
 def _make_cell_agent(
-    fleet: Fleet, name: str, own: LocalConfiguration, checker: PolicyChecker, orders: ServerControl
+    fleet: Fleet, name: str, own: LocalConfiguration, checker: PolicyChecker, control: ServerControl
 ) -> "CellAgent":
     """A server of a cell: its relay is a member in its place."""
     from otterrudder.fleet.cell.agent import CellAgent
@@ -108,4 +108,4 @@
 
     kind = server_fingerprint(own)
     log.info("of a cell", fleet=fleet.name, relays=fleet.relays, lease_ms=fleet.server_lease_ms, kind=kind)
-    return CellAgent(fleet, name, kind, checker.check, orders)
+    return CellAgent(fleet, name, kind, checker.check, control)
--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -83,7 +83,7 @@
             digest=participant.known.digest,
             head=participant.head,
             lease_left_ms=round(max(participant.lease_until - now, 0.0), 1),
-            counts=self.counts | {"asides": self.control_sender.asides},
+            counts=self.counts | {"asides": self.control_sender.suspensions},
         )
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> float:
--- a/otterrudder/fleet/effects.py
+++ b/otterrudder/fleet/effects.py
@@ -1,33 +1,40 @@
-"""What the fleet's pure parts want done: requests to the store and the disk, and a table that applies none of
-them itself. Whoever carries one out hands its outcome back, or None: no answer came.
+"""The effects that the fleet's pure parts return: requests to the store and the disk, carried out by others.
 
-Each belongs to a lane, and a lane has one of them under way at a time, so that a renewal never waits behind
-a slow read."""
+Whoever carries one out hands its outcome back, or None: no answer came. Each belongs to a lane, and a lane
+has one effect under way at a time, so that a renewal never waits behind a slow read."""
 
 from dataclasses import dataclass
 from enum import Enum
 
+from otterrudder.fleet.state import MemberState
 from otterrudder.fleet.store import CommitResult, Compare, LeaseResult, Snapshot, Write
 
 
 class Lane(Enum):
+    """What one effect at a time is under way for."""
+
     STORE = "store"  # reads and commits, one after another
     LEASE = "lease"
     DISK = "disk"
-    COORDINATE = "settle"
-    VALIDATE = "judge"
-    REPORT_STATUS = "tell"  # what it tells for operators: nothing waits for it
+    COORDINATE = "coordinate"
+    VALIDATE = "validate"
+    REPORT_STATUS = "report status"  # for operators: nothing waits for it
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
+    """Read these keys of the store, and all under those names that end in a slash."""
+
     names: tuple[str, ...]
     lane: Lane = Lane.STORE
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    purpose: str  # "register", "vote", "tell", "lead", "propose", "commit", "abort", "gone": for logs and lab
+    """Write to the store, if all compares hold. `purpose`: for failpoints, logs and the lab ("register",
+    "vote", "tell", "lead", "propose", "open", "commit", "abort", "gone", ...)."""
+
+    purpose: str
     compares: tuple[Compare, ...]
     writes: tuple[Write, ...]
     lane: Lane = Lane.STORE
@@ -35,40 +42,43 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
+    """Get a new lease from the store."""
+
     span_ms: float
     lane: Lane = Lane.LEASE
 
 
 @dataclass(frozen=True, slots=True)
 class RenewLease:
+    """Renew a lease for its whole span."""
+
     lease: int
     lane: Lane = Lane.LEASE
 
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """Write the record to the own folder; done once it would outlive a loss of power."""
+    """Write the state to the state directory; done once it would outlive a loss of power."""
 
-    record: object
+    record: MemberState
     lane: Lane = Lane.DISK
 
 
 @dataclass(frozen=True, slots=True)
 class ValidatePolicy:
-    """Check a policy's text against the server's own configuration: what is wrong with it, "" if nothing. Off
-    the loop: a long one takes as long as many requests."""
+    """Validate a policy's text against the server's own configuration: what is wrong with it, "" if nothing.
+    Off the loop: a long one takes as long as many requests."""
 
     digest: str
     text: str
     lane: Lane = Lane.VALIDATE
 
 
-StoreRequest = Read | Commit | GrantLease | RenewLease  # to the store
+StoreRequest = Read | Commit | GrantLease | RenewLease
 Effect = StoreRequest | SaveState | ValidatePolicy
-# Of a read; a commit; a lease or renewal; a save; a judgement; no answer.
+# Of a read; a commit; a lease or renewal; a save; a validation; no answer.
 Outcome = Snapshot | CommitResult | LeaseResult | bool | str | None
 
-
 _NAMES: dict[type[Effect], str] = {
     Read: "read",
     GrantLease: "lease",
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -64,7 +64,7 @@
     def pulse(self, now: float) -> Switched | None:
         """What has changed since the last one."""
         self.agent.pulse(now)
-        policy = self.agent.control_sender.taken
+        policy = self.agent.control_sender.applied
         present = (policy.version if policy else 0, self._admits)
         if present == self._told:
             return None
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -5,11 +5,11 @@
 
 import anyio
 
-from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.service import RelayService, check_descriptors
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet
+from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.log import log
 from otterrudder.net import control
 
