--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -27,6 +27,7 @@
 from otterrudder.fleet.server_control import ServerControl, ServerControlSender
 from otterrudder.fleet.state import MemberState
 from otterrudder.fleet.store import Store
+from otterrudder.fleet.validation import validate_text
 from otterrudder.log import log
 
 FAILED_MS = 200.0  # ms until what failed is tried again: it must not spin
@@ -171,21 +172,14 @@
 
     async def _outcome(self, effect: Effect) -> Outcome:
         if isinstance(effect, ValidatePolicy):
-            return await anyio.to_thread.run_sync(self._judge, effect.text)
+            # In a thread: a policy of hundreds of names would hold up the loop for tens of ms.
+            return await anyio.to_thread.run_sync(validate_text, self.validate, self.member.name, effect.text)
         return await self.executor.perform(effect)
 
     def _hinted(self) -> None:
         self.member.handle_watch_event()
         self.wake.set()
 
-    def _judge(self, text: str) -> str:
-        """In a thread: a policy of hundreds of names would hold up the loop for tens of ms."""
-        try:
-            return self.validate(text)
-        except Exception as why:  # it is a no, with what there is of a reason
-            log.exception("a policy could not be judged")
-            return f"{self.member.name}: {type(why).__name__}: {why}"
-
 
 def open_state_directory(fleet: Fleet, name: str) -> tuple[StateDirectory | None, MemberState | None]:
     """The folder, taken, and what it holds; Busy and OSError say why not. A record that is torn or another
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -13,8 +13,8 @@
 - A version never goes back: a relay that announces an older one, or another change under the same number, is
   not trusted, and its grants count for nothing.
 
-`standing(now)` is asked at the moment of an admission, so a server that was frozen or cut off finds out
-first. A lease is renewed after a quarter of its span; a relay that does not answer by the next quarter is
+`admission_status(now)` is asked at the moment of an admission, so a server that was frozen or cut off finds
+out first. A lease is renewed after a quarter of its span; a relay that does not answer by the next quarter is
 left for the next address, while the lease goes on."""
 
 import math
@@ -60,7 +60,7 @@
         "_relay_mistrust",
         "_renew_at",
         "_silent_at",
-        "_unfit",
+        "_rejection",
         "connection",
         "has_held_lease",
         "head",
@@ -93,7 +93,7 @@
         self._is_open = False
         self._renew_at = math.inf
         self._silent_at = math.inf
-        self._unfit = ""  # why the server rejects the policy that it would go by
+        self._rejection = ""  # why the server rejects the policy that it would go by
         self._effects: list[ParticipantEffect] = []
 
     # Its state.
@@ -102,7 +102,7 @@
         """At the moment of an admission, by the time of that moment."""
         if not self.has_held_lease:
             return AdmissionStatus.STARTING
-        if self._unfit:
+        if self._rejection:
             return AdmissionStatus.POLICY_REJECTED
         if now < self.lease.until:
             return AdmissionStatus.SERVING
@@ -115,7 +115,7 @@
     @property
     def status_detail(self) -> str:
         """More on its status, for operators."""
-        return self._unfit or self._relay_mistrust or self.refusal
+        return self._rejection or self._relay_mistrust or self.refusal
 
     @property
     def relay(self) -> str:
@@ -276,7 +276,7 @@
         for update in self.validation.validated_updates():
             if update.version > self.known.version:
                 self.known = Policy(update.version, update.change, update.digest, update.text)
-                self._unfit = self.validation.result(update.digest) or ""
+                self._rejection = self.validation.result(update.digest) or ""
                 self.lease.adopt(update.version)
         self.validation.drop_updates(self.known.version)
 
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -326,9 +326,9 @@
         """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell.
 
         Its servers wait until it is registered again, and do not try all relays in turn."""
-        return (
-            not self.leads() and not self._is_shutting_down and now < self.member.registration.endorsed_until
-        )
+        if self.leads() or self._is_shutting_down:
+            return False
+        return now < self.member.registration.endorsed_until
 
     def _owes_validation_result(self, now: float, session: Session) -> bool:
         poll = self.validation.poll
@@ -341,12 +341,10 @@
 
         A server that runs may go by the version before for the bound; one that starts after a commit may
         not."""
-        member = self.member
-        return (
-            bool(member.prepared_vote)
-            and member.voting.vote_sent
-            and member.voting.fresh_at < session.registered_at
-        )
+        if not self.member.prepared_vote:
+            return False
+        voting = self.member.voting
+        return voting.vote_sent and voting.fresh_at < session.registered_at
 
     def _authority_detail(self, now: float) -> str:
         if now < self.given_endorsement.until:
@@ -414,9 +412,7 @@
     def _after_store(self, now: float) -> None:
         leads = self.leads()
         if leads and not self._was_leading:
-            self.member.voting.abstains_until = max(
-                self.member.voting.abstains_until, now + TAKEOVER_VOTE_DELAY_MS
-            )
+            self._abstain_until(now + TAKEOVER_VOTE_DELAY_MS)
         self._was_leading = leads
         self._answer_deferred_requests(now)
         if self.member.known is not self._pushed_policy:
@@ -434,9 +430,12 @@
 
         Nor does it take the cell over, so that the leader finds its place free once the store answers it
         again."""
-        until = self.given_endorsement.until
-        self.member.voting.abstains_until = max(self.member.voting.abstains_until, until)
-        self.member.registration.registers_from = until
+        self._abstain_until(self.given_endorsement.until)
+        self.member.registration.registers_from = self.given_endorsement.until
+
+    def _abstain_until(self, until: float) -> None:
+        voting = self.member.voting
+        voting.abstains_until = max(voting.abstains_until, until)
 
     def _may_need_endorsements(self) -> bool:
         rules = self.member.rules
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -116,9 +116,7 @@
     """Its endorsement binds its votes alone."""
 
     def _abstain(self) -> None:
-        self.member.voting.abstains_until = max(
-            self.member.voting.abstains_until, self.given_endorsement.until
-        )
+        self._abstain_until(self.given_endorsement.until)
 
     def authority_until(self, now: float) -> float:
         return -math.inf if self._is_shutting_down else self.member.authority_until(now)
