--- /dev/null
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -0,0 +1,232 @@
+"""What may happen next to requests, answers and messages in a model of cells, and to changes."""
+
+from collections.abc import Callable, Iterator
+from dataclasses import replace
+from functools import partial
+
+from otterrudder.fleet.cell.messages import LeaseGrant, PolicyUpdate
+from otterrudder.fleet.change import ChangeRejectedError, propose
+from otterrudder.fleet.effects import Commit, Effect, Lane, effect_name
+from otterrudder.fleet.queue import QueueRejectedError, enqueue
+from otterrudder.fleet.records import QueuedChange
+from otterrudder.lab.fleet import cell_delivery, cell_store
+from otterrudder.lab.fleet.cell_event import Event
+from otterrudder.lab.fleet.cell_stages import text_of
+from otterrudder.lab.fleet.cell_state import DEADLINE_MS, CellState, PeerExchange, Stream, StreamSignal
+
+# The store's requests and answers.
+
+
+def store_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of requests to the store and their answers."""
+    for at, exchange in enumerate(state.store_exchanges):
+        host = state.relays[exchange.host]
+        name = f"{host.address}.{exchange.incarnation} {_effect_label(exchange.effect)}"
+        has_sender = host.relay is not None and host.incarnation == exchange.incarnation
+        if host.is_frozen and exchange.is_answer and has_sender:
+            continue  # nobody receives it now
+        if not cell_delivery.can_serve(state, exchange):
+            if not host.is_frozen:
+                yield Event(f"{name}: no way there", partial(_drop, at))
+            continue
+        suffix = ": answer" if exchange.is_answer else ""
+        yield Event(f"{name}{suffix}", partial(_deliver_store_exchange, at))
+        if may_inject and has_sender and not exchange.is_answer and not host.is_frozen:
+            yield from _store_faults(at, name, exchange.effect)
+
+
+def _store_faults(at: int, name: str, effect: Effect) -> Iterator[Event]:
+    if isinstance(effect, Commit):
+        yield Event(f"{name}: took effect, answer lost", partial(_lose_answer, at), 1)
+        yield Event(f"{name}: given up, still on its way", partial(_give_up, at), 1)
+    else:
+        yield Event(f"{name}: slow answer", partial(_answer_slowly, at), 1)
+
+
+def _deliver_store_exchange(at: int, state: CellState) -> None:
+    cell_delivery.deliver_store_exchange(state, state.store_exchanges[at])
+
+
+def _drop(at: int, state: CellState) -> None:
+    cell_delivery.receive_answer(state, state.store_exchanges.pop(at))
+
+
+def _lose_answer(at: int, state: CellState) -> None:
+    exchange = state.store_exchanges.pop(at)
+    cell_store.serve(state, exchange.effect)
+    cell_delivery.receive_answer(state, exchange)
+
+
+def _give_up(at: int, state: CellState) -> None:
+    """It may arrive yet, and nobody waits for it."""
+    exchange = state.store_exchanges[at]
+    state.store_exchanges[at] = replace(exchange, incarnation=-exchange.incarnation)
+    cell_delivery.receive_answer(state, exchange)
+
+
+def _answer_slowly(at: int, state: CellState) -> None:
+    exchange = state.store_exchanges[at]
+    exchange.outcome = cell_store.serve(state, exchange.effect)
+    exchange.is_answer = True
+
+
+def _effect_label(effect: Effect) -> str:
+    if isinstance(effect, Commit):
+        return effect.purpose
+    return "count" if effect.lane is Lane.COORDINATE else effect_name(effect)
+
+
+# Relays among themselves.
+
+
+def peer_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of requests between relays and their answers."""
+    for at, exchange in enumerate(state.peer_exchanges):
+        name = _peer_label(state, exchange)
+        if cell_delivery.can_deliver_peer_exchange(state, exchange):
+            yield Event(name, partial(_deliver_peer_exchange, at))
+        if may_inject:
+            yield Event(f"{name}: lost", partial(_lose_peer_exchange, at), 1)
+
+
+def _deliver_peer_exchange(at: int, state: CellState) -> None:
+    cell_delivery.deliver_peer_exchange(state, state.peer_exchanges[at])
+
+
+def _lose_peer_exchange(at: int, state: CellState) -> None:
+    del state.peer_exchanges[at]
+
+
+def _peer_label(state: CellState, exchange: PeerExchange) -> str:
+    sender = state.relays[exchange.sender].address
+    peer = state.relays[exchange.peer].address
+    return f"{peer} answers {sender}" if exchange.answer else f"{sender} asks {peer}"
+
+
+# Servers and relays.
+
+
+def stream_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of messages between servers and relays, and of validations by servers."""
+    for at, stream in enumerate(state.streams):
+        yield from _message_events(state, at, stream)
+        if may_inject:
+            yield from _stream_faults(state, at, stream)
+    for place, host in enumerate(state.servers):
+        if host.runs and host.validations:
+            yield Event(f"{host.name} has checked", partial(_finish_validation, place))
+
+
+def _message_events(state: CellState, at: int, stream: Stream) -> Iterator[Event]:
+    server = state.servers[stream.server].name
+    relay = state.relays[stream.relay].address
+    if cell_delivery.can_reach_relay(state, stream):
+        name = f"{server} to {relay}: {_message_label(stream.to_relay[0])}"
+        yield Event(name, partial(_deliver_to_relay, at))
+    if cell_delivery.can_reach_server(state, stream):
+        name = f"{relay} to {server}: {_message_label(stream.to_server[0])}"
+        yield Event(name, partial(_deliver_to_server, at))
+
+
+def _stream_faults(state: CellState, at: int, stream: Stream) -> Iterator[Event]:
+    server = state.servers[stream.server].name
+    relay = state.relays[stream.relay].address
+    if not _is_ending(stream):
+        yield Event(f"{server} to {relay}: breaks", partial(_break_stream, at), 1)
+    if stream.to_server and isinstance(stream.to_server[0], PolicyUpdate):
+        yield Event(f"{relay} to {server}: damaged text", partial(_damage_text, at), 1)
+    if stream.to_server and _grants_version(stream.to_server[0]):
+        yield Event(f"{relay} to {server}: older version", partial(_grant_older_version, at), 1)
+
+
+def _deliver_to_relay(at: int, state: CellState) -> None:
+    cell_delivery.deliver_to_relay(state, state.streams[at])
+
+
+def _deliver_to_server(at: int, state: CellState) -> None:
+    cell_delivery.deliver_to_server(state, state.streams[at])
+
+
+def _break_stream(at: int, state: CellState) -> None:
+    cell_delivery.break_stream(state.streams[at])
+
+
+def _finish_validation(place: int, state: CellState) -> None:
+    cell_delivery.finish_validation(state, state.servers[place])
+
+
+def _is_ending(stream: Stream) -> bool:
+    ended = StreamSignal.ENDED
+    return stream.is_ended or ended in stream.to_relay or ended in stream.to_server
+
+
+def _message_label(message: object) -> str:
+    return message.value if isinstance(message, StreamSignal) else type(message).__name__
+
+
+def _grants_version(message: object) -> bool:
+    return isinstance(message, LeaseGrant) and message.version > 0
+
+
+def _grant_older_version(at: int, state: CellState) -> None:
+    """A relay that is wrong in a way that ours never is."""
+    stream = state.streams[at]
+    grant = stream.to_server[0]
+    assert isinstance(grant, LeaseGrant)
+    version = grant.version - 1
+    older = state.checker.committed.get(version)
+    change = older.change if older else ""
+    stream.to_server[0] = LeaseGrant(grant.sequence, version, change, grant.span_ms)
+
+
+def _damage_text(at: int, state: CellState) -> None:
+    stream = state.streams[at]
+    update = stream.to_server[0]
+    assert isinstance(update, PolicyUpdate)
+    text = f"{update.text} damaged"
+    stream.to_server[0] = PolicyUpdate(update.version, update.change, update.digest, text)
+
+
+# Changes.
+
+Proposal = Callable[[CellState, str], Commit | None]
+
+
+def change_events(state: CellState) -> Iterator[Event]:
+    """A is queued, B is proposed directly; what was computed is sent, now or much later."""
+    if state.is_store_away:
+        return
+    proposals: tuple[tuple[str, Proposal], ...] = (("A", _enqueue), ("B", _propose), ("C", _enqueue))
+    for ident, compute in proposals:
+        if ident not in state.proposed and compute(state, ident):
+            yield Event(f"{ident} reads, to propose", partial(_compute, ident, compute))
+    for proposer, commit in state.pending.items():
+        yield Event(f"{proposer}: {commit.purpose}", partial(_send, proposer))
+
+
+def _send(proposer: str, state: CellState) -> None:
+    cell_store.write(state, state.pending.pop(proposer))
+
+
+def _compute(ident: str, compute: Proposal, state: CellState) -> None:
+    state.proposed.add(ident)
+    if commit := compute(state, ident):
+        state.pending[ident] = commit
+
+
+def _enqueue(state: CellState, ident: str) -> Commit | None:
+    snapshot = state.snapshot()
+    has_base = state.variant.has_based_changes and snapshot.policy
+    base = snapshot.policy.digest if has_base and snapshot.policy else ""
+    entry = QueuedChange(ident, author=ident, deadline_ms=DEADLINE_MS, base=base)
+    try:
+        return enqueue(snapshot, entry, text_of(ident))
+    except QueueRejectedError:
+        return None
+
+
+def _propose(state: CellState, ident: str) -> Commit | None:
+    try:
+        return propose(state.snapshot(), ident, text_of(ident), ident, "", 0.0, DEADLINE_MS)
+    except ChangeRejectedError:
+        return None
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -0,0 +1,196 @@
+"""What may happen next to processes, ways and the store in a model of cells."""
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+from functools import partial
+
+from otterrudder.lab.fleet import cell_delivery, cell_processes, cell_store
+from otterrudder.lab.fleet.cell_event import Event
+from otterrudder.lab.fleet.cell_state import CellState, RelayHost, Stream
+
+# Relays.
+
+
+@dataclass(frozen=True, slots=True)
+class StoreCut:
+    """One way between a relay and the store that may be cut: the host's attribute, and event names."""
+
+    attribute: str
+    cut: str
+    restored: str
+
+
+STORE_CUTS = (
+    StoreCut("is_send_cut", "is not heard by the store", "is heard by the store again"),
+    StoreCut("is_receive_cut", "does not hear the store", "hears the store again"),
+)
+
+
+def relay_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of the relays' processes, and their ways to the store."""
+    for place, host in enumerate(state.relays):
+        if not host.relay:
+            yield Event(f"{host.address} starts", partial(_start_relay, place))
+            continue
+        if may_inject:
+            yield Event(f"{host.address} dies", partial(_stop_relay, place), 1)
+            if not host.is_frozen:
+                yield Event(f"{host.address} leaves", partial(_shut_down_relay, place), 1)
+        if host.is_frozen:
+            yield Event(f"{host.address} wakes", partial(_thaw_relay, place))
+            yield Event(f"{host.address} wakes and hears first", partial(_thaw_relay_with_messages, place))
+        elif may_inject:
+            yield Event(f"{host.address} freezes", partial(_freeze_relay, place), 1)
+        yield from _store_cut_events(place, host, may_inject)
+
+
+def _store_cut_events(place: int, host: RelayHost, may_inject: bool) -> Iterator[Event]:
+    for way in STORE_CUTS:
+        if getattr(host, way.attribute):
+            name = f"{host.address} {way.restored}"
+            yield Event(name, partial(_set_store_cut, place, way.attribute, False))
+        elif may_inject:
+            yield Event(f"{host.address} {way.cut}", partial(_set_store_cut, place, way.attribute, True), 1)
+
+
+def _set_store_cut(place: int, attribute: str, is_cut: bool, state: CellState) -> None:
+    setattr(state.relays[place], attribute, is_cut)
+    if not is_cut:
+        cell_store.begin_watches(state, state.relays[place])
+
+
+def _start_relay(place: int, state: CellState) -> None:
+    cell_processes.start_relay(state, place)
+
+
+def _stop_relay(place: int, state: CellState) -> None:
+    cell_processes.stop_relay(state, place)
+
+
+def _shut_down_relay(place: int, state: CellState) -> None:
+    cell_processes.shut_down_relay(state, place)
+
+
+def _freeze_relay(place: int, state: CellState) -> None:
+    state.relays[place].is_frozen = True
+
+
+def _thaw_relay(place: int, state: CellState) -> None:
+    state.relays[place].is_frozen = False
+    cell_store.begin_watches(state, state.relays[place])
+
+
+def _thaw_relay_with_messages(place: int, state: CellState) -> None:
+    """What has waited for the relay is received before its own clock is looked at."""
+    state.relays[place].is_frozen = False
+    answers = [one for one in state.store_exchanges if one.host == place and one.is_answer]
+    for exchange in answers:
+        cell_delivery.deliver_store_exchange(state, exchange)
+    for stream in [stream for stream in state.streams if stream.relay == place]:
+        while _can_still_reach_relay(state, stream):
+            cell_delivery.deliver_to_relay(state, stream)
+    for peer_exchange in list(state.peer_exchanges):
+        is_request = peer_exchange.answer is None
+        receiver = peer_exchange.peer if is_request else peer_exchange.sender
+        if receiver == place and cell_delivery.can_deliver_peer_exchange(state, peer_exchange):
+            cell_delivery.deliver_peer_exchange(state, peer_exchange)
+
+
+def _can_still_reach_relay(state: CellState, stream: Stream) -> bool:
+    return stream in state.streams and cell_delivery.can_reach_relay(state, stream)
+
+
+# Servers.
+
+
+def server_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of the servers' processes."""
+    for place, host in enumerate(state.servers):
+        if not host.server:
+            yield Event(f"{host.name} starts", partial(_start_server, place))
+            continue
+        if may_inject:
+            yield Event(f"{host.name} dies", partial(_stop_server, place), 1)
+        if host.is_frozen:
+            yield Event(f"{host.name} wakes", partial(_set_server_frozen, place, False))
+            yield Event(f"{host.name} wakes and hears first", partial(_thaw_server_with_messages, place))
+        elif may_inject:
+            yield Event(f"{host.name} freezes", partial(_set_server_frozen, place, True), 1)
+
+
+def _start_server(place: int, state: CellState) -> None:
+    cell_processes.start_server(state, place)
+
+
+def _stop_server(place: int, state: CellState) -> None:
+    cell_processes.stop_server(state, place)
+
+
+def _set_server_frozen(place: int, is_frozen: bool, state: CellState) -> None:
+    state.servers[place].is_frozen = is_frozen
+
+
+def _thaw_server_with_messages(place: int, state: CellState) -> None:
+    """What has waited for the server is received before its own clock is looked at."""
+    state.servers[place].is_frozen = False
+    for stream in [stream for stream in state.streams if stream.server == place]:
+        while stream in state.streams and cell_delivery.can_reach_server(state, stream):
+            cell_delivery.deliver_to_server(state, stream)
+
+
+# Ways, and the store.
+
+Way = tuple[str, str]  # from whom to whom
+
+
+def cut_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of the ways among relays, and between relays and servers."""
+    for way in sorted(state.cuts):
+        yield Event(f"{way[0]} to {way[1]}: healed", partial(_set_cut, way, False))
+    if may_inject:
+        for way in _ways(state):
+            if way not in state.cuts:
+                yield Event(f"{way[0]} to {way[1]}: cut", partial(_set_cut, way, True), 1)
+
+
+def _set_cut(way: Way, is_cut: bool, state: CellState) -> None:
+    if is_cut:
+        state.cuts.add(way)
+    else:
+        state.cuts.discard(way)
+
+
+def _ways(state: CellState) -> Iterator[Way]:
+    for host in state.relays:
+        yield from ((host.address, other) for other in host.candidates if other != host.address)
+    for server in state.servers:
+        for address in server.relays:
+            yield server.name, address
+            yield address, server.name
+
+
+def engine_events(state: CellState, may_inject: bool) -> Iterator[Event]:
+    """Of the store: it goes away and comes back, or another engine answers in its place."""
+    if state.is_store_away:
+        yield Event("the store is back", partial(_set_store_away, False))
+    elif may_inject:
+        yield Event("the store is away", partial(_set_store_away, True), 1)
+    if not state.variant.has_backups:
+        return
+    if state.store.primary:
+        yield Event("the store itself answers", cell_store.return_to_primary)
+    elif not state.store.backup:
+        yield Event("the store is copied", _back_up)
+    elif may_inject:
+        yield Event("an older copy answers", cell_store.restore_backup, 1)
+
+
+def _set_store_away(is_away: bool, state: CellState) -> None:
+    state.is_store_away = is_away
+    if not is_away:
+        for host in state.relays:
+            cell_store.begin_watches(state, host)
+
+
+def _back_up(state: CellState) -> None:
+    state.store.back_up()
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -0,0 +1,234 @@
+"""The processes of a model of cells: they start and stop, and their effects are carried out."""
+
+from dataclasses import replace
+
+from otterrudder.fleet.cell.effects import (
+    Connect,
+    Disconnect,
+    EndSession,
+    ParticipantEffect,
+    PeerRequest,
+    RelayEffect,
+    SendToRelay,
+    SendToServer,
+    ValidateText,
+)
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.messages import LeaseGrant
+from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, SaveState
+from otterrudder.fleet.state import MemberState
+from otterrudder.lab.fleet import cell_store
+from otterrudder.lab.fleet.cell_history_checker import RelayHistory
+from otterrudder.lab.fleet.cell_state import (
+    FLEET,
+    CellState,
+    PeerExchange,
+    RelayHost,
+    ServerHost,
+    StoreExchange,
+    Stream,
+    StreamSignal,
+)
+from otterrudder.lab.fleet.model_store import STORE_ID
+
+MAX_PEER_REQUESTS = 2  # on their way from one relay to another; older ones are lost
+
+# Starts and ends.
+
+
+def start_relay(state: CellState, place: int) -> None:
+    """A relay's process starts, with what its disk holds."""
+    host = state.relays[place]
+    variant = state.variant
+    host.incarnation += 1
+    host.is_frozen = False
+    incarnation = f"{host.address}.{host.incarnation}"
+    is_shared = variant.relays > 1
+    host.relay = variant.relay(
+        state.clock(host),
+        CellIdentity(FLEET, host.cell, host.address, host.candidates),
+        incarnation,
+        replace(variant.rules, is_shared=is_shared),
+        variant.limits,
+        state=host.disk,
+        has_disk=not is_shared,
+        cluster=STORE_ID,
+    )
+    history = RelayHistory(host.address, incarnation, host.rate)
+    state.checker.relays[place, host.incarnation] = history
+
+
+def start_server(state: CellState, place: int) -> None:
+    """A server's process starts; it remembers nothing."""
+    host = state.servers[place]
+    host.incarnation += 1
+    host.started = state.now
+    host.newest = 0
+    host.is_frozen = False
+    host.validations.clear()
+    incarnation = f"{host.name}.{host.incarnation}"
+    identity = ServerIdentity(FLEET, host.name, incarnation, host.fingerprint)
+    span_ms = state.variant.limits.span_ms
+    host.server = state.variant.participant(state.clock(host), identity, host.relays, span_ms)
+
+
+def stop_relay(state: CellState, place: int) -> None:
+    """The process ends, and its streams do."""
+    host = state.relays[place]
+    host.relay = None
+    for stream in state.streams:
+        if (stream.relay, stream.relay_incarnation) == (place, host.incarnation) and not stream.is_ended:
+            stream.is_ended = True
+            stream.to_server.append(StreamSignal.ENDED)
+
+
+def stop_server(state: CellState, place: int) -> None:
+    """The process ends, and its streams do."""
+    host = state.servers[place]
+    host.server = None
+    for stream in state.streams:
+        if (stream.server, stream.server_incarnation) == (place, host.incarnation):
+            stream.to_relay.append(StreamSignal.ENDED)
+            stream.to_server.clear()
+
+
+def shut_down_relay(state: CellState, place: int) -> None:
+    """The relay sends its servers away, gives its lease back and ends."""
+    host = state.relays[place]
+    assert host.relay
+    host.relay.begin_shutdown()
+    run_effects(state)
+    lease = host.relay.member.lease
+    if lease and not (state.is_store_away or host.is_send_cut):
+        state.store.engine.revoke(lease)
+    stop_relay(state, place)
+
+
+# Effects.
+
+
+def run_effects(state: CellState) -> None:
+    """All effects of relays and servers are carried out, until there are none."""
+    is_busy = True
+    while is_busy:
+        is_busy = False
+        for place, host in enumerate(state.relays):
+            is_busy = _run_relay(state, place, host) or is_busy
+        for place, server_host in enumerate(state.servers):
+            is_busy = _run_server(state, place, server_host) or is_busy
+
+
+def _run_relay(state: CellState, place: int, host: RelayHost) -> bool:
+    """Whether the relay had any effects."""
+    is_busy = False
+    while host.runs and host.relay and (effects := host.relay.effects(state.clock(host))):
+        is_busy = True
+        for effect in effects:
+            _carry_out_relay_effect(state, place, host, effect)
+    return is_busy
+
+
+def _run_server(state: CellState, place: int, host: ServerHost) -> bool:
+    """Whether the server had any effects."""
+    is_busy = False
+    while host.runs and host.server and (effects := host.server.effects(state.clock(host))):
+        is_busy = True
+        for effect in effects:
+            _carry_out_server_effect(state, place, host, effect)
+    if host.server:
+        host.newest = max(host.newest, host.server.known.version)
+    return is_busy
+
+
+def _carry_out_relay_effect(state: CellState, place: int, host: RelayHost, effect: RelayEffect) -> None:
+    match effect:
+        case SendToServer():
+            _send_to_server(state, place, host, effect)
+        case EndSession():
+            if stream := state.relay_stream(place, host.incarnation, effect.connection):
+                stream.is_ended = True
+                stream.to_server.append(StreamSignal.ENDED)
+        case PeerRequest():
+            _send_to_peer(state, place, host, effect)
+        case _:
+            _carry_out_member_effect(state, place, host, effect)
+
+
+def _carry_out_member_effect(state: CellState, place: int, host: RelayHost, effect: Effect) -> None:
+    assert host.relay
+    now = state.clock(host)
+    if isinstance(effect, SaveState):
+        assert isinstance(effect.record, MemberState)
+        host.disk = effect.record
+        host.relay.handle_result(now, effect, now, True)
+    elif effect.lane is Lane.LEASE or isinstance(effect, Commit) and effect.purpose == "tell":
+        host.relay.handle_result(now, effect, now, _exchange_at_once(state, host, effect))
+    else:
+        if isinstance(effect, Commit) and effect.purpose == "vote":
+            state.checker.record_vote(state.now, (place, host.incarnation), effect)
+        state.store_exchanges.append(StoreExchange(place, host.incarnation, effect, now))
+
+
+def _exchange_at_once(state: CellState, host: RelayHost, effect: Effect) -> Outcome:
+    """The order of other events does not depend on leases, nor on what is reported for operators."""
+    if state.is_store_away or host.is_send_cut:
+        return None
+    outcome = cell_store.serve(state, effect)
+    return None if host.is_receive_cut else outcome
+
+
+def _send_to_server(state: CellState, place: int, host: RelayHost, effect: SendToServer) -> None:
+    stream = state.relay_stream(place, host.incarnation, effect.connection)
+    if not stream or stream.is_ended:
+        return
+    stream.to_server.append(effect.message)
+    if isinstance(effect.message, LeaseGrant):
+        process = (place, host.incarnation)
+        state.checker.record_grant(state.now, process, stream.fingerprint, effect.message)
+
+
+def _send_to_peer(state: CellState, place: int, host: RelayHost, effect: PeerRequest) -> None:
+    peer = next(at for at, other in enumerate(state.relays) if other.address == effect.peer)
+    same = [one for one in state.peer_exchanges if (one.sender, one.peer) == (place, peer)]
+    if len(same) >= MAX_PEER_REQUESTS:
+        state.peer_exchanges = [one for one in state.peer_exchanges if one is not same[0]]
+    state.peer_exchanges.append(PeerExchange(place, host.incarnation, peer, effect.message))
+
+
+def _carry_out_server_effect(
+    state: CellState, place: int, host: ServerHost, effect: ParticipantEffect
+) -> None:
+    match effect:
+        case Connect():
+            _connect(state, place, host, effect)
+        case ValidateText():
+            host.validations.append(effect)
+        case SendToRelay():
+            if stream := state.server_stream(place, host.incarnation, effect.connection):
+                stream.to_relay.append(effect.message)
+        case Disconnect():
+            if stream := state.server_stream(place, host.incarnation, effect.connection):
+                stream.to_relay.append(StreamSignal.ENDED)
+                stream.to_server.clear()
+
+
+def _connect(state: CellState, place: int, host: ServerHost, effect: Connect) -> None:
+    assert host.server
+    at = next(at for at, relay in enumerate(state.relays) if relay.address == effect.relay)
+    if (host.name, effect.relay) in state.cuts:
+        return  # nothing comes back
+    if not state.relays[at].relay:
+        host.server.handle_disconnected(state.clock(host), effect.connection)
+        return
+    state.stream_count += 1
+    stream = Stream(
+        state.stream_count,
+        place,
+        host.incarnation,
+        effect.connection,
+        at,
+        state.relays[at].incarnation,
+        host.fingerprint,
+    )
+    stream.to_server.append(StreamSignal.OPENED)
+    state.streams.append(stream)
--- a/otterrudder/lab/fleet/cell_report.py
+++ b/otterrudder/lab/fleet/cell_report.py
@@ -3,13 +3,17 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import Future, ProcessPoolExecutor
 
-from otterrudder.lab.fleet.cell_model import CellStage, all_variants
-from otterrudder.lab.fleet.cell_search import hunt, search, walk
-from otterrudder.lab.fleet.cell_seeded_faults import FAULTS
+from otterrudder.lab.fleet.cell_search import find_fault, search, walk
+from otterrudder.lab.fleet.cell_seeded_faults import SEEDED_FAULTS
+from otterrudder.lab.fleet.cell_stages import CellStage
+from otterrudder.lab.fleet.cell_variants import all_variants
 from otterrudder.lab.fleet.explore import Found
 
-CHUNK = 50  # walks that are handed out at a time
-DEPTH_HARM = 2  # harm in a search by breadth
+WALKS_A_TASK = 50
+MAX_FAULTS = 2  # in a search by breadth
+
+Echo = Callable[[str], None]
+Tasks = list[Future[Found]]
 
 
 def _walk(name: str, seed: str, walks: int) -> Found:
@@ -17,14 +21,15 @@
 
 
 def _search(name: str, stage: str, depth: int) -> Found:
-    return search(dict(all_variants())[name], depth, DEPTH_HARM, CellStage[stage])
+    return search(dict(all_variants())[name], depth, MAX_FAULTS, CellStage[stage])
 
 
-def _hunt(name: str) -> Found:
-    return hunt(FAULTS[name])
+def _find_fault(name: str) -> Found:
+    return find_fault(SEEDED_FAULTS[name])
 
 
 def variant_names() -> list[str]:
+    """The variants that can be searched."""
     return [name for name, _ in all_variants()]
 
 
@@ -33,60 +38,60 @@
     seed: int,
     depth: int,
     workers: int | None,
-    say: Callable[[str], None],
+    echo: Echo,
     variants: Sequence[str] = (),
 ) -> bool:
-    """Whether no promise broke and each fault was found. `walks`: by variant; `depth`: of the search by
-    breadth from each stage; `variants`: these alone, or all."""
+    """Whether no promise was violated and each seeded fault was found. `walks`: by variant; `depth`: of the
+    search by breadth from each stage; `variants`: these alone, or all."""
     names = variants or variant_names()
     with ProcessPoolExecutor(workers) as pool:
-        drawn = {name: _drawn(pool, name, seed, walks) for name in names}
-        deep = {
+        walked = {name: _begin_walks(pool, name, seed, walks) for name in names}
+        searched = {
             (name, stage.name): pool.submit(_search, name, stage.name, depth)
             for name in (names if depth else ())
             for stage in CellStage
         }
-        hunted = {name: pool.submit(_hunt, name) for name in FAULTS}
-        is_sound = _say_worlds(drawn, deep, say)
-        return _say_faults(hunted, say) and is_sound
+        hunted = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
+        is_sound = _print_variants(walked, searched, echo)
+        return _print_faults(hunted, echo) and is_sound
 
 
-def _drawn(pool: ProcessPoolExecutor, name: str, seed: int, walks: int) -> list[Future[Found]]:
-    sizes = [min(CHUNK, walks - done) for done in range(0, walks, CHUNK)]
-    return [pool.submit(_walk, name, f"{seed}/{n}", size) for n, size in enumerate(sizes)]
+def _begin_walks(pool: ProcessPoolExecutor, name: str, seed: int, walks: int) -> Tasks:
+    sizes = [min(WALKS_A_TASK, walks - done) for done in range(0, walks, WALKS_A_TASK)]
+    return [pool.submit(_walk, name, f"{seed}/{number}", size) for number, size in enumerate(sizes)]
 
 
-def _say_worlds(
-    drawn: dict[str, list[Future[Found]]],
-    deep: dict[tuple[str, str], Future[Found]],
-    say: Callable[[str], None],
+def _print_variants(
+    walked: dict[str, Tasks], searched: dict[tuple[str, str], Future[Found]], echo: Echo
 ) -> bool:
+    """Whether no promise was violated."""
     is_sound = True
-    say("| variant | worlds | broken |")
-    say("| --- | ---: | --- |")
-    for name, parts in drawn.items():
-        found = [part.result() for part in parts]
-        broken = next((one for one in found if one.violation), None)
-        is_sound = is_sound and not broken
-        say(f"| {name}, drawn | {sum(one.states for one in found)} | {_told(broken)} |")
-    for (name, stage), part in deep.items():
-        one = part.result()
+    echo("| variant | states | violation |")
+    echo("| --- | ---: | --- |")
+    for name, tasks in walked.items():
+        found = [task.result() for task in tasks]
+        violating = next((one for one in found if one.violation), None)
+        is_sound = is_sound and not violating
+        echo(f"| {name}, drawn | {sum(one.states for one in found)} | {_violation_cell(violating)} |")
+    for (name, stage), task in searched.items():
+        one = task.result()
         is_sound = is_sound and not one.violation
-        say(f"| {name}, from {stage.lower()} to depth {one.depth} | {one.states} | {_told(one)} |")
+        echo(f"| {name}, from {stage.lower()} to depth {one.depth} | {one.states} | {_violation_cell(one)} |")
     return is_sound
 
 
-def _told(found: Found | None) -> str:
+def _violation_cell(found: Found | None) -> str:
     return f"{found.violation}: {found.trail}" if found and found.violation else "none"
 
 
-def _say_faults(hunted: dict[str, Future[Found]], say: Callable[[str], None]) -> bool:
+def _print_faults(hunted: dict[str, Future[Found]], echo: Echo) -> bool:
+    """Whether each was found."""
     are_found = True
-    say("")
-    say("| fault put in | found after worlds | as |")
-    say("| --- | ---: | --- |")
-    for name, part in hunted.items():
-        one = part.result()
+    echo("")
+    echo("| seeded fault | found after states | as |")
+    echo("| --- | ---: | --- |")
+    for name, task in hunted.items():
+        one = task.result()
         are_found = are_found and bool(one.violation)
-        say(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
+        echo(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
     return are_found
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -1,5 +1,5 @@
-"""The model of cells searched: long orders of events drawn from a seed, every order to a small depth, and the
-hunt for faults that were put in."""
+"""Searches of the model of cells: long orders of events drawn from a seed, every order to a small depth, and
+the search for seeded faults."""
 
 import math
 import random
@@ -11,111 +11,116 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet import explore
-from otterrudder.lab.fleet.cell_events import after, events, happen
-from otterrudder.lab.fleet.cell_model import (
-    CellStage,
-    CellVariant,
-    CellWorld,
-    NotConvergedError,
-    settled,
-    staged,
-)
-from otterrudder.lab.fleet.cell_seeded_faults import CellHunt
+from otterrudder.lab.fleet.cell_event import Event
+from otterrudder.lab.fleet.cell_events import apply_event, events, successor
+from otterrudder.lab.fleet.cell_model import CellModel
+from otterrudder.lab.fleet.cell_seeded_faults import SeededFault
+from otterrudder.lab.fleet.cell_stages import CellStage, NotConvergedError, converged, staged
+from otterrudder.lab.fleet.cell_variants import CellVariant
 from otterrudder.lab.fleet.explore import Found, Step
 
-LENGTH = 100  # events of a drawn walk
-MAX_FAULTS = 8  # of them that harm
-HUNT_WALKS = 400
-HUNT_SEED = 7
-HARM_SHARE = 0.3  # of the weight of other events
-PEACEFUL = ("all is delivered", "time goes on")  # without which nothing gets anywhere
-PEACEFUL_WEIGHT = 3.0
-_PARTS = re.compile(r"\b[rs]\d+(\.-?\d+)?")  # of an event's name: who it happens to
+WALK_LENGTH = 100  # events
+MAX_FAULTS = 8  # of them that are faults
+FAULT_WALKS = 400
+FAULT_SEED = 7
+PROGRESS = ("all is delivered", "time goes on")  # events without which nothing gets anywhere
+PROGRESS_WEIGHT = 3.0
+LOG_WEIGHTS = (-2.5, 1.5)  # from which the weight of an event is drawn
+_PLACES = re.compile(r"\b[rs]\d+(\.-?\d+)?")  # in an event's name: what it happens to
 
 
 @cache
-def _calm(variant: CellVariant) -> CellWorld:
-    return settled(variant)
+def _converged(variant: CellVariant) -> CellModel:
+    return converged(variant)
 
 
 def search(
-    variant: CellVariant, depth: int, harm_most: int, stage: CellStage, max_states: int = 1_000_000
+    variant: CellVariant, depth: int, max_faults: int, stage: CellStage, max_states: int = 1_000_000
 ) -> Found:
-    """Breadth first from a stage."""
+    """Every order of events to a depth, breadth first from a stage."""
 
-    def following(world: CellWorld) -> Iterator[CellWorld]:
-        return (after(world, event) for event in events(world, harm_most))
+    def following(model: CellModel) -> Iterator[CellModel]:
+        return (successor(model, event) for event in events(model, max_faults))
 
-    return explore.breadth_first(staged(_calm(variant), stage), following, depth, max_states)
+    return explore.breadth_first(staged(_converged(variant), stage), following, depth, max_states)
 
 
 def walk(variant: CellVariant, seed: int | str, walks: int) -> Found:
-    """Long orders, drawn, each with leanings of its own and from a stage of its own."""
+    """Long random orders, each with its own weights of events and from a stage of its own."""
     count = 0
-    for n in range(walks):
-        chance = random.Random(f"{seed}/{n}")
+    for number in range(walks):
+        chance = random.Random(f"{seed}/{number}")
         try:
-            world = staged(_calm(variant), chance.choice(list(CellStage)))
-        except NotConvergedError as why:
-            return Found(count, 0, str(why))
-        found = _walk_from(world, chance)
+            model = staged(_converged(variant), chance.choice(list(CellStage)))
+        except NotConvergedError as error:
+            return Found(count, 0, str(error))
+        found = _walk_from(model, chance)
         count += found.states
         if found.violation:
             return Found(count, found.depth, found.violation, found.trail)
-    return Found(count, LENGTH)
+    return Found(count, WALK_LENGTH)
 
 
-def _walk_from(world: CellWorld, chance: random.Random) -> Found:
-    harm_most = chance.randint(1, MAX_FAULTS)
-    leanings: dict[str, float] = {}
+class _EventWeights:
+    """A weight for each kind of event, drawn when it is first asked for."""
 
-    def weight(name: str) -> float:
-        kind = _PARTS.sub("", name)
-        if kind not in leanings:
-            leanings[kind] = math.exp(chance.uniform(-2.5, 1.5))
-            leanings[kind] *= PEACEFUL_WEIGHT if name in PEACEFUL else 1.0
-        return leanings[kind]
+    def __init__(self, chance: random.Random) -> None:
+        self._chance = chance
+        self._weights: dict[str, float] = {}
 
-    def steps(world: CellWorld) -> list[Step[CellWorld]]:
-        return [Step(event.name, partial(_take, world, event)) for event in events(world, harm_most)]
+    def of(self, name: str) -> float:
+        """The weight of the event with this name."""
+        kind = _PLACES.sub("", name)
+        if kind not in self._weights:
+            factor = PROGRESS_WEIGHT if name in PROGRESS else 1.0
+            self._weights[kind] = math.exp(self._chance.uniform(*LOG_WEIGHTS)) * factor
+        return self._weights[kind]
 
-    return explore.random_walk(world, steps, weight, chance, LENGTH)
 
+def _walk_from(model: CellModel, chance: random.Random) -> Found:
+    max_faults = chance.randint(1, MAX_FAULTS)
+    weights = _EventWeights(chance)
 
-def _take(world: CellWorld, event: object) -> CellWorld:
-    happen(world, event)  # type: ignore[arg-type]
-    return world
+    def steps(model: CellModel) -> list[Step[CellModel]]:
+        return [Step(event.name, partial(_apply, model, event)) for event in events(model, max_faults)]
 
+    return explore.random_walk(model, steps, weights.of, chance, WALK_LENGTH)
 
-def hunt(
-    what: CellHunt,
-    walks: int = HUNT_WALKS,
+
+def _apply(model: CellModel, event: Event) -> CellModel:
+    apply_event(model, event)
+    return model
+
+
+def find_fault(
+    fault: SeededFault,
+    walks: int = FAULT_WALKS,
     relay: type[Relay] | None = None,
     participant: type[Participant] | None = None,
 ) -> Found:
-    """Looks for a fault where it shows; with parts, whether others go that way unharmed."""
+    """Looks for a seeded fault where it shows; with other parts, whether they pass there without it."""
     variant = replace(
-        what.variant,
-        relay=relay or what.variant.relay,
-        participant=participant or what.variant.participant,
+        fault.variant,
+        relay=relay or fault.variant.relay,
+        participant=participant or fault.variant.participant,
     )
-    if not what.story:
-        return walk(variant, HUNT_SEED, walks)
+    if not fault.story:
+        return walk(variant, FAULT_SEED, walks)
     try:
-        return tell(variant, what.stage, what.story)
-    except NotConvergedError as why:
-        return Found(0, 0, str(why))
+        return replay(variant, fault.stage, fault.story)
+    except NotConvergedError as error:
+        return Found(0, 0, str(error))
 
 
-def tell(variant: CellVariant, stage: CellStage, story: tuple[str, ...]) -> Found:
-    """One order of events, looked at after each, and left in peace at its end."""
-    world, count = staged(_calm(variant), stage), 0
+def replay(variant: CellVariant, stage: CellStage, story: tuple[str, ...]) -> Found:
+    """One order of events, with the promises checked after each, and the recovery at its end."""
+    model = staged(_converged(variant), stage)
 
-    def steps(world: CellWorld) -> list[Step[CellWorld]]:
-        return [Step(event.name, partial(after, world, event)) for event in events(world, len(story))]
+    def steps(model: CellModel) -> list[Step[CellModel]]:
+        return [Step(event.name, partial(successor, model, event)) for event in events(model, len(story))]
 
-    for event in story:
-        world, count = explore.replay(world, steps, (event,)), count + 1
-        if trouble := world.violation():
-            return Found(count, len(world.trail), trouble, world.trail)
-    return Found(count, len(world.trail), world.recovery_violation(), world.trail)
+    for count, event in enumerate(story, 1):
+        model = explore.replay(model, steps, (event,))
+        if violation := model.violation():
+            return Found(count, len(model.trail), violation, model.trail)
+    return Found(len(story), len(model.trail), model.recovery_violation(), model.trail)
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -12,7 +12,6 @@
     OpensTwoChanges,
     RelayTrustsAnyStore,
 )
-from otterrudder.lab.fleet.cell_model import RULES, SLOW_AND_FAST, CellStage, CellVariant
 from otterrudder.lab.fleet.cell_participant_mutants import (
     CountsFromTheAnswer,
     ExtendsLeaseOfOldVersion,
@@ -40,19 +39,21 @@
     VotesThoughItEndorsed,
     VotesWithoutAsking,
 )
+from otterrudder.lab.fleet.cell_stages import CellStage
+from otterrudder.lab.fleet.cell_variants import RULES, SLOW_AND_FAST, CellVariant
 
 
 @dataclass(frozen=True, slots=True)
-class CellHunt:
+class SeededFault:
     """Where a fault shows: the world's parts, and a story from a stage that drawn walks come to too rarely
     (`~`: an event that the sound part may not come to). Without a story walks find it."""
 
     variant: CellVariant
-    stage: CellStage = CellStage.CALM
+    stage: CellStage = CellStage.QUIESCENT
     story: tuple[str, ...] = ()
 
 
-def _quiet(steps: int) -> tuple[str, ...]:
+def _rounds(steps: int) -> tuple[str, ...]:
     return ("all is delivered", "time goes on") * steps
 
 
@@ -115,16 +116,16 @@
     "r00 to s0: LeaseGrant",
 )
 _DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has checked")
-_STANDBY_CUT_OFF = ("r00 is not heard", "r01 is not heard", *_quiet(14), *_PROPOSED, *_quiet(8))
-_LEADER_CUT_OFF = ("r00 is not heard", "r00 to r01: cut", *_quiet(14), *_PROPOSED, *_quiet(8))
+_STANDBY_CUT_OFF = ("r00 is not heard", "r01 is not heard", *_rounds(14), *_PROPOSED, *_rounds(8))
+_LEADER_CUT_OFF = ("r00 is not heard", "r00 to r01: cut", *_rounds(14), *_PROPOSED, *_rounds(8))
 _TWO_LEAD = (
     "r00 is not heard",
-    *_quiet(16),
+    *_rounds(16),
     *_PROPOSED,
-    *_quiet(5),
+    *_rounds(5),
     "the store is away",
     "r01 to r00: cut",
-    *_quiet(6),
+    *_rounds(6),
     "r01 to r00: healed",
     "r01 answers r00",
     "~r01 to s0: opened",
@@ -140,110 +141,118 @@
     "the store is back",
     "r01 starts",
     "s0 to r00: breaks",
-    *_quiet(3),
+    *_rounds(3),
 )
 _STORE_BACK_FOR_STANDBY = (
     "r00 is not heard",
     "the store is back",
     *_PROPOSED,
-    *_quiet(1),
+    *_rounds(1),
     "~s0 to r00: breaks",
-    *_quiet(4),
+    *_rounds(4),
 )
 _SAME_TEXT = (
     "s2 dies",
-    *_quiet(8),
+    *_rounds(8),
     *_PROPOSED,
-    *_quiet(3),
+    *_rounds(3),
     "s2 starts",
-    *_quiet(3),
+    *_rounds(3),
     "C reads",
     "C: queue",
-    *_quiet(4),
+    *_rounds(4),
 )
 _OLD_COPY = (
     "the store is copied",
     *_PROPOSED,
-    *_quiet(3),
+    *_rounds(3),
     "an older copy answers",
     "r00 dies",
     "r01 dies",
     "r00 starts",
-    *_quiet(20),
+    *_rounds(20),
 )
 
 
-def _of_relay(relay: type[Relay], **parts: Any) -> CellHunt:
-    return CellHunt(CellVariant(relay=relay, **parts))
+def _of_relay(relay: type[Relay], **parts: Any) -> SeededFault:
+    return SeededFault(CellVariant(relay=relay, **parts))
 
 
-def _of_server(participant: type[Participant], **parts: Any) -> CellHunt:
-    return CellHunt(CellVariant(participant=participant, **parts))
+def _of_server(participant: type[Participant], **parts: Any) -> SeededFault:
+    return SeededFault(CellVariant(participant=participant, **parts))
 
 
 # A step of time falls between this bound and the end of a lease that was counted from a late answer.
 _TIGHT = replace(RULES, bound_ms=2900.0)
 _LEAVE_OUT = replace(RULES, absent="leave-out")
-FAULTS: dict[str, CellHunt] = {
-    "grants past its authority": CellHunt(
+SEEDED_FAULTS: dict[str, SeededFault] = {
+    "grants past its authority": SeededFault(
         CellVariant(relay=GrantsPastAuthority), CellStage.VOTED, _LATE_RENEWAL
     ),
     "grants for longer than the bound": _of_relay(GrantsPastTheBound),
-    "grants to new servers at once": CellHunt(
+    "grants to new servers at once": SeededFault(
         CellVariant(relay=GrantsToNewServersAtOnce), CellStage.VOTED, _NEW_SERVER
     ),
-    "counts a lease from the answer": CellHunt(
+    "counts a lease from the answer": SeededFault(
         CellVariant(
             participant=CountsFromTheAnswer, rules=_TIGHT, limits=RelayLimits(span_ms=_TIGHT.bound_ms)
         ),
-        CellStage.CALM,
+        CellStage.QUIESCENT,
         _LATE_GRANT,
     ),
-    "trusts the whole span of a lease": CellHunt(
-        CellVariant(participant=TrustsTheWholeSpan, server_rates=SLOW_AND_FAST), CellStage.CALM, _SLOW_CLOCK
+    "trusts the whole span of a lease": SeededFault(
+        CellVariant(participant=TrustsTheWholeSpan, server_rates=SLOW_AND_FAST),
+        CellStage.QUIESCENT,
+        _SLOW_CLOCK,
     ),
-    "frozen, goes by a stale clock": CellHunt(
+    "frozen, goes by a stale clock": SeededFault(
         CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _FROZEN
     ),
-    "goes on under the old version": CellHunt(
+    "goes on under the old version": SeededFault(
         CellVariant(participant=ExtendsLeaseOfOldVersion), CellStage.COMMITTED, _SLOW_CHECK
     ),
-    "goes back a version": CellHunt(CellVariant(participant=GoesBackAVersion), CellStage.CALM, _SET_BACK),
-    "switches without validation": _of_server(SkipsValidation, servers=3, has_odd_kind=True),
-    "takes a damaged text": CellHunt(CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED),
-    "trusts one endorsement of two": CellHunt(
-        CellVariant(relay=TrustsOneEndorsement, relays=3), CellStage.CALM, _STANDBY_CUT_OFF
+    "goes back a version": SeededFault(
+        CellVariant(participant=GoesBackAVersion), CellStage.QUIESCENT, _SET_BACK
     ),
-    "endorses while it leads": CellHunt(CellVariant(relay=EndorsesWhileItLeads), CellStage.CALM, _TWO_LEAD),
-    "forgets its endorsement in a restart": CellHunt(
-        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.CONSENTED, _RESTARTED
+    "switches without validation": _of_server(SkipsValidation, servers=3, has_rejecting_servers=True),
+    "takes a damaged text": SeededFault(
+        CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED
     ),
-    "votes though it has endorsed": CellHunt(
-        CellVariant(relay=VotesThoughItEndorsed), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
+    "trusts one endorsement of two": SeededFault(
+        CellVariant(relay=TrustsOneEndorsement, relays=3), CellStage.QUIESCENT, _STANDBY_CUT_OFF
     ),
-    "grants though it has endorsed": CellHunt(
-        CellVariant(relay=GrantsThoughItEndorsed), CellStage.CONSENTED, _STORE_BACK_FOR_STANDBY
+    "endorses while it leads": SeededFault(
+        CellVariant(relay=EndorsesWhileItLeads), CellStage.QUIESCENT, _TWO_LEAD
     ),
-    "endorsement under leave-out": CellHunt(
+    "forgets its endorsement in a restart": SeededFault(
+        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.ENDORSED, _RESTARTED
+    ),
+    "votes though it has endorsed": SeededFault(
+        CellVariant(relay=VotesThoughItEndorsed), CellStage.ENDORSED, _STORE_BACK_FOR_STANDBY
+    ),
+    "grants though it has endorsed": SeededFault(
+        CellVariant(relay=GrantsThoughItEndorsed), CellStage.ENDORSED, _STORE_BACK_FOR_STANDBY
+    ),
+    "endorsement under leave-out": SeededFault(
         CellVariant(relay=EndorsementUnderLeaveOut, rules=_LEAVE_OUT, cells=2, servers=3),
-        CellStage.CALM,
+        CellStage.QUIESCENT,
         _STANDBY_CUT_OFF,
     ),
-    "grants without a lease": CellHunt(
-        CellVariant(relay=GrantsWithoutLease), CellStage.CALM, _LEADER_CUT_OFF
+    "grants without a lease": SeededFault(
+        CellVariant(relay=GrantsWithoutLease), CellStage.QUIESCENT, _LEADER_CUT_OFF
     ),
     "asks for endorsement too late": _of_relay(RequestsEndorsementTooLate),
     "votes without asking": _of_relay(VotesWithoutAsking),
-    "ignores rejections": _of_relay(IgnoresRejections, has_odd_kind=True),
-    "reuses an old result": CellHunt(
-        CellVariant(relay=ReusesOldResult, cells=2, servers=4, has_odd_kind=True),
-        CellStage.CALM,
+    "ignores rejections": _of_relay(IgnoresRejections, has_rejecting_servers=True),
+    "reuses an old result": SeededFault(
+        CellVariant(relay=ReusesOldResult, cells=2, servers=4, has_rejecting_servers=True),
+        CellStage.QUIESCENT,
         _SAME_TEXT,
     ),
     "forgets closed streams": _of_relay(ForgetsClosedStreams),
     "votes at takeover": _of_relay(VotesAtTakeover),
-    "trusts any store": CellHunt(
-        CellVariant(relay=RelayTrustsAnyStore, has_copies=True), CellStage.CALM, _OLD_COPY
+    "trusts any store": SeededFault(
+        CellVariant(relay=RelayTrustsAnyStore, has_backups=True), CellStage.QUIESCENT, _OLD_COPY
     ),
     "opens two changes": _of_relay(OpensTwoChanges),
     "opens a change from any base": _of_relay(OpensChangeFromAnyBase, has_based_changes=True),
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_stages.py
@@ -0,0 +1,140 @@
+"""The states of a model of cells from which searches begin."""
+
+from enum import Enum
+
+from otterrudder.fleet.change import finish_change, propose
+from otterrudder.fleet.effects import Commit, Lane
+from otterrudder.lab.fleet import cell_store
+from otterrudder.lab.fleet.cell_delivery import deliver_all, deliver_store_exchange, drop_unserved
+from otterrudder.lab.fleet.cell_model import CellModel
+from otterrudder.lab.fleet.cell_processes import run_effects, start_relay, start_server, stop_relay
+from otterrudder.lab.fleet.cell_recovery import STEP_MS, disagreements
+from otterrudder.lab.fleet.cell_state import (
+    BAD_ENDING,
+    DEADLINE_MS,
+    PLAIN,
+    REJECTING,
+    CellState,
+    RelayHost,
+    ServerHost,
+    StoreExchange,
+)
+from otterrudder.lab.fleet.cell_variants import CellVariant
+
+SETUP_STEPS = 20  # until processes have registered, and until a change has come into force
+AWAY_STEPS = 16  # longer than the leases
+
+
+class NotConvergedError(Exception):
+    """The cells never became a fleet: a mutant's fault can be that plain."""
+
+
+class CellStage(Enum):
+    """Where a search begins."""
+
+    QUIESCENT = "none is open"
+    OPEN = "a change is open, and nobody has read it"
+    HALF = "one vote is in, the others are on their way"
+    VOTED = "all votes are in, and nobody has counted them"
+    COMMITTED = "it is committed, and no relay has read that"
+    LEADER_LOST = "the leading relay of the first cell has just died"
+    STORE_LOST = "the store has just gone"
+    ENDORSED = "the store has been away for longer than its leases"
+
+
+def converged(variant: CellVariant) -> CellModel:
+    """Cells at work: all servers are admitted to the fleet, and version 1 is in force."""
+    model = CellModel(variant)
+    model.checker.bound_ms = variant.rules.bound_ms
+    _add_relays(model)
+    _add_servers(model)
+    _run(model, SETUP_STEPS)
+    cell_store.write(model, propose(model.snapshot(), "first", "policy", "", "", 0.0, DEADLINE_MS))
+    _run(model, SETUP_STEPS)
+    if violation := model.violation():
+        raise NotConvergedError(violation)
+    if found := disagreements(model):
+        raise NotConvergedError(f"the fleet does not converge: {', '.join(found)}")
+    return model
+
+
+def _add_relays(state: CellState) -> None:
+    variant = state.variant
+    for cell in range(variant.cells):
+        addresses = tuple(f"r{cell}{number}" for number in range(variant.relays))
+        for address in addresses:
+            state.relays.append(RelayHost(address, f"c{cell}", addresses))
+    for place, host in enumerate(state.relays):
+        host.rate = variant.relay_rates[place % len(variant.relay_rates)]
+        start_relay(state, place)
+
+
+def _add_servers(state: CellState) -> None:
+    variant = state.variant
+    for place in range(variant.servers):
+        cell = place % variant.cells
+        relays = tuple(host.address for host in state.relays if host.cell == f"c{cell}")
+        rejects = variant.has_rejecting_servers and place // variant.cells % 2
+        rate = variant.server_rates[place % len(variant.server_rates)]
+        state.servers.append(ServerHost(f"s{place}", REJECTING if rejects else PLAIN, relays, rate=rate))
+        start_server(state, place)
+
+
+def _run(state: CellState, steps: int) -> None:
+    """Time passes with everything delivered."""
+    for _ in range(steps):
+        drop_unserved(state)
+        if violation := deliver_all(state):
+            raise NotConvergedError(violation)
+        state.pass_time(STEP_MS)
+    deliver_all(state)
+
+
+def staged(quiescent: CellModel, stage: CellStage) -> CellModel:
+    """From a model at work, one in which so much has happened."""
+    model = quiescent.copy()
+    if stage is CellStage.LEADER_LOST:
+        stop_relay(model, leader_of(model, "c0"))
+        run_effects(model)
+    elif stage in (CellStage.STORE_LOST, CellStage.ENDORSED):
+        model.is_store_away = True
+        _run(model, 0 if stage is CellStage.STORE_LOST else AWAY_STEPS)
+    elif stage is not CellStage.QUIESCENT:
+        _stage_change(model, stage)
+    return model
+
+
+def leader_of(state: CellState, cell: str) -> int:
+    """The place of the relay that leads a cell, as the store has it; 0 if none does."""
+    status = state.snapshot(of_primary=True).status(cell)
+    for place, host in enumerate(state.relays):
+        if status and status.incarnation == f"{host.address}.{host.incarnation}":
+            return place
+    return 0
+
+
+def _stage_change(state: CellState, stage: CellStage) -> None:
+    state.proposed.add("B")
+    cell_store.write(state, propose(state.snapshot(), "B", text_of("B"), "B", "", 0.0, DEADLINE_MS))
+    if stage is CellStage.OPEN:
+        return
+    deliver_all(state, lambda exchange: not _is_vote(exchange) and not _is_coordination(exchange))
+    votes = [exchange for exchange in state.store_exchanges if _is_vote(exchange)]
+    for exchange in votes[:1] if stage is CellStage.HALF else votes:
+        deliver_store_exchange(state, exchange)
+    if stage is CellStage.COMMITTED and (commit := finish_change(state.snapshot(), False)):
+        cell_store.write(state, commit)
+    run_effects(state)
+
+
+def text_of(ident: str) -> str:
+    """The text of a change. B and C have the same, which servers may reject."""
+    return "policy A" if ident == "A" else f"policy B{BAD_ENDING}"
+
+
+def _is_vote(exchange: StoreExchange) -> bool:
+    return isinstance(exchange.effect, Commit) and exchange.effect.purpose == "vote"
+
+
+def _is_coordination(exchange: StoreExchange) -> bool:
+    return exchange.effect.lane is Lane.COORDINATE
--- /dev/null
+++ b/otterrudder/lab/fleet/cell_store.py
@@ -0,0 +1,77 @@
+"""The store in a model of cells: commits, what the history checker records of them, and watch events."""
+
+from otterrudder.fleet.effects import Commit, Effect, Outcome
+from otterrudder.fleet.records import QueuedChange, decode
+from otterrudder.fleet.store import Put
+from otterrudder.lab.fleet.cell_state import KEYS, CellState, RelayHost
+
+
+def serve(state: CellState, effect: Effect) -> Outcome:
+    """A request reaches the store, whether or not its sender still runs."""
+    if isinstance(effect, Commit):
+        return write(state, effect)
+    return state.store.engine.answer(state.now, effect)  # type: ignore[arg-type]
+
+
+def write(state: CellState, commit: Commit) -> Outcome:
+    """A commit at the store, which is recorded, and watch events to all relays that can receive them."""
+    state.store.engine.lapse(state.now)
+    before = state.snapshot()
+    done = state.store.engine.commit(commit.compares, commit.writes)
+    if done.succeeded:
+        if not state.store.primary:  # what another engine holds is not the fleet's
+            state.checker.record_commit(state.now, commit, before)
+            _record_texts(state, commit)
+        if commit.purpose != "tell":
+            _notify_watches(state, commit)
+    return done
+
+
+def _record_texts(state: CellState, commit: Commit) -> None:
+    checker = state.checker
+    snapshot = state.snapshot()
+    if snapshot.change:
+        checker.changes[state.change_revision()] = snapshot.change.digest
+    for write in commit.writes:
+        if isinstance(write, Put) and write.key.startswith(KEYS.queue):
+            queued = decode(write.value, QueuedChange)
+            checker.bases[queued.id] = queued.base
+    head = snapshot.policy
+    if head and head.version not in checker.texts:
+        entry = state.store.engine.keys.get(KEYS.text(head.digest))
+        checker.texts[head.version] = entry.value.decode() if entry else ""
+
+
+def _notify_watches(state: CellState, commit: Commit) -> None:
+    for host in state.relays:
+        if not host.runs or not host.relay or host.is_receive_cut:
+            continue
+        for prefix in host.relay.watched():
+            if any(write.key.startswith(prefix) for write in commit.writes):
+                host.relay.handle_watch_event(state.clock(host), prefix)
+
+
+def begin_watches(state: CellState, host: RelayHost) -> None:
+    """The watches of a relay are begun anew."""
+    if host.runs and host.relay:
+        for prefix in host.relay.watched():
+            host.relay.handle_watch_event(state.clock(host), prefix)
+
+
+def restore_backup(state: CellState) -> None:
+    """An engine with an older state answers in the store's place."""
+    state.store.restore_backup(state.now, state.injected_faults)
+    _change_engine(state)
+
+
+def return_to_primary(state: CellState) -> None:
+    """The store itself answers again."""
+    state.store.return_to_primary()
+    _change_engine(state)
+
+
+def _change_engine(state: CellState) -> None:
+    """What was computed from the state of one engine is not sent to another."""
+    state.pending.clear()
+    for host in state.relays:
+        begin_watches(state, host)
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -6,9 +6,12 @@
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.lab.fleet.cell_model import CellStage, CellVariant, all_variants, settled, staged
-from otterrudder.lab.fleet.cell_search import LENGTH, hunt, search, walk
-from otterrudder.lab.fleet.cell_seeded_faults import FAULTS
+from otterrudder.lab.fleet.cell_delivery import deliver_all
+from otterrudder.lab.fleet.cell_recovery import STEP_MS
+from otterrudder.lab.fleet.cell_search import WALK_LENGTH, find_fault, search, walk
+from otterrudder.lab.fleet.cell_seeded_faults import SEEDED_FAULTS
+from otterrudder.lab.fleet.cell_stages import CellStage, converged, staged
+from otterrudder.lab.fleet.cell_variants import CellVariant, all_variants
 from otterrudder.lab.fleet.cloning import clone, freeze
 
 VARIANTS = dict(all_variants())
@@ -19,14 +22,14 @@
 def test_no_drawn_order_of_events_breaks_a_promise(name: str) -> None:
     found = walk(VARIANTS[name], 11, WALKS)
     assert not found.violation, (found.violation, found.trail)
-    assert found.states == WALKS * LENGTH
+    assert found.states == WALKS * WALK_LENGTH
 
 
 @pytest.mark.parametrize(
     ("name", "stage"),
     [
         ("wait", CellStage.VOTED),
-        ("wait", CellStage.CONSENTED),
+        ("wait", CellStage.ENDORSED),
         ("wait, one relay", CellStage.COMMITTED),
     ],
 )
@@ -37,30 +40,30 @@
 
 @pytest.mark.parametrize("stage", CellStage)
 def test_each_stage_agrees_in_peace(stage: CellStage) -> None:
-    world = staged(settled(CellVariant(cells=2, servers=3)), stage)
-    assert world.violation() == "" and world.recovery_violation() == ""
+    model = staged(converged(CellVariant(cells=2, servers=3)), stage)
+    assert model.violation() == "" and model.recovery_violation() == ""
 
 
-@pytest.mark.parametrize("name", FAULTS)
+@pytest.mark.parametrize("name", SEEDED_FAULTS)
 def test_each_fault_is_found(name: str) -> None:
-    found = hunt(FAULTS[name])
+    found = find_fault(SEEDED_FAULTS[name])
     assert found.violation, f"{found.states} worlds, and none broken"
 
 
-@pytest.mark.parametrize("name", [name for name, what in FAULTS.items() if what.story])
+@pytest.mark.parametrize("name", [name for name, what in SEEDED_FAULTS.items() if what.story])
 def test_the_parts_as_they_are_go_through_the_same_story_unharmed(name: str) -> None:
-    found = hunt(FAULTS[name], relay=Relay, participant=Participant)
+    found = find_fault(SEEDED_FAULTS[name], relay=Relay, participant=Participant)
     assert not found.violation, (found.violation, found.trail)
 
 
 def test_a_copied_world_goes_its_own_way() -> None:
-    worlds = [staged(settled(CellVariant()), CellStage.VOTED)]
-    key = worlds[0].fingerprint()
+    models = [staged(converged(CellVariant()), CellStage.VOTED)]
+    key = models[0].fingerprint()
     for _ in range(3):
-        worlds.append(worlds[-1].copy())
-        worlds[-1].pass_time()
-        worlds[-1].deliver_all()
-    assert worlds[0].fingerprint() == key
-    assert all(one.fingerprint() != other.fingerprint() for one, other in pairwise(worlds))
-    relay = worlds[0].relays[0].relay
+        models.append(models[-1].copy())
+        models[-1].pass_time(STEP_MS)
+        deliver_all(models[-1])
+    assert models[0].fingerprint() == key
+    assert all(one.fingerprint() != other.fingerprint() for one, other in pairwise(models))
+    relay = models[0].relays[0].relay
     assert freeze(clone(relay)) == freeze(relay)
