--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -25,8 +25,8 @@
     __slots__ = ()
 
     def _begin_commit(self, now: float, view: FleetSnapshot, age: float) -> Commit | None:
-        entries = {k: e for k, e in view.snapshot.entries.items() if k != view.keys.change}
-        commit = open_next(FleetSnapshot(view.keys, view.snapshot._replace(entries=entries)))
+        entries = {k: e for k, e in view.raw.entries.items() if k != view.keys.change}
+        commit = open_next(FleetSnapshot(view.keys, view.raw._replace(entries=entries)))
         if view.change and commit:
             kept = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
             return self._begin(now, replace(commit, compares=kept))
@@ -72,7 +72,7 @@
         if self.change or not isinstance(effect, Read):
             return effect
         self._busy = False
-        self._at = math.inf
+        self._due_at = math.inf
         return None
 
 
