--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -28,8 +28,8 @@
         entries = {k: e for k, e in view.raw.entries.items() if k != view.keys.change}
         commit = open_next(FleetSnapshot(view.keys, view.raw._replace(entries=entries)))
         if view.change and commit:
-            kept = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
-            return self._begin(now, replace(commit, compares=kept))
+            remaining = tuple(compare for compare in commit.compares if compare.key != view.keys.change)
+            return self._begin(now, replace(commit, compares=remaining))
         return super()._begin_commit(now, view, age)
 
 
--- a/otterrudder/lab/fleet/cell_delivery.py
+++ b/otterrudder/lab/fleet/cell_delivery.py
@@ -29,7 +29,7 @@
         return True
     host = state.relays[exchange.host]
     is_cut = host.is_send_cut and host.incarnation == exchange.incarnation
-    return not state.is_store_away and not is_cut
+    return not state.is_store_unreachable and not is_cut
 
 
 def deliver_store_exchange(state: CellState, exchange: StoreExchange) -> None:
@@ -167,31 +167,31 @@
     return True
 
 
-def deliver_all(state: CellState, wanted: StoreFilter = _any_exchange) -> str:
-    """All that can arrive now does, and what follows from it. `wanted`: of the store's requests. "", or why
+def deliver_all(state: CellState, accepts: StoreFilter = _any_exchange) -> str:
+    """All that can arrive now does, and what follows from it. `accepts`: of the store's requests. "", or why
     it does not end."""
     for _ in range(MAX_DELIVERIES):
         run_effects(state)
-        if not _deliver_one(state, wanted):
+        if not _deliver_one(state, accepts):
             return ""
     return NEVER_IDLE
 
 
-def _deliver_one(state: CellState, wanted: StoreFilter) -> bool:
+def _deliver_one(state: CellState, accepts: StoreFilter) -> bool:
     """Whether anything could arrive."""
     return (
-        _deliver_one_store_exchange(state, wanted)
+        _deliver_one_store_exchange(state, accepts)
         or _deliver_one_peer_exchange(state)
         or _deliver_one_message(state)
         or _finish_one_validation(state)
     )
 
 
-def _deliver_one_store_exchange(state: CellState, wanted: StoreFilter) -> bool:
+def _deliver_one_store_exchange(state: CellState, accepts: StoreFilter) -> bool:
     for exchange in state.store_exchanges:
         host = state.relays[exchange.host]
         waits = host.is_frozen and exchange.is_answer
-        if can_serve(state, exchange) and wanted(exchange) and not waits:
+        if can_serve(state, exchange) and accepts(exchange) and not waits:
             deliver_store_exchange(state, exchange)
             return True
     return False
--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -194,7 +194,7 @@
 
 def change_events(state: CellState) -> Iterator[Event]:
     """A is queued, B is proposed directly; what was computed is sent, now or much later."""
-    if state.is_store_away:
+    if state.is_store_unreachable:
         return
     proposals: tuple[tuple[str, Proposal], ...] = (("A", _enqueue), ("B", _propose), ("C", _enqueue))
     for ident, compute in proposals:
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -46,7 +46,7 @@
             tuple(sorted(map(repr, self.pending.items()))),
             tuple(sorted(self.proposed)),
             self.now,
-            self.is_store_away,
+            self.is_store_unreachable,
             self.injected_faults,
         )
         streams = tuple(map(_stream_fingerprint, self.streams))
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -17,7 +17,7 @@
         super().handle_message(now, connection, message)
 
 
-class TrustsTheWholeSpan(Participant):
+class TrustsFullSpan(Participant):
     """Takes its clock and the relay's for one."""
 
     def _extend_lease(self, version: int, until: float) -> None:
--- a/otterrudder/lab/fleet/cell_process_events.py
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -171,10 +171,10 @@
 
 def engine_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of the store: it goes away and comes back, or another engine answers in its place."""
-    if state.is_store_away:
-        yield Event("the store is back", partial(_set_store_away, False))
+    if state.is_store_unreachable:
+        yield Event("the store is back", partial(_set_store_unreachable, False))
     elif may_inject:
-        yield Event("the store is away", partial(_set_store_away, True), 1)
+        yield Event("the store is away", partial(_set_store_unreachable, True), 1)
     if not state.variant.has_backups:
         return
     if state.store.primary:
@@ -185,9 +185,9 @@
         yield Event("an older copy answers", cell_store.restore_backup, 1)
 
 
-def _set_store_away(is_away: bool, state: CellState) -> None:
-    state.is_store_away = is_away
-    if not is_away:
+def _set_store_unreachable(is_unreachable: bool, state: CellState) -> None:
+    state.is_store_unreachable = is_unreachable
+    if not is_unreachable:
         for host in state.relays:
             cell_store.begin_watches(state, host)
 
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -99,7 +99,7 @@
     host.relay.begin_shutdown()
     run_effects(state)
     lease = host.relay.member.lease
-    if lease and not (state.is_store_away or host.is_send_cut):
+    if lease and not (state.is_store_unreachable or host.is_send_cut):
         state.store.engine.revoke(lease)
     stop_relay(state, place)
 
@@ -171,7 +171,7 @@
 
 def _exchange_at_once(state: CellState, host: RelayHost, effect: Effect) -> Outcome:
     """The order of other events does not depend on leases, nor on what is reported for operators."""
-    if state.is_store_away or host.is_send_cut:
+    if state.is_store_unreachable or host.is_send_cut:
         return None
     outcome = cell_store.serve(state, effect)
     return None if host.is_receive_cut else outcome
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -10,7 +10,7 @@
 STEP_MS = 500.0  # by which time passes
 RECOVERY_STEPS = 100  # in which all have to agree
 SETTLING_STEPS = RECOVERY_STEPS // 5  # before the store goes away: a relay that has just started may endorse
-AWAY_STEPS = 30  # without the store, after recovery
+UNREACHABLE_STEPS = 30  # without the store, after recovery
 
 
 def recovery_violation_of(state: CellState) -> str:
@@ -31,7 +31,7 @@
     """All faults are gone: processes run, nothing is cut, and the store itself answers."""
     if state.store.primary:
         cell_store.return_to_primary(state)
-    state.is_store_away = False
+    state.is_store_unreachable = False
     state.cuts.clear()
     for place, host in enumerate(state.relays):
         host.is_frozen = False
@@ -73,8 +73,8 @@
     that has just started takes part in nothing for a while, so the store stays a little."""
     if state.variant.rules.absent != "wait":
         return ""
-    for steps, is_away in ((SETTLING_STEPS, False), (AWAY_STEPS, True)):
-        state.is_store_away = is_away
+    for steps, is_unreachable in ((SETTLING_STEPS, False), (UNREACHABLE_STEPS, True)):
+        state.is_store_unreachable = is_unreachable
         for _ in range(steps):
             if violation := _step_violation(state):
                 return violation
@@ -86,5 +86,5 @@
     drop_unserved(state)
     if violation := deliver_all(state) or violation_in(state):
         return f"the store is away: {violation}"
-    found = disagreements(state) if state.is_store_away else []
+    found = disagreements(state) if state.is_store_unreachable else []
     return f"the store is away, nothing is open: {', '.join(found)}" if found else ""
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -18,7 +18,7 @@
     GoesBackAVersion,
     IgnoresDigests,
     SkipsValidation,
-    TrustsTheWholeSpan,
+    TrustsFullSpan,
     UsesStaleClock,
 )
 from otterrudder.lab.fleet.cell_relay_mutants import (
@@ -201,7 +201,7 @@
         _LATE_GRANT,
     ),
     "trusts the whole span of a lease": SeededFault(
-        CellVariant(participant=TrustsTheWholeSpan, server_rates=SLOW_AND_FAST),
+        CellVariant(participant=TrustsFullSpan, server_rates=SLOW_AND_FAST),
         CellStage.QUIESCENT,
         _SLOW_CLOCK,
     ),
--- a/otterrudder/lab/fleet/cell_stages.py
+++ b/otterrudder/lab/fleet/cell_stages.py
@@ -22,7 +22,7 @@
 from otterrudder.lab.fleet.cell_variants import CellVariant
 
 SETUP_STEPS = 20  # until processes have registered, and until a change has come into force
-AWAY_STEPS = 16  # longer than the leases
+UNREACHABLE_STEPS = 16  # longer than the leases
 
 
 class NotConvergedError(Exception):
@@ -97,8 +97,8 @@
         stop_relay(model, leader_of(model, "c0"))
         run_effects(model)
     elif stage in (CellStage.STORE_LOST, CellStage.ENDORSED):
-        model.is_store_away = True
-        _run(model, 0 if stage is CellStage.STORE_LOST else AWAY_STEPS)
+        model.is_store_unreachable = True
+        _run(model, 0 if stage is CellStage.STORE_LOST else UNREACHABLE_STEPS)
     elif stage is not CellStage.QUIESCENT:
         _stage_change(model, stage)
     return model
--- a/otterrudder/lab/fleet/cell_state.py
+++ b/otterrudder/lab/fleet/cell_state.py
@@ -143,7 +143,7 @@
     pending: dict[str, Commit] = field(default_factory=dict)  # by who computed it and has not sent it yet
     proposed: set[str] = field(default_factory=set)
     now: float = 0.0
-    is_store_away: bool = False
+    is_store_unreachable: bool = False
     stream_count: int = 0  # so far
     injected_faults: int = 0  # so far
     trail: tuple[str, ...] = ()
@@ -163,7 +163,7 @@
             dict(self.pending),
             set(self.proposed),
             self.now,
-            self.is_store_away,
+            self.is_store_unreachable,
             self.stream_count,
             self.injected_faults,
             self.trail,
@@ -186,14 +186,14 @@
 
     def relay_stream(self, relay: int, incarnation: int, number: int) -> Stream | None:
         """The stream with a relay's number for it."""
-        wanted = (relay, incarnation, number)
-        found = (s for s in self.streams if (s.relay, s.relay_incarnation, s.number) == wanted)
+        key = (relay, incarnation, number)
+        found = (s for s in self.streams if (s.relay, s.relay_incarnation, s.number) == key)
         return next(found, None)
 
     def server_stream(self, server: int, incarnation: int, connection: int) -> Stream | None:
         """The stream with a server's number for it."""
-        wanted = (server, incarnation, connection)
-        found = (s for s in self.streams if (s.server, s.server_incarnation, s.connection) == wanted)
+        key = (server, incarnation, connection)
+        found = (s for s in self.streams if (s.server, s.server_incarnation, s.connection) == key)
         return next(found, None)
 
     def pass_time(self, span_ms: float) -> None:
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -60,7 +60,7 @@
     servers: dict[str, Participant] = field(default_factory=dict)
     streams: dict[int, Stream] = field(default_factory=dict)  # by the relay's number
     stream_count: int = 0  # so far
-    is_store_away: bool = False
+    is_store_unreachable: bool = False
     silent: set[str] = field(default_factory=set)  # servers that validate no text
     rejections: dict[str, str] = field(default_factory=dict)  # by fingerprint: of a text that ends in !
     validations: list[str] = field(default_factory=list)  # the servers that were asked to validate a text
@@ -205,7 +205,7 @@
             assert isinstance(effect.record, MemberState)
             self.disks[address] = effect.record
             return True
-        if self.is_store_away:
+        if self.is_store_unreachable:
             return None
         outcome = self.space.answer(self.now, effect)  # type: ignore[arg-type]
         if isinstance(effect, Commit):
@@ -243,8 +243,8 @@
             server.handle_validated(self.now, effect.digest, rejection)
 
     def _stream_number(self, name: str, connection: int) -> int | None:
-        wanted = (name, connection)
-        return next((n for n, s in self.streams.items() if (s.server, s.connection) == wanted), None)
+        key = (name, connection)
+        return next((n for n, s in self.streams.items() if (s.server, s.connection) == key), None)
 
     def _end_stream(self, number: int) -> None:
         stream = self.streams.pop(number)
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -26,16 +26,16 @@
 CANDIDATES = ("a", "b", "c")
 
 
-def consents() -> EndorsementCollector:
+def collector() -> EndorsementCollector:
     return EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", CANDIDATES))
 
 
-def promise(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
+def giver(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
     return EndorsementGiver(0.0, CellIdentity(FLEET, "east", name, candidates))
 
 
 def test_all_peers_are_needed() -> None:
-    asker = consents()
+    asker = collector()
     requests = asker.requests(100.0)
     assert [request.peer for request in requests] == ["b", "c"] and asker.requests(100.0) == []
     asker.handle_endorsement(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
@@ -44,7 +44,7 @@
     assert asker.until() == 100.0 + 0.9 * ENDORSEMENT_MS
 
 
-def test_a_consent_counts_for_its_giver_and_its_request_alone() -> None:
+def test_an_endorsement_counts_for_its_giver_and_its_request_alone() -> None:
     asker = EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", ("a", "b")))
     (request,) = asker.requests(0.0)
     asker.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "leads", "hears", "why"),
+    ("change", "leads", "store_answers", "reason"),
     [
         ({}, False, False, ""),
         ({}, True, False, "leads the cell"),
@@ -67,29 +67,31 @@
         ({"fleet": "g"}, False, False, "is of the cell east"),
     ],
 )
-def test_who_consents(change: dict[str, object], leads: bool, hears: bool, why: str) -> None:
-    giver = promise()
-    giver.until = -math.inf
+def test_when_a_relay_endorses(
+    change: dict[str, object], leads: bool, store_answers: bool, reason: str
+) -> None:
+    endorser = giver()
+    endorser.until = -math.inf
     fields = {"sequence": 1, "fleet": FLEET, "cell": "east", "sender": "a", "candidates": CANDIDATES}
     request = EndorsementRequest(**{**fields, **change})  # type: ignore[arg-type]
-    answer = giver.answer(9000.0, request, leads=leads, store_answers=hears)
-    assert why in answer.reason and bool(answer.reason) == bool(why)
-    assert (answer.span_ms, giver.until) == (
-        (0.0, -math.inf) if why else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
+    answer = endorser.answer(9000.0, request, leads=leads, store_answers=store_answers)
+    assert reason in answer.reason and bool(answer.reason) == bool(reason)
+    assert (answer.span_ms, endorser.until) == (
+        (0.0, -math.inf) if reason else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
     )
 
 
 def test_a_relay_that_just_started_takes_part_in_nothing() -> None:
-    assert promise().until == ENDORSEMENT_MS and promise("a", ("a",)).until == -math.inf
+    assert giver().until == ENDORSEMENT_MS and giver("a", ("a",)).until == -math.inf
     harness = Harness()
     harness.add_cell("east")
     harness.run(ENDORSEMENT_MS - 100.0)
     assert all(relay.authority_until(harness.now) == -math.inf for relay in harness.relays.values())
 
 
-def test_a_cell_serves_on_while_the_store_is_away() -> None:
+def test_a_cell_serves_on_while_the_store_is_unreachable() -> None:
     harness = at_work()
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     for _ in range(600):
         harness.run(100.0)
         assert set(harness.admitted_versions().values()) == {0}, harness.now
@@ -98,7 +100,7 @@
 def test_servers_wait_for_a_leader_that_registers_again() -> None:
     """The store is back, and the lease has lapsed in it: they were refused, and tried all relays in turn."""
     harness = at_work()
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     harness.run(10_000.0)
     relay = harness.leader("east")
     streams = dict(harness.streams)
@@ -113,7 +115,7 @@
     assert session.deferred_request == 99
     relay.handle_message(harness.now, 99, registration(name="new"))
     assert relay.sessions._sessions[99].deferred_request == 1
-    harness.is_store_away = False
+    harness.is_store_unreachable = False
     harness.run(1000.0)
     assert relay.leads() and not session.deferred_request and harness.streams == streams
     assert session.granted_until > harness.now and not harness.refusals
@@ -142,14 +144,14 @@
 
 
 @pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
-def test_a_cell_serves_on_without_the_store_though_consents_are_lost(lease_ms: float) -> None:
+def test_a_cell_serves_on_without_the_store_though_endorsements_are_lost(lease_ms: float) -> None:
     """Two of each cell, whenever the store went, and though the others have heard it until then."""
     for phase_ms in range(13, 1600, 200):
         harness = LossyHarness(rules=replace(RULES, lease_ms=lease_ms), limits=RelayLimits(span_ms=1500.0))
         for cell in ("east", "west"):
             harness.add_server(f"{cell}-s", harness.add_cell(cell))
         harness.run(10_000.0 + phase_ms)
-        harness.is_store_away, harness.lost = True, 4
+        harness.is_store_unreachable, harness.lost = True, 4
         for relay in harness.relays.values():
             relay.member.answered_at = harness.now
         for _ in range(240):
@@ -160,26 +162,26 @@
 def test_a_cell_serves_on_when_the_store_is_back() -> None:
     """The leader's lease has lapsed in the store meanwhile. A relay that had consented took the cell first,
     and could grant nothing before its consent had ended."""
-    for away_ms in range(8000, 12_000, 400):
+    for outage_ms in range(8000, 12_000, 400):
         harness = at_work()
-        harness.is_store_away = True
-        harness.run(float(away_ms))
+        harness.is_store_unreachable = True
+        harness.run(float(outage_ms))
         leaders = {cell: harness.leader(cell) for cell in ("east", "west")}
-        harness.is_store_away = False
+        harness.is_store_unreachable = False
         for _ in range(240):
             harness.run(25.0)
-            assert set(harness.admitted_versions().values()) == {0}, (away_ms, harness.now)
+            assert set(harness.admitted_versions().values()) == {0}, (outage_ms, harness.now)
         assert leaders == {cell: harness.leader(cell) for cell in ("east", "west")}
 
 
-def test_who_has_consented_takes_the_cell_once_that_is_over() -> None:
+def test_who_has_endorsed_takes_the_cell_once_that_is_over() -> None:
     harness = at_work()
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     harness.run(10_000.0)
     leader = harness.leader("east").identity.address
     (other,) = (relay for a, relay in harness.relays.items() if a.startswith("east") and a != leader)
     harness.remove_relay(leader)
-    harness.is_store_away = False
+    harness.is_store_unreachable = False
     harness.run(other.given_endorsement.until - harness.now - 1.0)
     assert not other.leads()
     harness.run(500.0)
@@ -188,16 +190,16 @@
 
 def test_a_cell_whose_relays_are_not_all_there_ends_with_the_lease() -> None:
     harness = at_work()
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     leader = harness.leader("east").identity.address
     harness.remove_relay(next(a for a in harness.relays if a.startswith("east") and a != leader))
     harness.run(10_000.0)
     assert harness.admitted_versions() == {"east-s0": None, "east-s1": None, "west-s0": 0, "west-s1": 0}
 
 
-def test_no_consent_counts_under_leave_out() -> None:
+def test_no_endorsement_counts_under_leave_out() -> None:
     harness = at_work(rules=replace(RULES, absent="leave-out"))
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     harness.run(10_000.0)
     assert set(harness.admitted_versions().values()) == {None}
 
@@ -207,7 +209,7 @@
     relays = harness.add_cell("east", 1)
     harness.add_server("s", relays)
     harness.run(3000.0)
-    harness.is_store_away = True
+    harness.is_store_unreachable = True
     harness.run(30_000.0)
     assert harness.admitted_versions() == {"s": 0}
 
@@ -218,13 +220,13 @@
     harness = at_work()
     leaders = [harness.leader(cell) for cell in ("east", "west")]
     for _ in range(5):
-        harness.is_store_away = True
+        harness.is_store_unreachable = True
         harness.run(20_000.0)
-        harness.is_store_away = False
-        aside = dict.fromkeys(harness.servers, 0.0)
+        harness.is_store_unreachable = False
+        suspended_ms = dict.fromkeys(harness.servers, 0.0)
         for _ in range(100):
             harness.run(100.0)
             for name, version in harness.admitted_versions().items():
-                aside[name] += 100.0 * (version is None)
-        assert max(aside.values()) <= 200.0
+                suspended_ms[name] += 100.0 * (version is None)
+        assert max(suspended_ms.values()) <= 200.0
         assert [harness.leader(cell) for cell in ("east", "west")] == leaders
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -36,8 +36,8 @@
 
 def connect(server: Participant, now: float = 0.0) -> Registration:
     """Its connection comes about; its first message."""
-    (wanted,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
-    server.handle_connected(now, wanted.connection)
+    (connect_effect,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
+    server.handle_connected(now, connect_effect.connection)
     (message,) = messages_to_relay(server.effects(now))
     assert isinstance(message, Registration)
     return message
@@ -126,7 +126,7 @@
     assert all(0 < wait <= MAX_RETRY_MS for wait in waits[1:]) and max(waits) > MAX_RETRY_MS / 2
 
 
-def test_unanswered_keeps_the_stream() -> None:
+def test_an_unanswered_question_does_not_end_the_stream() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
@@ -248,7 +248,7 @@
         assert expected * 0.5 <= wait <= expected * 1.5 + DEFAULT_LEASE_MS
 
 
-def test_a_server_keeps_no_more_than_it_may() -> None:
+def test_the_state_of_a_server_is_bounded() -> None:
     server = participant()
     connect(server)
     for number in range(20):
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -54,7 +54,7 @@
         enqueue(harness.view(), QueuedChange("y"), "text")
 
 
-def test_a_change_made_from_what_is_no_longer_in_force_ends_and_says_so() -> None:
+def test_a_change_made_from_an_outdated_policy_ends_with_a_reason() -> None:
     harness = at_work()
     base = digest_of("policy A")
     harness.propose("A")
@@ -69,7 +69,7 @@
     assert set(harness.admitted_versions().values()) == {3} and not harness.view().queue
 
 
-def test_the_text_of_a_change_that_waits_is_kept() -> None:
+def test_the_text_of_a_queued_change_is_retained() -> None:
     harness = at_work()
     for number in range(40):  # more ends than are kept
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
@@ -104,7 +104,7 @@
     assert after and after.purpose == "open" and after.compares[1].equals == 99
 
 
-def test_a_settler_of_relays_keeps_the_leadership_and_follows_hints() -> None:
+def test_a_coordinator_of_relays_retains_the_leadership_and_follows_watch_events() -> None:
     harness = at_work()
     leaders = [relay for relay in harness.relays.values() if relay.member.is_leader]
     assert len(leaders) == 1
@@ -124,7 +124,7 @@
     assert lead is None or isinstance(lead, Commit) and lead.purpose == "lead"
 
 
-def test_in_force_is_told_to_all_sessions_once() -> None:
+def test_a_policy_is_sent_to_all_sessions_once() -> None:
     harness = at_work()
     relay = harness.leader("east")
     pushed: list[PolicyUpdate] = []
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("held", [True, False])
-def test_a_settler_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
+def test_a_coordinator_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
     """Whether it leads its member says, once it has read."""
     coordinator, now = ChangeCoordinator(KEYS, "east", retains_leadership=True), 0.0
     while not (lead := coordinator.effects(now, "", False, False, 1, 1)):
@@ -170,7 +170,7 @@
     assert coordinator.due() >= now + COUNT_MS
 
 
-def with_ends(harness: Harness, count: int) -> None:
+def run_changes(harness: Harness, count: int) -> None:
     """So many changes of texts of their own have ended."""
     for number in range(count):
         harness.enqueue(f"c{number}", f"text {number}")
@@ -178,9 +178,9 @@
         harness.run(1000.0)
 
 
-def test_a_text_that_is_queued_again_while_its_end_falls_out_is_kept() -> None:
+def test_a_text_that_is_queued_again_while_its_end_is_evicted_is_retained() -> None:
     harness = at_work()
-    with_ends(harness, MAX_FINISHED_CHANGES)
+    run_changes(harness, MAX_FINISHED_CHANGES)
     harness.propose("last")
     counted = finish_change(harness.view(), True)  # what somebody has counted, and has not messages_to_relay
     assert counted
@@ -193,11 +193,11 @@
     ]
 
 
-def test_texts_of_dropped_changes_go_with_their_ends() -> None:
+def test_documents_of_dropped_changes_are_evicted_with_their_ends() -> None:
     harness = at_work()
     for number in range(MAX_FINISHED_CHANGES + 8):
         harness.enqueue(f"c{number}", f"text {number}", base="another")
     harness.run(60_000.0)
     assert not harness.view().queue and len(harness.view().finished) == MAX_FINISHED_CHANGES
-    texts = [key for key in harness.space.keys if key.startswith(f"{FLEET}/text/")]
-    assert len(texts) == MAX_FINISHED_CHANGES
+    documents = [key for key in harness.space.keys if key.startswith(f"{FLEET}/text/")]
+    assert len(documents) == MAX_FINISHED_CHANGES
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -39,7 +39,7 @@
     assert set(harness.admitted_versions().values()) == {1} and harness.view().change is None
 
 
-def test_one_server_of_a_kind_is_asked() -> None:
+def test_one_server_of_a_fingerprint_is_asked() -> None:
     harness = at_work()
     asked: list[str] = []
     deliver = harness._deliver_to_server
@@ -76,7 +76,7 @@
     harness = at_work()
     harness.propose("A")
     relay = harness.leader("east")
-    harness.is_store_away = False
+    harness.is_store_unreachable = False
     while not relay.member.prepared_vote:
         assert harness._run_effects()
     until = relay.member.voting.fresh_at + relay.member.rules.bound_ms
@@ -115,7 +115,7 @@
         (registration(), RefusalReason.NOT_LEADER),
     ],
 )
-def test_a_relay_refuses_and_says_why(
+def test_a_relay_refuses_with_a_reason(
     message: Registration | LeaseRenewal | ValidationResult, reason: RefusalReason
 ) -> None:
     relay = Harness().add_relay("a", "east")
@@ -127,7 +127,7 @@
     assert EndSession(1) in effects and not relay.sessions
 
 
-def test_a_relay_that_leaves_sends_its_servers_away() -> None:
+def test_a_relay_that_shuts_down_dismisses_its_servers() -> None:
     harness = at_work()
     relay = harness.leader("east")
     relay.begin_shutdown()
@@ -140,14 +140,14 @@
     assert reasons == [RefusalReason.SHUTTING_DOWN] * 2
 
 
-def test_sessions_of_silent_servers_are_swept() -> None:
+def test_sessions_of_silent_servers_are_ended() -> None:
     harness = at_work()
     relay = harness.leader("east")
     effects = relay.effects(harness.now + 2 * DEFAULT_LEASE_MS + 2000.0)
     assert sum(isinstance(effect, EndSession) for effect in effects) == 2 and not relay.sessions
 
 
-def test_a_no_ends_up_in_the_vote_with_the_server_and_the_key() -> None:
+def test_a_rejection_is_in_the_vote_with_the_server_and_the_key() -> None:
     harness = at_work(rejections={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
@@ -158,7 +158,7 @@
     }
 
 
-def test_a_silent_kind_gets_no_lease_and_does_not_block() -> None:
+def test_silent_servers_get_no_lease_and_do_not_block() -> None:
     harness = at_work(silent={"east-s0", "east-s1"})
     harness.propose("A")
     harness.run(OVERDUE_MS + 1500.0)
@@ -223,7 +223,7 @@
     harness.run(5000.0)
 
 
-def test_who_takes_over_asks_the_kinds_that_come_to_it() -> None:
+def test_who_takes_over_asks_the_servers_that_come_to_it() -> None:
     """It polls no earlier than it may vote: until then servers are still on their way to it."""
     harness = at_work(rejections={"kind of east": "no"})
     old = harness.leader("east").identity.address
@@ -256,21 +256,21 @@
     assert harness.view().finished[-1].reason == "east: east-s2: no"
 
 
-def test_a_kind_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
+def test_a_fingerprint_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
     harness = at_work(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
     relay = harness.leader("east")
-    held: list[Read] = []
+    delayed: list[Read] = []
     begin = harness._relay_effect
 
-    def hold_reads(address: str, of: Relay, effect: RelayEffect) -> None:
+    def delay_reads(address: str, of: Relay, effect: RelayEffect) -> None:
         if of is relay and isinstance(effect, Read) and effect.lane is Lane.STORE:
-            held.append(effect)
+            delayed.append(effect)
         else:
             begin(address, of, effect)
 
     harness.propose("A", "policy!")
     harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
-    harness._relay_effect = hold_reads  # type: ignore[method-assign]
+    harness._relay_effect = delay_reads  # type: ignore[method-assign]
     relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
     harness.silent.clear()
@@ -284,12 +284,12 @@
     harness.run(50.0)
     harness._relay_effect = begin  # type: ignore[method-assign]
     sent_at = harness.now - 50.0
-    relay.handle_result(harness.now, held[0], sent_at, harness.space.answer(harness.now, held[0]))
+    relay.handle_result(harness.now, delayed[0], sent_at, harness.space.answer(harness.now, delayed[0]))
     harness.run(1000.0)
     assert [end.committed for end in harness.view().finished] == [False]
 
 
-def test_a_kind_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
+def test_a_server_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
     harness = at_work(rejections={"kind of east": "no"})
     for name in ("east-s0", "east-s1"):
         server = harness.servers[name]
@@ -333,7 +333,7 @@
     assert relay.member.status_detail.startswith("another engine answers") and relay.due() == 1500.0
 
 
-def test_a_pledge_of_an_earlier_life_is_no_vote() -> None:
+def test_a_prepared_vote_of_an_earlier_incarnation_is_no_vote() -> None:
     """The vote did not reach the store; the servers that are here now have not been asked."""
     harness = Harness(rejections={"kind of north": "no"})
     relays = harness.add_cell("east", 1)
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("stage", CellStage)
-def test_each_stage_agrees_in_peace(stage: CellStage) -> None:
+def test_each_stage_recovers(stage: CellStage) -> None:
     model = staged(converged(CellVariant(cells=2, servers=3)), stage)
     assert model.violation() == "" and model.recovery_violation() == ""
 
@@ -56,7 +56,7 @@
     assert not found.violation, (found.violation, found.trail)
 
 
-def test_a_copied_world_goes_its_own_way() -> None:
+def test_a_copied_model_goes_its_own_way() -> None:
     models = [staged(converged(CellVariant()), CellStage.VOTED)]
     key = models[0].fingerprint()
     for _ in range(3):
--- a/tests/fleet/test_cell_validation_poll.py
+++ b/tests/fleet/test_cell_validation_poll.py
@@ -23,7 +23,7 @@
     assert not poll.is_overdue(OVERDUE_MS, "old")
 
 
-def test_a_no_names_the_server_once() -> None:
+def test_a_rejection_names_the_server_once() -> None:
     poll = ValidationPoll("d", ValidationCache())
     servers = [Candidate(1, "old", "s1")]
     poll.handle_result("old", "s1", "values.look: no product")
@@ -32,14 +32,14 @@
     assert again.result([Candidate(2, "old", "s2")]) == "s2: values.look: no product"
 
 
-def test_verdicts_are_bounded() -> None:
+def test_the_cache_is_bounded() -> None:
     verdicts = ValidationCache()
     for number in range(MAX_CACHED_RESULTS + 1):
         verdicts.put("k", str(number), "")
     assert verdicts.get("k", "0") is None and verdicts.get("k", "1") == ""
 
 
-def test_each_kind_is_asked_once_and_the_answer_is_remembered() -> None:
+def test_each_fingerprint_is_asked_once_and_the_result_is_cached() -> None:
     verdicts = ValidationCache()
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2"), Candidate(3, "new", "s3")]
     poll = ValidationPoll("d", verdicts)
@@ -52,7 +52,7 @@
     assert again.next_questions(9.0, servers) == [] and again.result(servers) == ""
 
 
-def test_nobody_is_due_for_a_kind_that_has_answered_or_gone() -> None:
+def test_nothing_is_due_for_a_fingerprint_that_has_answered_or_was_removed() -> None:
     poll = ValidationPoll("d", ValidationCache())
     answered, gone, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
     poll.next_questions(0.0, [answered, gone, asked])
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -86,11 +86,11 @@
         return read_fleet(path)
 
     @contextlib.asynccontextmanager
-    async def relay(self, cell: str, sessions_most: int = 20) -> AsyncIterator[RelayService]:
+    async def relay(self, cell: str, max_sessions: int = 20) -> AsyncIterator[RelayService]:
         """Once it leads, until the end of the block."""
         address = f"127.0.0.1:{free_port()}"
         own = f'[relay]\ncell = "{cell}"\naddress = "{address}"\nfolder = "state-{cell}"\n'
-        fleet = self.file(cell, f"{own}sessions_most = {sessions_most}")
+        fleet = self.file(cell, f"{own}sessions_most = {max_sessions}")
         assert fleet.relay
         folder, record = open_state_directory(fleet, cell)
         service = RelayService(fleet, fleet.relay, Client(fleet), folder, record)
@@ -136,8 +136,8 @@
 
 
 def register(sequence: int = 1, **other: Any) -> Registration:
-    told = dict(fleet="f", name="x", incarnation="e", fingerprint=FINGERPRINT) | other
-    return Registration(sequence, **told)
+    fields = dict(fleet="f", name="x", incarnation="e", fingerprint=FINGERPRINT) | other
+    return Registration(sequence, **fields)
 
 
 async def next_of(stream: Any) -> Any:
@@ -160,10 +160,10 @@
     await client.close()
 
 
-def test_a_relay_that_is_full_says_so_and_the_server_goes_to_the_next(engine: Engine) -> None:
+def test_a_full_relay_refuses_and_the_server_goes_to_the_next(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
-        async with cells.relay("a", sessions_most=1) as first, cells.relay("b") as second:
+        async with cells.relay("a", max_sessions=1) as first, cells.relay("b") as second:
             one, other = cells.server("one"), cells.server("other")
             async with running(one), running(other):
                 assert (one.participant.relay, other.participant.relay) == tuple(cells.addresses)
@@ -208,7 +208,7 @@
     anyio.run(play)
 
 
-def test_a_server_far_away_connects(engine: Engine) -> None:
+def test_a_distant_server_connects(engine: Engine) -> None:
     """An attempt to connect was given up after 100 ms: a relay beyond that, or a busy one, was lost."""
 
     async def play() -> None:
@@ -238,9 +238,9 @@
                 group.start_soon(link.run)
             agent = cells.server("s", lambda text: "")
             async with running(agent):
-                for harm in (Harm(holds_back=True), Harm(delay_ms=900.0), Harm(holds_there=True)):
+                for fault in (Harm(holds_back=True), Harm(delay_ms=900.0), Harm(holds_there=True)):
                     for link in links:
-                        link.set(harm)
+                        link.set(fault)
                     await anyio.sleep(5.0)
                     for link in links:
                         link.set(Harm())
@@ -270,7 +270,7 @@
     anyio.run(play)
 
 
-def test_a_server_that_floods_or_says_nothing_is_ended(
+def test_a_server_that_floods_or_sends_nothing_is_disconnected(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
@@ -294,7 +294,7 @@
     anyio.run(play)
 
 
-def test_a_slow_reader_is_ended_and_nothing_is_kept_for_it(engine: Engine) -> None:
+def test_a_slow_reader_is_disconnected_and_its_queue_is_dropped(engine: Engine) -> None:
     """It does not read; texts of the largest size are sent to it until its queue is full."""
 
     async def play() -> None:
@@ -338,7 +338,7 @@
     assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
 
 
-def test_a_frozen_server_stands_aside_in_its_first_turn_and_a_slow_check_holds_up_nothing(
+def test_a_frozen_server_is_suspended_in_its_first_batch_and_a_slow_validation_blocks_nothing(
     engine: Engine,
 ) -> None:
     async def play() -> None:
@@ -375,7 +375,7 @@
     anyio.run(play)
 
 
-def test_consent_between_relays_is_asked_for_by_name_and_garbage_is_no_request(engine: Engine) -> None:
+def test_endorsements_are_requested_by_name_and_garbage_is_no_request(engine: Engine) -> None:
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
@@ -432,7 +432,7 @@
     anyio.run(play)
 
 
-def test_an_address_that_is_taken_and_too_few_descriptors_are_said(
+def test_an_address_in_use_and_too_few_descriptors_are_errors(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
@@ -459,7 +459,7 @@
         assert len(keys) == len(fields(value))
 
 
-def test_a_kind_is_what_a_server_judges_by() -> None:
+def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
@@ -476,7 +476,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "error"),
     [
         (SERVER, "server_lease_ms: 3000 is not from 1000 to bound_ms, which is 2000"),
         (SERVER + "server_lease_ms = 999", "server_lease_ms: 999 is not"),
@@ -501,16 +501,16 @@
     ],
 )
 def test_files_that_would_break_a_promise_are_refused_by_their_key(
-    tmp_path: Path, text: str, says: str
+    tmp_path: Path, text: str, error: str
 ) -> None:
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\n{text}\n')
-    with pytest.raises(InvalidFleetError) as why:
+    with pytest.raises(InvalidFleetError) as raised:
         read_fleet(path)
-    assert str(why.value).startswith(f"cells.toml: {says}"), why.value
+    assert str(raised.value).startswith(f"cells.toml: {error}"), raised.value
 
 
-def test_files_of_cells_are_read_whole(tmp_path: Path) -> None:
+def test_files_of_cells_are_read(tmp_path: Path) -> None:
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
     server = read_fleet(path)
@@ -530,19 +530,19 @@
     assert shared.relay.candidates == ("127.0.0.1:2", "127.0.0.1:3")
 
 
-def test_the_example_is_a_relay_s_file_and_each_command_wants_its_own(tmp_path: Path) -> None:
+def test_the_example_is_a_relay_s_file_and_each_command_needs_its_own(tmp_path: Path) -> None:
     example = ROOT / "deploy/relay.toml"
     assert read_fleet(example).rules.is_shared
     server = tmp_path / "server.toml"
     server.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
     runner = CliRunner()
-    for words, says in (
+    for words, output in (
         (["relay", "--fleet", str(server)], "relay: the file has no such table"),
         (["relay", "status", "--fleet", str(example)], "no relay answers"),
         (["relay"], "Missing option"),
         (["status", "--fleet", str(server)], "store: a command needs the store's address"),
     ):
         found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
-        assert found.exit_code == 2 and says in found.output, found.output
+        assert found.exit_code == 2 and output in found.output, found.output
     with pytest.raises(ConfigurationError, match="this file is a relay's"):
         ServerFiles(None, fleet=str(example)).read_fleet()
