--- /dev/null
+++ b/tests/fleet/test_relay_configuration.py
@@ -0,0 +1,117 @@
+"""The configuration of relays and their servers, and the fingerprint of a server."""
+
+from dataclasses import fields, replace
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+from helpers import ROOT
+
+from otterrudder.admission.interface import Idempotency, Limits, RequestClass, Tenant
+from otterrudder.cli.fleet import fleet as fleet_command
+from otterrudder.configuration import ConfigurationError
+from otterrudder.fleet.cell import fingerprint
+from otterrudder.fleet.cell.fingerprint import server_fingerprint
+from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
+from otterrudder.fleet.policy import LocalConfiguration
+from otterrudder.net.server_files import ServerFiles
+
+
+def test_a_fingerprint_covers_each_field_of_a_configuration() -> None:
+    request_class = RequestClass("a", Idempotency.SAFE, 1.0, 10.0, 20.0)
+    for value, keys in (
+        (LocalConfiguration((), ()), fingerprint._configuration_fields(LocalConfiguration((), ()))),
+        (request_class, fingerprint._request_class_fields(request_class)),
+        (Tenant("t", 0.5), fingerprint._tenant_fields(Tenant("t", 0.5))),
+        (Limits(), fingerprint._limits_fields(Limits())),
+    ):
+        assert len(keys) == len(fields(value))
+
+
+def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
+    own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
+    assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
+    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
+    kinds = [
+        server_fingerprint(own),
+        server_fingerprint(own, "another program"),
+        *map(server_fingerprint, others),
+    ]
+    assert len(set(kinds)) == len(kinds)
+
+
+RELAY = 'store = ["127.0.0.1:1"]\nbound_ms = 3000\n[relay]\ncell = "a"\naddress = "127.0.0.1:2"\n'
+SERVER = 'relays = ["127.0.0.1:2", "127.0.0.1:3"]\n'
+
+
+@pytest.mark.parametrize(
+    ("text", "error"),
+    [
+        (SERVER, "server_lease_ms: 3000 is not from 1000 to bound_ms, which is 2000"),
+        (SERVER + "server_lease_ms = 999", "server_lease_ms: 999 is not"),
+        (SERVER + 'bound_ms = 3000\nstart = "folder"', "start: "),
+        (SERVER + 'bound_ms = 3000\nfolder = "f"', "folder: a server with relays keeps nothing"),
+        ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is no address and port"),
+        ('bound_ms = 3000\nrelays = ["a:0"]', "relays: 'a:0'"),
+        ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is there twice"),
+        ('bound_ms = 3000\nrelays = ["a:1"]\n[relay]\ncell = "a"\naddress = "a:1"', "relays: a server's"),
+        (RELAY, 'relay.folder: absent = "wait" with one relay needs one'),
+        (RELAY + 'candidates = ["127.0.0.1:3"]', "relay.candidates: this relay's own address"),
+        (RELAY + 'folder = "f"\nlisten = "0.0.0.0"', "relay.listen: '0.0.0.0' is no address and port"),
+        (RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"', "relay.folder: the relays"),
+        (RELAY + 'folder = "f"\nsessions_most = 0', "relay.sessions_most: 0"),
+        (RELAY + 'folder = "f"\nother = 1', ".relay: Object contains unknown field `other`"),
+        (RELAY.replace('"a"', '"a/b"') + 'folder = "f"', "relay.cell"),
+        (RELAY.replace("127.0.0.1:2", "nowhere") + 'folder = "f"', "relay.address"),
+        ('folder = "g"\n' + RELAY + 'folder = "f"', "folder: a relay's is in its table [relay]"),
+        ('start = "folder"\n' + RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]', "start: "),
+        (RELAY + 'folder = "f"\n[tls]\nca = "c"', "tls: a relay shows"),
+        ("", "store: from 1 to 9"),
+    ],
+)
+def test_files_that_would_break_a_promise_are_refused_by_their_key(
+    tmp_path: Path, text: str, error: str
+) -> None:
+    path = tmp_path / "cells.toml"
+    path.write_text(f'version = 1\nfleet = "f"\n{text}\n')
+    with pytest.raises(InvalidFleetError) as raised:
+        read_fleet(path)
+    assert str(raised.value).startswith(f"cells.toml: {error}"), raised.value
+
+
+def test_files_of_cells_are_read(tmp_path: Path) -> None:
+    path = tmp_path / "cells.toml"
+    path.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
+    server = read_fleet(path)
+    assert (
+        server.relays == ("127.0.0.1:2", "127.0.0.1:3") and not server.stores and not server.state_directory
+    )
+    path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\n')
+    alone = read_fleet(path)
+    assert alone.state_directory == tmp_path / "f" and not alone.rules.is_shared
+    assert alone.relay and alone.relay.listen == alone.relay.address
+    path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\nlisten = "0.0.0.0:4"\n')
+    role = read_fleet(path).relay
+    assert role and (role.address, role.listen) == ("127.0.0.1:2", "0.0.0.0:4")
+    path.write_text(f'version = 1\nfleet = "f"\n{RELAY}candidates = ["127.0.0.1:3", "127.0.0.1:2"]\n')
+    shared = read_fleet(path)
+    assert shared.rules.is_shared and shared.relay
+    assert shared.relay.candidates == ("127.0.0.1:2", "127.0.0.1:3")
+
+
+def test_the_example_is_a_relay_s_file_and_each_command_needs_its_own(tmp_path: Path) -> None:
+    example = ROOT / "deploy/relay.toml"
+    assert read_fleet(example).rules.is_shared
+    server = tmp_path / "server.toml"
+    server.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
+    runner = CliRunner()
+    for words, output in (
+        (["relay", "--fleet", str(server)], "relay: the file has no such table"),
+        (["relay", "status", "--fleet", str(example)], "no relay answers"),
+        (["relay"], "Missing option"),
+        (["status", "--fleet", str(server)], "store: a command needs the store's address"),
+    ):
+        found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
+        assert found.exit_code == 2 and output in found.output, found.output
+    with pytest.raises(ConfigurationError, match="this file is a relay's"):
+        ServerFiles(None, fleet=str(example)).read_fleet()
