--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -1,7 +1,7 @@
 """A relay: it leads a cell under a lease of the store, votes on changes for it, and grants its servers
 leases. Pure.
 
-The cell is a member of the fleet (`fleet/member.py`) whose process is a relay. Several relays of a cell
+The cell is a member of the fleet (`fleet/member/`) whose process is a relay. Several relays of a cell
 share the member's name; the one whose registration stands in the store leads. What the relay adds:
 
 - A grant never outlives the relay's own authority (`Member.authority_until`), and never lasts longer than
