--- /dev/null
+++ b/tests/core_harness.py
@@ -0,0 +1,76 @@
+"""A request core that a test drives, with what it sent."""
+
+from helpers import SETTINGS
+
+from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
+from otterrudder.net.core import RequestCore
+from otterrudder.net.messages import (
+    Message,
+    Outgoing,
+)
+from otterrudder.net.requests import RequestFields
+
+
+def fields_of(
+    request_id: str,
+    received_at: float,
+    ttl_ms: float | None = 9000.0,
+    idempotency_key: str = "",
+) -> RequestFields:
+    return RequestFields(
+        request_id=request_id,
+        received_at=received_at,
+        ttl_ms=ttl_ms,
+        size_kb=20.0,
+        tenant_index=0,
+        session_key=0,
+        is_retry=False,
+        idempotency_key=idempotency_key,
+        body=b"b",
+    )
+
+
+class CoreBench:
+    """A core with the messages it sent; answers are counted by their request."""
+
+    def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
+        self.core = RequestCore(
+            lambda now, warm, up: create_controller(now, 1, 1, settings, **told),
+            request_classes_of(settings),
+            gauge_names(settings),
+        )
+        self.now = 1000.0
+        self.answers: dict[int, list[Message]] = {}
+        self.sent: list[Message] = []
+        self.step(self.core.handle_runtime_ready, True, 1.0)
+        self.step(self.core.handle_link_established)
+
+    def step(self, act, *args: object, ms: float = 0.0) -> list[Outgoing]:
+        self.now += ms
+        self.core.advance_to(self.now + 1e12, self.now)
+        act(*args)
+        out = self.core.take_messages()
+        for destination, message in out:
+            if destination == "connection":
+                self.answers.setdefault(message.rpc_id, []).append(message)
+        self.sent += [message for _, message in out]
+        return out
+
+    def arrive(
+        self,
+        rpc: int,
+        product: int = 0,
+        mark: str = "",
+        age: float = 0.0,
+        ttl: float | None = 9000.0,
+        ms: float = 0.0,
+    ) -> list[Outgoing]:
+        fields = fields_of(f"{rpc:016x}", self.now + ms + 1e12 - age, ttl, mark)
+        return self.step(self.core.handle_arrival, "connection", rpc, product, fields, ms=ms)
+
+    def sent_of(self, kind: type) -> list:
+        return [message for message in self.sent if isinstance(message, kind)]
+
+    @property
+    def load(self) -> float | None:
+        return self.core.requests.advertised_load
--- /dev/null
+++ b/tests/net/test_request_core.py
@@ -0,0 +1,149 @@
+"""The request core and its dispatcher, without a socket."""
+
+from unittest.mock import Mock
+
+import pytest
+from core_harness import CoreBench, fields_of
+from net_harness import InProcessServer, in_process
+from server_process import A
+
+from otterrudder.admission.commands import ScheduleTick
+from otterrudder.admission.interface import Outcome
+from otterrudder.net.dispatcher import Dispatcher
+from otterrudder.net.messages import (
+    Destination,
+    RequestCompleted,
+    RequestFailed,
+    RequestRejected,
+    StartRun,
+)
+
+
+def test_two_tries_in_one_batch_are_linked() -> None:
+    bench = CoreBench()
+    for rpc in (1, 2):
+        bench.core.handle_arrival(
+            "connection", rpc, 1, fields_of(f"{rpc:016x}", bench.now + 1e12, idempotency_key="m")
+        )
+    bench.step(lambda: None)
+    assert len(bench.sent_of(StartRun)) == 1
+    bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r")
+    assert bench.answers == {n: [RequestCompleted(n, b"r", bench.load)] for n in (1, 2)}
+    assert all(isinstance(answer, RequestCompleted) for (answer,) in bench.answers.values())
+
+
+@pytest.mark.parametrize("age", [0.0, 10_000.0])
+def test_a_reference_outlives_its_window_by_what_may_still_be_unread(age: float) -> None:
+    bench = CoreBench()
+    bench.arrive(1, 1, "m", age=age, ttl=16_000.0)
+    bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r", ms=100.0)
+    # Written just within the window (20 s from the first `recv`), read seconds later: never run.
+    bench.arrive(2, 1, "m", age=5000.0, ttl=8000.0, ms=24_800.0 - age)
+    assert bench.answers[2] == [RequestCompleted(2, b"r", bench.load)] and len(bench.sent_of(StartRun)) == 1
+    bench.step(lambda: None, ms=40_000.0)
+    assert not bench.core.idempotency.entries and not bench.core.idempotency.expirations
+    bench.arrive(3, 1, "m")
+    assert len(bench.sent_of(StartRun)) == 2
+
+
+@pytest.mark.parametrize("product", [0, 1])
+def test_a_txn_taken_back_in_its_batch_leaves_no_slot_taken(product: int) -> None:
+    # Hundreds of them once filled the module's count of what is in hand for good.
+    bench = CoreBench()
+    bench.core.handle_arrival("connection", 1, product, fields_of("c", bench.now + 1e12, idempotency_key="m"))
+    bench.step(bench.core.handle_disconnect, "c")
+    limiter = bench.core.controller.limiter
+    assert (limiter.in_flight, limiter.running, bench.core.controller.memory_budget.requests_kb) == (
+        0,
+        0,
+        0.0,
+    )
+    assert not bench.core.requests and not bench.core.controller.requests and not bench.sent_of(StartRun)
+
+
+def test_none_left_is_not_unknown() -> None:
+    bench = CoreBench()
+    bench.arrive(1, age=300.0, ttl=300.0)
+    bench.arrive(2, age=300.0, ttl=0.0)
+    assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestRejected] * 2 and not bench.sent_of(
+        StartRun
+    )
+    bench.arrive(3, age=300.0, ttl=None)
+    assert len(bench.sent_of(StartRun)) == 1
+
+
+def test_gauges_that_are_no_numbers_are_missing() -> None:
+    bench = CoreBench()
+    bench.step(bench.core.query_gauges)
+    bench.step(
+        bench.core.handle_gauges, bench.core.delivery.last_query, [float("nan"), float("inf"), 0.0, 0.0]
+    )
+    limit = bench.core.controller.limiter.limit
+    bench.step(bench.core.tick, ms=40.0)
+    assert bench.core.controller.limiter.busy_share == 1.0 and bench.core.controller.limiter.limit == limit
+
+
+def test_a_ring_that_fails_is_not_the_last() -> None:
+    bench = CoreBench()
+    dispatcher = Dispatcher(bench.core)
+    dispatcher.recipients |= {Destination.GATEWAYS: Mock(), Destination.RUNTIME: Mock()}
+    dispatcher.send(ScheduleTick(40.0))
+    dispatcher.tick_at = dispatcher.gauge_query_at = 0.0
+    bench.core.controller.queues = None  # the module is broken: whatever it is asked fails
+    dispatcher.run_batch()
+    assert 0.0 < dispatcher.tick_at < float("inf")
+
+
+def test_a_runtime_that_came_anew_has_lost_its_runs() -> None:
+    bench = CoreBench()
+    bench.arrive(1), bench.arrive(2, 1, "m")
+    bench.step(bench.core.handle_link_lost)
+    bench.step(bench.core.handle_runtime_restart)
+    bench.step(bench.core.handle_link_established)
+    assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestFailed] * 2 and not bench.core.requests
+
+
+def test_a_start_in_doubt_stays_so_over_further_links() -> None:
+    bench = CoreBench()
+    bench.arrive(1, 1, "m")
+    for _ in range(2):  # gauges answered on the second link say nothing of a start sent on the first
+        bench.step(bench.core.handle_link_lost)
+        bench.step(bench.core.handle_link_established)
+        bench.step(bench.core.query_gauges)
+        bench.step(bench.core.handle_gauges, bench.core.delivery.last_query, [0.5, 1.0, 0.1, 5.0])
+    assert len(bench.sent_of(StartRun)) == 1
+    bench.step(bench.core.handle_link_lost)
+    bench.step(bench.core.handle_disconnect, f"{1:016x}")
+    bench.step(bench.core.handle_link_established)
+    assert len(bench.sent_of(StartRun)) == 2  # it is over, so this only asks how it stands
+    bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
+
+
+def test_a_failing_event_voids_its_txn_and_no_other() -> None:
+    bench = CoreBench()
+    bench.arrive(1), bench.arrive(2)
+    bench.step(bench.core.fail_request, f"{1:016x}")
+    bench.step(bench.core.handle_run_ended, f"{2:016x}", Outcome.OK, b"r")
+    bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"late")
+    assert bench.answers == {
+        1: [RequestFailed(1, "given up", bench.load)],
+        2: [RequestCompleted(2, b"r", bench.load)],
+    }
+    assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
+
+
+def test_a_count_of_the_process_that_fails_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With no descriptor left the memory's file can't be opened, and the dispatcher once ended with it.
+    async def play(server: InProcessServer) -> None:
+        def none_left() -> float:
+            raise OSError(24, "Too many open files")
+
+        monkeypatch.setattr("otterrudder.net.loop_statistics.resident_mb", none_left)
+        server.dispatcher.statistics.next_report = 0.0
+        server.dispatcher.run_batch()
+        gateway, _ = await server.connect()
+        gateway.sock.sendall(gateway.request_message(A))
+        assert "result" in await server.served(gateway, A)
+
+    in_process(play)
--- a/tests/server_process.py
+++ b/tests/server_process.py
@@ -1,5 +1,6 @@
 """The program as operators start it, with what it talks to played by the test."""
 
+import base64
 import json
 import os
 import resource
@@ -16,6 +17,10 @@
 from helpers import ROOT, RUN, SETTINGS
 from line_connection import WAIT_S, LineConnection, listen
 
+# Ids of requests, and an idempotency key.
+A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
+MARK = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+
 
 def address_text(address: tuple[str, int]) -> str:
     return "{}:{}".format(*address)
@@ -152,3 +157,14 @@
     def wait_for_exit(self) -> int:
         """The exit code."""
         return self.process.wait(WAIT_S)
+
+
+def complete_request(runtime: FakeRuntime, gateway: FakeGateway, call: str, body: bytes = b"ask") -> None:
+    """A request from end to end, byte for byte: the server is well."""
+    rpc = gateway.send_request(call, body=body)
+    words, got = runtime.expect_command("start", call, "look")
+    assert got == body
+    runtime.end_run(call, body[::-1])
+    answer = gateway.read_answer()
+    assert answer["id"] == rpc and "load" in answer["result"]
+    assert base64.b64decode(answer["result"]["blob"]) == body[::-1]
