--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -7,16 +7,16 @@
 import msgspec
 
 from otterrudder.configuration import ConfigurationError, parse_address
-from otterrudder.fleet.cell.relay import SESSIONS_MOST
+from otterrudder.fleet.cell.limits import DEFAULT_MAX_SESSIONS
 from otterrudder.fleet.records import MAX_NAME_LENGTH, Absent
 
-SERVER_LEASE_MS = 3000.0  # ms of a server's lease from its relay
-SERVER_LEASE_LEAST_MS = 1000.0  # ms; below it a lost renewal or two would end a lease
-RELAYS_MOST = 16  # addresses in a list
-SESSIONS_CEILING = 10_000  # servers of one relay
+SERVER_LEASE_MS = 3000.0
+MIN_SERVER_LEASE_MS = 1000.0  # below it a lost renewal or two would end a lease
+MAX_RELAYS = 16  # addresses in a list
+MAX_SESSIONS_LIMIT = 10_000  # servers of one relay
 
 
-class BadRelay(Exception):
+class RelayConfigurationError(Exception):
     """What is wrong with a cell's key, in one line that names it."""
 
 
@@ -27,8 +27,8 @@
     address: str
     listen: str = ""
     candidates: list[str] = []
-    sessions_most: int = SESSIONS_MOST
-    folder: str | None = None
+    max_sessions: int = msgspec.field(default=DEFAULT_MAX_SESSIONS, name="sessions_most")
+    state_directory: str | None = msgspec.field(default=None, name="folder")
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,10 +36,10 @@
     """Which relay of which cell a process is."""
 
     cell: str
-    address: str  # the others know it by this
-    listen: str  # listens here: the address, unless the file says otherwise (behind a forwarded port, say)
+    address: str  # as the other relays and the servers know it
+    listen: str  # the address, unless the file has another one (behind a forwarded port, say)
     candidates: tuple[str, ...]  # all relays of the cell, this one among them, sorted
-    sessions_most: int
+    max_sessions: int
 
     @property
     def is_shared(self) -> bool:
@@ -48,51 +48,66 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
+        """The host and port that it listens on."""
         return parse_address(self.listen, "relay.listen")
 
 
 def check_server_lease(server_lease_ms: float, bound_ms: float) -> None:
     """A lease that outlasts the bound would let a server go by a policy that is past its bound."""
-    if not SERVER_LEASE_LEAST_MS <= server_lease_ms <= bound_ms:
-        raise BadRelay(
-            f"server_lease_ms: {server_lease_ms:g} is not from {SERVER_LEASE_LEAST_MS:g} to bound_ms, "
+    if not MIN_SERVER_LEASE_MS <= server_lease_ms <= bound_ms:
+        raise RelayConfigurationError(
+            f"server_lease_ms: {server_lease_ms:g} is not from {MIN_SERVER_LEASE_MS:g} to bound_ms, "
             f"which is {bound_ms:g}"
         )
 
 
 def check_relays(key: str, relays: list[str]) -> None:
-    """Addresses, each once."""
-    if len(relays) > RELAYS_MOST:
-        raise BadRelay(f"{key}: at most {RELAYS_MOST} addresses are wanted, not {len(relays)}")
+    """Addresses with a port, each once."""
+    if len(relays) > MAX_RELAYS:
+        raise RelayConfigurationError(f"{key}: at most {MAX_RELAYS} addresses are wanted, not {len(relays)}")
     if len(set(relays)) < len(relays):
-        raise BadRelay(f"{key}: an address is there twice")
+        raise RelayConfigurationError(f"{key}: an address is there twice")
     for relay in relays:
         try:
             _, port = parse_address(relay, key)
-        except ConfigurationError as trouble:
-            raise BadRelay(str(trouble)) from None
+        except ConfigurationError as error:
+            raise RelayConfigurationError(str(error)) from None
         if not port:
-            raise BadRelay(f"{key}: {relay!r}: the others need a port to find it by")
+            raise RelayConfigurationError(f"{key}: {relay!r}: the others need a port to find it by")
 
 
 def role_of(table: RelayTable, absent: Absent) -> RelayRole:
     """The checked table."""
     if not table.cell or "/" in table.cell or len(table.cell) > MAX_NAME_LENGTH:
-        raise BadRelay(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
+        raise RelayConfigurationError(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
     check_relays("relay.address", [table.address])
     listen = table.listen or table.address
     check_relays("relay.listen", [listen])
     candidates = table.candidates or [table.address]
+    _check_candidates(table, candidates)
+    if not 1 <= table.max_sessions <= MAX_SESSIONS_LIMIT:
+        raise RelayConfigurationError(
+            f"relay.sessions_most: {table.max_sessions} is not from 1 to {MAX_SESSIONS_LIMIT}"
+        )
+    _check_state_directory(table, len(candidates), absent)
+    return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.max_sessions)
+
+
+def _check_candidates(table: RelayTable, candidates: list[str]) -> None:
     check_relays("relay.candidates", candidates)
     if table.address not in candidates:
-        raise BadRelay(f"relay.candidates: this relay's own address {table.address} is not among them")
-    if not 1 <= table.sessions_most <= SESSIONS_CEILING:
-        raise BadRelay(f"relay.sessions_most: {table.sessions_most} is not from 1 to {SESSIONS_CEILING}")
-    if len(candidates) == 1 and absent == "wait" and not table.folder:
-        raise BadRelay(
+        raise RelayConfigurationError(
+            f"relay.candidates: this relay's own address {table.address} is not among them"
+        )
+
+
+def _check_state_directory(table: RelayTable, relays: int, absent: Absent) -> None:
+    if relays == 1 and absent == "wait" and not table.state_directory:
+        raise RelayConfigurationError(
             'relay.folder: absent = "wait" with one relay needs one: a restart that has forgotten its vote '
             "could grant leases for a policy that is no longer in force"
         )
-    if len(candidates) > 1 and table.folder:
-        raise BadRelay("relay.folder: the relays of a cell share its name, and none keeps state for it")
-    return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.sessions_most)
+    if relays > 1 and table.state_directory:
+        raise RelayConfigurationError(
+            "relay.folder: the relays of a cell share its name, and none keeps state for it"
+        )
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -12,7 +12,6 @@
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.cell_events import after, events, happen
-from otterrudder.lab.fleet.cell_faults import CellHunt
 from otterrudder.lab.fleet.cell_model import (
     CellStage,
     CellVariant,
@@ -21,10 +20,11 @@
     settled,
     staged,
 )
+from otterrudder.lab.fleet.cell_seeded_faults import CellHunt
 from otterrudder.lab.fleet.explore import Found, Step
 
 LENGTH = 100  # events of a drawn walk
-HARM_MOST = 8  # of them that harm
+MAX_FAULTS = 8  # of them that harm
 HUNT_WALKS = 400
 HUNT_SEED = 7
 HARM_SHARE = 0.3  # of the weight of other events
@@ -66,7 +66,7 @@
 
 
 def _walk_from(world: CellWorld, chance: random.Random) -> Found:
-    harm_most = chance.randint(1, HARM_MOST)
+    harm_most = chance.randint(1, MAX_FAULTS)
     leanings: dict[str, float] = {}
 
     def weight(name: str) -> float:
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -7,16 +7,17 @@
 from time import thread_time_ns
 from typing import Protocol
 
-from otterrudder.fleet.cell.consent import PeerRequest
-from otterrudder.fleet.cell.messages import AskConsent, Consent, Grant, RelayMessage, ServerMessage
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
+from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
+from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
+from otterrudder.fleet.cell.messages import (
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    RelayMessage,
+    ServerMessage,
 )
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.effects import Commit, GrantLease, Outcome, Read, RenewLease, StoreRequest
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
@@ -112,7 +113,7 @@
         relay = host.relay
         if not relay:
             return
-        relay.leave(self._events.now)
+        relay.begin_shutdown()
         self._step(host)
         if relay.member.lease and not self._is_store_cut(host):
             arrives = self._events.now + self.store.arrival_ms(host.zone.region, RenewLease(0))
@@ -158,12 +159,12 @@
             return
         if self.message_cpu.is_due():
             began = thread_time_ns()
-            relay.received(now, stream.number, message)
+            relay.handle_message(now, stream.number, message)
             effects = relay.effects(now)
             due = relay.due()
             self.message_cpu.add(began)
         else:
-            relay.received(now, stream.number, message)
+            relay.handle_message(now, stream.number, message)
             effects = relay.effects(now)
             due = relay.due()
         for effect in effects:
@@ -176,7 +177,7 @@
         if stream.relay_life != host.life or not host.streams.pop(stream.number, None):
             return
         if host.relay:
-            host.relay.closed(stream.number)
+            host.relay.handle_stream_closed(stream.number)
 
     def handle_watch_event(self, host: RelayHost, argument: tuple[int, str]) -> None:
         life, prefix = argument
@@ -294,7 +295,7 @@
         if not stream:
             return
         message = effect.message
-        if isinstance(message, Grant):
+        if isinstance(message, LeaseGrant):
             self._ledger.granted(self._events.now, message.version, message.span_ms)
         size = self._sizes.of(message)
         host.sent.messages += 1
@@ -317,14 +318,14 @@
 
     # The other relays of its cell.
 
-    def _ask_peer(self, host: RelayHost, peer: RelayHost, request: AskConsent) -> None:
+    def _ask_peer(self, host: RelayHost, peer: RelayHost, request: EndorsementRequest) -> None:
         self.peer_messages += 1
         if self._network.is_cut(host.zone.region, peer.zone.region):
             return
         arrives = self._events.now + self._network.way_ms(host.zone.number, peer.zone.number)
         self._events.at(arrives, self._peer_asked, peer, (host, host.life, request))
 
-    def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, AskConsent]) -> None:
+    def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]) -> None:
         host, life, request = argument
         if not peer.relay:
             return
@@ -332,17 +333,17 @@
             peer.held.append((self._peer_asked, peer, argument))
             return
         self.peer_messages += 1
-        consent = peer.relay.peer_asked(self._events.now, request)
+        consent = peer.relay.handle_endorsement_request(self._events.now, request)
         arrives = self._events.now + self._network.way_ms(peer.zone.number, host.zone.number)
         self._events.at(arrives, self._peer_answered, host, (life, consent))
         self._step(peer)
 
-    def _peer_answered(self, host: RelayHost, argument: tuple[int, Consent]) -> None:
+    def _peer_answered(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
         life, consent = argument
         if not host.relay or host.life != life:
             return
         if self._events.now < host.frozen_until:
             host.held.append((self._peer_answered, host, argument))
             return
-        host.relay.peer_answered(consent)
+        host.relay.handle_endorsement(consent)
         self._step(host)
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -7,7 +7,8 @@
 
 from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.cell.service import RelayService, check_descriptors
+from otterrudder.fleet.cell.descriptors import check_descriptors
+from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.log import log
@@ -20,13 +21,13 @@
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, TooFewDescriptors, and
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, DescriptorLimitError, and
     DirectoryInUseError if the folder is another process's."""
     anyio.run(_serve, fleet, role)
 
 
 async def _serve(fleet: Fleet, role: RelayRole) -> None:
-    check_descriptors(role.sessions_most)
+    check_descriptors(role.max_sessions)
     store = Client(fleet)
     folder, record = open_state_directory(fleet, role.cell)
     service = RelayService(fleet, role, store, folder, record)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,11 +1,10 @@
-"""What most tests share: the project's root, the program's command, and a server's settings."""
+"""What tests of the server share: where the project lies, how the operators start it, and its settings."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]  # how the operators start it
-# The platform's settings, as most tests of a server have them.
 SETTINGS = {
     "classes": [
         {"name": "look", "effect": "safe", "worth": 1, "promiseUs": 12e6, "hardLimitUs": 16e6},
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -25,6 +25,8 @@
     RequestCompleted,
 )
 
+pytestmark = pytest.mark.exclusive
+
 ANSWERS = 30  # longest ones: some 160 KB
 
 
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -10,6 +10,8 @@
 from helpers import SETTINGS
 from server_process import MARK, A, B, C, ServerProcess, complete_request
 
+pytestmark = pytest.mark.exclusive
+
 BAD_FIELDS = [
     {"call": "xyz"}, {"call": 7}, {"call": None}, {"recv": "now"}, {"recv": -1}, {"recv": 1e300}, {"ttl": []},
     {"heap": -4}, {"heap": 1e9}, {"heap": True}, {"org": "nobody"}, {"org": 3}, {"blob": "*"}, {"blob": 5},
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -19,6 +19,8 @@
 )
 from otterrudder.net.records import RecordsPool
 
+pytestmark = pytest.mark.exclusive
+
 
 def test_calls_are_made_repeated_given_up_and_late_replies_dropped(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -8,6 +8,8 @@
 from line_connection import listen
 from server_process import MARK, A, B, C, ServerProcess, complete_request
 
+pytestmark = pytest.mark.exclusive
+
 
 def test_a_new_configuration_moves_runtime_records_and_registry(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
--- a/tests/net/test_request_core.py
+++ b/tests/net/test_request_core.py
@@ -133,6 +133,7 @@
     assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
+@pytest.mark.exclusive
 def test_a_count_of_the_process_that_fails_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # With no descriptor left the memory's file can't be opened, and the dispatcher once ended with it.
     async def play(server: InProcessServer) -> None:
--- a/tests/net/test_requests_on_sockets.py
+++ b/tests/net/test_requests_on_sockets.py
@@ -4,8 +4,11 @@
 import time
 from pathlib import Path
 
+import pytest
 from server_process import MARK, A, B, C, ServerProcess, complete_request
 
+pytestmark = pytest.mark.exclusive
+
 
 def test_a_txn_settles_byte_for_byte_and_answers_come_in_any_order(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -11,6 +11,8 @@
 
 from otterrudder.cli.migrate import migrate_settings
 
+pytestmark = pytest.mark.exclusive
+
 
 def test_a_runtime_that_comes_up_late_refuses_the_gauges_and_starts_cold(server: ServerProcess) -> None:
     # A restarted server once ran nothing: its question for the end of the replay came before `ready`.
--- a/tests/net/test_server_configuration.py
+++ b/tests/net/test_server_configuration.py
@@ -10,6 +10,8 @@
 from helpers import ROOT, RUN, SETTINGS
 from server_process import ServerProcess
 
+pytestmark = pytest.mark.exclusive
+
 
 @pytest.mark.parametrize("text", [None, "{", "[]", "{}", '{"name":"n","listen":"x"}'])
 def test_a_bad_configuration_is_one_line_and_not_0(tmp_path: Path, text: str | None) -> None:
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -20,6 +20,8 @@
 from otterrudder.net.core import RequestCore
 from otterrudder.net.server_parts import ServerParts
 
+pytestmark = pytest.mark.exclusive
+
 
 def test_a_drain_answers_all_and_ends_with_0(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
