--- a/otterrudder/net/runtime_codec.py
+++ b/otterrudder/net/runtime_codec.py
@@ -22,9 +22,14 @@
     StopRun,
 )
 
-END, WANTS, INFO = "end", "wants", "info"
+END = "end"
+WANTS = "wants"
+INFO = "info"
 NOTICE_WORDS = frozenset({END, WANTS, INFO})
-END_WORDS, WANTS_WORDS = 6, 4  # words of a line that a body follows
+# Numbers of words in a line.
+END_WORDS = 6  # where a body follows
+WANTS_WORDS = 4  # where a body follows
+MIN_NACK_WORDS = 2
 REPLAYED = "replayed"  # tag of the gauges whose answer ends the replay: commands are dealt with in order
 MAX_QUOTED = 20  # characters of a wrong word in an error
 
@@ -114,22 +119,10 @@
 
 def decode(words: Words, body: bytes) -> RuntimeEvent:
     """What a line says. ProtocolError, ValueError or IndexError: it can't be understood."""
-    match words[0]:
-        case "end":
-            return _decode_end(words, body)
-        case "wants":
-            return CallNeeded(words[2], body)
-        case "info":
-            return Information()
-        case "load":
-            if words[1] == REPLAYED:
-                return ReplayFinished()
-            return GaugesReported(lines.whole_number(words[1]), [float(value) for value in words[2:]])
-        case "ready":
-            return RuntimeReady(words[1] == "hot", float(words[2]))
-        case "nack":
-            return CommandRefused(words[1], words[2] if len(words) > 2 else "")
-    raise ProtocolError(f"unknown word {words[0][:MAX_QUOTED]!r}")
+    decoder = _DECODERS.get(words[0])
+    if decoder is None:
+        raise ProtocolError(f"unknown word {words[0][:MAX_QUOTED]!r}")
+    return decoder(words, body)
 
 
 def _decode_end(words: Words, body: bytes) -> RunEnded:
@@ -139,6 +132,27 @@
     return RunEnded(words[2], outcome, body)
 
 
+def _decode_load(words: Words, _: bytes) -> GaugesReported | ReplayFinished:
+    if words[1] == REPLAYED:
+        return ReplayFinished()
+    return GaugesReported(lines.whole_number(words[1]), [float(value) for value in words[2:]])
+
+
+def _decode_nack(words: Words, _: bytes) -> CommandRefused:
+    has_argument = len(words) > MIN_NACK_WORDS
+    return CommandRefused(words[1], words[2] if has_argument else "")
+
+
+_DECODERS: dict[str, Callable[[Words, bytes], RuntimeEvent]] = {
+    END: _decode_end,
+    WANTS: lambda words, body: CallNeeded(words[2], body),
+    INFO: lambda words, body: Information(),
+    "load": _decode_load,
+    "ready": lambda words, body: RuntimeReady(words[1] == "hot", float(words[2])),
+    "nack": _decode_nack,
+}
+
+
 def encode(message: RuntimeMessage) -> list[bytes]:
     """The line of a command, in parts."""
     return _ENCODERS[type(message)](message)
--- a/tests/net/test_core_random.py
+++ b/tests/net/test_core_random.py
@@ -9,86 +9,142 @@
 
 from otterrudder.admission.commands import CloseConnections
 from otterrudder.admission.interface import Outcome
+from otterrudder.net.core import RequestCore
 from otterrudder.net.messages import (
     CancelCall,
     DeliverReply,
+    Outgoing,
     RequestCompleted,
     SendCall,
     StartRun,
 )
 
+REQUESTS = 900
+KEYS = 60
+MIN_APART_MS = (
+    15_000.0  # between two runs with one key: retention is 20 s from `recv`, less the time to arrive
+)
+GAUGES = [0.5, 2.0, 0.1, 5.0]
+RUN_OUTCOMES = [Outcome.OK] * 5 + [Outcome.ERROR, Outcome.NEVER_STARTED, Outcome.CANCELLED]
+CALL_OUTCOMES = [Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.NEVER_STARTED]
 
-@pytest.mark.parametrize("seed", range(12))
-def test_whatever_comes_each_txn_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
-    """Random days: repeats, late and lost replies, links that break, callers that leave, a drain."""
-    chance, bench = random.Random(seed), CoreBench(max_idempotency_entries=40)
-    core, running, at_calls, out_below, gone, effects = bench.core, {}, set(), set(), set(), {}
-    for n in range(1, 900):
-        out = bench.arrive(
-            n,
-            chance.randrange(2),
-            f"m{chance.randrange(60)}",
-            ttl=chance.choice([300, 3000]),
-            age=chance.choice([0.0, 0.0, 250.0]),
-            ms=chance.expovariate(0.05),
+
+class RandomEvents:
+    """Retries, late and lost replies, links that break, callers that disconnect, in a drawn order."""
+
+    def __init__(self, seed: int) -> None:
+        self.chance = random.Random(seed)
+        self.bench = CoreBench(max_idempotency_entries=40)
+        self.core = self.bench.core
+        self.running: dict[str, str] = {}  # methods by request id
+        self.at_calls: set[str] = set()  # requests whose run waits at a call
+        self.calls_out: set[str] = set()
+        self.disconnected: set[int] = set()
+        self.last_effects: dict[str, float] = {}  # when a key's effect last happened
+
+    def arrive(self, number: int) -> list[Outgoing]:
+        return self.bench.arrive(
+            number,
+            self.chance.randrange(2),
+            f"m{self.chance.randrange(KEYS)}",
+            ttl=self.chance.choice([300, 3000]),
+            age=self.chance.choice([0.0, 0.0, 250.0]),
+            ms=self.chance.expovariate(0.05),
         )
+
+    def receive(self, out: list[Outgoing]) -> None:
+        """What the runtime and the records service are told."""
+        for _, message in out:
+            if isinstance(message, StartRun):
+                self._start(message)
+            elif isinstance(message, SendCall):
+                call = message.request_id
+                assert call not in self.calls_out  # one at a time, whatever came of the one before
+                self.at_calls.add(call)
+                self.calls_out.add(call)
+            elif isinstance(message, CancelCall | DeliverReply):
+                self.at_calls.discard(message.request_id)
+                self.calls_out.discard(message.request_id)
+
+    def next_event(self, number: int) -> list[Outgoing]:
+        """What the core sends after it; `number`: the last request that arrived."""
+        event = self.chance.randrange(14)
+        if event < 6 and self.running:
+            return self._end_run()
+        if event == 6 and (busy := sorted(set(self.running) - self.at_calls)):
+            return self.bench.step(self.core.handle_call_needed, self.chance.choice(busy), b"?")
+        if event < 10 and self.at_calls:
+            return self._end_call()
+        if event == 10:
+            self.disconnected.add(self.chance.randrange(1, number + 1))
+            return self.bench.step(self.core.handle_disconnect, f"{max(self.disconnected):016x}")
+        if event == 11:
+            self.bench.step(self.core.handle_link_lost)
+            return self.bench.step(self.core.handle_link_established, ms=self.chance.choice([1.0, 50.0]))
+        return self._gauges_or_tick(event)
+
+    def _gauges_or_tick(self, event: int) -> list[Outgoing]:
+        if event == 12:
+            self.bench.step(self.core.query_gauges)
+            return self.bench.step(self.core.handle_gauges, self.core.delivery.last_query, GAUGES)
+        if event == 13:
+            return self.bench.step(self.core.tick, ms=40.0)
+        return []
+
+    def _start(self, message: StartRun) -> None:
+        call = message.request_id
+        if message.method == "pay" and call not in self.running:
+            key = self._key_of(call)
+            assert self.bench.now - self.last_effects.get(key, -1e9) > MIN_APART_MS
+            self.last_effects[key] = self.bench.now
+        self.running[call] = message.method
+
+    def _end_run(self) -> list[Outgoing]:
+        call = self.chance.choice(sorted(self.running))
+        del self.running[call]
+        self.at_calls.discard(call)
+        outcome = self.chance.choice(RUN_OUTCOMES)
+        if outcome is Outcome.NEVER_STARTED:  # nothing was started
+            self.last_effects.pop(self._key_of(call), None)
+        return self.bench.step(self.core.handle_run_ended, call, outcome, b"r")
+
+    def _end_call(self) -> list[Outgoing]:
+        outcome = self.chance.choice(CALL_OUTCOMES)
+        call = self.chance.choice(sorted(self.at_calls))
+        self.calls_out.discard(call)
+        return self.bench.step(self.core.handle_call_ended, call, outcome, b"!")
+
+    def _key_of(self, call: str) -> str:
+        return self.core.requests.by_id[call].idempotency_key
+
+    def drain(self) -> None:
+        """A graceful shutdown, until all is over."""
+        self.bench.step(self.core.begin_graceful_shutdown, 1500.0)
+        self.bench.step(lambda: None, ms=1500.0)
+        assert self.bench.sent_of(CloseConnections) and not self.core.requests.unanswered_count()
+        for call in [request.request_id for request in self.core.requests.running()]:
+            self.bench.step(self.core.handle_run_ended, call, Outcome.CANCELLED, b"")
+        self.bench.step(lambda: None, ms=60_000.0)
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_whatever_comes_each_request_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
+    events = RandomEvents(seed)
+    bench = events.bench
+    for number in range(1, REQUESTS):
+        out = events.arrive(number)
         while out:
-            news = []
-            for _, message in out:
-                if isinstance(message, StartRun):
-                    call = message.request_id
-                    if message.method == "pay" and call not in running:
-                        mark = bench.core.requests.by_id[call].idempotency_key
-                        assert bench.now - effects.get(mark, -1e9) > 15_000  # windows are 20 s from `recv`
-                        effects[mark] = bench.now
-                    running[call] = message.method
-                elif isinstance(message, SendCall):
-                    call = message.request_id
-                    assert call not in out_below  # one at a time, whatever came of the one before
-                    at_calls.add(call), out_below.add(call)
-                elif isinstance(message, CancelCall | DeliverReply):
-                    at_calls.discard(message.request_id), out_below.discard(message.request_id)
-            what = chance.randrange(14)
-            if what < 6 and running:
-                call = chance.choice(sorted(running))
-                del running[call]
-                at_calls.discard(call)
-                how = chance.choice(
-                    [Outcome.OK] * 5 + [Outcome.ERROR, Outcome.NEVER_STARTED, Outcome.CANCELLED]
-                )
-                if how is Outcome.NEVER_STARTED:  # nothing was started
-                    effects.pop(core.requests.by_id[call].idempotency_key, None)
-                news = bench.step(core.handle_run_ended, call, how, b"r")
-            elif what == 6 and (calm := sorted(set(running) - at_calls)):
-                news = bench.step(core.handle_call_needed, chance.choice(calm), b"?")
-            elif what < 10 and at_calls:
-                how = chance.choice(
-                    [Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.NEVER_STARTED]
-                )
-                out_below.discard(call := chance.choice(sorted(at_calls)))
-                news = bench.step(core.handle_call_ended, call, how, b"!")
-            elif what == 10:
-                gone.add(chance.randrange(1, n + 1))
-                news = bench.step(core.handle_disconnect, f"{max(gone):016x}")
-            elif what == 11:
-                bench.step(core.handle_link_lost)
-                news = bench.step(core.handle_link_established, ms=chance.choice([1.0, 50.0]))
-            elif what == 12:
-                bench.step(core.query_gauges)
-                news = bench.step(core.handle_gauges, core.delivery.last_query, [0.5, 2.0, 0.1, 5.0])
-            elif what == 13:
-                news = bench.step(core.tick, ms=40.0)
-            out = news
-        told = core.log_fields()
-        assert told["in_flight"] == told["runs"]  # the module's count and the wire's agree
-    bench.step(core.begin_graceful_shutdown, 1500.0)
-    bench.step(lambda: None, ms=1500.0)
-    assert bench.sent_of(CloseConnections) and not core.requests.unanswered_count()
-    for call in [request.request_id for request in core.requests.running()]:
-        bench.step(core.handle_run_ended, call, Outcome.CANCELLED, b"")
-    bench.step(lambda: None, ms=60_000.0)
-    assert all(len(bench.answers.get(n, [])) == 1 or n in gone for n in range(1, 900))
+            events.receive(out)
+            out = events.next_event(number)
+        fields = bench.core.log_fields()
+        assert fields["in_flight"] == fields["runs"]  # the controller's count and the wire's agree
+    events.drain()
+    assert all(len(bench.answers.get(n, [])) == 1 or n in events.disconnected for n in range(1, REQUESTS))
     assert max(map(len, bench.answers.values())) == 1
+    assert_nothing_left(bench.core)
+
+
+def assert_nothing_left(core: RequestCore) -> None:
     controller = core.controller
     left = (
         core.requests.by_number,
@@ -100,10 +156,8 @@
     )
     assert not any(left), left
     assert (controller.limiter.running, controller.limiter.in_flight, controller.queues.count) == (0, 0, 0)
-    assert (
-        abs(controller.memory_budget.requests_kb) < 1e-6
-        and controller.downstream_calls.quota.outstanding == 0
-    )
+    assert abs(controller.memory_budget.requests_kb) < 1e-6
+    assert controller.downstream_calls.quota.outstanding == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -102,9 +102,8 @@
             assert records.read_line().startswith(f"OP {call} ".encode()) and records.read_body(1)
         records.send(f"{call} DONE", b"!")
         runtime.expect_command("give", call)
-    assert (
-        records.read_line() == b""
-    )  # unused, it is left: the service forgets such ones and resets the next call
+    # Unused, it is closed: the service forgets such ones and resets the next call.
+    assert records.read_line() == b""
 
 
 def told(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[RecordsPool, list[tuple]]:
@@ -166,77 +165,106 @@
     in_process(play)
 
 
+CALL = re.compile(r"OP (\w{16}) \d+ 16\r\n(\d{16})\r\n")  # a body names the call, so its reply does
+
+
+class RandomService:
+    """Replies, copies, strangers', halves, closes, resets, moves and cancelled calls in drawn orders."""
+
+    def __init__(self, group: anyio.abc.TaskGroup, seed: int) -> None:
+        self.chance = random.Random(seed)
+        self.listeners = [listen(), listen()]
+        self.pool, self.reported = told(group, self.listeners[0].getsockname())
+        self.pool.max_connections = 3  # so that calls share connections too
+        for listener in self.listeners:
+            listener.setblocking(False)
+        self.connections: list[socket.socket] = []
+        self.calls: dict[str, bytes] = {}  # bodies by request id; a request's next call has the same id
+        self.last_replies: dict[socket.socket, bytes] = {}
+        self.ended = 0
+
+    def check_reports(self) -> None:
+        for call, outcome, body in self.reported:
+            assert call in self.calls, f"{call} ended after it was over"
+            assert body == self.calls.pop(call) or outcome is not Outcome.OK
+            self.ended += 1
+        self.reported.clear()
+
+    def accept(self) -> None:
+        for listener in self.listeners:
+            with contextlib.suppress(BlockingIOError):
+                self.connections.append(listener.accept()[0])
+                self.connections[-1].setblocking(False)
+
+    def next_event(self, number: int) -> None:
+        event = self.chance.randrange(10)
+        if event < 4:
+            self._start_call(number)
+        elif event == 4 and self.calls:
+            call = self.chance.choice(sorted(self.calls))
+            self.pool.send(CancelCall(call))
+            del self.calls[call]
+        elif event == 5 and self.chance.random() < 0.3:
+            self.pool.move(self.chance.choice(self.listeners).getsockname())
+        elif self.connections:
+            self._serve(self.chance.choice(self.connections))
+
+    def _start_call(self, number: int) -> None:
+        if (call := f"{self.chance.randrange(12):016x}") not in self.calls:
+            self.calls[call] = b"%016d" % number
+            self.pool.send(SendCall(call, 500.0, self.calls[call]))
+
+    def _serve(self, sock: socket.socket) -> None:
+        try:
+            data = sock.recv(65536).decode()
+        except OSError:
+            data = ""
+        try:
+            self._reply(sock, data)
+            if self.chance.random() < 0.2:
+                self._end(sock)
+        except OSError:
+            self.connections.remove(sock)
+            sock.close()
+
+    def _reply(self, sock: socket.socket, data: str) -> None:
+        for call, body in CALL.findall(data):
+            reply = f"{call} DONE 16\r\n{body}\r\n".encode()
+            times = self.chance.choice([1, 1, 1, 2])
+            sock.sendall(reply[: self.chance.choice([len(reply)] * 4 + [20])] * times)
+            self.last_replies[sock] = reply
+        if not data and sock in self.last_replies and self.chance.random() < 0.5:
+            sock.sendall(self.last_replies[sock])  # a late copy, of whatever is out by now
+        if self.chance.random() < 0.1:
+            sock.sendall(f"{'f' * 16} DONE 1\r\n?\r\n".encode())
+
+    def _end(self, sock: socket.socket) -> None:
+        if self.chance.random() < 0.5:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.connections.remove(sock)
+        sock.close()
+
+    async def close(self) -> None:
+        """Ends everything, and waits for the calls that are out."""
+        for sock in [*self.connections, *self.listeners]:
+            sock.close()
+        while self.calls:
+            await anyio.sleep(0.01)
+            self.check_reports()
+
+
 @pytest.mark.parametrize("seed", range(8))
 def test_whatever_the_service_does_each_call_ends_once_and_with_its_own_reply(seed: int) -> None:
-    """Replies, copies, strangers', halves, closes, resets, moves and given-up calls in drawn orders."""
-
     async def play(server: InProcessServer) -> None:
-        chance, services = random.Random(seed), [listen(), listen()]
-        pool, heard = told(server.group, services[0].getsockname())
-        pool.max_connections = 3  # so that calls share connections too
-        for service in services:
-            service.setblocking(False)
-        ends: list[socket.socket] = []
-        out: dict[str, bytes] = {}  # calls with their bodies; a request's next call has the same name
-        ended, last = 0, {}
-        server.group.start_soon(pool.run)
-
-        def settle() -> None:
-            nonlocal ended
-            for call, outcome, body in heard:
-                assert call in out, f"{call} ended after it was over"
-                assert body == out.pop(call) or outcome is not Outcome.OK
-                ended += 1
-            heard.clear()
-
-        for n in range(500):
-            settle()
-            for service in services:
-                with contextlib.suppress(BlockingIOError):
-                    ends.append(service.accept()[0])
-                    ends[-1].setblocking(False)
-            what = chance.randrange(10)
-            if what < 4:
-                if (call := f"{chance.randrange(12):016x}") not in out:
-                    out[call] = b"%016d" % n
-                    pool.send(SendCall(call, 500.0, out[call]))
-            elif what == 4 and out:
-                call = chance.choice(sorted(out))
-                pool.send(CancelCall(call))
-                del out[call]
-            elif what == 5 and chance.random() < 0.3:
-                pool.move(chance.choice(services).getsockname())
-            elif ends:
-                sock = chance.choice(ends)
-                try:
-                    data = sock.recv(65536).decode()
-                except OSError:
-                    data = ""
-                try:
-                    for call, body in re.findall(r"OP (\w{16}) \d+ 16\r\n(\d{16})\r\n", data):
-                        reply = f"{call} DONE 16\r\n{body}\r\n".encode()
-                        times = chance.choice([1, 1, 1, 2])
-                        sock.sendall(reply[: chance.choice([len(reply)] * 4 + [20])] * times)
-                        last[sock] = reply
-                    if not data and sock in last and chance.random() < 0.5:
-                        sock.sendall(last[sock])  # a late copy, of whatever is out by now
-                    if chance.random() < 0.1:
-                        sock.sendall(f"{'f' * 16} DONE 1\r\n?\r\n".encode())
-                    if chance.random() < 0.2:
-                        if chance.random() < 0.5:
-                            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                        ends.remove(sock)
-                        sock.close()
-                except OSError:
-                    ends.remove(sock)
-                    sock.close()
-            for _ in range(chance.randrange(4)):
+        service = RandomService(server.group, seed)
+        server.group.start_soon(service.pool.run)
+        for number in range(500):
+            service.check_reports()
+            service.accept()
+            service.next_event(number)
+            for _ in range(service.chance.randrange(4)):
                 await anyio.sleep(0)
-        for sock in [*ends, *services]:
-            sock.close()
-        while out:
-            await anyio.sleep(0.01)
-            settle()
-        assert not pool.connection_of and ended > 30
+        await service.close()
+        assert not service.pool.connection_of and service.ended > 30
 
     in_process(play)
