--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -128,7 +128,7 @@
                 reason = "this mark came with another body or method"
                 self.outbox.append((connection, RequestInvalid(rpc_id, reason)))
                 return
-        request = self.requests.add(connection, rpc_id, class_index, fields, key, digest)
+        request = self.requests.add(connection, rpc_id, class_index, fields, digest)
         if key and not earlier:
             self.idempotency.add_to_batch(key, request.number, digest)
         age_ms = max(self.unix_ms - fields.received_at, 0.0)
@@ -345,8 +345,7 @@
             request.idempotency_key,
             request.number,
             request.digest,
-            self.now,
-            command.retention_ms,
+            self.now + command.retention_ms,
             self.request_classes[request.class_index].deadline_ms,
         )
 
--- a/otterrudder/net/gateway_connection.py
+++ b/otterrudder/net/gateway_connection.py
@@ -41,11 +41,9 @@
         self.open_requests: dict[int, str] = {}  # request ids by rpc id
         self.stream = sockets.Stream(
             sock,
-            jsonrpc.MAX_LINE_BYTES,
-            MAX_UNSENT_BYTES,
+            sockets.StreamLimits(jsonrpc.MAX_LINE_BYTES, MAX_UNSENT_BYTES, CLOSE_TIMEOUT_S),
             self._handle_input,
             owes_answers=lambda: bool(self.open_requests),
-            close_timeout_s=CLOSE_TIMEOUT_S,
         )
         self.connected_at = clock.monotonic()
         self.last_activity = self.connected_at  # when something last came or was answered
--- a/otterrudder/net/idempotency.py
+++ b/otterrudder/net/idempotency.py
@@ -46,23 +46,21 @@
         """Links a request with later attempts in the same batch, before anything is decided on it."""
         self.batch_entries[key] = IdempotencyEntry(number, digest)
 
-    def retain(
-        self, key: str, number: int, digest: bytes, now: float, retention_ms: float, deadline_ms: float
-    ) -> None:
+    def retain(self, key: str, number: int, digest: bytes, retained_until: float, deadline_ms: float) -> None:
         """Keeps the key of a request that is about to run.
 
-        An attempt within the retention may wait unread for as long as its caller does (`deadline_ms`), so
-        the entry is kept for that much longer.
+        An attempt that comes until `retained_until` may wait unread for as long as its caller does
+        (`deadline_ms`), so the entry is kept for that much longer.
         """
         entry = self.entries.get(key)
         if not entry:
             entry = self.entries[key] = IdempotencyEntry(number, digest)
-            heapq.heappush(self.expirations, (now + retention_ms, key))
+            heapq.heappush(self.expirations, (retained_until, key))
         elif entry.holder != number:
             entry.holder = number
             entry.is_finished = False
             entry.response = None
-        entry.expires_at = now + retention_ms + deadline_ms
+        entry.expires_at = retained_until + deadline_ms
 
     def held_by(self, key: str, number: int) -> IdempotencyEntry | None:
         """The key's entry, if it stands for the run of the request of this number."""
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -25,6 +25,7 @@
 SWEEP_INTERVAL_S = 0.1  # between looks for connections that are unused or stuck
 MAX_REMEMBERED_CALLS = 16  # of a connection: a request's next call must not meet a copy of its last reply
 MAX_UNSENT_BYTES = 1 << 20
+LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
 CONNECT_TIMEOUT_S = 1.0  # a proxy on this machine answers at once or hangs
 
 
@@ -73,7 +74,7 @@
             with anyio.move_on_after(CONNECT_TIMEOUT_S):
                 sock = await sockets.connect(self._address)
                 outcome = Outcome.RESET  # from here on a call may have run
-                self.stream = sockets.Stream(sock, lines.BUFFER_BYTES, MAX_UNSENT_BYTES, self._handle_input)
+                self.stream = sockets.Stream(sock, LIMITS, self._handle_input)
                 for parts in self.calls.values():
                     self.stream.send(parts)
             if self.stream:
--- a/otterrudder/net/request_table.py
+++ b/otterrudder/net/request_table.py
@@ -46,10 +46,9 @@
         rpc_id: int,
         class_index: int,
         fields: RequestFields,
-        idempotency_key: str,
         digest: bytes,
     ) -> PendingRequest:
-        """Keeps a request that has come on a connection."""
+        """Keeps a request that has come on a connection. `digest`: b"" if its key is of no account."""
         self.arrival_count += 1
         request = PendingRequest(
             self.arrival_count,
@@ -58,7 +57,7 @@
             rpc_id,
             class_index,
             fields.body,
-            idempotency_key,
+            fields.idempotency_key if digest else "",
             digest,
         )
         self.by_number[request.number] = request
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -17,6 +17,7 @@
 MAX_UNSENT_BYTES = 8 << 20  # beyond that the runtime hangs, and a new link tells more
 RESTART_TOLERANCE_MS = 5000.0  # by which a runtime may seem younger before it counts as restarted: a pause
 MOVE_TIMEOUT_S = 0.3  # for the old link to confirm what was read, when the runtime's address changes
+LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
 ADDRESS_CHANGED = "the address has changed"
 MAX_QUOTED = 80  # characters of a line that is not understood, in an error
 
@@ -65,7 +66,7 @@
         while True:
             try:
                 sock = await sockets.connect(self._address)
-                stream = sockets.Stream(sock, lines.BUFFER_BYTES, MAX_UNSENT_BYTES, self._handle_input)
+                stream = sockets.Stream(sock, LIMITS, self._handle_input)
             except OSError as error:
                 if retry_ms == FIRST_RETRY_MS:
                     log.warning("no link to the runtime", why=str(error))
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -6,6 +6,7 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from enum import Enum
 from itertools import islice
 
@@ -34,6 +35,15 @@
     CLOSED = "closed"
 
 
+@dataclass(frozen=True, slots=True)
+class StreamLimits:
+    """The bounds of a connection."""
+
+    max_message_bytes: int
+    max_unsent_bytes: int
+    close_timeout_s: float = 0.0  # to write the answers and to read what still comes, once it is closing
+
+
 def _ignore_input(_: Buffer) -> None: ...
 
 
@@ -51,27 +61,24 @@
     def __init__(
         self,
         sock: socket.socket,
-        max_message_bytes: int,
-        max_unsent_bytes: int,
+        limits: StreamLimits,
         handle_input: Callable[[Buffer], None],
         owes_answers: Callable[[], bool] = _owes_nothing,
-        close_timeout_s: float = 0.0,
     ) -> None:
         """`handle_input` takes what is whole from the buffer; what it raises ends this connection alone.
-        `owes_answers`: whether something that was received is still to be answered. `close_timeout_s`: the
-        time to write the answers and to read what still comes, once `close` was called."""
+        `owes_answers`: whether something that was received is still to be answered."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
-        self.buffer = Buffer(max_message_bytes)
+        self.buffer = Buffer(limits.max_message_bytes)
         self.state = State.OPEN
         self.end_reason = ""  # set once it is closing or closed
         self.unsent_bytes = 0
         self.last_progress = clock.monotonic()  # when the other side last read some or all of its output
-        self._max_unsent_bytes = max_unsent_bytes
+        self._max_unsent_bytes = limits.max_unsent_bytes
         self._handle_input = handle_input
         self._owes_answers = owes_answers
-        self._close_timeout_s = close_timeout_s
+        self._close_timeout_s = limits.close_timeout_s
         self._output: deque[bytes | memoryview] = deque()
         self._output_ready = anyio.Event()
         self._output_written = anyio.Event()
@@ -116,7 +123,7 @@
         return self.state is State.OPEN and self._receive()
 
     def close(self, reason: str, timeout_s: float | None = None) -> None:
-        """Begins the orderly end. `timeout_s`: instead of `close_timeout_s`."""
+        """Begins the orderly end. `timeout_s`: instead of the limit's."""
         if timeout_s is not None:
             self._close_timeout_s = timeout_s
         if self.state is State.OPEN:
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -63,10 +63,13 @@
         mark: str = "",
         age: float = 0.0,
         ttl: float | None = 9000.0,
-        ms: float = 0.0,
     ) -> list[Outgoing]:
-        fields = fields_of(f"{rpc:016x}", self.now + ms + 1e12 - age, ttl, mark)
-        return self.step(self.core.handle_arrival, "connection", rpc, product, fields, ms=ms)
+        fields = fields_of(f"{rpc:016x}", self.now + 1e12 - age, ttl, mark)
+        return self.step(self.core.handle_arrival, "connection", rpc, product, fields)
+
+    def wait(self, ms: float) -> None:
+        """Time passes, and nothing happens."""
+        self.now += ms
 
     def sent_of(self, kind: type) -> list:
         return [message for message in self.sent if isinstance(message, kind)]
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("ends", [sweeps, makes_room])
-def test_a_txn_that_lies_unread_as_its_connection_is_to_end_is_served(
+def test_a_request_that_lies_unread_as_its_connection_is_to_end_is_served(
     ends: Callable[[GatewayConnection, float], None],
 ) -> None:
     async def play(server: InProcessServer) -> None:
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("ends", [sweeps, makes_room])
-def test_half_a_txn_that_lies_unread_keeps_its_connection(
+def test_a_partial_request_that_lies_unread_keeps_its_connection(
     ends: Callable[[GatewayConnection, float], None],
 ) -> None:
     async def play(server: InProcessServer) -> None:
@@ -87,7 +87,7 @@
     in_process(play)
 
 
-def test_half_a_txn_after_a_rest_is_no_old_half(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partial_request_after_a_rest_is_no_old_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its age was once counted from the last whole message, so it was cut off at the next look.
     async def play(server: InProcessServer) -> None:
         monkeypatch.setattr(connection_reaper, "PARTIAL_MESSAGE_TIMEOUT_MS", 50.0)
@@ -106,7 +106,7 @@
     in_process(play)
 
 
-def test_a_dripping_half_is_cut_off_though_more_of_it_always_lies_unread() -> None:
+def test_a_dripping_message_is_cut_off_though_more_of_it_always_lies_unread() -> None:
     async def play(server: InProcessServer) -> None:
         gateway, peer = await server.connect()
         at_rest(peer)
@@ -138,7 +138,7 @@
     in_process(play)
 
 
-def test_a_peer_that_never_reads_is_given_up_at_last() -> None:
+def test_a_gateway_that_never_reads_is_aborted_at_last() -> None:
     async def play(server: InProcessServer) -> None:
         _, peer = await server.connect()
         peer.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -158,7 +158,7 @@
         gateway, _ = await server.connect()
         gateway.sock.sendall(gateway.request_message(A) + b"{\n" * 15_000)
         await until(lambda: server.turned() and server.runtime.started == [A])
-        gateway.sock.sendall(gateway.request_message(B))  # after the last wrong one: never heard
+        gateway.sock.sendall(gateway.request_message(B))  # after the last wrong one: never reported
         server.dispatcher.post(server.dispatcher.core.handle_run_ended, A, Outcome.OK, b"r" * 4096)
         server.dispatcher.run_batch()
         lines = (await end(gateway)).splitlines()
@@ -170,7 +170,7 @@
     in_process(play)
 
 
-def test_owed_answers_of_a_peer_with_too_many_wrong_messages_are_not_cut_in_half() -> None:
+def test_owed_answers_of_a_connection_with_too_many_wrong_messages_are_not_cut_in_half() -> None:
     async def play(server: InProcessServer) -> None:
         gateway, peer = await server.connect(small=True)
         owe(peer)
@@ -211,7 +211,7 @@
     in_process(play)
 
 
-def test_a_peer_that_is_owed_an_answer_keeps_no_room_from_being_made() -> None:
+def test_a_connection_that_is_owed_an_answer_keeps_no_room_from_being_made() -> None:
     # It is on its way out as long as its request runs; the others were once not asked meanwhile.
     async def play(server: InProcessServer) -> None:
         owed, owed_peer = await server.connect()
@@ -240,12 +240,12 @@
             gateway.sock.sendall(gateway.request_message(A))
             await server.served(gateway, A)
             gateway.close()
-            gone = weakref.ref(peer)
+            ended_connection = weakref.ref(peer)
             del peer
             await until(lambda: not server.gateways.connections)
             server.dispatcher.run_batch()
             await rest()
-            assert gone() is None
+            assert ended_connection() is None
         finally:
             gc.enable()
 
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -62,7 +62,7 @@
     assert len(buffer.data) == 16384
 
 
-def test_messages_are_what_was_said() -> None:
+def test_messages_are_what_was_sent() -> None:
     assert fed([GATEWAY], READERS[GATEWAY])[0] == (7, "look", {"call": "00000000000000aa"})
     said = fed([RUNTIME], READERS[RUNTIME])
     assert said[1] == (["end", "1", "9b1f03aa5c7e2d41", "complete", "12", "8"], b"re\r\nsult")
--- a/tests/net/test_core_random.py
+++ b/tests/net/test_core_random.py
@@ -43,14 +43,12 @@
         self.last_effects: dict[str, float] = {}  # when a key's effect last happened
 
     def arrive(self, number: int) -> list[Outgoing]:
-        return self.bench.arrive(
-            number,
-            self.chance.randrange(2),
-            f"m{self.chance.randrange(KEYS)}",
-            ttl=self.chance.choice([300, 3000]),
-            age=self.chance.choice([0.0, 0.0, 250.0]),
-            ms=self.chance.expovariate(0.05),
-        )
+        class_index = self.chance.randrange(2)
+        key = f"m{self.chance.randrange(KEYS)}"
+        ttl = self.chance.choice([300, 3000])
+        age = self.chance.choice([0.0, 0.0, 250.0])
+        self.bench.wait(self.chance.expovariate(0.05))
+        return self.bench.arrive(number, class_index, key, age=age, ttl=ttl)
 
     def receive(self, out: list[Outgoing]) -> None:
         """What the runtime and the records service are told."""
@@ -162,7 +160,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(("window", "expiry"), [(1000.0, 3000.0), (2000.0, 6000.0), (9000.0, 3000.0)])
-def test_a_window_shorter_than_a_run_a_deadline_or_a_wait_lets_nothing_run_twice(
+def test_a_retention_shorter_than_a_run_a_deadline_or_a_wait_lets_nothing_run_twice(
     seed: int, window: float, expiry: float
 ) -> None:
     """Books of their own: who was started, and when its try was written; runs last up to twice the window."""
@@ -180,7 +178,8 @@
             ms = min(near) - bench.now + chance.choice([-1.0, 0.0, 1.0]) if chance.random() < 0.2 else ms
         ms = max(ms, 0.0)
         marks[f"{n:016x}"], written[f"{n:016x}"] = mark, bench.now + ms - age
-        out = bench.arrive(n, 1, mark, age=age, ttl=expiry, ms=ms)
+        bench.wait(ms)
+        out = bench.arrive(n, 1, mark, age=age, ttl=expiry)
         while out:
             for _, message in out:
                 if not isinstance(message, StartRun):
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -31,7 +31,7 @@
 }  # fmt: skip
 
 
-def test_bad_input_is_answered_and_harms_nobody(server: ServerProcess) -> None:
+def test_bad_input_is_answered_and_affects_nobody_else(server: ServerProcess) -> None:
     runtime, good = server.connect_all()
     bad = server.connect_gateway()
     for fields in BAD_FIELDS:
@@ -59,7 +59,7 @@
     assert 1 <= server.log.read_text().count("connection error") <= 30  # some 45 bad peers, seconds
 
 
-def test_peers_without_a_word_or_with_too_many_wrong_ones_are_closed(server: ServerProcess) -> None:
+def test_connections_without_a_message_or_with_too_many_wrong_ones_are_closed(server: ServerProcess) -> None:
     runtime, _ = server.connect_all()
     silent, half, back = server.connect_gateway(), server.connect_gateway(), server.connect_gateway()
     half.sock.sendall(b'{"jsonrpc":"2.0","id":1,')
@@ -74,7 +74,7 @@
     complete_request(runtime, server.connect_gateway(), B)
 
 
-def test_peers_that_hold_on_make_room_for_others(tmp_path: Path) -> None:
+def test_idle_connections_make_room_for_others(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 48}
     with ServerProcess(tmp_path, limits=limits) as server:
         runtime, gateway = server.connect_all()
@@ -99,7 +99,7 @@
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
 
-def test_a_reset_and_a_peer_that_never_reads_harm_nobody(server: ServerProcess) -> None:
+def test_a_reset_and_a_gateway_that_never_reads_affect_nobody_else(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     rude = server.connect_gateway()
     rude.send_request(A)
@@ -143,7 +143,7 @@
         assert b"noMore" in gateway.read_line() and gateway.read_line() == b""
 
 
-def test_those_who_ask_get_in_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
+def test_requests_get_in_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
     """Nobody leaves by a new list. All fill the table after a word each, and rest until they are ended."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
     with ServerProcess(tmp_path, descriptors=64, limits=limits) as server:
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -22,7 +22,7 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_calls_are_made_repeated_given_up_and_late_replies_dropped(server: ServerProcess) -> None:
+def test_calls_are_made_retried_cancelled_and_late_replies_dropped(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     rpc = gateway.send_request(A, "pay", dedupe=MARK)
     runtime.expect_command("start", A)
@@ -68,21 +68,28 @@
     complete_request(runtime, gateway, C)
 
 
-SPOILT = [b"%s DONE many\r\n", b"%s DONE 3000000000\r\nab", b"%s WHAT\r\n", b"\xff%s\r\n", b"x" * 600 + b"%s",
-          b"%s DONE 1\r\nabc\r\n", b"%s DONE 50\r\nabc\r\n"]  # fmt: skip
+MALFORMED_REPLIES = [
+    b"%s DONE many\r\n",
+    b"%s DONE 3000000000\r\nab",
+    b"%s WHAT\r\n",
+    b"\xff%s\r\n",
+    b"x" * 600 + b"%s",
+    b"%s DONE 1\r\nabc\r\n",
+    b"%s DONE 50\r\nabc\r\n",
+]
 
 
-def test_a_spoilt_reply_costs_its_call_and_no_other(server: ServerProcess) -> None:
-    # One connection for all calls lost all of them with each spoilt reply.
+def test_a_malformed_reply_costs_its_call_and_no_other(server: ServerProcess) -> None:
+    # One connection for all calls lost all of them with each malformed reply.
     runtime, gateway = server.connect_all()
     gateway.send_request(B), runtime.expect_command("start", B)
     runtime.send_notice(f"wants {B}", b"?")
     good = server.accept_call(B, b"?")
     gateway.send_request(A), runtime.expect_command("start", A)
     runtime.send_notice(f"wants {A}", b"?")
-    for spoilt in SPOILT:
+    for malformed in MALFORMED_REPLIES:
         records = server.accept_call(A, b"?")
-        records.sock.sendall(spoilt.replace(b"%s", A.encode()))
+        records.sock.sendall(malformed.replace(b"%s", A.encode()))
         assert records.read_line() == b""  # left at once, or when the rest does not come
     server.accept_call(A, b"?").send(f"{C} DONE 1\r\n?\r\n{A} DONE", b"yes")  # a stranger's comes first
     assert runtime.expect_command("give", A)[1] == b"yes"
@@ -106,40 +113,40 @@
     assert records.read_line() == b""
 
 
-def told(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[RecordsPool, list[tuple]]:
+def pool_of(group: anyio.abc.TaskGroup, address: tuple[str, int]) -> tuple[RecordsPool, list[tuple]]:
     """The pool of connections below, and what it tells the core."""
-    heard: list[tuple] = []
+    reported: list[tuple] = []
 
-    class Ear:
+    class RecordingDispatcher:
         core = type("Core", (), {"handle_call_ended": "handle_call_ended"})
 
         def post(
             self, act: object, call: str, outcome: Outcome, body: bytes = b"", request_id: str = ""
         ) -> None:
-            heard.append((call, outcome, body))
+            reported.append((call, outcome, body))
 
-    pool = RecordsPool(Ear(), address, 256)  # type: ignore[arg-type]
+    pool = RecordsPool(RecordingDispatcher(), address, 256)  # type: ignore[arg-type]
     pool.group = group
-    return pool, heard
+    return pool, reported
 
 
 def test_a_call_never_goes_out_on_a_connection_that_the_service_has_ended() -> None:
     async def play(server: InProcessServer) -> None:
         service = listen()
-        pool, heard = told(server.group, service.getsockname())
+        pool, reported = pool_of(server.group, service.getsockname())
         pool.send(SendCall(A, 500.0, b"?"))
         first = await anyio.to_thread.run_sync(lambda: service.accept()[0])
         await until(lambda: pool.connections and next(iter(pool.connections)).stream)
         await anyio.to_thread.run_sync(lambda: first.recv(100))
         first.sendall(f"{A} DONE 1\r\n!\r\n".encode())
-        await until(lambda: heard)
-        assert heard.pop() == (A, Outcome.OK, b"!") and pool.idle
+        await until(lambda: reported)
+        assert reported.pop() == (A, Outcome.OK, b"!") and pool.idle
         first.close()  # its end lies unread, for the loop does not run
         pool.send(SendCall(B, 500.0, b"?"))
         second = await anyio.to_thread.run_sync(lambda: service.accept()[0])
         second.sendall(f"{B} DONE 1\r\n!\r\n".encode())
-        await until(lambda: heard)
-        assert heard == [(B, Outcome.OK, b"!")]
+        await until(lambda: reported)
+        assert reported == [(B, Outcome.OK, b"!")]
         service.close(), second.close()
 
     in_process(play)
@@ -148,7 +155,7 @@
 def test_the_end_of_an_earlier_calls_connection_is_not_that_of_the_call_now_out() -> None:
     async def play(server: InProcessServer) -> None:
         service = listen()
-        pool, heard = told(server.group, service.getsockname())
+        pool, reported = pool_of(server.group, service.getsockname())
         ends = []
         for _ in range(2):
             pool.send(SendCall(A, 500.0, b"?"))
@@ -156,10 +163,10 @@
         ends[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         ends[0].close()
         await anyio.sleep(0.05)
-        assert not heard  # the first was given up by the second
+        assert not reported  # the first was given up by the second
         ends[1].sendall(f"{A} DONE 1\r\n!\r\n".encode())
-        await until(lambda: heard)
-        assert heard == [(A, Outcome.OK, b"!")] and not pool.connection_of
+        await until(lambda: reported)
+        assert reported == [(A, Outcome.OK, b"!")] and not pool.connection_of
         service.close(), ends[1].close()
 
     in_process(play)
@@ -174,7 +181,7 @@
     def __init__(self, group: anyio.abc.TaskGroup, seed: int) -> None:
         self.chance = random.Random(seed)
         self.listeners = [listen(), listen()]
-        self.pool, self.reported = told(group, self.listeners[0].getsockname())
+        self.pool, self.reported = pool_of(group, self.listeners[0].getsockname())
         self.pool.max_connections = 3  # so that calls share connections too
         for listener in self.listeners:
             listener.setblocking(False)
--- a/tests/net/test_request_core.py
+++ b/tests/net/test_request_core.py
@@ -19,7 +19,7 @@
 )
 
 
-def test_two_tries_in_one_batch_are_linked() -> None:
+def test_two_attempts_in_one_batch_are_linked() -> None:
     bench = CoreBench()
     for rpc in (1, 2):
         bench.core.handle_arrival(
@@ -33,12 +33,13 @@
 
 
 @pytest.mark.parametrize("age", [0.0, 10_000.0])
-def test_a_reference_outlives_its_window_by_what_may_still_be_unread(age: float) -> None:
+def test_a_key_outlives_its_retention_by_what_may_still_be_unread(age: float) -> None:
     bench = CoreBench()
     bench.arrive(1, 1, "m", age=age, ttl=16_000.0)
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r", ms=100.0)
     # Written just within the window (20 s from the first `recv`), read seconds later: never run.
-    bench.arrive(2, 1, "m", age=5000.0, ttl=8000.0, ms=24_800.0 - age)
+    bench.wait(24_800.0 - age)
+    bench.arrive(2, 1, "m", age=5000.0, ttl=8000.0)
     assert bench.answers[2] == [RequestCompleted(2, b"r", bench.load)] and len(bench.sent_of(StartRun)) == 1
     bench.step(lambda: None, ms=40_000.0)
     assert not bench.core.idempotency.entries and not bench.core.idempotency.expirations
@@ -47,7 +48,7 @@
 
 
 @pytest.mark.parametrize("product", [0, 1])
-def test_a_txn_taken_back_in_its_batch_leaves_no_slot_taken(product: int) -> None:
+def test_a_request_cancelled_in_its_batch_leaves_no_slot_taken(product: int) -> None:
     # Hundreds of them once filled the module's count of what is in hand for good.
     bench = CoreBench()
     bench.core.handle_arrival("connection", 1, product, fields_of("c", bench.now + 1e12, idempotency_key="m"))
@@ -83,7 +84,7 @@
     assert bench.core.controller.limiter.busy_share == 1.0 and bench.core.controller.limiter.limit == limit
 
 
-def test_a_ring_that_fails_is_not_the_last() -> None:
+def test_a_tick_that_fails_is_not_the_last() -> None:
     bench = CoreBench()
     dispatcher = Dispatcher(bench.core)
     dispatcher.recipients |= {Destination.GATEWAYS: Mock(), Destination.RUNTIME: Mock()}
@@ -94,7 +95,7 @@
     assert 0.0 < dispatcher.tick_at < float("inf")
 
 
-def test_a_runtime_that_came_anew_has_lost_its_runs() -> None:
+def test_a_runtime_that_restarted_has_lost_its_runs() -> None:
     bench = CoreBench()
     bench.arrive(1), bench.arrive(2, 1, "m")
     bench.step(bench.core.handle_link_lost)
@@ -103,7 +104,7 @@
     assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestFailed] * 2 and not bench.core.requests
 
 
-def test_a_start_in_doubt_stays_so_over_further_links() -> None:
+def test_an_uncertain_start_stays_so_over_further_links() -> None:
     bench = CoreBench()
     bench.arrive(1, 1, "m")
     for _ in range(2):  # gauges answered on the second link say nothing of a start sent on the first
@@ -120,7 +121,7 @@
     assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
-def test_a_failing_event_voids_its_txn_and_no_other() -> None:
+def test_a_failing_event_fails_its_request_and_no_other() -> None:
     bench = CoreBench()
     bench.arrive(1), bench.arrive(2)
     bench.step(bench.core.fail_request, f"{1:016x}")
@@ -134,7 +135,7 @@
 
 
 @pytest.mark.exclusive
-def test_a_count_of_the_process_that_fails_ends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_statistics_that_fail_end_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # With no descriptor left the memory's file can't be opened, and the dispatcher once ended with it.
     async def play(server: InProcessServer) -> None:
         def none_left() -> float:
--- a/tests/net/test_requests_on_sockets.py
+++ b/tests/net/test_requests_on_sockets.py
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_a_txn_settles_byte_for_byte_and_answers_come_in_any_order(server: ServerProcess) -> None:
+def test_a_request_completes_byte_for_byte_and_answers_come_in_any_order(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     complete_request(runtime, gateway, A, bytes(range(256)) * 8)
     first, second = gateway.send_request(B), gateway.send_request(C)
@@ -22,7 +22,7 @@
     assert failed["id"] == first and failed["error"]["code"] not in (-32014, -32700)
 
 
-def test_a_repeat_is_answered_from_the_first_run(server: ServerProcess) -> None:
+def test_a_retry_is_answered_from_the_first_run(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     other = server.connect_gateway()
     gateway.send_request(A, "pay", dedupe=MARK)
@@ -50,7 +50,7 @@
     complete_request(runtime, server.connect_gateway(), B)
 
 
-def test_a_stall_of_the_process_is_dealt_with_before_new_work(server: ServerProcess) -> None:
+def test_a_stall_of_the_process_is_handled_before_new_work(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A, ttl=400)
     runtime.expect_command("start", A)
@@ -65,7 +65,7 @@
     runtime.expect_command("start", C)
 
 
-def test_a_mark_with_another_body_or_method_is_never_served(server: ServerProcess) -> None:
+def test_a_key_with_another_body_or_method_is_never_served(server: ServerProcess) -> None:
     # Its result was once given to whoever named the mark.
     runtime, gateway = server.connect_all()
     gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
@@ -79,7 +79,7 @@
     assert gateway.read_result() == b"paid"
 
 
-def test_a_start_that_the_runtime_would_not_make_leaves_its_mark_free(server: ServerProcess) -> None:
+def test_a_start_that_the_runtime_refused_leaves_its_key_free(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(B, "pay", dedupe=MARK, body=b"other"), runtime.expect_command("start", B)
     runtime.send(f"nack start {B}")
@@ -89,7 +89,7 @@
     assert gateway.read_result() == b"paid"
 
 
-def test_no_room_for_references_is_declined(tmp_path: Path) -> None:
+def test_without_room_for_idempotency_keys_requests_are_rejected(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # room for one result
     with ServerProcess(tmp_path, limits=limits) as server:
         runtime, gateway = server.connect_all()
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -123,7 +123,7 @@
     ],
     ids=range(7),
 )
-def test_a_runtime_that_speaks_nonsense_loses_its_link_only(server: ServerProcess, junk: str) -> None:
+def test_a_runtime_that_breaks_the_protocol_loses_its_link_only(server: ServerProcess, junk: str) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A)
     runtime.expect_command("start", A)
@@ -134,12 +134,12 @@
     runtime.end_run(A)
     assert gateway.read_result() == b"done"
     runtime.send_notice(f"end {C} complete 1", b"of no txn")
-    runtime.send(f"end 1 {A} complete 1", b"heard before")
+    runtime.send(f"end 1 {A} complete 1", b"reported before")
     runtime.send(f"nack stop {C}")
     complete_request(runtime, gateway, B)
 
 
-def test_a_nack_and_an_unknown_end_a_txn(server: ServerProcess) -> None:
+def test_a_nack_and_an_unknown_end_a_request(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
@@ -149,15 +149,15 @@
     assert gateway.read_answer()["error"]["code"] == -32000
 
 
-def new_shape() -> dict:
+def migrated_settings() -> dict:
     """The stand-ins' settings as the migration makes them."""
     return migrate_settings(
         SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}}
     ).settings
 
 
-def test_a_once_only_txn_is_not_started_again_on_a_new_link(tmp_path: Path) -> None:
-    with ServerProcess(tmp_path, settings=new_shape()) as server:
+def test_a_non_idempotent_request_is_not_started_again_on_a_new_link(tmp_path: Path) -> None:
+    with ServerProcess(tmp_path, settings=migrated_settings()) as server:
         runtime, gateway = server.connect_all()
         runtime.ignores_gauges = True  # so nothing proves that the starts were read
         gateway.send_request(A, "pay"), gateway.send_request(B)
@@ -171,8 +171,8 @@
         assert {gateway.read_result(), gateway.read_result()} == {b"a", b"b"}
 
 
-def test_a_migrated_server_serves_and_says_only_what_the_runtime_knows(tmp_path: Path) -> None:
-    with ServerProcess(tmp_path, settings=new_shape()) as server:
+def test_a_migrated_server_serves_and_sends_only_what_the_runtime_knows(tmp_path: Path) -> None:
+    with ServerProcess(tmp_path, settings=migrated_settings()) as server:
         runtime, gateway = server.connect_all()
         gateway.send_request(A)
         runtime.expect_command("start", A)
--- a/tests/net/test_server_configuration.py
+++ b/tests/net/test_server_configuration.py
@@ -82,7 +82,7 @@
     assert str(path) in text and named in text, text
 
 
-def test_check_and_version_say_what_is_good(server: ServerProcess) -> None:
+def test_check_and_version_print_what_they_found(server: ServerProcess) -> None:
     for word, told in (
         ("check", b"n3: the configuration is good"),
         ("version", b"otterrudder "),
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -62,7 +62,7 @@
     assert told == b"BEAT n3 draining"
 
 
-def test_what_comes_with_the_last_look_is_answered_and_what_comes_after_is_not_begun() -> None:
+def test_what_comes_with_the_last_read_is_answered_and_what_comes_after_is_not_started() -> None:
     async def play(inside: InProcessServer) -> None:
         resting, half, busy = [(await inside.connect())[0] for _ in range(3)]
         data = half.request_message(B)
@@ -125,7 +125,7 @@
         time.sleep(0.001)
 
 
-def test_sigterm_in_the_turn_of_ready_drains_what_it_admits(tmp_path: Path) -> None:
+def test_sigterm_in_the_batch_of_ready_drains_what_it_admits(tmp_path: Path) -> None:
     with ServerProcess(tmp_path) as server:
         gateway = server.connect_gateway()
         runtime = server.accept_runtime(ready="")
@@ -167,7 +167,7 @@
     in_process(play)
 
 
-def test_sigterm_between_ready_and_the_turn_that_hears_of_it_is_a_whole_drain() -> None:
+def test_sigterm_between_ready_and_the_batch_that_handles_it_is_a_whole_drain() -> None:
     """It once closed at once, as nothing was up yet, while what came within the grace was still begun."""
 
     async def play(inside: InProcessServer) -> None:
