--- a/benchmarks/admission_pair.py
+++ b/benchmarks/admission_pair.py
@@ -1,51 +1,62 @@
-"""CPU time of the admission decisions of two checkouts, alternating in one run.
+"""Cost of the admission decisions of two checkouts, alternating in one run.
 
-    .venv/bin/python benchmarks/admission_pair.py OLD NEW FRAMES ... [--rounds 5]
+    .venv/bin/python benchmarks/admission_pair.py OLD NEW FRAMES ... [--rounds 5] [--instructions]
 
 OLD and NEW are roots of checkouts, FRAMES are recorded input frames of the simulator. Each measurement is a
-process of its own, `python -m otterrudder.drill`, less the time of one that gets no input. Prints the median
-CPU time of each and the median of the paired ratios with its quartiles; exits with 1 if the replies differ.
+process of its own, `python -m otterrudder.drill`, less the cost of one that gets no input. The cost is CPU
+time, or with `--instructions` the instructions in user space by `perf`, which hardly depend on other load.
+Prints the median of the paired ratios with its quartiles; exits with 1 if the replies differ.
 """
 
 import argparse
 import os
+import resource
 import statistics
 import subprocess
 import sys
+import tempfile
 from dataclasses import dataclass
 from pathlib import Path
 
+DRILL = [sys.executable, "-m", "otterrudder.drill"]
+
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One process: its CPU time in seconds and what it wrote."""
+    """One process: its cost and what it wrote."""
 
-    cpu_s: float
+    cost: float
     replies: bytes
 
 
-def measure(root: Path, frames: Path) -> Measurement:
-    """Play one file of frames in a process of this checkout."""
+def measure_cpu_s(root: Path, frames: Path) -> Measurement:
+    """CPU time in seconds of a process of this checkout that plays a file of frames."""
     with frames.open("rb") as stdin:
-        before = os.times()
-        done = subprocess.run(
-            [sys.executable, "-m", "otterrudder.drill"],
-            cwd=root,
-            stdin=stdin,
-            capture_output=True,
-            check=True,
-        )
-        after = os.times()
-    user_s = after.children_user - before.children_user
-    system_s = after.children_system - before.children_system
+        before = resource.getrusage(resource.RUSAGE_CHILDREN)
+        done = subprocess.run(DRILL, cwd=root, stdin=stdin, capture_output=True, check=True)
+        after = resource.getrusage(resource.RUSAGE_CHILDREN)
+    user_s = after.ru_utime - before.ru_utime
+    system_s = after.ru_stime - before.ru_stime
     return Measurement(user_s + system_s, done.stdout)
 
 
-def net_measurement(root: Path, frames: Path) -> Measurement:
-    """The same without the start of the process."""
-    start_s = measure(root, Path(os.devnull)).cpu_s
-    whole = measure(root, frames)
-    return Measurement(whole.cpu_s - start_s, whole.replies)
+def measure_instructions(root: Path, frames: Path) -> Measurement:
+    """Instructions in user space of a process of this checkout that plays a file of frames."""
+    with frames.open("rb") as stdin, tempfile.NamedTemporaryFile("r") as report:
+        command = ["perf", "stat", "-x,", "-e", "instructions:u", "-o", report.name, *DRILL]
+        done = subprocess.run(command, cwd=root, stdin=stdin, capture_output=True, check=True)
+        lines = [line for line in report.read().splitlines() if "instructions" in line]
+    return Measurement(float(lines[0].split(",")[0]), done.stdout)
+
+
+def ratio_of(old: Path, new: Path, frames: Path, by_instructions: bool) -> float:
+    """The cost of the new checkout by that of the old one; ValueError if the replies differ."""
+    measure = measure_instructions if by_instructions else measure_cpu_s
+    start = {root: measure(root, Path(os.devnull)) for root in (old, new)}
+    whole = {root: measure(root, frames.absolute()) for root in (old, new)}
+    if whole[old].replies != whole[new].replies:
+        raise ValueError(f"{frames}: the replies differ")
+    return (whole[new].cost - start[new].cost) / (whole[old].cost - start[old].cost)
 
 
 def main() -> int:
@@ -56,22 +67,18 @@
     parser.add_argument("new", type=Path)
     parser.add_argument("frames", type=Path, nargs="+")
     parser.add_argument("--rounds", type=int, default=5)
+    parser.add_argument("--instructions", action="store_true")
     options = parser.parse_args()
-    old_s: list[float] = []
-    new_s: list[float] = []
-    for number in range(options.rounds):
-        for frames in options.frames:
-            roots = (options.old, options.new) if number % 2 == 0 else (options.new, options.old)
-            first, second = (net_measurement(root, frames.absolute()) for root in roots)
-            if first.replies != second.replies:
-                print(f"{frames}: the replies differ")
-                return 1
-            old, new = (first, second) if number % 2 == 0 else (second, first)
-            old_s.append(old.cpu_s)
-            new_s.append(new.cpu_s)
-    ratios = [after / before for before, after in zip(old_s, new_s, strict=True)]
+    try:
+        ratios = [
+            ratio_of(options.old, options.new, frames, options.instructions)
+            for _ in range(options.rounds)
+            for frames in options.frames
+        ]
+    except ValueError as error:
+        print(error)
+        return 1
     low, middle, high = statistics.quantiles(ratios, n=4)
-    print(f"old {statistics.median(old_s):.3f} s, new {statistics.median(new_s):.3f} s of CPU time a file")
     print(f"ratio new / old: median {middle:.3f}, quartiles {low:.3f} to {high:.3f}, {len(ratios)} pairs")
     return 0
 
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -170,8 +170,9 @@
 
     def advance_to(self, now: float) -> None:
         """Set the time and run the timers that are due."""
-        self.context.now = now
-        self.context.timers.run_due(now)
+        context = self.context
+        context.now = now
+        context.timers.run_due(now)
 
     def take_commands(self) -> list[Command]:
         """The commands since the last call, in order."""
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -119,7 +119,10 @@
         """Update what callers are told."""
         self._update_pressure()
         self._update_idle_timeout()
-        self._advertise()
+        value = self._advertised_value()
+        if value is not None and value != self._advertised:
+            self._advertised = value
+            self._context.commands.append(AdvertiseLoad(value))
 
     def _are_callers_rare(self) -> bool:
         """Whether a caller's next request is so far off that its connection would only fill the table."""
@@ -148,12 +151,6 @@
             self._sent_idle_timeout_ms = self._idle_timeout_ms
             self._context.commands.append(SetIdleTimeout(self._idle_timeout_ms))
 
-    def _advertise(self) -> None:
-        value = self._advertised_value()
-        if value is not None and value != self._advertised:
-            self._advertised = value
-            self._context.commands.append(AdvertiseLoad(value))
-
     def _advertised_value(self) -> float | None:
         if self.signal is LoadSignal.CRITICALITY:
             return round(MAX_ADVERTISED_CRITICALITY * self.pressure, 2)
--- a/otterrudder/drill/events.py
+++ b/otterrudder/drill/events.py
@@ -109,29 +109,22 @@
     events: list[Event]
 
 
-class _Record(NamedTuple):
-    """The fields of an event behind its code."""
-
-    fields: struct.Struct
-    event: Any
-
-
 _HEADER = struct.Struct(">QI")  # time in microseconds, number of events
 _CODE = struct.Struct(">H")
 _INSTANCE_STARTED_CODE = 6
 _TICKED_CODE = 9
-_RECORDS = {
-    1: _Record(struct.Struct(">HQIQfQIfHIHIH"), RequestArrived),
-    2: _Record(struct.Struct(">HQ"), CallerLeft),
-    3: _Record(struct.Struct(">HQBI"), RunFinished),
-    4: _Record(struct.Struct(">HQ"), CallNeeded),
-    5: _Record(struct.Struct(">HQBI"), CallEnded),
-    _INSTANCE_STARTED_CODE: _Record(
-        struct.Struct(">HQI"), InstanceStarted
-    ),  # then the settings, of that size
-    7: _Record(struct.Struct(">HI"), ShutdownAnnounced),
-    8: _Record(struct.Struct(">H"), InstanceKilled),
-    _TICKED_CODE: _Record(struct.Struct(">HIB"), Ticked),  # then so many gauges
+_GAUGE_SIZE = 4  # bytes
+# The type of an event and its fields behind the code.
+_RECORDS: dict[int, tuple[Any, struct.Struct]] = {
+    1: (RequestArrived, struct.Struct(">HQIQfQIfHIHIH")),
+    2: (CallerLeft, struct.Struct(">HQ")),
+    3: (RunFinished, struct.Struct(">HQBI")),
+    4: (CallNeeded, struct.Struct(">HQ")),
+    5: (CallEnded, struct.Struct(">HQBI")),
+    _INSTANCE_STARTED_CODE: (InstanceStarted, struct.Struct(">HQI")),  # then the settings, of that size
+    7: (ShutdownAnnounced, struct.Struct(">HI")),
+    8: (InstanceKilled, struct.Struct(">H")),
+    _TICKED_CODE: (Ticked, struct.Struct(">HIB")),  # then so many gauges
 }
 
 
@@ -144,8 +137,24 @@
     events: list[Event] = []
     try:
         for _ in range(count):
-            event, offset = _decode_event(body, offset)
-            events.append(event)
+            (code,) = _CODE.unpack_from(body, offset)
+            record = _RECORDS.get(code)
+            if record is None:
+                raise FrameError(f"unknown event code {code}")
+            event_type, layout = record
+            fields = layout.unpack_from(body, offset + _CODE.size)
+            offset += _CODE.size + layout.size
+            if code == _TICKED_CODE:
+                instance, token, gauge_count = fields
+                gauges = struct.unpack_from(f">{gauge_count}f", body, offset)
+                offset += _GAUGE_SIZE * gauge_count
+                events.append(Ticked(instance, token, gauges))
+            elif code == _INSTANCE_STARTED_CODE:
+                instance, seed, size = fields
+                events.append(InstanceStarted(instance, seed, _settings(body, offset, size)))
+                offset += size
+            else:
+                events.append(event_type(*fields))
     except struct.error:
         raise FrameError("a record runs past the end of the frame") from None
     if offset != len(body):
@@ -153,30 +162,7 @@
     return Batch(now_us / US_PER_MS, events)
 
 
-def _decode_event(body: bytes, offset: int) -> tuple[Event, int]:
-    """The event at the offset, and the offset behind it."""
-    code = _CODE.unpack_from(body, offset)[0]
-    record = _RECORDS.get(code)
-    if record is None:
-        raise FrameError(f"unknown event code {code}")
-    fields = record.fields.unpack_from(body, offset + _CODE.size)
-    offset += _CODE.size + record.fields.size
-    if code == _INSTANCE_STARTED_CODE:
-        return _decode_instance_started(body, offset, *fields)
-    if code == _TICKED_CODE:
-        return _decode_ticked(body, offset, *fields)
-    return record.event._make(fields), offset
-
-
-def _decode_instance_started(
-    body: bytes, offset: int, instance: int, seed: int, size: int
-) -> tuple[Event, int]:
-    end = offset + size
-    if end > len(body):
+def _settings(body: bytes, offset: int, size: int) -> bytes:
+    if offset + size > len(body):
         raise FrameError("settings run past the end of the frame")
-    return InstanceStarted(instance, seed, body[offset:end]), end
-
-
-def _decode_ticked(body: bytes, offset: int, instance: int, token: int, count: int) -> tuple[Event, int]:
-    gauges = struct.Struct(f">{count}f")
-    return Ticked(instance, token, gauges.unpack_from(body, offset)), offset + gauges.size
+    return body[offset : offset + size]
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -1,8 +1,11 @@
 """Hosts the controllers of many servers, each of which gets its own events only."""
 
 import json
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any
 
+from otterrudder.admission.commands import CloseConnections
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller, gauge_names
 from otterrudder.admission.interface import Outcome
@@ -51,47 +54,38 @@
 
     def _handle(self, now: float, event: Event) -> list[bytes]:
         """The records of the commands that an event leads to."""
-        if isinstance(event, events.InstanceStarted):
-            self._start(now, event)
-        elif isinstance(event, events.InstanceKilled):
-            self._servers.pop(event.instance, None)
+        handler = _HANDLERS.get(type(event))
+        if handler is None:
+            return self._handle_lifecycle(now, event)
         server = self._servers.get(event.instance)
         if server is None:
             return []
         server.controller.advance_to(now)
-        _pass_on(server, event)
-        commands = server.controller.take_commands()
-        records = [encode_command(event.instance, command) for command in commands]
-        return [record for record in records if record]
+        handler(server, event)
+        return _encode_commands(event.instance, server.controller)
 
-    def _start(self, now: float, event: events.InstanceStarted) -> None:
+    def _handle_lifecycle(self, now: float, event: Event) -> list[bytes]:
+        """A server starts or is gone."""
+        if not isinstance(event, events.InstanceStarted):
+            self._servers.pop(event.instance, None)
+            return []
         settings = json.loads(event.settings)
         controller = create_controller(now, event.instance, event.seed, settings)
         self._servers[event.instance] = _Server(controller, gauge_names(settings))
+        return _encode_commands(event.instance, controller)
+
+
+def _encode_commands(instance: int, controller: AdmissionController) -> list[bytes]:
+    """The records of the commands but one: the simulator closes connections itself."""
+    return [
+        encode_command(instance, command)
+        for command in controller.take_commands()
+        if not isinstance(command, CloseConnections)
+    ]
 
 
-def _pass_on(server: _Server, event: Event) -> None:
-    controller = server.controller
-    match event:
-        case events.RequestArrived():
-            _pass_on_arrival(controller, event)
-        case events.RunFinished():
-            controller.handle_finished(event.request_id, _outcome(event.outcome_code))
-        case events.Ticked():
-            gauges = zip(server.gauges, event.gauges, strict=False)
-            controller.tick(**{name: value for name, value in gauges if name})
-        case events.CallNeeded():
-            controller.handle_call_needed(event.request_id)
-        case events.CallEnded():
-            controller.handle_call_ended(event.request_id, _outcome(event.outcome_code))
-        case events.CallerLeft():
-            controller.handle_disconnect(event.request_id)
-        case events.ShutdownAnnounced():
-            controller.begin_graceful_shutdown(event.time_left_us / events.US_PER_MS)
-
-
-def _pass_on_arrival(controller: AdmissionController, event: events.RequestArrived) -> None:
-    controller.handle_arrival(
+def _handle_arrival(server: _Server, event: events.RequestArrived) -> None:
+    server.controller.handle_arrival(
         event.request_id,
         event.class_index,
         tenant=event.tenant,
@@ -105,5 +99,41 @@
     )
 
 
+def _handle_finished(server: _Server, event: events.RunFinished) -> None:
+    server.controller.handle_finished(event.request_id, _outcome(event.outcome_code))
+
+
+def _handle_call_needed(server: _Server, event: events.CallNeeded) -> None:
+    server.controller.handle_call_needed(event.request_id)
+
+
+def _handle_call_ended(server: _Server, event: events.CallEnded) -> None:
+    server.controller.handle_call_ended(event.request_id, _outcome(event.outcome_code))
+
+
+def _handle_caller_left(server: _Server, event: events.CallerLeft) -> None:
+    server.controller.handle_disconnect(event.request_id)
+
+
+def _handle_tick(server: _Server, event: events.Ticked) -> None:
+    gauges = zip(server.gauges, event.gauges, strict=False)
+    server.controller.tick(**{name: value for name, value in gauges if name})
+
+
+def _handle_shutdown(server: _Server, event: events.ShutdownAnnounced) -> None:
+    server.controller.begin_graceful_shutdown(event.time_left_us / events.US_PER_MS)
+
+
 def _outcome(code: int) -> Outcome:
     return _OUTCOMES.get(code, Outcome.ERROR)
+
+
+_HANDLERS: dict[type[Event], Callable[[_Server, Any], None]] = {
+    events.RequestArrived: _handle_arrival,
+    events.RunFinished: _handle_finished,
+    events.CallNeeded: _handle_call_needed,
+    events.CallEnded: _handle_call_ended,
+    events.CallerLeft: _handle_caller_left,
+    events.Ticked: _handle_tick,
+    events.ShutdownAnnounced: _handle_shutdown,
+}
--- a/otterrudder/drill/replies.py
+++ b/otterrudder/drill/replies.py
@@ -26,7 +26,7 @@
 
 
 def encode_command(instance: int, command: Command) -> bytes:
-    """The record of a command; empty for one that the simulator does itself."""
+    """The record of a command; there is none for `CloseConnections`."""
     return _ENCODERS[type(command)](instance, command)
 
 
@@ -81,10 +81,6 @@
     return _encode_text(79, instance, command.text)
 
 
-def _encode_nothing(instance: int, command: commands.CloseConnections) -> bytes:
-    return b""  # the simulator ends the process itself
-
-
 _ENCODERS: dict[type[Command], Encoder] = {
     commands.ScheduleTick: _encode_schedule,
     commands.AdvertiseLoad: _encode_advertise,
@@ -100,5 +96,4 @@
     commands.StartRequest: _request_encoder(76),
     commands.RetainKey: _encode_retain,
     commands.LogMessage: _encode_log,
-    commands.CloseConnections: _encode_nothing,
 }
