--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -128,7 +128,7 @@
     for run in runs if shrink else ():
         if run.broken:
             click.echo(f"{run.variant}, seed {run.seed}, cut down:")
-            for this in of.cut_down(what, run, click.echo):
+            for this in of.shrink_run(what, run, click.echo):
                 click.echo(f"  {this}")
     sys.exit(1 if broken else 0)
 
@@ -213,14 +213,14 @@
     """Whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
-        from otterrudder.lab.scale.processes.bench import NotInTime
+        from otterrudder.lab.scale.processes.bench import NotInTimeError
     except ModuleNotFoundError as missing:
         give_up(f"this needs {missing.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTime) as trouble:
+    except (BadInput, NotInTimeError) as trouble:
         give_up(trouble)
-    except command.Interrupted:
+    except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
     return report.holds
 
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -4,16 +4,55 @@
 from collections import OrderedDict
 from typing import Any, TypeVar
 
-from otterrudder.fleet.cell.consent import Consents, Promise
-from otterrudder.fleet.cell.kinds import Poll, Verdicts, _Asked
+from otterrudder.fleet.cell.cell_validation import CellValidation
+from otterrudder.fleet.cell.endorsement import EndorsementCollector, EndorsementGiver
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_selector import RelaySelector
+from otterrudder.fleet.cell.server_lease import PendingRequests, ServerLease
+from otterrudder.fleet.cell.sessions import Session, SessionTable
+from otterrudder.fleet.cell.text_validation import TextValidation
+from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
+from otterrudder.fleet.member.local_state import LocalState
+from otterrudder.fleet.member.policy_state import PolicyState
+from otterrudder.fleet.member.read_schedule import ReadSchedule
+from otterrudder.fleet.member.registration import Registration
+from otterrudder.fleet.member.status_reporter import StatusReporter
+from otterrudder.fleet.member.store_trust import StoreTrust
+from otterrudder.fleet.member.voting import Voting
 from otterrudder.fleet.records import FleetSnapshot
 
+_MEMBER_PARTS = (
+    LocalState,
+    PolicyState,
+    ReadSchedule,
+    Registration,
+    StatusReporter,
+    StoreTrust,
+    Voting,
+)
 # What changes after it was made; everything else is a plain value and is shared.
-_MUTABLE = (Member, ChangeCoordinator, Relay, Session, Participant, Consents, Promise, Verdicts, Poll, _Asked)
+_MUTABLE = (
+    Member,
+    *_MEMBER_PARTS,
+    ChangeCoordinator,
+    Relay,
+    SessionTable,
+    Session,
+    CellValidation,
+    Participant,
+    ServerLease,
+    PendingRequests,
+    RelaySelector,
+    TextValidation,
+    EndorsementCollector,
+    EndorsementGiver,
+    ValidationCache,
+    ValidationPoll,
+    PendingQuestion,
+)
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
 _ATTRIBUTES: dict[type, tuple[str, ...]] = {}
@@ -30,7 +69,7 @@
 def freeze(value: Any) -> Any:
     """A hashable value; equal for two states that behave alike from here on."""
     if isinstance(value, FleetSnapshot):
-        return ("view", value.snapshot.revision)
+        return ("view", value.raw.revision)
     if names := _attributes(type(value)):
         parts = tuple(freeze(getattr(value, name)) for name in names)
         return (type(value).__name__, parts, freeze(getattr(value, "__dict__", None)))
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -15,13 +15,14 @@
 
 from otterrudder import clock
 from otterrudder.durable import DirectoryInUseError, StateDirectory
-from otterrudder.fleet.agent import Agent, ServerControl, open_state_directory
+from otterrudder.fleet.agent import Agent, ServerControl
 from otterrudder.fleet.change import ChangeCoordinator, propose
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, read_fleet
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.records import FleetSnapshot, Keys, MemberStatus
 from otterrudder.fleet.state import Rules
+from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.fleet.store import (
     CommitResult,
     Compare,
@@ -33,8 +34,10 @@
     WatchEvent,
 )
 from otterrudder.lab.keyspace import KeySpace
-from otterrudder.lab.processes.link import Harm, Link
-from otterrudder.lab.processes.rig import ROOT
+from otterrudder.lab.processes.launch import ROOT
+from otterrudder.lab.processes.link import Link, LinkFault
+
+pytestmark = pytest.mark.exclusive
 
 TIMEOUT_MS = 1000.0  # longer than a loaded machine takes to make a channel
 
@@ -130,7 +133,7 @@
     async def play() -> None:
         async with anyio.create_task_group() as group:
             link = Link(("127.0.0.1", engine.port))
-            link.set(Harm(delay_ms=150.0))
+            link.set_fault(LinkFault(delay_ms=150.0))
             group.start_soon(link.run)
             path = engine.folder / "far.toml"
             path.write_text(
@@ -341,7 +344,7 @@
             await anyio.sleep_forever()
             yield WatchEvent(0)
 
-        async def leave(self) -> None: ...
+        async def switch_endpoint(self) -> None: ...
 
         async def close(self) -> None:
             fails_once("close")
@@ -372,7 +375,7 @@
                 space.commit(commit.compares, commit.writes)
                 agent.member.handle_watch_event()
                 while not agent.member.prepared_vote:
-                    agent.wake.set()
+                    agent.wakeup.set()
                     await anyio.sleep(0.02)
             await anyio.sleep(2.5)  # the coordinator has come upon the record by now, and is alive
             assert agent.member.admission_status(clock.monotonic()).admits
