--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -1,10 +1,11 @@
-"""lab: experiments in simulated time. Needs the extra `lab`: pip install 'otterrudder[lab]'."""
+"""`otterrudder lab`: experiments in simulated time and with processes. Needs the extra `lab`."""
 
 import json
 import signal
 import sys
+from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any, NamedTuple, NoReturn
 
 import click
 
@@ -26,10 +27,11 @@
 if TYPE_CHECKING:
     from otterrudder.lab.scale.simulated import Choice
 
-EXPERIMENTS = Path("experiments")  # where a checkout keeps them
-SCALE_PARTS = ["simulated", "processes"]  # of `lab scale`
+EXPERIMENTS = Path("experiments")  # of a checkout
+RESULTS = Path("out")
+SCALE_PARTS = ["simulated", "processes"]
 INTERRUPTED = 130  # exit code of a command that a signal ended
-SHOWN = ["value", "worst_10s", "moves_per_min", "stay_breaks", "level_mean"]
+DEFAULT_FIGURES = ["value", "worst_10s", "moves_per_min", "stay_breaks", "level_mean"]
 
 
 @click.group()
@@ -43,8 +45,8 @@
 @click.option("--depth", type=click.IntRange(0, 8), default=0, help="Every order to this depth as well.")
 @click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
 def fleet_search(walks: int, seed: int, depth: int, workers: int | None) -> None:
-    """Search what may happen to a fleet of a few members; exits with 1 if a promise breaks or a fault that
-    was put in is not found."""
+    """Search the states of a fleet of a few members; exits with 1 if an invariant breaks or a seeded fault
+    is not found."""
     from otterrudder.lab.fleet.report import searched
 
     sys.exit(0 if searched(walks, seed, depth, workers, click.echo) else 1)
@@ -57,8 +59,8 @@
 @click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
 @click.option("--variant", "names", multiple=True, help="This one alone; may be given again.")
 def cell_search(walks: int, seed: int, depth: int, workers: int | None, names: tuple[str, ...]) -> None:
-    """Search what may happen to cells of a few relays and servers; exits with 1 if a promise breaks or a
-    fault that was put in is not found."""
+    """Search the states of cells of a few relays and servers; exits with 1 if an invariant breaks or a seeded
+    fault is not found."""
     from otterrudder.lab.fleet.cell_report import cells_searched, variant_names
 
     if unknown := set(names) - set(variant_names()):
@@ -71,26 +73,52 @@
 @click.option("--plans", type=click.IntRange(1), default=100, show_default=True, help="Of faults, by rule.")
 @click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
 def fleet_simulation(servers: int, plans: int, workers: int | None) -> None:
-    """Play changes of policy in fleets of SERVERS, in simulated time, through drawn plans of faults."""
+    """Play changes of policy in fleets of SERVERS, in simulated time, through schedules of faults."""
     from otterrudder.lab.fleet.report import played
 
     sys.exit(0 if played(servers, plans, workers, click.echo) else 1)
 
 
-def _end_in_order() -> None:
-    """Told to end, a rig ends its children first: also where a shell has set the signal to be ignored, and
-    where the terminal goes, which the servers would take for a word to read their files again."""
+def _raise_interrupt_on_signals() -> None:
+    """Lets a signal end the command as Ctrl-C does, so that a cluster ends its children first. Also where a
+    shell ignores the signal, and where the terminal goes: servers would read their files again on SIGHUP."""
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.default_int_handler)
 
 
+def _give_up_without_fleet_extra(error: ModuleNotFoundError) -> NoReturn:
+    give_up(f"this needs {error.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessesChoice:
+    """The options of `lab processes`."""
+
+    file: Path
+    seed: int | None
+    servers: int | None
+    is_quick: bool
+    variants: tuple[str, ...]
+    folder: Path | None
+
+    def seeds(self, of_file: list[int]) -> list[int]:
+        """The seeds to play."""
+        if self.seed is not None:
+            return [self.seed]
+        return of_file[:1] if self.is_quick else of_file
+
+    def results(self, name: str) -> Path:
+        """Where the results go."""
+        return self.folder or RESULTS / name
+
+
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--seed", type=int, help="This seed instead of the file's.")
 @click.option("--servers", type=click.IntRange(1, 24), help="So many instead of the file's.")
 @click.option("--quick", is_flag=True, help="The file's quick form: about a minute.")
 @click.option("--variant", "names", multiple=True, help="This one alone; may be given again.")
-@click.option("--shrink", is_flag=True, help="Cut a run that broke a claim down to the fewest faults.")
+@click.option("--shrink", is_flag=True, help="Shrink a run that broke a claim to the fewest faults.")
 @click.option("--out", "folder", type=click.Path(path_type=Path), help="Where results go; else out/NAME.")
 def processes(
     file: Path,
@@ -104,61 +132,65 @@
     """Play an experiment FILE with processes of the program and faults between them; exits with 1 if a claim
     does not hold. Needs the extra `fleet` as well."""
     try:
-        from otterrudder.lab.processes import cell_experiment
-        from otterrudder.lab.processes import experiment as of
-    except ModuleNotFoundError as missing:
-        give_up(f"this needs {missing.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
-    if cell_experiment.is_of_cells(file):
-        if shrink:
-            give_up("--shrink: plans of cells are not cut down")
-        sys.exit(0 if _play_cells(file, seed, servers, quick, names, folder) else 1)
-    try:
-        what = of.only(of.read(file), names)
-    except BadInput as trouble:
-        give_up(trouble)
-    _end_in_order()
-    seeds = [seed] if seed is not None else what.seeds[: 1 if quick else None]
-    count = servers or (what.quick_servers if quick else what.servers)
-    runs = of.perform(what, seeds, count, what.quick_changes if quick else what.changes, click.echo)
-    of.write(runs, folder or Path("out") / what.name, what.name)
-    click.echo(of.table(runs))
-    broken = [f"{run.variant}, seed {run.seed}: {claim}" for run in runs for claim in run.broken]
-    for line in broken:
-        click.echo(f"does not hold: {line}", err=True)
-    for run in runs if shrink else ():
-        if run.broken:
-            click.echo(f"{run.variant}, seed {run.seed}, cut down:")
-            for this in of.shrink_run(what, run, click.echo):
-                click.echo(f"  {this}")
-    sys.exit(1 if broken else 0)
+        from otterrudder.lab.processes.cell_experiment import is_of_cells
+    except ModuleNotFoundError as error:
+        _give_up_without_fleet_extra(error)
+    choice = ProcessesChoice(file, seed, servers, quick, names, folder)
+    if not is_of_cells(file):
+        sys.exit(0 if _play_members(choice, shrink) else 1)
+    if shrink:
+        give_up("--shrink: schedules of cells are not shrunk")
+    sys.exit(0 if _play_cells(choice) else 1)
 
 
-def _play_cells(
-    file: Path,
-    seed: int | None,
-    servers: int | None,
-    quick: bool,
-    names: tuple[str, ...],
-    folder: Path | None,
-) -> bool:
-    """Whether all claims of an experiment with cells hold."""
-    from otterrudder.lab.processes import cell_experiment as of
+def _play_members(choice: ProcessesChoice, is_shrinking: bool) -> bool:
+    """Plays an experiment with plain members; whether all claims hold."""
+    from otterrudder.lab.processes import experiment as experiments
 
     try:
-        what = of.only(of.read(file), names)
-    except BadInput as trouble:
-        give_up(trouble)
-    _end_in_order()
-    seeds = [seed] if seed is not None else what.seeds[: 1 if quick else None]
-    count = servers or (what.quick_servers if quick else what.servers)
-    rounds, folder = what.quick_rounds if quick else what.rounds, folder or Path("out") / what.name
-    runs = of.perform(what, seeds, count, rounds, click.echo, folder / "logs")
-    of.write(runs, folder)
-    click.echo(of.table(runs))
-    broken = [f"{run.variant}, seed {run.seed}: {claim}" for run in runs for claim in run.broken]
-    for line in broken:
-        click.echo(f"does not hold: {line}", err=True)
-    return not broken
+        experiment = experiments.only(experiments.read(choice.file), choice.variants)
+    except BadInput as error:
+        give_up(error)
+    _raise_interrupt_on_signals()
+    servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
+    changes = experiment.quick_changes if choice.is_quick else experiment.changes
+    runs = experiments.perform(experiment, choice.seeds(experiment.seeds), servers, changes, click.echo)
+    experiments.write(runs, choice.results(experiment.name), experiment.name)
+    click.echo(experiments.table(runs))
+    broken_runs = [run for run in runs if run.broken]
+    for run in broken_runs:
+        _print_broken(run.variant, run.seed, run.broken)
+    for run in broken_runs if is_shrinking else ():
+        click.echo(f"{run.variant}, seed {run.seed}, cut down:")
+        for round_ in experiments.shrink_run(experiment, run, click.echo):
+            click.echo(f"  {round_}")
+    return not broken_runs
+
+
+def _play_cells(choice: ProcessesChoice) -> bool:
+    """Plays an experiment with cells; whether all claims hold."""
+    from otterrudder.lab.processes import cell_experiment as experiments
+
+    try:
+        experiment = experiments.only(experiments.read(choice.file), choice.variants)
+    except BadInput as error:
+        give_up(error)
+    _raise_interrupt_on_signals()
+    servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
+    rounds = experiment.quick_rounds if choice.is_quick else experiment.rounds
+    results = choice.results(experiment.name)
+    seeds = choice.seeds(experiment.seeds)
+    runs = experiments.perform(experiment, seeds, servers, rounds, click.echo, results / "logs")
+    experiments.write(runs, results)
+    click.echo(experiments.table(runs))
+    for run in runs:
+        _print_broken(run.variant, run.seed, run.broken)
+    return not any(run.broken for run in runs)
+
+
+def _print_broken(variant: str, seed: int, claims: list[str]) -> None:
+    for claim in claims:
+        click.echo(f"does not hold: {variant}, seed {seed}: {claim}", err=True)
 
 
 @lab.command()
@@ -185,41 +217,41 @@
     """Measure what agreement costs by the number of servers, by FILE; exits with 1 if a claim does not hold.
 
     Simulated: whole fleets by cells in simulated time. On processes: hollow servers, real relays and the
-    store's stand-in; needs the extra `fleet` as well."""
-    holds = True
+    fake store; needs the extra `fleet` as well."""
+    all_hold = True
     if part in (None, "simulated"):
         from otterrudder.lab.scale.simulated import Choice
 
-        holds = _scale_simulated(file, Choice(quick, seed, servers, names, minutes, is_json, folder))
+        all_hold = _scale_simulated(file, Choice(quick, seed, servers, names, minutes, is_json, folder))
     if part in (None, "processes"):
-        holds = _scale_processes(file, quick, folder) and holds
-    sys.exit(0 if holds else 1)
+        all_hold = _scale_processes(file, quick, folder) and all_hold
+    sys.exit(0 if all_hold else 1)
 
 
 def _scale_simulated(file: Path, choice: "Choice") -> bool:
-    """Whether all verdicts hold."""
+    """Plays the simulated part; whether all verdicts hold."""
     from otterrudder.lab.scale.simulated import perform
 
     try:
         broken = perform(file, choice, click.echo)
-    except BadInput as trouble:
-        give_up(trouble)
+    except BadInput as error:
+        give_up(error)
     for line in broken:
         click.echo(f"does not hold: {line}", err=True)
     return not broken
 
 
 def _scale_processes(file: Path, quick: bool, folder: Path) -> bool:
-    """Whether all claims hold."""
+    """Plays the part on processes; whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
         from otterrudder.lab.scale.processes.bench import NotInTime
-    except ModuleNotFoundError as missing:
-        give_up(f"this needs {missing.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
+    except ModuleNotFoundError as error:
+        _give_up_without_fleet_extra(error)
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTime) as trouble:
-        give_up(trouble)
+    except (BadInput, NotInTime) as error:
+        give_up(error)
     except command.Interrupted:
         sys.exit(INTERRUPTED)
     return report.holds
@@ -231,7 +263,7 @@
 @click.option("--quick", is_flag=True, help="Two seeds, four minutes a day at the most.")
 @click.option("--seeds", metavar="1,2,3", help="These seeds instead of the file's.")
 @click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
-@click.option("--figures", default=",".join(SHOWN), show_default=True, help="Shown in the table.")
+@click.option("--figures", default=",".join(DEFAULT_FIGURES), show_default=True, help="Shown in the table.")
 def run(
     file: Path, folder: Path | None, quick: bool, seeds: str | None, workers: int | None, figures: str
 ) -> None:
@@ -242,88 +274,105 @@
         give_up(f"--seeds: {seeds!r} is no list of whole numbers")
     try:
         experiment = read_experiment(file, numbers, quick)
-    except BadInput as trouble:
-        give_up(trouble)
+    except BadInput as error:
+        give_up(error)
     click.echo(f"{experiment.title}: {len(experiment.runs)} runs (simulated: {experiment.model})")
 
-    def progress(done: int, whole: int, one: Run, result: Result) -> None:
-        if sys.stderr.isatty():
-            click.echo(
-                f"\r{done}/{whole} {one.case} {one.variant} {one.seed}\x1b[K", err=True, nl=done == whole
-            )
-        elif done == whole or done % max(whole // 10, 1) == 0:
-            click.echo(f"{done}/{whole}", err=True)
-
-    outcome = perform(experiment, workers or 0, progress)
+    outcome = perform(experiment, workers or 0, _show_progress)
     for line in figures_table(outcome, figures.split(",")) + table(outcome):
         click.echo(line)
-    for written in write(outcome, folder or Path("out") / experiment.name):
+    for written in write(outcome, folder or RESULTS / experiment.name):
         click.echo(f"wrote {written}")
     click.echo(f"{len(experiment.runs)} runs in {outcome.took_s:.1f} s")
     sys.exit(0 if outcome.holds else 1)
 
 
+def _show_progress(done: int, total: int, run: Run, _: Result) -> None:
+    """A line that is overwritten on a terminal; else one for each tenth."""
+    is_last = done == total
+    if sys.stderr.isatty():
+        click.echo(f"\r{done}/{total} {run.case} {run.variant} {run.seed}\x1b[K", err=True, nl=is_last)
+    elif is_last or done % max(total // 10, 1) == 0:
+        click.echo(f"{done}/{total}", err=True)
+
+
 @lab.command("list")
 @click.argument("folder", type=click.Path(path_type=Path), default=EXPERIMENTS)
-def list_them(folder: Path) -> None:
-    """The experiments in FOLDER, with their titles and how many runs each has."""
+def list_experiments(folder: Path) -> None:
+    """List the experiments in FOLDER, with their titles and how many runs each has."""
     files = sorted(folder.glob("*.toml"))
     if not files:
         give_up(f"no experiments in {folder}")
     for file in files:
         try:
-            told = load_toml(file, BadInput)
-            if is_scale(told):
-                runs, title = len(settings_of(read_scale(file))), str(told.get("title", ""))
-            elif "site" not in told and "servers" in told:  # of processes: `lab processes` reads it
-                seeds, variants = told.get("seeds", ()), told.get("variant", ())
-                runs, title = len(seeds) * len(variants), f"{told.get('title', '')}, on processes"
-            else:
-                experiment = read_experiment(file)
-                runs, title = len(experiment.runs), experiment.title
-        except BadInput as trouble:
-            give_up(trouble)
-        click.echo(f"{file}  {title} ({runs} runs)")
+            summary = _summary_of(file)
+        except BadInput as error:
+            give_up(error)
+        click.echo(f"{file}  {summary.title} ({summary.runs} runs)")
+
+
+class ExperimentSummary(NamedTuple):
+    """An experiment in the list."""
+
+    title: str
+    runs: int
+
+
+def _summary_of(file: Path) -> ExperimentSummary:
+    values = load_toml(file, BadInput)
+    title = str(values.get("title", ""))
+    if is_scale(values):
+        return ExperimentSummary(title, len(settings_of(read_scale(file))))
+    if "site" not in values and "servers" in values:  # played by `lab processes`
+        runs = len(values.get("seeds", ())) * len(values.get("variant", ()))
+        return ExperimentSummary(f"{title}, on processes", runs)
+    experiment = read_experiment(file)
+    return ExperimentSummary(experiment.title, len(experiment.runs))
 
 
 @lab.command()
 @click.argument("results", type=click.Path(path_type=Path))
 def show(results: Path) -> None:
-    """The verdicts of a results.json (or the folder it is in)."""
+    """Show the verdicts of a results.json (or the folder it is in)."""
     path = results / "results.json" if results.is_dir() else results
     try:
-        told = json.loads(path.read_text())
-        click.echo(f"{told['title']} (simulated: {told['model']}), otterrudder {told['otterrudder']}")
-        for claim in told["claims"]:
-            click.echo(f"{'holds' if claim['holds'] else 'FAILS'}  {claim['text']}")
-            for group in claim["groups"]:
-                if not group["holds"] or len(claim["groups"]) == 1:
-                    click.echo(f"         {group['name']}: {group['mean']:.3f} ± {group['half']:.3f}")
-        for what in told["broken"]:
-            click.echo(f"BROKEN {what}")
-    except OSError as trouble:
-        give_up(f"cannot read {path}: {trouble}")
+        lines = _verdict_lines(json.loads(path.read_text()))
+    except OSError as error:
+        give_up(f"cannot read {path}: {error}")
     except (ValueError, KeyError, TypeError):
         give_up(f"{path}: no results of the lab")
+    for line in lines:
+        click.echo(line)
+
+
+def _verdict_lines(results: dict[str, Any]) -> list[str]:
+    lines = [f"{results['title']} (simulated: {results['model']}), otterrudder {results['otterrudder']}"]
+    for claim in results["claims"]:
+        lines.append(f"{'holds' if claim['holds'] else 'FAILS'}  {claim['text']}")
+        for group in claim["groups"]:
+            if not group["holds"] or len(claim["groups"]) == 1:
+                lines.append(f"         {group['name']}: {group['mean']:.3f} ± {group['half']:.3f}")
+    lines += [f"BROKEN {violation}" for violation in results["broken"]]
+    return lines
 
 
 @lab.command()
 @click.option("--out", "folder", type=click.Path(path_type=Path), default=Path("out/demo"), show_default=True)
 @click.option("--file", type=click.Path(path_type=Path), default=EXPERIMENTS / "demo.toml", show_default=True)
 def demo(folder: Path, file: Path) -> None:
-    """A short evening that crosses the levels, told as it happens; leaves a chart. Then a change of policy
-    across six processes, where the extra `fleet` is installed."""
+    """Play a short evening that crosses the levels, reported as it happens, with a chart. Then a change of
+    policy across six processes, if the extra `fleet` is installed."""
     try:
         outcome = show_demo(file, folder, click.echo)
-    except BadInput as trouble:
-        give_up(trouble)
-    holds = outcome.holds
+    except BadInput as error:
+        give_up(error)
+    all_hold = outcome.holds
     try:
         from otterrudder.lab.processes.demo import show as show_fleet
     except ModuleNotFoundError as missing:
         click.echo(f"a change across processes needs {missing.name}: pip install 'otterrudder[fleet]'")
     else:
         click.echo("")
-        _end_in_order()
-        holds = show_fleet(click.echo) and holds
-    sys.exit(0 if holds else 1)
+        _raise_interrupt_on_signals()
+        all_hold = show_fleet(click.echo) and all_hold
+    sys.exit(0 if all_hold else 1)
