--- a/otterrudder/lab/processes/cell_fault_injector.py
+++ b/otterrudder/lab/processes/cell_fault_injector.py
@@ -8,6 +8,7 @@
 from otterrudder.lab.processes.cell_faults import (
     ALL_LINKS,
     ANY_RELAY_POINTS,
+    CELL_FAULTS,
     ENDORSEMENT_POINTS,
     PEER_LINK,
     POINT_FAULTS,
@@ -136,24 +137,29 @@
             self.cluster.store.send_signal(signal.SIGSTOP)
 
     async def _inject_into_relays(self, fault: CellFault) -> None:
-        cluster = self.cluster
         if fault.kind in RELAY_LINK_FAULTS:
             self._set_relay_links(self._relays[fault], RELAY_LINK_FAULTS[fault.kind])
         elif fault.kind == "relay stopped":
-            await cluster.stop_relay(self._relays[fault])
-        elif fault.kind == "relay full":
-            for relay in cluster.relays_of(fault.cell):
-                cluster.restart_with_sessions(relay, FEW_SESSIONS)
-        elif fault.kind == "servers restarted":
+            await self.cluster.stop_relay(self._relays[fault])
+        elif fault.kind in CELL_FAULTS or fault.kind == "relay full":
+            self._inject_into_cell(fault)
+        elif fault.kind in self._relay_handlers:
+            self._relay_handlers[fault.kind](self._relays[fault])
+
+    def _inject_into_cell(self, fault: CellFault) -> None:
+        """Injects a fault of all relays, or of all servers, of a cell."""
+        cluster = self.cluster
+        if fault.kind == "servers restarted":
             for server in cluster.servers_of(fault.cell):
                 server.kill()
             for server in cluster.servers_of(fault.cell):
                 cluster.start_server(server)
-        elif fault.kind.startswith("cell "):
-            for relay in cluster.relays_of(fault.cell):
+            return
+        for relay in cluster.relays_of(fault.cell):
+            if fault.kind == "relay full":
+                cluster.restart_with_sessions(relay, FEW_SESSIONS)
+            else:
                 self._relay_handlers[fault.kind](relay)
-        elif fault.kind in self._relay_handlers:
-            self._relay_handlers[fault.kind](self._relays[fault])
 
     def _set_relay_links(self, relay: LinkedRelay, broken: BrokenLink) -> None:
         if broken.link in (STORE_LINK, ALL_LINKS):
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -1,25 +1,25 @@
-"""Our stand-in for the store, on sockets: the part of etcd's published v3 API that the fleet uses, round a
-`KeySpace`. In a process of its own (`python -m otterrudder.lab.processes.fake_etcd`), for tests and
-`make demo`.
+"""A fake of the store, on sockets: the part of etcd's published v3 API that the fleet uses, around a
+`KeySpace`.
 
-It prints the port it got, then takes lines of JSON on standard input, each a fault or its end:
+It runs as a process (`python -m otterrudder.lab.processes.fake_etcd`) for tests and `make demo`. It prints
+its port, then reads lines of JSON on standard input, each a fault or its end, and answers each with "ok":
 
-    {"slow_ms": 300}          every answer waits so long
-    {"down": true}            no answer at all; false: answers again
-    {"lose_answers": 2}       so many commits take effect and are not answered
-    {"cancel_watches": 1}     all watches end by a cancellation
-    {"deaf_watches": true}    watches hear nothing
+    {"slow_ms": 300}          every response waits so long
+    {"down": true}            no response at all; false: responds again
+    {"lose_answers": 2}       so many commits take effect and get no response
+    {"cancel_watches": 1}     all watches are cancelled
+    {"deaf_watches": true}    watches receive nothing
     {"flood": 500}            so many events to each watch at once
-    {"strike": "KEY"}         that key goes, as where the lease that it hung on has lapsed
-    {"hold_delete": "KEY"}    commits that strike this key off wait; "": go on
-    {"compact": 1}            the history goes
+    {"strike": "KEY"}         that key is deleted, as when its lease expires
+    {"hold_delete": "KEY"}    commits that delete this key wait; "": they go on
+    {"compact": 1}            the history is compacted away
     {"empty": 1}              it holds nothing, as another engine
-    {"report": "PREFIX"}      it answers with what it has counted (counters.py) instead of "ok", and with the
-                              moments at which the keys under that prefix were last written
+    {"report": "PREFIX"}      answered with the counters (counters.py), and with the times at which the keys
+                              under that prefix were last written
 
-`--state FILE` keeps what it holds there over a kill, but for its history: watches from before are compacted
-away, and leases have their whole span again, as with the engine. `--cluster HEX`: its id, for one that is
-restored from another's state. It ends with its input: no child outlives whoever started it."""
+`--state FILE` keeps its content there over a kill, without the history: earlier watches are compacted away,
+and leases have their whole span again, as with etcd. `--cluster HEX`: its cluster id, for one that is
+restored from another's state. It exits when its input ends: no child outlives its parent."""
 
 import argparse
 import asyncio
@@ -27,7 +27,7 @@
 import json
 import os
 import sys
-from collections.abc import AsyncIterator, Sequence
+from collections.abc import AsyncIterator, Callable, Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
@@ -42,9 +42,11 @@
 from otterrudder.lab.keyspace import Event, KeySpace
 from otterrudder.lab.processes.counters import StoreReport, kind_of
 
-CLUSTER = 0xE7CD  # its id, unless told another
-LAPSE_S = 0.05  # s between looks for leases that have lapsed
-WATCHES_MOST = 4096  # events that wait for one watch; past that it is cancelled, as a slow reader is
+CLUSTER = 0xE7CD  # the default cluster id
+EMPTY_CLUSTER = 0xE7CE  # of an engine that holds nothing
+POLL_S = 0.05  # for expired leases, and the end of a fault
+NEVER_S = 3600.0  # a response that is lost: the caller's deadline ends the wait
+MAX_QUEUED_EVENTS = 4096  # of one watch; past that it is cancelled, as a slow reader is
 
 
 @dataclass(eq=False, slots=True)
@@ -55,15 +57,17 @@
     end: bytes
     queue: asyncio.Queue[Event | None] = field(default_factory=asyncio.Queue)
 
-    def wants(self, event: Event) -> bool:
+    def covers(self, event: Event) -> bool:
+        """Whether the event's key is in the range."""
         return self.key <= event.key.encode() < self.end
 
 
 class Engine:
-    """The key space with its faults, and whoever watches."""
+    """The key space with its faults and its watchers."""
 
     def __init__(self, state: Path | None = None, cluster: int = 0) -> None:
-        self.state, self.space = state, KeySpace(cluster=CLUSTER)
+        self.state = state
+        self.space = KeySpace(cluster=CLUSTER)
         if state and state.exists():
             self.space = msgspec.msgpack.decode(state.read_bytes(), type=KeySpace)
             self.space.compacted = self.space.revision
@@ -74,39 +78,43 @@
             self.space.granted += cluster
         self.save()
         self.slow_ms = 0.0
-        self.is_down = self.is_deaf = False
-        self.lose = 0
-        self.held = ""  # a key that no commit may strike off yet
-        self.watches: set[Watcher] = set()
+        self.is_down = False
+        self.are_watches_deaf = False
+        self.responses_to_lose = 0
+        self.held_key = ""  # that no commit may delete yet
+        self.watchers: set[Watcher] = set()
         self.report = StoreReport()
         self._sorted: tuple[int, list[str]] = (0, [])  # the keys in order, as of a revision
 
     def save(self) -> None:
+        """Replaces the state file, if there is one."""
         if self.state:
-            beside = self.state.with_suffix(".new")
-            beside.write_bytes(msgspec.msgpack.encode(replace(self.space, history=[])))
-            os.replace(beside, self.state)
-
-    async def answer(self, context: Any, took_effect: bool = False) -> None:
-        """Waits as it is told, or for ever: the caller's deadline ends it."""
-        if self.is_down or took_effect and self.lose > 0:
-            self.lose -= took_effect and not self.is_down
-            await asyncio.sleep(3600)
+            temporary = self.state.with_suffix(".new")
+            temporary.write_bytes(msgspec.msgpack.encode(replace(self.space, history=[])))
+            os.replace(temporary, self.state)
+
+    async def delay_response(self, has_taken_effect: bool = False) -> None:
+        """Waits as the faults demand, at most until the caller's deadline."""
+        if self.is_down:
+            await asyncio.sleep(NEVER_S)
+        if has_taken_effect and self.responses_to_lose > 0:
+            self.responses_to_lose -= 1
+            await asyncio.sleep(NEVER_S)
         if self.slow_ms:
             await asyncio.sleep(self.slow_ms / 1000)
 
-    def tell(self, before: int) -> None:
-        """Keeps what was written, and hands what is new since a revision to the watches."""
+    def publish(self, before: int) -> None:
+        """Saves, and hands what was written since a revision to the watchers."""
         self.save()
         written = self.space.since("", before + 1) or []
         now = clock()
         for event in written:
             self.report.written_ms[event.key] = now
-        if self.is_deaf:
+        if self.are_watches_deaf:
             return
-        for watcher in list(self.watches):
-            events = [event for event in written if watcher.wants(event)]
-            if watcher.queue.qsize() + len(events) > WATCHES_MOST:
+        for watcher in list(self.watchers):
+            events = [event for event in written if watcher.covers(event)]
+            if watcher.queue.qsize() + len(events) > MAX_QUEUED_EVENTS:
                 watcher.queue.put_nowait(None)
             else:
                 for event in events:
@@ -121,84 +129,115 @@
         ordered = self._sorted[1]
         return ordered[bisect.bisect_left(ordered, key) : bisect.bisect_left(ordered, end)]
 
-    def reported(self, prefix: str) -> bytes:
-        """What was counted so far, as a line of JSON."""
+    def report_line(self, prefix: str) -> bytes:
+        """The counters so far, as a line of JSON."""
         moments = self.report.written_ms.items()
         written = {key: at for key, at in moments if key.startswith(prefix)}
         return msgspec.json.encode(msgspec.structs.replace(self.report, written_ms=written))
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
+        """Deletes the keys of leases that have expired."""
         before = self.space.revision
         self.space.lapse(clock())
         if self.space.revision != before:
-            self.tell(before)
-
-    def told(self, fault: dict[str, Any]) -> None:
-        for word, value in fault.items():
-            if word == "slow_ms":
-                self.slow_ms = float(value)
-            elif word == "down":
-                self.is_down = bool(value)
-            elif word == "deaf_watches":
-                self.is_deaf = bool(value)
-            elif word == "lose_answers":
-                self.lose = int(value)
-            elif word == "cancel_watches":
-                for watcher in list(self.watches):
-                    watcher.queue.put_nowait(None)
-            elif word == "flood":
-                event = Event(self.space.revision, "flood", Entry(b"", 1, 1))
-                for watcher in list(self.watches):
-                    for _ in range(min(int(value), WATCHES_MOST)):
-                        watcher.queue.put_nowait(event)
-            elif word == "compact":
-                self.space.compact(self.space.revision)
-            elif word == "hold_delete":
-                self.held = str(value)
-            elif word == "strike":
-                before = self.space.revision
-                self.space.commit((), [Delete(str(value))])
-                self.tell(before)
-            elif word == "empty":
-                self.space = KeySpace(cluster=0xE7CE)
+            self.publish(before)
+
+    def handle_message(self, message: dict[str, Any]) -> None:
+        """Begins or ends faults, by the words of the module's docstring; unknown ones are ignored."""
+        handlers: dict[str, Callable[[Any], None]] = {
+            "slow_ms": self._set_delay,
+            "down": self._set_down,
+            "deaf_watches": self._set_deaf,
+            "lose_answers": self._lose_responses,
+            "hold_delete": self._hold_key,
+            "cancel_watches": self._cancel_watches,
+            "flood": self._flood_watches,
+            "strike": self._delete_key,
+            "compact": self._compact,
+            "empty": self._empty,
+        }
+        for word, value in message.items():
+            if word in handlers:
+                handlers[word](value)
+
+    def _set_delay(self, delay_ms: float) -> None:
+        self.slow_ms = float(delay_ms)
+
+    def _set_down(self, is_down: bool) -> None:
+        self.is_down = bool(is_down)
+
+    def _set_deaf(self, are_deaf: bool) -> None:
+        self.are_watches_deaf = bool(are_deaf)
+
+    def _lose_responses(self, count: int) -> None:
+        self.responses_to_lose = int(count)
+
+    def _hold_key(self, key: str) -> None:
+        self.held_key = str(key)
+
+    def _cancel_watches(self, _: object) -> None:
+        for watcher in self.watchers:
+            watcher.queue.put_nowait(None)
+
+    def _flood_watches(self, count: int) -> None:
+        event = Event(self.space.revision, "flood", Entry(b"", 1, 1))
+        for watcher in self.watchers:
+            for _ in range(min(int(count), MAX_QUEUED_EVENTS)):
+                watcher.queue.put_nowait(event)
+
+    def _delete_key(self, key: str) -> None:
+        before = self.space.revision
+        self.space.commit((), [Delete(str(key))])
+        self.publish(before)
+
+    def _compact(self, _: object) -> None:
+        self.space.compact(self.space.revision)
+
+    def _empty(self, _: object) -> None:
+        self.space = KeySpace(cluster=EMPTY_CLUSTER)
 
     def header(self) -> Any:
+        """The header of a response."""
         space = self.space
         return rpc_pb2.ResponseHeader(cluster_id=space.cluster, revision=space.revision, member_id=1)
 
 
-class Keys(rpc_pb2_grpc.KVServicer):  # type: ignore[misc]
+class KeyService(rpc_pb2_grpc.KVServicer):  # type: ignore[misc]
+    """etcd's KV service: transactions of reads, or of compares and writes."""
+
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
 
     async def Txn(self, request: Any, context: Any) -> Any:  # noqa: N802
         engine = self.engine
         if engine.is_down:
-            await engine.answer(context)
+            await engine.delay_response()
         writes = [write for op in request.success if (write := _write(op))]
-        while any(isinstance(write, Delete) and write.key == engine.held for write in writes):
-            await asyncio.sleep(LAPSE_S)  # the caller's deadline ends it, and then it takes no effect
-        engine.lapse()
+        while any(isinstance(write, Delete) and write.key == engine.held_key for write in writes):
+            await asyncio.sleep(POLL_S)  # the caller's deadline ends it, and then it takes no effect
+        engine.expire_leases()
         space, before = engine.space, engine.space.revision
         if any(isinstance(w, Put) and w.lease and w.lease not in space.leases for w in writes):
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
         held = all(space.holds(_compare(compare)) for compare in request.compare)
         if held and writes:
             space.commit((), writes)
-            engine.tell(before)
+            engine.publish(before)
         parts = [_response(engine, op) for op in request.success] if held else []
         answer = rpc_pb2.TxnResponse(header=engine.header(), succeeded=held, responses=parts)
         engine.report.count(_kind(request, writes), request.ByteSize(), answer.ByteSize())
-        await engine.answer(context, took_effect=bool(held and writes))
+        await engine.delay_response(has_taken_effect=bool(held and writes))
         return answer
 
 
-class Leases(rpc_pb2_grpc.LeaseServicer):  # type: ignore[misc]
+class LeaseService(rpc_pb2_grpc.LeaseServicer):  # type: ignore[misc]
+    """etcd's Lease service."""
+
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
 
     async def LeaseGrant(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self.engine.answer(context)
+        await self.engine.delay_response()
         ident = self.engine.space.grant(clock(), request.TTL * 1000.0).lease
         self.engine.save()
         answer = rpc_pb2.LeaseGrantResponse(header=self.engine.header(), ID=ident, TTL=request.TTL)
@@ -206,29 +245,29 @@
         return answer
 
     async def LeaseRevoke(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self.engine.answer(context)
+        await self.engine.delay_response()
         before = self.engine.space.revision
         if not self.engine.space.revoke(request.ID):
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
-        self.engine.tell(before)
+        self.engine.publish(before)
         answer = rpc_pb2.LeaseRevokeResponse(header=self.engine.header())
         self.engine.report.count("lease revoke", request.ByteSize(), answer.ByteSize())
         return answer
 
     async def LeaseKeepAlive(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
         async for request in requests:
-            await self.engine.answer(context)
-            self.engine.lapse()
+            await self.engine.delay_response()
+            self.engine.expire_leases()
             space = self.engine.space
-            lives = space.renew(clock(), request.ID).lease
-            ttl = round(space.leases[request.ID][0] / 1000) if lives else 0
+            is_alive = space.renew(clock(), request.ID).lease
+            ttl = round(space.leases[request.ID][0] / 1000) if is_alive else 0
             answer = rpc_pb2.LeaseKeepAliveResponse(header=self.engine.header(), ID=request.ID, TTL=ttl)
             self.engine.report.count("lease renew", request.ByteSize(), answer.ByteSize())
             yield answer
 
 
-class Watches(rpc_pb2_grpc.WatchServicer):  # type: ignore[misc]
-    """One watch a stream, which is how the fleet uses it."""
+class WatchService(rpc_pb2_grpc.WatchServicer):  # type: ignore[misc]
+    """etcd's Watch service, with one watch a stream, which is how the fleet uses it."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -236,7 +275,7 @@
     async def Watch(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
         engine = self.engine
         first = await anext(aiter(requests))
-        await engine.answer(context)
+        await engine.delay_response()
         create = first.create_request
         watcher = Watcher(create.key, create.range_end)
         if create.start_revision and engine.space.since("", create.start_revision) is None:
@@ -246,23 +285,23 @@
             return
         missed = engine.space.since("", create.start_revision) if create.start_revision else None
         for written in missed or []:
-            if watcher.wants(written):
+            if watcher.covers(written):
                 watcher.queue.put_nowait(written)
-        engine.watches.add(watcher)
+        engine.watchers.add(watcher)
         try:
             created = rpc_pb2.WatchResponse(header=engine.header(), created=True)
             engine.report.count("watch", first.ByteSize(), created.ByteSize())
             yield created
             while (event := await watcher.queue.get()) is not None:
                 while engine.is_down:
-                    await asyncio.sleep(LAPSE_S)
-                told = rpc_pb2.WatchResponse(header=engine.header(), events=[_event(event)])
+                    await asyncio.sleep(POLL_S)
+                response = rpc_pb2.WatchResponse(header=engine.header(), events=[_event(event)])
                 engine.report.watch_events += 1
-                engine.report.bytes_out += told.ByteSize()
-                yield told
+                engine.report.bytes_out += response.ByteSize()
+                yield response
             yield rpc_pb2.WatchResponse(header=engine.header(), canceled=True, cancel_reason="told so")
         finally:
-            engine.watches.discard(watcher)
+            engine.watchers.discard(watcher)
 
 
 def _event(event: Event) -> Any:
@@ -305,8 +344,8 @@
         put = op.request_put
         return Put(put.key.decode(), put.value, put.lease)
     if kind == "request_delete_range":
-        told = op.request_delete_range
-        return Delete(told.key.decode(), bool(told.range_end))
+        deleted = op.request_delete_range
+        return Delete(deleted.key.decode(), bool(deleted.range_end))
     return None
 
 
@@ -319,39 +358,40 @@
 
 
 async def serve(port: int, lines: asyncio.StreamReader, engine: Engine) -> None:
-    """Until its input ends."""
+    """Serves until its input ends."""
     server = grpc.aio.server()
-    rpc_pb2_grpc.add_KVServicer_to_server(Keys(engine), server)
-    rpc_pb2_grpc.add_LeaseServicer_to_server(Leases(engine), server)
-    rpc_pb2_grpc.add_WatchServicer_to_server(Watches(engine), server)
-    got = server.add_insecure_port(f"127.0.0.1:{port}")
+    rpc_pb2_grpc.add_KVServicer_to_server(KeyService(engine), server)
+    rpc_pb2_grpc.add_LeaseServicer_to_server(LeaseService(engine), server)
+    rpc_pb2_grpc.add_WatchServicer_to_server(WatchService(engine), server)
+    bound_port = server.add_insecure_port(f"127.0.0.1:{port}")
     await server.start()
-    print(got, flush=True)
-    lapses = asyncio.create_task(_lapses(engine))
+    print(bound_port, flush=True)
+    expiry = asyncio.create_task(_expire_leases(engine))
     while line := await lines.readline():
-        told = json.loads(line)
-        engine.told(told)
-        print(engine.reported(told["report"]).decode() if "report" in told else "ok", flush=True)
-    lapses.cancel()
+        message = json.loads(line)
+        engine.handle_message(message)
+        is_report = "report" in message
+        print(engine.report_line(message["report"]).decode() if is_report else "ok", flush=True)
+    expiry.cancel()
     await server.stop(None)
 
 
-async def _lapses(engine: Engine) -> None:
+async def _expire_leases(engine: Engine) -> None:
     while True:
-        await asyncio.sleep(LAPSE_S)
-        engine.lapse()
+        await asyncio.sleep(POLL_S)
+        engine.expire_leases()
 
 
-async def _main(words: Sequence[str]) -> None:
+async def _main(arguments: Sequence[str]) -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("port", type=int, nargs="?", default=0)
     parser.add_argument("--state", type=Path)
     parser.add_argument("--cluster", type=lambda text: int(text, 16), default=0)
-    told = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     lines = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    await serve(told.port, lines, Engine(told.state, told.cluster))
+    await serve(options.port, lines, Engine(options.state, options.cluster))
 
 
 if __name__ == "__main__":
