--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -33,13 +33,13 @@
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
-    from otterrudder.fleet.cell.service import TooFewDescriptors
+    from otterrudder.fleet.cell.descriptors import DescriptorLimitError
     from otterrudder.net import relay as process
 
     configure_logging(process.control_name(role))
     try:
         process.run(fleet, role)
-    except (DirectoryInUseError, TooFewDescriptors) as error:
+    except (DirectoryInUseError, DescriptorLimitError) as error:
         give_up(error)
     except OSError as error:
         log.error("cannot start", why=str(error))
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -8,40 +8,37 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from otterrudder.fleet.cell.consent import PeerRequest
-from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    Consent,
-    Grant,
-    InForce,
-    Register,
-    RelayMessage,
-    ServerMessage,
-    Verdict,
-)
-from otterrudder.fleet.cell.participant import (
-    CheckText,
+from otterrudder.fleet.cell.effects import (
     Connect,
     Disconnect,
-    Identity,
-    Participant,
-    ParticipantEffect,
-    SendToRelay,
-)
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
     EndSession,
-    Relay,
+    ParticipantEffect,
+    PeerRequest,
     RelayEffect,
-    RelayLimits,
+    SendToRelay,
     SendToServer,
+    ValidateText,
+)
+from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
+from otterrudder.fleet.cell.messages import (
+    Endorsement,
+    EndorsementRequest,
+    LeaseGrant,
+    PolicyUpdate,
+    Registration,
+    RelayMessage,
+    ServerMessage,
+    ValidationResult,
 )
+from otterrudder.fleet.cell.participant import Participant
+from otterrudder.fleet.cell.relay import Relay
 from otterrudder.fleet.change import coordination_keys, finish_change, propose
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, SaveState
 from otterrudder.fleet.records import FleetSnapshot, Keys, QueuedChange, decode
 from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Put
-from otterrudder.lab.fleet.cell_ledger import CellLedger, RelayLife
+from otterrudder.lab.fleet.cell_history_checker import CellHistoryChecker, RelayHistory
 from otterrudder.lab.fleet.cloning import clone, freeze
 from otterrudder.lab.fleet.history_checker import wrong_admission
 from otterrudder.lab.keyspace import KeySpace
@@ -55,8 +52,8 @@
 DEADLINE_MS = 8000.0  # of the changes
 PEACE_STEPS = 100  # of time that a world left in peace has to agree in
 AWAY_STEPS = 30  # of time without the store, after peace
-TURNS_MOST = 2000  # deliveries at one moment in peace; more: it never rests
-PEER_REQUESTS_MOST = 2  # on their way from one relay to another; older ones are lost
+MAX_DELIVERIES = 2000  # deliveries at one moment in peace; more: it never rests
+MAX_PEER_REQUESTS = 2  # on their way from one relay to another; older ones are lost
 BAD_ENDING = "!"  # of a text that the odd kind refuses
 SLOW_AND_FAST = (0.91, 1.09)  # rates of clocks, each less than a tenth from 1
 DRIFTING = (0.955, 1.0, 1.045)  # no two a tenth apart
@@ -123,7 +120,7 @@
     started: float = 0.0
     newest: int = 0  # version that this life has gone by
     is_frozen: bool = False
-    checks: list[CheckText] = field(default_factory=list)  # under way
+    checks: list[ValidateText] = field(default_factory=list)  # under way
     rate: float = 1.0
 
     @property
@@ -150,8 +147,8 @@
     sender: int
     life: int
     peer: int
-    request: AskConsent
-    answer: Consent | None = None
+    request: EndorsementRequest
+    answer: Endorsement | None = None
 
 
 @dataclass(slots=True)
@@ -192,7 +189,7 @@
     opened: int = 0  # streams so far
     spent: int = 0  # harm so far
     trail: tuple[str, ...] = ()
-    ledger: CellLedger = field(default_factory=lambda: CellLedger(KEYS, RULES.bound_ms))
+    checker: CellHistoryChecker = field(default_factory=lambda: CellHistoryChecker(KEYS, RULES.bound_ms))
 
     def copy(self) -> "CellWorld":
         return CellWorld(
@@ -216,7 +213,7 @@
             self.opened,
             self.spent,
             self.trail,
-            self.ledger.copy(),
+            self.checker.copy(),
         )
 
     def clock(self, host: RelayHost | ServerHost) -> float:
@@ -237,18 +234,18 @@
             incarnation,
             replace(variant.rules, is_shared=is_shared),
             variant.limits,
-            record=host.disk,
+            state=host.disk,
             has_disk=not is_shared,
             cluster=STORE_ID,
         )
-        self.ledger.lives[n, host.life] = RelayLife(host.address, incarnation, host.rate)
+        self.checker.relays[n, host.life] = RelayHistory(host.address, incarnation, host.rate)
 
     def start_server(self, n: int) -> None:
         host = self.servers[n]
         host.life += 1
         host.started, host.newest, host.is_frozen = self.now, 0, False
         host.checks.clear()
-        identity = Identity(FLEET, host.name, f"{host.name}.{host.life}", host.kind)
+        identity = ServerIdentity(FLEET, host.name, f"{host.name}.{host.life}", host.kind)
         span_ms = self.variant.limits.span_ms
         host.server = self.variant.participant(self.clock(host), identity, host.relays, span_ms)
 
@@ -313,7 +310,7 @@
             host.relay.handle_result(now, effect, now, self._exchange(host, effect))
         else:
             if isinstance(effect, Commit) and effect.purpose == "vote":
-                self.ledger.votes(self.now, (n, host.life), effect)
+                self.checker.record_vote(self.now, (n, host.life), effect)
             self.flights.append(StoreFlight(n, host.life, effect, self.clock(host)))
 
     def _tell_server(self, n: int, host: RelayHost, effect: SendToServer) -> None:
@@ -321,13 +318,13 @@
         if not stream or stream.is_ended:
             return
         stream.to_server.append(effect.message)
-        if isinstance(effect.message, Grant):
-            self.ledger.granted(self.now, (n, host.life), stream.kind, effect.message)
+        if isinstance(effect.message, LeaseGrant):
+            self.checker.record_grant(self.now, (n, host.life), stream.kind, effect.message)
 
     def _ask_peer(self, n: int, host: RelayHost, effect: PeerRequest) -> None:
         peer = next(at for at, other in enumerate(self.relays) if other.address == effect.peer)
         same = [flight for flight in self.peer_flights if (flight.sender, flight.peer) == (n, peer)]
-        if len(same) >= PEER_REQUESTS_MOST:
+        if len(same) >= MAX_PEER_REQUESTS:
             self.peer_flights = [flight for flight in self.peer_flights if flight is not same[0]]
         self.peer_flights.append(PeerFlight(n, host.life, peer, effect.message))
 
@@ -342,7 +339,7 @@
         assert host.server
         if isinstance(effect, Connect):
             self._connect(n, host, effect)
-        elif isinstance(effect, CheckText):
+        elif isinstance(effect, ValidateText):
             host.checks.append(effect)
         else:
             stream = self._own_stream(n, host.life, effect.connection)
@@ -358,7 +355,7 @@
         if (host.name, effect.relay) in self.cuts:
             return  # nothing comes back
         if not self.relays[at].relay:
-            host.server.disconnected(self.clock(host), effect.connection)
+            host.server.handle_disconnected(self.clock(host), effect.connection)
             return
         self.opened += 1
         life = self.relays[at].life
@@ -389,7 +386,7 @@
         done = self.store.commit(commit.compares, commit.writes)
         if done.succeeded:
             if not self.right:  # what another engine was told is not the fleet's
-                self.ledger.wrote(self.now, commit, before)
+                self.checker.record_commit(self.now, commit, before)
                 self._note_texts(commit)
             if commit.purpose != "tell":
                 self._hint(commit)
@@ -397,15 +394,15 @@
 
     def _note_texts(self, commit: Commit) -> None:
         if opened := self.view().change:
-            self.ledger.changes[self._change_created()] = opened.digest
+            self.checker.changes[self._change_created()] = opened.digest
         for write in commit.writes:
             if isinstance(write, Put) and write.key.startswith(KEYS.queue):
                 queued = decode(write.value, QueuedChange)
-                self.ledger.bases[queued.id] = queued.base
+                self.checker.bases[queued.id] = queued.base
         head = self.view().policy
-        if head and head.version not in self.ledger.texts:
+        if head and head.version not in self.checker.texts:
             entry = self.store.keys.get(KEYS.text(head.digest))
-            self.ledger.texts[head.version] = entry.value.decode() if entry else ""
+            self.checker.texts[head.version] = entry.value.decode() if entry else ""
 
     def _hint(self, commit: Commit) -> None:
         for host in self.relays:
@@ -465,14 +462,14 @@
         if flight.answer is not None:
             self.peer_flights.remove(flight)
             if sender.relay and sender.life == flight.life:
-                sender.relay.peer_answered(flight.answer)
+                sender.relay.handle_endorsement(flight.answer)
             return
         if not peer.relay:
             self.peer_flights.remove(flight)
             return
-        flight.answer = peer.relay.peer_asked(self.clock(peer), flight.request)
+        flight.answer = peer.relay.handle_endorsement_request(self.clock(peer), flight.request)
         if flight.answer.span_ms > 0:
-            self.ledger.consents(self.now, (flight.peer, peer.life))
+            self.checker.record_endorsement(self.now, (flight.peer, peer.life))
 
     def can_take_peer(self, flight: PeerFlight) -> bool:
         sender, peer = self.relays[flight.sender], self.relays[flight.peer]
@@ -499,12 +496,12 @@
         if stream.is_ended or not host.relay or host.life != stream.relay_life:
             return
         if isinstance(message, Control):
-            host.relay.closed(stream.number)
+            host.relay.handle_stream_closed(stream.number)
             return
-        if isinstance(message, Verdict) and self._is_registered(stream, host):
+        if isinstance(message, ValidationResult) and self._is_registered(stream, host):
             at, opened = (stream.relay, stream.relay_life), self._change_created()
-            self.ledger.heard(at, stream.kind, message.digest, message.trouble, opened)
-        host.relay.received(self.clock(host), stream.number, message)
+            self.checker.record_result(at, stream.kind, message.digest, message.rejection, opened)
+        host.relay.handle_message(self.clock(host), stream.number, message)
 
     def _is_registered(self, stream: Stream, host: RelayHost) -> bool:
         return host.relay is not None and stream.number in host.relay.sessions
@@ -517,17 +514,17 @@
         if not host.server or host.life != stream.server_life:
             return
         if message is Control.OPENED:
-            host.server.connected(self.clock(host), stream.connection)
+            host.server.handle_connected(self.clock(host), stream.connection)
         elif message is Control.ENDED:
-            host.server.disconnected(self.clock(host), stream.connection)
+            host.server.handle_disconnected(self.clock(host), stream.connection)
         elif not isinstance(message, Control):
-            host.server.received(self.clock(host), stream.connection, message)
+            host.server.handle_message(self.clock(host), stream.connection, message)
 
     def check(self, host: ServerHost) -> None:
         """The text that has waited for longest is checked."""
         task = host.checks.pop(0)
         if host.server:
-            host.server.checked(self.clock(host), task.digest, self.trouble_with(host, task.text))
+            host.server.handle_validated(self.clock(host), task.digest, self.trouble_with(host, task.text))
 
     def trouble_with(self, host: ServerHost, text: str) -> str:
         is_bad = host.kind == "odd" and text.endswith(BAD_ENDING)
@@ -540,7 +537,7 @@
 
     def deliver_all(self, wanted: Callable[[StoreFlight], bool] = lambda flight: True) -> str:
         """All that can arrive now does, and what follows from it. `wanted`: of the store's requests."""
-        for _ in range(TURNS_MOST):
+        for _ in range(MAX_DELIVERIES):
             self.settle_down()
             if not self._deliver_one(wanted):
                 return ""
@@ -592,8 +589,8 @@
 
     def violation(self) -> str:
         """Which promise does not hold now, "": all do."""
-        if self.ledger.broken:
-            return self.ledger.broken
+        if self.checker.violation:
+            return self.checker.violation
         for host in self.servers:
             if host.runs and host.server and (trouble := self._wrong(host, host.server)):
                 return f"{host.name} at {self.now / 1000:g} s: {trouble}"
@@ -606,11 +603,11 @@
         version = server.admits(self.clock(host))
         if version is None:
             return ""
-        if version and known.text != self.ledger.texts.get(version):
+        if version and known.text != self.checker.texts.get(version):
             return f"it admits under {version}, whose text is another one"
         if self.trouble_with(host, known.text):
             return f"it admits under {version}, which its configuration refuses"
-        bound_ms, committed = self.variant.slowest_bound_ms, self.ledger.committed
+        bound_ms, committed = self.variant.slowest_bound_ms, self.checker.committed
         trouble = wrong_admission(version, known.change, host.started, self.now, bound_ms, committed)
         return f"it admits under {version}: {trouble}" if trouble else ""
 
@@ -706,7 +703,7 @@
 
 
 def _message_key(message: object) -> object:
-    return repr(message) if isinstance(message, InForce | Register) else message
+    return repr(message) if isinstance(message, PolicyUpdate | Registration) else message
 
 
 class NotConvergedError(Exception):
@@ -729,7 +726,7 @@
 def settled(variant: CellVariant) -> CellWorld:
     """Cells at work: all servers are of it, and version 1 is in force."""
     world = CellWorld(variant)
-    world.ledger.bound_ms = variant.rules.bound_ms
+    world.checker.bound_ms = variant.rules.bound_ms
     for cell in range(variant.cells):
         addresses = tuple(f"r{cell}{n}" for n in range(variant.relays))
         for address in addresses:
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -10,11 +10,12 @@
 
 from otterrudder import log
 from otterrudder.fleet.cell import agent, service
-from otterrudder.fleet.cell.consent import CONSENT_MS, Promise
-from otterrudder.fleet.cell.kinds import Candidate, Poll
-from otterrudder.fleet.cell.messages import AskConsent, Consent
+from otterrudder.fleet.cell.endorsement import ENDORSEMENT_MS, EndorsementGiver
+from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay import Relay, Session
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.sessions import Session
+from otterrudder.fleet.cell.validation_poll import Candidate, ValidationPoll
 from otterrudder.fleet.configuration import read_fleet
 from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.processes.mutants import serve_from_environment
@@ -25,6 +26,7 @@
     """Admits by what it last received, for as long as it receives nothing."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
+        """Serving where the lease has expired."""
         status = super().admission_status(now)
         is_outdated = status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
         return AdmissionStatus.SERVING if is_outdated else status
@@ -34,37 +36,45 @@
     """Grants for as long as it believes that it leads, without the store's lease or an endorsement."""
 
     def authority_until(self, now: float) -> float:
+        """For ever while it believes that it leads."""
         return math.inf if self.leads() else -math.inf
 
 
 class PushesToNobody(Relay):
     """Sends a newer policy only to servers that have none."""
 
-    def _push(self, now: float, session: Session) -> None:
+    def _push_policy(self, now: float, session: Session) -> None:
         if not session.version:
-            super()._push(now, session)
+            super()._push_policy(now, session)
 
 
 def _endorses_always() -> None:
     """Endorses also while it leads, or reaches the store, and takes part all the same."""
 
-    def answer(self: Promise, _now: float, request: AskConsent, _leads: bool, _hears_store: bool) -> Consent:
-        return Consent(request.sequence, self.name, CONSENT_MS)
+    def answer(
+        self: EndorsementGiver,
+        _now: float,
+        request: EndorsementRequest,
+        *,
+        leads: bool,  # noqa: ARG001
+        store_answers: bool,  # noqa: ARG001
+    ) -> Endorsement:
+        return Endorsement(request.sequence, self.identity.address, ENDORSEMENT_MS)
 
-    setattr(Promise, "answer", answer)  # noqa: B010
+    setattr(EndorsementGiver, "answer", answer)  # noqa: B010
 
 
 def _votes_without_asking() -> None:
     """Votes yes for its servers."""
 
-    def ask(_self: Poll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
+    def next_questions(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
 
-    def decided(_self: Poll, _candidates: Iterable[Candidate]) -> str:
+    def result(_self: ValidationPoll, _candidates: Iterable[Candidate]) -> str:
         return ""
 
-    setattr(Poll, "ask", ask)  # noqa: B010
-    setattr(Poll, "decided", decided)  # noqa: B010
+    setattr(ValidationPoll, "next_questions", next_questions)  # noqa: B010
+    setattr(ValidationPoll, "result", result)  # noqa: B010
 
 
 def _with_relay(relay_class: type[Relay]) -> Callable[[], None]:
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -209,6 +209,7 @@
         self.engine = engine
 
     async def Txn(self, request: Any, context: Any) -> Any:  # noqa: N802
+        """Reads, or writes if all compares hold."""
         engine = self.engine
         if engine.is_down:
             await engine.delay_response()
@@ -237,6 +238,7 @@
         self.engine = engine
 
     async def LeaseGrant(self, request: Any, context: Any) -> Any:  # noqa: N802
+        """Grants a lease."""
         await self.engine.delay_response()
         ident = self.engine.space.grant(clock(), request.TTL * 1000.0).lease
         self.engine.save()
@@ -245,6 +247,7 @@
         return answer
 
     async def LeaseRevoke(self, request: Any, context: Any) -> Any:  # noqa: N802
+        """Ends a lease, and deletes its keys."""
         await self.engine.delay_response()
         before = self.engine.space.revision
         if not self.engine.space.revoke(request.ID):
@@ -255,6 +258,7 @@
         return answer
 
     async def LeaseKeepAlive(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
+        """Renews leases, one for each request of the stream."""
         async for request in requests:
             await self.engine.delay_response()
             self.engine.expire_leases()
@@ -273,6 +277,7 @@
         self.engine = engine
 
     async def Watch(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
+        """Sends the events of one range of keys."""
         engine = self.engine
         first = await anext(aiter(requests))
         await engine.delay_response()
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -23,29 +23,29 @@
 from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell import fingerprint
 from otterrudder.fleet.cell.agent import CellAgent
+from otterrudder.fleet.cell.descriptors import (
+    SPARE_DESCRIPTORS,
+    SPARE_STREAMS,
+    DescriptorLimitError,
+    check_descriptors,
+)
+from otterrudder.fleet.cell.effects import ValidateText
 from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    Consent,
-    InForce,
+    Endorsement,
+    EndorsementRequest,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
-    Renew,
+    Registration,
     decode_from_peer,
     decode_from_relay,
     encode,
 )
-from otterrudder.fleet.cell.participant import CheckText
-from otterrudder.fleet.cell.service import (
-    DESCRIPTORS_SPARE,
-    STREAMS_SPARE,
-    RelayService,
-    TooFewDescriptors,
-    check_descriptors,
-)
-from otterrudder.fleet.cell.streams import INCOMING_PER_S, MessageEncoder
-from otterrudder.fleet.cell.wire import CONSENT, SESSION, open_channel
+from otterrudder.fleet.cell.service import RelayService
+from otterrudder.fleet.cell.streams import MAX_MESSAGES_PER_S, MessageEncoder
+from otterrudder.fleet.cell.wire import ENDORSE_METHOD, SESSION_METHOD, open_channel
 from otterrudder.fleet.change import coordination_keys, propose
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
@@ -55,8 +55,10 @@
 from otterrudder.lab.processes.link import Link, LinkFault, free_port
 from otterrudder.net.server_files import ServerFiles
 
+pytestmark = pytest.mark.exclusive
+
 WAIT_S = 8.0
-KIND = "k"
+FINGERPRINT = "k"
 
 
 @pytest.fixture
@@ -104,7 +106,9 @@
 
     def server(self, name: str, validate: Callable[[str], str] = lambda text: "") -> CellAgent:
         fleet = self.file(name, f"relays = {self.addresses}".replace("'", '"'))
-        return CellAgent(fleet, name, KIND, validate, ServerControl(lambda text: None, lambda is_aside: None))
+        return CellAgent(
+            fleet, name, FINGERPRINT, validate, ServerControl(lambda text: None, lambda is_aside: None)
+        )
 
 
 @contextlib.asynccontextmanager
@@ -128,14 +132,14 @@
     """A stream that says what the test likes."""
     channel = open_channel(service.fleet, service.role.address)
     try:
-        yield channel.stream_stream(SESSION)()
+        yield channel.stream_stream(SESSION_METHOD)()
     finally:
         await channel.close(None)
 
 
-def register(sequence: int = 1, **other: Any) -> Register:
-    told = dict(fleet="f", name="x", incarnation="e", kind=KIND) | other
-    return Register(sequence, **told)
+def register(sequence: int = 1, **other: Any) -> Registration:
+    told = dict(fleet="f", name="x", incarnation="e", fingerprint=FINGERPRINT) | other
+    return Registration(sequence, **told)
 
 
 async def next_of(stream: Any) -> Any:
@@ -172,7 +176,7 @@
                 async with running(cells.server("again")):
                     await stream.write(encode(register()))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is RefusalReason.FULL
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.FULL
                     assert answer.detail == f"{cells.addresses[0]} has its 1 sessions"
 
     anyio.run(play)
@@ -187,7 +191,7 @@
                 for garbage in (
                     b"",
                     b"\xc1" * 50,
-                    encode(Consent(1, "x", 1.0)),
+                    encode(Endorsement(1, "x", 1.0)),
                     encode(register(name="x" * 200)),
                 ):
                     async with raw_stream(service) as stream:
@@ -259,12 +263,12 @@
             for message, reason in (
                 (register(protocol=99), RefusalReason.PROTOCOL),
                 (register(fleet="g"), RefusalReason.WRONG_FLEET),
-                (Renew(1, 0), RefusalReason.PROTOCOL),
+                (LeaseRenewal(1, 0), RefusalReason.PROTOCOL),
             ):
                 async with raw_stream(service) as stream:
                     await stream.write(encode(message))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is reason
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is reason
                     with anyio.fail_after(WAIT_S):
                         assert await stream.read() is grpc.aio.EOF
                         assert await stream.code() is grpc.StatusCode.OK
@@ -275,7 +279,7 @@
 def test_a_server_that_floods_or_says_nothing_is_ended(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTER_S", 0.2)
+    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
 
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
@@ -285,8 +289,8 @@
             async with raw_stream(service) as stream:
                 with anyio.fail_after(WAIT_S), contextlib.suppress(grpc.RpcError):
                     await stream.write(encode(register()))
-                    for number in range(3 * INCOMING_PER_S):
-                        await stream.write(encode(Renew(number + 2, 0)))
+                    for number in range(3 * MAX_MESSAGES_PER_S):
+                        await stream.write(encode(LeaseRenewal(number + 2, 0)))
                         if number % 8 == 0:
                             await stream.read()
                 with anyio.fail_after(WAIT_S):  # its own writes may fail before the status is read
@@ -307,7 +311,7 @@
                 await stream.write(encode(register()))
                 await until(lambda: len(service.relay.sessions) == 2)
                 slow = max(service._streams)
-                data = encode(InForce(1, "c", "d", "x" * MAX_TEXT_BYTES))
+                data = encode(PolicyUpdate(1, "c", "d", "x" * MAX_TEXT_BYTES))
                 for _ in range(200):
                     if found := service._streams.get(slow):
                         found.send(data)
@@ -336,8 +340,8 @@
 
     anyio.run(play)
     encoder = MessageEncoder()
-    first = encoder.encode(InForce(1, "c", "d", "text"))
-    assert encoder.encode(InForce(1, "c", "d", "text")) is first
+    first = encoder.encode(PolicyUpdate(1, "c", "d", "text"))
+    assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
 
 
 def test_a_frozen_server_stands_aside_in_its_first_turn_and_a_slow_check_holds_up_nothing(
@@ -360,7 +364,7 @@
                 agent.pulse(clock.monotonic())
                 assert orders == ["", False, True, False]
                 await put_in_force(engine, "version = 1")
-                await until(lambda: agent.participant._check)
+                await until(lambda: agent.participant.validation.task)
                 worst, before = 0.0, clock.monotonic()
                 while not agent.counts["checked"]:
                     await anyio.sleep(0.005)
@@ -368,8 +372,8 @@
                     worst, before = max(worst, now - before), now
                 assert worst < 400.0
                 await until(lambda: agent.participant.known.version == 1)
-                agent.participant._effects.append(CheckText("d", "another text"))
-                agent._wake.set()
+                agent.participant._effects.append(ValidateText("d", "another text"))
+                agent._wakeup.set()
                 await until(lambda: agent.counts["checks_begun"] == 2)
                 began = clock.monotonic()
             assert clock.monotonic() - began < 900.0  # it ends without the thread that checks
@@ -381,11 +385,11 @@
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
-            call = channel.unary_unary(CONSENT)
-            ask = AskConsent(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
+            call = channel.unary_unary(ENDORSE_METHOD)
+            ask = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
             answer = decode_from_peer(await call(encode(ask), timeout=WAIT_S))
-            assert isinstance(answer, Consent) and answer.sequence == 7 and not answer.span_ms
-            assert answer.why == f"this relay knows other relays of the cell: {service.role.address}"
+            assert isinstance(answer, Endorsement) and answer.sequence == 7 and not answer.span_ms
+            assert answer.reason == f"this relay knows other relays of the cell: {service.role.address}"
             for garbage in (b"garbage", encode(answer)):
                 with pytest.raises(grpc.aio.AioRpcError) as failed:
                     await call(garbage, timeout=WAIT_S)
@@ -409,7 +413,7 @@
     async def answer_of(service: RelayService, fleet: Fleet) -> Any:
         channel = open_channel(fleet, service.role.address)
         try:
-            stream = channel.stream_stream(SESSION)()
+            stream = channel.stream_stream(SESSION_METHOD)()
             await stream.write(encode(register()))
             return await next_of(stream)
         finally:
@@ -425,7 +429,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
             answer = await answer_of(service, fleet)
-            assert isinstance(answer, Refuse) and answer.reason is RefusalReason.NOT_LEADER
+            assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.NOT_LEADER
             for other in (replace(fleet, cert=None, key=None), replace(fleet, ca=None)):
                 with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
                     await answer_of(service, other)
@@ -445,8 +449,8 @@
 
     anyio.run(play)
     monkeypatch.setattr("resource.getrlimit", lambda what: (1000, 4096))
-    check_descriptors(1000 - STREAMS_SPARE - DESCRIPTORS_SPARE)
-    with pytest.raises(TooFewDescriptors, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
+    check_descriptors(1000 - SPARE_STREAMS - SPARE_DESCRIPTORS)
+    with pytest.raises(DescriptorLimitError, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
         check_descriptors(1000)
 
 
