--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -23,7 +23,7 @@
     help="Configuration whose names the table uses; by default NODE_CONFIG's, else the table's own names.",
 )
 
-RESTRICTION_TEXTS = {
+RESTRICTION_EFFECTS = {
     RestrictionKind.OMIT: "runs without its call",
     RestrictionKind.SPARE: "runs where a slot is free, and is never held",
     RestrictionKind.ESTABLISHED: "newcomers are declined",
@@ -194,7 +194,7 @@
     if restriction.kind is RestrictionKind.SHARE:
         effect = f"admits {restriction.admitted_share:.0%}"
     else:
-        effect = RESTRICTION_TEXTS[restriction.kind]
+        effect = RESTRICTION_EFFECTS[restriction.kind]
     limits = []
     if restriction.tenants:
         limits.append("of " + ", ".join(tenants[index].name for index in sorted(restriction.tenants)))
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -23,7 +23,7 @@
 from otterrudder.vrrp.keys import MAX_KEY_FILE_MODE, MIN_KEY_BYTES
 from otterrudder.vrrp.packet import PacketError
 
-MAX_KEYS_KEPT = 2  # in a file after `keygen --add`: the one that signs and the new one
+MAX_KEYS = 2  # in a file after `keygen --add`: the one that signs and the new one
 MAX_KEY_NUMBER = 255
 
 
@@ -52,7 +52,7 @@
         number = max(self.numbers, default=0) % MAX_KEY_NUMBER + 1
         signing = [key for key in self.keys if key.number == self.signing_number][-1:]
         new = NumberedSecret(number, secrets.token_hex(MIN_KEY_BYTES))
-        self.keys = [*signing, new][-MAX_KEYS_KEPT:]
+        self.keys = [*signing, new][-MAX_KEYS:]
 
     def text(self) -> str:
         """The file's text."""
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -63,7 +63,7 @@
         )
         super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **more)
 
-    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+    def _is_below_exit(self, threshold: Threshold, now: float) -> bool:
         window = self._windows.get(threshold.fact, BARE_WINDOW_MS)
         return window.is_full(now) and window.mean() < threshold.value
 
--- a/otterrudder/lab/processes/cell_fault_injector.py
+++ b/otterrudder/lab/processes/cell_fault_injector.py
@@ -57,7 +57,7 @@
         self.cluster = cluster
         self.round = round_
         self.missed: list[CellFault] = []  # that never came about
-        self._relays: dict[CellFault, LinkedRelay] = {}  # whom a fault is dealt to
+        self._relays: dict[CellFault, LinkedRelay] = {}  # whom a fault is drawn to
         store = cluster.store
         self._relay_handlers: dict[str, Callable[[LinkedRelay], None]] = {
             "relay killed": cluster.kill_relay,
@@ -82,7 +82,7 @@
         }
 
     async def choose_relay(self, fault: CellFault) -> None:
-        """Chooses the relay that a fault is dealt to, while all serve."""
+        """Chooses the relay that a fault is drawn to, while all serve."""
         if not fault.cell:
             return
         leader = await self.cluster.leader_of(fault.cell)
--- a/otterrudder/lab/processes/cell_fault_schedule.py
+++ b/otterrudder/lab/processes/cell_fault_schedule.py
@@ -32,9 +32,9 @@
 
 FAULT_COUNTS = (0, 1, 1, 1, 2, 2)  # of a round, drawn from these
 QUIET_EVERY = 5  # rounds: one of them is quiet
-HOLD_S = (0.5, 5.0)  # that the faults of a round last: beyond the store's lease at times
-QUIET_HOLD_S = (4.5, 6.5)
-TWO_LEADERS_HOLD_S = (7.5, 9.5)
+FAULT_DURATION_S = (0.5, 5.0)  # that the faults of a round last: beyond the store's lease at times
+QUIET_FAULT_DURATION_S = (4.5, 6.5)
+TWO_LEADERS_DURATION_S = (7.5, 9.5)
 
 
 def draw(seed: int, cells: tuple[str, ...], servers: int, rounds: int, absent: str) -> list[CellRound]:
@@ -43,7 +43,7 @@
 
 
 class _CellFaultSchedule:
-    """Shuffled decks of all faults, dealt round by round."""
+    """Shuffled decks of all faults, drawn round by round."""
 
     def __init__(self, seed: int, cells: tuple[str, ...], servers: int, absent: str) -> None:
         self.random = random.Random(f"cells/{seed}")
@@ -51,7 +51,7 @@
         self.servers = servers
         self.absent = absent
         self.deck: list[Card] = []
-        self.quiet_deck: list[Card] = []
+        self.deck_of_quiet_rounds: list[Card] = []
 
     def draw(self, count: int) -> list[CellRound]:
         rounds: list[CellRound] = []
@@ -65,25 +65,25 @@
         return rounds
 
     def _quiet_round(self, number: int) -> CellRound:
-        if not self.quiet_deck:
-            self.quiet_deck = [*QUIET_RELAY_CARDS]
+        if not self.deck_of_quiet_rounds:
+            self.deck_of_quiet_rounds = [*QUIET_RELAY_CARDS]
             if self.absent == "wait":
-                self.quiet_deck += QUIET_STORE_CARDS
-            self.random.shuffle(self.quiet_deck)
-        card = self.quiet_deck.pop()
+                self.deck_of_quiet_rounds += QUIET_STORE_CARDS
+            self.random.shuffle(self.deck_of_quiet_rounds)
+        card = self.deck_of_quiet_rounds.pop()
         cell = self.random.choice(self.cells) if card.role else ""
         fault = CellFault(card.kind, cell, card.role)
-        return CellRound(number, "", (fault,), self.random.uniform(*QUIET_HOLD_S))
+        return CellRound(number, "", (fault,), self.random.uniform(*QUIET_FAULT_DURATION_S))
 
     def _change_round(self, number: int, product: str) -> CellRound:
-        faults = self._deal()
+        faults = self._draw_faults()
         has_two_leaders = any(fault.kind in TWO_LEADERS_FAULTS and fault.role != STANDBY for fault in faults)
-        hold_s = self.random.uniform(*(TWO_LEADERS_HOLD_S if has_two_leaders else HOLD_S))
-        return CellRound(number, product, faults, hold_s)
+        duration_range_s = TWO_LEADERS_DURATION_S if has_two_leaders else FAULT_DURATION_S
+        return CellRound(number, product, faults, self.random.uniform(*duration_range_s))
 
-    def _deal(self) -> tuple[CellFault, ...]:
-        """What does not go together with the others of the round is put back, to be dealt later."""
-        dealt: list[CellFault] = []
+    def _draw_faults(self) -> tuple[CellFault, ...]:
+        """What does not go together with the others of the round is put back, to be drawn later."""
+        drawn: list[CellFault] = []
         put_back: list[Card] = []
         for _ in range(self.random.choice(FAULT_COUNTS)):
             if not self.deck:
@@ -91,12 +91,12 @@
                 self.random.shuffle(self.deck)
             card = self.deck.pop()
             fault = self._fault(card)
-            if are_compatible([*dealt, fault]):
-                dealt.append(fault)
+            if are_compatible([*drawn, fault]):
+                drawn.append(fault)
             else:
                 put_back.append(card)
         self.deck[:0] = put_back
-        return tuple(dealt)
+        return tuple(drawn)
 
     def _is_possible(self, card: Card) -> bool:
         """Nobody is asked for an endorsement under leave-out."""
--- a/otterrudder/lab/processes/cell_faults.py
+++ b/otterrudder/lab/processes/cell_faults.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 from otterrudder.lab.processes.faults import (
+    BLOCKED_BACKWARD,
+    BLOCKED_FORWARD,
     COMMIT_POINTS,
     CUT,
-    HELD_BACKWARD,
-    HELD_FORWARD,
     LEADER_POINTS,
     NO_SERVER,
     PROPOSER_POINTS,
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CellFault:
-    """A fault by its name, and whom it is dealt to."""
+    """A fault by its name, and whom it is drawn to."""
 
     kind: str
     cell: str = ""  # of a relay's or a cell's fault
-    role: str = ""  # of the relay, as the fault is dealt
+    role: str = ""  # of the relay, as the fault is drawn
     server: int = NO_SERVER
     point: str = ""  # the failpoint
 
     @property
     def is_of_server(self) -> bool:
-        """Whether it is dealt to a server."""
+        """Whether it is drawn to a server."""
         return self.server >= 0
 
     def __str__(self) -> str:
@@ -52,7 +52,7 @@
     number: int
     rejected_product: str  # by the policy that is proposed; "": quiet
     faults: tuple[CellFault, ...]
-    hold_s: float  # that the faults last
+    fault_duration_s: float  # that the faults last
 
     @property
     def is_quiet(self) -> bool:
@@ -66,7 +66,7 @@
 
 
 class Card(NamedTuple):
-    """A fault of the deck, before it is dealt to somebody."""
+    """A fault of the deck, before it is drawn to somebody."""
 
     kind: str
     role: str = ""
@@ -80,14 +80,14 @@
 ALL_LINKS = "all"
 RELAY_LINK_FAULTS = {
     "relay cut from store": BrokenLink(STORE_LINK, CUT),
-    "relay one way to store": BrokenLink(STORE_LINK, HELD_FORWARD),
-    "relay one way from store": BrokenLink(STORE_LINK, HELD_BACKWARD),
+    "relay one way to store": BrokenLink(STORE_LINK, BLOCKED_FORWARD),
+    "relay one way from store": BrokenLink(STORE_LINK, BLOCKED_BACKWARD),
     "relay slow to store": BrokenLink(STORE_LINK, LinkFault(delay_ms=100.0)),
     "relay cut from servers": BrokenLink(SERVERS_LINKS, CUT),
-    "relay one way from servers": BrokenLink(SERVERS_LINKS, HELD_FORWARD),
-    "relay one way to servers": BrokenLink(SERVERS_LINKS, HELD_BACKWARD),
+    "relay one way from servers": BrokenLink(SERVERS_LINKS, BLOCKED_FORWARD),
+    "relay one way to servers": BrokenLink(SERVERS_LINKS, BLOCKED_BACKWARD),
     "relay cut from peer": BrokenLink(PEER_LINK, CUT),
-    "relay one way from peer": BrokenLink(PEER_LINK, HELD_FORWARD),
+    "relay one way from peer": BrokenLink(PEER_LINK, BLOCKED_FORWARD),
     "relay cut off": BrokenLink(ALL_LINKS, CUT),
 }
 # Dealt once the cell has voted.
@@ -108,8 +108,8 @@
 PRESENT_RELAY_LINK = "present"
 SERVER_LINK_FAULTS = {
     "server cut": BrokenLink(RELAYS_LINKS, CUT),
-    "server one way there": BrokenLink(RELAYS_LINKS, HELD_FORWARD),
-    "server one way back": BrokenLink(RELAYS_LINKS, HELD_BACKWARD),
+    "server one way there": BrokenLink(RELAYS_LINKS, BLOCKED_FORWARD),
+    "server one way back": BrokenLink(RELAYS_LINKS, BLOCKED_BACKWARD),
     "server slow": BrokenLink(RELAYS_LINKS, LinkFault(delay_ms=120.0)),
     "server half a message": BrokenLink(RELAYS_LINKS, LinkFault(reset_after_bytes=700)),
     "server moves": BrokenLink(PRESENT_RELAY_LINK, CUT),
--- a/otterrudder/lab/processes/cell_runner.py
+++ b/otterrudder/lab/processes/cell_runner.py
@@ -12,7 +12,7 @@
 from otterrudder.lab.processes.fake_settings import PRODUCTS
 from otterrudder.lab.processes.faults import COMMIT_POINTS, LEADER_POINTS
 from otterrudder.lab.processes.linked_cells import COMMON_PRODUCT, LinkedCellCluster, QuietWindow
-from otterrudder.lab.processes.policy_texts import policy_text
+from otterrudder.lab.processes.policies import policy_text
 from otterrudder.lab.processes.round_runner import (
     SECOND_CHANGE,
     UNKNOWN_PRODUCT,
@@ -202,7 +202,7 @@
         start = clock()
         for fault in round_.faults:
             await injector.inject(fault)
-        await anyio.sleep(round_.hold_s)
+        await anyio.sleep(round_.fault_duration_s)
         await injector.recover()
         not_serving = await self.cluster.wait_quiescent()
         self.cluster.quiet_windows.append(QuietWindow(start, clock(), str(round_.faults[0])))
@@ -223,13 +223,13 @@
             await injector.inject(fault)
         is_held = any(_needs_open_change(fault) for fault in round_.faults)
         if is_held:
-            await cluster.store.hold_change_end(True)
+            await cluster.store.suspend_change_end(True)
         proposers += self._propose(round_)
         for fault in round_.faults:
             await injector.inject_while_open(fault, proposers[0], is_held)
         if is_held:
-            await cluster.store.hold_change_end(False)
-        await anyio.sleep(round_.hold_s)
+            await cluster.store.suspend_change_end(False)
+        await anyio.sleep(round_.fault_duration_s)
         await injector.recover()
         if "proposer killed" in round_.kinds:
             _kill_all(proposers)
--- a/otterrudder/lab/processes/cluster.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -41,8 +41,8 @@
 from otterrudder.lab.processes.launch import ROOT, child_environment
 from otterrudder.lab.processes.link import DatagramLink, Link, free_port
 from otterrudder.lab.processes.operators import OperatorCommands
+from otterrudder.lab.processes.policies import levels_text
 from otterrudder.lab.processes.policy_observer import PolicyObserver
-from otterrudder.lab.processes.policy_texts import levels_text
 from otterrudder.lab.processes.server_process import (
     LOG_FILE,
     STATE_DIRECTORY,
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -272,4 +272,4 @@
 
 def _without(round_: Round, fault: Fault) -> Round:
     faults = tuple(other for other in round_.faults if other is not fault)
-    return Round(round_.number, round_.rejected_product, faults, round_.hold_s)
+    return Round(round_.number, round_.rejected_product, faults, round_.fault_duration_s)
--- a/otterrudder/lab/processes/fault_injector.py
+++ b/otterrudder/lab/processes/fault_injector.py
@@ -131,8 +131,8 @@
         """Ends all faults: what was killed starts, what was frozen goes on, links work."""
         cluster = self.cluster
         if not cluster.options.with_fleet:
-            await anyio.sleep(round_.hold_s)
-        since = clock() - (round_.hold_s + FAILPOINT_TIMEOUT_S) * 1000
+            await anyio.sleep(round_.fault_duration_s)
+        since = clock() - (round_.fault_duration_s + FAILPOINT_TIMEOUT_S) * 1000
         await cluster.disarm_failpoints(since)
         if round_.kinds & set(STORE_DOWN_FAULTS) and cluster.options.with_fleet:
             await cluster.store.restart()
@@ -207,7 +207,7 @@
             return False
         failpoints.arm(failpoints.for_proposers, point)
         proposer.send_signal(signal.SIGCONT)
-        await cluster.store.hold_change_end(False)
+        await cluster.store.suspend_change_end(False)
     failpoint = ArmedFailpoint(failpoints.for_proposers, point)
     return await failpoints.wait_stopped(failpoint, FAILPOINT_TIMEOUT_S) > 0
 
--- a/otterrudder/lab/processes/fault_schedule.py
+++ b/otterrudder/lab/processes/fault_schedule.py
@@ -25,7 +25,7 @@
 )
 
 FAULT_COUNTS = (1, 1, 2, 3)  # of a round, drawn from these
-HOLD_S = (0.4, 2.8)  # that the faults of a round last
+FAULT_DURATION_S = (0.4, 2.8)  # that the faults of a round last
 # A change comes about, as far as its commit, with these as without them.
 HARMLESS_PREFIXES = ("gateway", "runtime", "list", "watches", "name", "store slow")
 
@@ -37,7 +37,7 @@
 
 
 class _FaultSchedule:
-    """A shuffled deck of all faults, dealt round by round."""
+    """A shuffled deck of all faults, drawn round by round."""
 
     def __init__(self, seed: int, servers: int) -> None:
         self.random = random.Random(f"plan/{seed}")
@@ -46,19 +46,19 @@
 
     def next_round(self, number: int, is_baseline: bool) -> Round:
         """Deals the faults of a round."""
-        faults = self._deal()
+        faults = self._draw_faults()
         if is_baseline:
             faults = [
                 Fault(BASELINE_FAULTS[fault.kind], fault.server)
                 for fault in faults
                 if fault.kind in BASELINE_FAULTS
             ]
-        hold_s = self.random.uniform(*HOLD_S)
-        return Round(number, PRODUCTS[number % len(PRODUCTS)], tuple(faults), hold_s)
+        fault_duration_s = self.random.uniform(*FAULT_DURATION_S)
+        return Round(number, PRODUCTS[number % len(PRODUCTS)], tuple(faults), fault_duration_s)
 
-    def _deal(self) -> list[Fault]:
-        """What does not go together with the others of the round is put back, to be dealt later."""
-        dealt: list[Fault] = []
+    def _draw_faults(self) -> list[Fault]:
+        """What does not go together with the others of the round is put back, to be drawn later."""
+        drawn: list[Fault] = []
         put_back: list[tuple[str, str]] = []
         for _ in range(self.random.choice(FAULT_COUNTS)):
             if not self.deck:
@@ -68,12 +68,12 @@
             is_of_server = kind in SERVER_FAULTS + POINT_FAULTS
             server = self.random.randrange(self.servers) if is_of_server else NO_SERVER
             fault = Fault(kind, server, point)
-            if _are_compatible([*dealt, fault]):
-                dealt.append(fault)
+            if _are_compatible([*drawn, fault]):
+                drawn.append(fault)
             else:
                 put_back.append((kind, point))
         self.deck[:0] = put_back
-        return dealt
+        return drawn
 
 
 def _are_compatible(faults: list[Fault]) -> bool:
--- a/otterrudder/lab/processes/faults.py
+++ b/otterrudder/lab/processes/faults.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault by its name, and whom it is dealt to."""
+    """A fault by its name, and whom it is drawn to."""
 
     kind: str
     server: int = NO_SERVER  # else it is the store's, or the change's
@@ -21,7 +21,7 @@
 
     @property
     def is_of_server(self) -> bool:
-        """Whether it is dealt to a server."""
+        """Whether it is drawn to a server."""
         return self.server >= 0
 
     def __str__(self) -> str:
@@ -36,7 +36,7 @@
     number: int
     rejected_product: str  # by the policy that is proposed
     faults: tuple[Fault, ...]
-    hold_s: float  # that the faults last
+    fault_duration_s: float  # that the faults last
 
     @property
     def kinds(self) -> set[str]:
@@ -52,31 +52,31 @@
 
 
 CUT = LinkFault(is_cut=True)
-HELD_FORWARD = LinkFault(holds_forward=True)
-HELD_BACKWARD = LinkFault(holds_backward=True)
+BLOCKED_FORWARD = LinkFault(blocks_forward=True)
+BLOCKED_BACKWARD = LinkFault(blocks_backward=True)
 
 LINK_FAULTS = {
     "cut": BrokenLink("store", CUT),
-    "one way there": BrokenLink("store", HELD_FORWARD),
-    "one way back": BrokenLink("store", HELD_BACKWARD),
+    "one way there": BrokenLink("store", BLOCKED_FORWARD),
+    "one way back": BrokenLink("store", BLOCKED_BACKWARD),
     "slow link": BrokenLink("store", LinkFault(delay_ms=150.0)),
     "slow reader": BrokenLink("store", LinkFault(read_bytes_per_s=4000.0)),
     "half a message": BrokenLink("store", LinkFault(reset_after_bytes=700)),
     "gateway cut": BrokenLink("gateway", CUT),
-    "gateway one way there": BrokenLink("gateway", HELD_FORWARD),
-    "gateway one way back": BrokenLink("gateway", HELD_BACKWARD),
+    "gateway one way there": BrokenLink("gateway", BLOCKED_FORWARD),
+    "gateway one way back": BrokenLink("gateway", BLOCKED_BACKWARD),
     "gateway slow": BrokenLink("gateway", LinkFault(delay_ms=150.0)),
     "gateway half a message": BrokenLink("gateway", LinkFault(reset_after_bytes=3000)),
     "runtime cut": BrokenLink("runtime", CUT),
-    "runtime one way there": BrokenLink("runtime", HELD_FORWARD),
-    "runtime one way back": BrokenLink("runtime", HELD_BACKWARD),
+    "runtime one way there": BrokenLink("runtime", BLOCKED_FORWARD),
+    "runtime one way back": BrokenLink("runtime", BLOCKED_BACKWARD),
     "runtime slow": BrokenLink("runtime", LinkFault(delay_ms=60.0)),
     "runtime half a message": BrokenLink("runtime", LinkFault(reset_after_bytes=700)),
     "list cut": BrokenLink(DISCOVERY, CUT),
     "list loses": BrokenLink(DISCOVERY, LinkFault(loss=0.5, delay_ms=100.0)),
     "network gone": BrokenLink(NETWORK, CUT),
 }
-CUT_AFTER_VOTE = BrokenLink("store", HELD_BACKWARD)
+CUT_AFTER_VOTE = BrokenLink("store", BLOCKED_BACKWARD)
 
 # Failpoints of a server.
 LEADER_POINTS = ("before lead", "after lead")  # who comes forward for the leadership is not known before
--- a/otterrudder/lab/processes/link.py
+++ b/otterrudder/lab/processes/link.py
@@ -40,8 +40,8 @@
     """What is wrong with a link. "Forward" is from the end that connects."""
 
     is_cut: bool = False
-    holds_forward: bool = False
-    holds_backward: bool = False
+    blocks_forward: bool = False
+    blocks_backward: bool = False
     delay_ms: float = 0.0
     reset_after_bytes: int = 0  # from the far end: a connection is reset then, amid a message; 0: never
     read_bytes_per_s: float = 0.0  # that the near end reads; 0: no limit
@@ -157,7 +157,7 @@
         """Waits for the delay, and as long as this way is held."""
         if self.fault.delay_ms:
             await anyio.sleep(self.fault.delay_ms / 1000)
-        while self.fault.holds_forward if is_forward else self.fault.holds_backward:
+        while self.fault.blocks_forward if is_forward else self.fault.blocks_backward:
             await self._fault_changed.wait()
 
 
--- a/otterrudder/lab/processes/operators.py
+++ b/otterrudder/lab/processes/operators.py
@@ -10,8 +10,8 @@
 from otterrudder.fleet.records import digest_of
 from otterrudder.lab.processes.event_log import EventLog
 from otterrudder.lab.processes.launch import ROOT, child_environment
+from otterrudder.lab.processes.policies import policy_text
 from otterrudder.lab.processes.policy_observer import PolicyObserver
-from otterrudder.lab.processes.policy_texts import policy_text
 from otterrudder.lab.processes.server_process import ServerProcess
 
 AUTHOR = "rig"
--- a/otterrudder/lab/processes/round_runner.py
+++ b/otterrudder/lab/processes/round_runner.py
@@ -24,7 +24,7 @@
     Round,
 )
 from otterrudder.lab.processes.history_checker import CheckResult, check_history
-from otterrudder.lab.processes.policy_texts import policy_text
+from otterrudder.lab.processes.policies import policy_text
 from otterrudder.lab.processes.server_process import ServerProcess
 from otterrudder.lab.processes.waiting import wait_until
 
@@ -180,7 +180,7 @@
         store = self.cluster.store
         is_held = not round_.kinds & set(NO_VOTES_FAULTS) and any(map(_needs_open_change, round_.faults))
         if is_held:
-            await store.hold_change_end(True)
+            await store.suspend_change_end(True)
         since = clock()
         proposer = self._propose(round_)
         for fault in round_.faults:
@@ -195,8 +195,8 @@
         if proposer_fault:
             await self._stop_proposer(proposer_fault, proposer, missed)
         if is_held:
-            await store.hold_change_end(False)
-        await anyio.sleep(round_.hold_s)
+            await store.suspend_change_end(False)
+        await anyio.sleep(round_.fault_duration_s)
         if proposer_fault:
             _end_proposer(proposer_fault, proposer)
         return proposer
--- a/otterrudder/lab/processes/store_process.py
+++ b/otterrudder/lab/processes/store_process.py
@@ -86,7 +86,7 @@
         assert self.process
         return msgspec.json.decode(await self._send(self.process, {"report": ""}), type=StoreReport)
 
-    async def hold_change_end(self, is_held: bool) -> None:
+    async def suspend_change_end(self, is_held: bool) -> None:
         """While held no change ends: the commits that would end one are not carried out."""
         await self.inject(hold_delete=self.keys.change if is_held else "")
 
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -20,7 +20,7 @@
 from otterrudder.lab.processes.counters import StoreReport
 from otterrudder.lab.processes.fake_settings import SETTINGS
 from otterrudder.lab.processes.link import free_port
-from otterrudder.lab.processes.policy_texts import levels_text
+from otterrudder.lab.processes.policies import levels_text
 from otterrudder.lab.scale.hollow import Counted, Switched
 from otterrudder.lab.scale.processes.children import Child, running
 from otterrudder.lab.scale.processes.tcp import Connections, connections_to
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -108,7 +108,7 @@
     """The present stay on a level."""
 
     since: float | None = None  # None until the first step: the clock is not known before
-    calm_since: float | None = None
+    below_exit_since: float | None = None
     trial_since: float | None = None
     factor: float = 1.0
 
@@ -182,7 +182,7 @@
         if self._stay.since is None:
             self._stay.since = now
         self._windows.add(now, facts)
-        self._update_calm(now)
+        self._update_below_exit(now)
         if readings := self._entry_readings(now):
             return self._change_to(self.position + 1, now, Reason.ENTRY, readings)
         if not self.position:
@@ -202,15 +202,15 @@
         previous = self.name
         previous_service = self.service_level
         names = [level.name for level in levels]
-        is_kept = previous in names
-        self.position = names.index(previous) + 1 if is_kept else min(self.position, len(levels))
+        is_retained = previous in names
+        self.position = names.index(previous) + 1 if is_retained else min(self.position, len(levels))
         self._history = {name: self._history.get(name, _History()) for name in names}
         self._windows = FactWindows.of_levels(levels)
         self.levels = levels
         self.damping = damping
-        self._stay.calm_since = None
+        self._stay.below_exit_since = None
         self._stay.trial_since = None
-        if not is_kept:
+        if not is_retained:
             self._stay.since = now
             self._stay.factor = self._stay_factor(self.name)
         if self.service_level == previous_service:
@@ -244,24 +244,24 @@
             return self._level.min_stay_ms
         return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
 
-    def _update_calm(self, now: float) -> None:
+    def _update_below_exit(self, now: float) -> None:
         """Notes since when the whole exit window has been calm, with and without the demand."""
         stay = self._stay
         if not self.position or self.time_in_level(now) < self._level.exit_ms:
-            stay.calm_since = None
+            stay.below_exit_since = None
             stay.trial_since = None
             return
-        exceeded = [threshold for threshold in self._level.exit if not self._is_calm(threshold, now)]
+        exceeded = [threshold for threshold in self._level.exit if not self._is_below_exit(threshold, now)]
         if exceeded:
-            stay.calm_since = None
-        elif stay.calm_since is None:
-            stay.calm_since = now
+            stay.below_exit_since = None
+        elif stay.below_exit_since is None:
+            stay.below_exit_since = now
         if any(threshold.fact not in DEMAND_FACTS for threshold in exceeded):
             stay.trial_since = None
         elif stay.trial_since is None:
             stay.trial_since = now
 
-    def _is_calm(self, threshold: Threshold, now: float) -> bool:
+    def _is_below_exit(self, threshold: Threshold, now: float) -> bool:
         """Whether the window's mean is within the exit threshold and no bucket reached the entry's."""
         window = self._windows.get(threshold.fact, self._level.exit_ms)
         if not window.is_full(now) or window.mean() > threshold.value:
@@ -270,7 +270,7 @@
         return not entries or window.max_bucket_mean() < min(entries)
 
     def _exit_readings(self, now: float) -> tuple[Reading, ...]:
-        if not self._may_leave(now, self._stay.calm_since, self._level.min_stay_ms):
+        if not self._may_leave(now, self._stay.below_exit_since, self._level.min_stay_ms):
             return ()
         return self._readings(self._level.exit)
 
@@ -281,11 +281,11 @@
             threshold for threshold in self._level.exit if threshold.fact not in DEMAND_FACTS
         )
 
-    def _may_leave(self, now: float, calm_since: float | None, stay_ms: float) -> bool:
-        """Whether the damped calm period and the damped minimum stay have passed."""
+    def _may_leave(self, now: float, below_exit_since: float | None, stay_ms: float) -> bool:
+        """Whether the damped exit window and the damped minimum stay have passed."""
         factor = self._stay.factor
-        extra_calm_ms = (factor - 1.0) * self._level.exit_ms  # one window was already calm at `calm_since`
-        if calm_since is None or now - calm_since < extra_calm_ms:
+        extra_window_ms = (factor - 1.0) * self._level.exit_ms  # one window has already passed
+        if below_exit_since is None or now - below_exit_since < extra_window_ms:
             return False
         return self.time_in_level(now) >= max(stay_ms, self._level.min_stay_ms) * factor
 
@@ -314,8 +314,8 @@
         """Counts an early return to a level; a late one forgets a return for each `forget_ms`."""
         if history.left_at is None:
             return
-        spans_away = int((now - history.left_at) / self.damping.forget_ms)
-        history.returns = max(history.returns - spans_away, 0) if spans_away else history.returns + 1
+        spans_since = int((now - history.left_at) / self.damping.forget_ms)
+        history.returns = max(history.returns - spans_since, 0) if spans_since else history.returns + 1
 
     def _stay_factor(self, name: str) -> float:
         """The factor on stay and calm of a level: its damping and this instance's spread."""
--- a/otterrudder/vrrp/admission_gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -140,9 +140,9 @@
         """Counts an early return to mastership and starts its hold-down; a late one forgets returns."""
         if self._left_at is None:
             return
-        away_ms = now - self._left_at
-        if away_ms >= self.hold_down.forget_ms:
-            self.returns = max(self.returns - int(away_ms / self.hold_down.forget_ms), 0)
+        absence_ms = now - self._left_at
+        if absence_ms >= self.hold_down.forget_ms:
+            self.returns = max(self.returns - int(absence_ms / self.hold_down.forget_ms), 0)
             return
         self.returns += 1
         span_ms = self.hold_down.first_ms * 2.0 ** min(self.returns - 1, MAX_DOUBLINGS)
--- a/otterrudder/vrrp/state_machine.py
+++ b/otterrudder/vrrp/state_machine.py
@@ -159,9 +159,9 @@
     def _handle_as_backup(self, now: float, priority: int, interval_ms: float) -> list[Action]:
         if priority == STOP_PRIORITY:
             return [self._set_timer(now + self.skew_time)]
-        is_at_least_equal = priority >= self.priority
-        if is_at_least_equal or not self.preempts or self._delays_preemption(now):
-            if is_at_least_equal:
+        is_not_lower = priority >= self.priority
+        if is_not_lower or not self.preempts or self._delays_preemption(now):
+            if is_not_lower:
                 self.preempt_delay_until = None
             self.interval = interval_ms
             return [self._set_timer(now + self.master_down_interval)]
--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -70,8 +70,8 @@
 def test_a_plan_is_its_seed_s_and_deals_all_faults() -> None:
     plan = draw(3, CELLS, 12, 30, "wait")
     assert plan == draw(3, CELLS, 12, 30, "wait") != draw(4, CELLS, 12, 30, "wait")
-    dealt = {(f.kind, f.role, f.point) for this in draw(3, CELLS, 12, 150, "wait") for f in this.faults}
-    assert set(DECK) <= dealt
+    drawn = {(f.kind, f.role, f.point) for this in draw(3, CELLS, 12, 150, "wait") for f in this.faults}
+    assert set(DECK) <= drawn
     left_out = draw(3, CELLS, 12, 150, "leave-out")
     assert not any("consent" in fault.point for this in left_out for fault in this.faults)
     assert all(len(this.faults) == 1 for this in plan if this.is_quiet)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -220,8 +220,8 @@
 def test_a_plan_is_its_seed_s_and_is_cut_down_to_what_breaks() -> None:
     plan = draw(5, 12, 20)
     assert plan == draw(5, 12, 20) != draw(6, 12, 20)
-    dealt = {(fault.kind, fault.point) for this in draw(5, 12, 60) for fault in this.faults}
-    assert dealt == set(DECK)  # all of them once at the least
+    drawn = {(fault.kind, fault.point) for this in draw(5, 12, 60) for fault in this.faults}
+    assert drawn == set(DECK)  # all of them once at the least
     wanted = plan[7].faults[0]
     fewest = shrink(lambda rounds: any(wanted in this.faults for this in rounds), plan)
     assert [this.faults for this in fewest] == [(wanted,)]
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -241,9 +241,9 @@
             agent = cells.server("s", lambda text: "")
             async with running(agent):
                 for fault in (
-                    LinkFault(holds_backward=True),
+                    LinkFault(blocks_backward=True),
                     LinkFault(delay_ms=900.0),
-                    LinkFault(holds_forward=True),
+                    LinkFault(blocks_forward=True),
                 ):
                     for link in links:
                         link.set_fault(fault)
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -37,7 +37,7 @@
     return top + "".join(LEVEL.format(name=f"l{n}", entry=0.2 * n, cut=cut) for n, cut in enumerate(cuts, 1))
 
 
-def test_the_example_is_good_and_says_what_it_cuts() -> None:
+def test_the_example_is_valid_and_has_its_restrictions() -> None:
     parsed = read_table(ROOT / "deploy/levels.toml", PRODUCTS, TENANTS)
     names = [level.name for level in parsed.levels]
     assert names == ["checks-when-free", "lookups-when-free", "submits-only"]
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("mode", ["enforce", "shadow"])
-def test_the_core_tells_the_module_and_the_log_and_a_drain_freezes_the_ladder(mode: str) -> None:
+def test_the_core_sets_levels_and_logs_them_and_a_drain_freezes_the_selector(mode: str) -> None:
     text = table(SHARE, NONE, top=f'version = 1\nmode = "{mode}"\n')
     module = Module()
     core = RequestCore(
@@ -193,7 +193,7 @@
     )
 
 
-def test_the_commands_say_what_a_table_does(tmp_path: Path) -> None:
+def test_the_commands_describe_a_table(tmp_path: Path) -> None:
     file, facts = tmp_path / "t.toml", tmp_path / "facts.csv"
     file.write_text(table(SHARE, NONE))
     assert "good: 2 levels, enforced" in cli("check", str(file)).stdout
--- a/tests/vrrp/test_decisions.py
+++ b/tests/vrrp/test_decisions.py
@@ -164,7 +164,7 @@
     )
 
 
-def test_a_key_file_is_private_and_its_secrets_are_never_told(tmp_path: Path) -> None:
+def test_a_key_file_is_private_and_its_secrets_are_never_shown(tmp_path: Path) -> None:
     file = tmp_path / "keys.toml"
     file.write_text(f'signs = 1\n[[key]]\nnumber = 1\nsecret = "{SECRET.hex()}"\n')
     os.chmod(file, 0o640)
@@ -185,7 +185,7 @@
     return StateMachine(address, priority, 1000.0, **more)
 
 
-def test_a_backup_takes_over_when_the_master_is_silent_and_sooner_when_it_says_so() -> None:
+def test_a_backup_takes_over_when_the_master_is_silent_and_sooner_when_it_resigns() -> None:
     m = machine()
     became, timer = m.start(0.0)
     assert (
@@ -205,7 +205,7 @@
     assert [type(a) for a in m.shutdown(900.0)] == [Timer, StateChange] and m.start(901.0)
 
 
-def test_an_owner_starts_as_master_and_says_when_it_goes() -> None:
+def test_an_owner_starts_as_master_and_resigns_at_shutdown() -> None:
     m = machine(255)
     assert [type(a) for a in m.start(0.0)] == [StateChange, SendAdvertisement, Timer]
     assert m.shutdown(5.0)[0] == SendAdvertisement(0)
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -166,7 +166,7 @@
     assert control.socket_path("n3").stat().st_mode & 0o777 == 0o600
 
 
-def test_sigterm_says_priority_0_first_and_drains(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
+def test_sigterm_sends_priority_0_first_and_drains(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
     server, peer = pair
     runtime, gateway = server.connect_all()
     opens(server, runtime, 1)
