--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -245,14 +245,14 @@
     """Plays the part on processes; whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
-        from otterrudder.lab.scale.processes.bench import NotInTime
+        from otterrudder.lab.scale.processes.bench import NotInTimeError
     except ModuleNotFoundError as error:
         _give_up_without_fleet_extra(error)
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTime) as error:
+    except (BadInput, NotInTimeError) as error:
         give_up(error)
-    except command.Interrupted:
+    except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
     return report.holds
 
@@ -349,9 +349,11 @@
     lines = [f"{results['title']} (simulated: {results['model']}), otterrudder {results['otterrudder']}"]
     for claim in results["claims"]:
         lines.append(f"{'holds' if claim['holds'] else 'FAILS'}  {claim['text']}")
-        for group in claim["groups"]:
-            if not group["holds"] or len(claim["groups"]) == 1:
-                lines.append(f"         {group['name']}: {group['mean']:.3f} ± {group['half']:.3f}")
+        lines += [
+            f"         {group['name']}: {group['mean']:.3f} ± {group['half']:.3f}"
+            for group in claim["groups"]
+            if not group["holds"] or len(claim["groups"]) == 1
+        ]
     lines += [f"BROKEN {violation}" for violation in results["broken"]]
     return lines
 
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -182,8 +182,10 @@
     ]
     service = level.service_level
     for request_class, restrictions in zip(request_classes, service.restrictions, strict=True):
-        for restriction in restrictions:
-            lines.append(f"   {request_class.name}: {_restriction_text(restriction, tenants)}")
+        lines += [
+            f"   {request_class.name}: {_restriction_text(restriction, tenants)}"
+            for restriction in restrictions
+        ]
     queued = "is answered at once" if service.rejects_queued else "is kept and runs"
     retry = "asked to stay away" if service.sends_retry_after else "not asked to stay away"
     lines.append(f"   what is held when it starts {queued}; callers are {retry}")
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -286,7 +286,7 @@
             return snapshot
         with contextlib.suppress(QueueRejectedError):
             await store.commit(withdraw_queued(snapshot, change_id))
-    exit_with(UNDECIDED, "it waits still")
+    return exit_with(UNDECIDED, "it waits still")
 
 
 def _has_ended_unopened(snapshot: FleetSnapshot, change_id: str) -> bool:
@@ -343,7 +343,5 @@
     """Tables of a policy that name products and tenants: the cuts of its levels, and its own keys."""
     levels = tables_in(values.get("levels"), "level")
     tables = [cut for level in levels for cut in tables_in(level, "cut")]
-    for key in ("products", "tenants"):
-        if isinstance(values.get(key), dict):
-            tables.append({key: list(values[key])})
-    return tables
+    own_keys = [key for key in ("products", "tenants") if isinstance(values.get(key), dict)]
+    return tables + [{key: list(values[key])} for key in own_keys]
--- a/otterrudder/lab/processes/launch.py
+++ b/otterrudder/lab/processes/launch.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from otterrudder.configuration import CONFIGURATION_VARIABLE
-from otterrudder.fleet.failpoints import NAMED as FAILPOINTS_VARIABLE
+from otterrudder.fleet.failpoints import ENVIRONMENT_VARIABLE as FAILPOINTS_VARIABLE
 
 ROOT = Path(__file__).parents[3]
 
--- a/otterrudder/lab/processes/round_runner.py
+++ b/otterrudder/lab/processes/round_runner.py
@@ -188,9 +188,11 @@
                 if not await self._wait_vote(fault, is_held):
                     missed.append(fault)
                 await self.injector.inject_after_vote(fault)
-        for fault in round_.faults:
-            if fault.kind in POINT_FAULTS and not await self.injector.inject_at_failpoint(fault, since):
-                missed.append(fault)
+        missed += [
+            fault
+            for fault in round_.faults
+            if fault.kind in POINT_FAULTS and not await self.injector.inject_at_failpoint(fault, since)
+        ]
         proposer_fault = next((fault for fault in round_.faults if fault.kind in PROPOSER_FAULTS), None)
         if proposer_fault:
             await self._stop_proposer(proposer_fault, proposer, missed)
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -5,12 +5,12 @@
 
 import anyio
 
-from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.configuration import RelayRole
 from otterrudder.fleet.cell.descriptors import check_descriptors
 from otterrudder.fleet.cell.service import RelayService
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet
+from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.log import log
 from otterrudder.net import control
 
--- a/tests/levels/test_selector.py
+++ b/tests/levels/test_selector.py
@@ -142,9 +142,10 @@
 
 
 def test_a_fleet_does_not_leave_in_step() -> None:
-    left = []
-    for spread in (0.0, 0.3, 0.6, 0.9):
-        left.append(play(selector(1, spread=spread), [(4000.0, OVERLOAD), (40_000.0, LOW_LOAD)])[-1].at)
+    left = [
+        play(selector(1, spread=spread), [(4000.0, OVERLOAD), (40_000.0, LOW_LOAD)])[-1].at
+        for spread in (0.0, 0.3, 0.6, 0.9)
+    ]
     assert len(set(left)) == 4 and max(left) - min(left) > 500.0
 
 
