--- a/otterrudder/fleet/__init__.py
+++ b/otterrudder/fleet/__init__.py
@@ -1,7 +1,8 @@
-"""A fleet of servers that agree: who is of it, and which policy is in force, by way of a store that exists.
+"""A fleet of servers that agree on who is of it and which policy is in force, by way of a store that exists.
 
 `store` is the port to the engine, `records` what is kept there, `member` one server's part, `change` a change
-of policy from its proposal to its end; all pure but the port. Off where no file of a fleet is named."""
+of policy from its proposal to its end, `queue` the changes that wait; all pure but the port. `agent` runs a
+member in a server, by its `executor`. Off where no fleet file is named."""
 
 from otterrudder.fleet.change import (
     ChangeCoordinator,
--- a/otterrudder/fleet/commits.py
+++ b/otterrudder/fleet/commits.py
@@ -1,6 +1,6 @@
-"""The commits that a member sends: its registration, its vote, what it tells of itself. Pure.
+"""The commits that a member sends: its registration, its vote, its status. Pure.
 
-Each compares what makes it void if it arrives late: a registration that no live key is there, a vote the
+Each compares what makes it void if it arrives late: a registration, that no status key is there; a vote, the
 creation of the change and of the member's registration."""
 
 from otterrudder.fleet.effects import Commit, Lane
@@ -12,7 +12,7 @@
 def register(
     keys: Keys, name: str, status: MemberStatus, roster: RosterEntry, observed: ObservedState, lease: int
 ) -> Commit:
-    """Makes the live key, which hangs on `lease`, and the roster's entry if it is not there as it should
+    """Makes the status key, which depends on `lease`, and the roster's entry if it is not there as it should
     be."""
     compares = (
         Compare(keys.status(name), "created", 0),
@@ -20,8 +20,8 @@
     )
     writes = [
         Put(keys.status(name), encode(status), lease),
-        # Who has counted the votes without this member has to count anew. The change itself is not touched:
-        # it is watched by all, and a zone that comes back would have all read for each.
+        # Whoever has counted the votes without this member has to count anew. The change itself is not
+        # touched: all members watch it, and a zone that comes back would have all read for each.
         Put(keys.joined, name.encode()),
     ]
     if observed.roster != roster:
@@ -30,7 +30,7 @@
 
 
 def vote(keys: Keys, name: str, change: OpenChange, registered: int, ballot: Vote) -> Commit:
-    """`registered`: the revision that made the live key of the life that votes."""
+    """`registered`: the revision that made the status key of the process that votes."""
     compares = (
         Compare(keys.change, "created", change.created),
         Compare(keys.status(name), "created", registered),
@@ -40,6 +40,7 @@
 
 
 def report_status(keys: Keys, name: str, status: MemberStatus, registered: int, lease: int) -> Commit:
+    """Writes the status of the process that made its key at the revision `registered`."""
     key = keys.status(name)
     compares = (Compare(key, "created", registered),)
     return Commit("tell", compares, (Put(key, encode(status), lease),), Lane.REPORT_STATUS)
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -1,11 +1,11 @@
 """A policy: one TOML text, the same for all servers, parsed whole and checked by each against its own
 configuration. Form: the commented deploy/policy.toml.
 
-A key that this program does not know is an error that names it: a server with an older program says no to a
-change, it does not pass over what it can't enforce."""
+A key that this program does not know is an error that names it: a server with an older program rejects a
+change, it does not ignore what it can't enforce."""
 
 import tomllib
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, replace
 from typing import Any
 
@@ -23,16 +23,16 @@
     """What is wrong with a policy, in one line that names the key."""
 
 
-EMPTY_POLICY = f"version = {VERSION}"  # says nothing: all is as each server's configuration has it
-VALUE_MOST = 1e9  # of a product; a larger one is a slip
-STAY_AWAY_MOST_MS = 3_600_000.0
-CALLS_MOST = 1e6  # calls in hand at a service below, in the mean, of the whole fleet
-PER_S_MOST = 1e7  # requests a second of a tenant, in the whole fleet
+EMPTY_POLICY = f"version = {VERSION}"  # sets nothing: all is as each server's configuration has it
+MAX_VALUE = 1e9  # of a product; a larger one is a mistake
+MAX_RETRY_AFTER_MS = 3_600_000.0
+MAX_CALLS = 1e6  # calls under way at the downstream service, in the mean, of the whole fleet
+MAX_PER_S = 1e7  # requests a second of a tenant, in the whole fleet
 
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What a policy says, ready for a server; what it does not name is as in the server's configuration."""
+    """A parsed policy, ready for a server; what it does not name is as in the server's configuration."""
 
     levels: LevelTable | None
     products: list[RequestClass]
@@ -43,7 +43,7 @@
 @dataclass(frozen=True, slots=True)
 class LocalConfiguration:
     """What a server's own configuration says, against which a policy is checked. `limits`: None where it is
-    not known; `servers`: of the fleet; `shares_below`: what lies below is one service for all servers."""
+    not known; `servers`: of the fleet; `shares_below`: the downstream service is one for all servers."""
 
     products: Sequence[RequestClass]
     tenants: Sequence[Tenant]
@@ -63,98 +63,104 @@
     )
 
 
-class _Product(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class _RequestClassTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     value: float | None = None
     late_value: float | None = None
 
 
-class _Tenant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class _TenantTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     per_s: float
 
 
-class _Limits(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    stay_away_ms: float | None = None
+class _LimitsTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+    max_retry_after_ms: float | None = msgspec.field(default=None, name="stay_away_ms")
     over_share_value: float | None = None
 
 
-class _Budgets(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class _BudgetsTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     calls: float | None = None
 
 
-class _Policy(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class _PolicyTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     version: int
     levels: dict[str, Any] | None = None
-    products: dict[str, _Product] = {}
-    tenants: dict[str, _Tenant] = {}
-    limits: _Limits = _Limits()
-    budgets: _Budgets = _Budgets()
+    products: dict[str, _RequestClassTable] = {}
+    tenants: dict[str, _TenantTable] = {}
+    limits: _LimitsTable = _LimitsTable()
+    budgets: _BudgetsTable = _BudgetsTable()
 
 
 def parse(text: str, own: LocalConfiguration) -> Content:
     """InvalidPolicyError says what is wrong, by the key."""
-    products, tenants = own.products, own.tenants
     try:
-        whole = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as why:
-        raise InvalidPolicyError(f"not TOML: {why}") from None
-    told: _Policy = convert(whole, _Policy, "policy", InvalidPolicyError)
-    if told.version != VERSION:
-        raise InvalidPolicyError(f"version: this program reads {VERSION}, not {told.version}")
-    valued = [_valued(product, told.products.get(product.name)) for product in products]
-    for name in told.products.keys() - {product.name for product in products}:
-        raise InvalidPolicyError(f"products.{name}: no product is named so")
-    shared = [_shared(tenant, told.tenants.get(tenant.name), own.servers) for tenant in tenants]
-    for name in told.tenants.keys() - {tenant.name for tenant in tenants}:
-        raise InvalidPolicyError(f"tenants.{name}: no tenant is named so")
+        document = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as error:
+        raise InvalidPolicyError(f"not TOML: {error}") from None
+    table: _PolicyTable = convert(document, _PolicyTable, "policy", InvalidPolicyError)
+    if table.version != VERSION:
+        raise InvalidPolicyError(f"version: this program reads {VERSION}, not {table.version}")
+    request_classes = [_request_class(one, table.products.get(one.name)) for one in own.products]
+    _check_names("products", table.products, [one.name for one in own.products])
+    tenants = [_tenant(one, table.tenants.get(one.name), own.servers) for one in own.tenants]
+    _check_names("tenants", table.tenants, [one.name for one in own.tenants])
     try:
-        levels = None if told.levels is None else build_table(told.levels, products, tenants)
-    except LevelTableError as trouble:
-        raise InvalidPolicyError(f"levels.{trouble}") from None
-    return Content(levels, valued, shared, _limited(told, own))
+        levels = None if table.levels is None else build_table(table.levels, own.products, own.tenants)
+    except LevelTableError as error:
+        raise InvalidPolicyError(f"levels.{error}") from None
+    return Content(levels, request_classes, tenants, _limits(table, own))
 
 
-def _valued(product: RequestClass, told: _Product | None) -> RequestClass:
-    if told and told.value is not None:
-        product = replace(
-            product, priority_weight=_within(told.value, VALUE_MOST, f"products.{product.name}.value")
-        )
-    if told and told.late_value is not None:
-        late_value = _within(told.late_value, 1.0, f"products.{product.name}.late_value")
-        product = replace(product, late_weight_factor=late_value)
-    return product
+def _check_names(key: str, table: Mapping[str, object], known: Sequence[str]) -> None:
+    for name in table.keys() - set(known):
+        raise InvalidPolicyError(f"{key}.{name}: no {key.removesuffix('s')} is named so")
+
+
+def _request_class(request_class: RequestClass, table: _RequestClassTable | None) -> RequestClass:
+    """With the values that the policy sets."""
+    key = f"products.{request_class.name}"
+    if table and table.value is not None:
+        weight = _within(table.value, MAX_VALUE, f"{key}.value")
+        request_class = replace(request_class, priority_weight=weight)
+    if table and table.late_value is not None:
+        late_value = _within(table.late_value, 1.0, f"{key}.late_value")
+        request_class = replace(request_class, late_weight_factor=late_value)
+    return request_class
 
 
-def _shared(tenant: Tenant, told: _Tenant | None, servers: int) -> Tenant:
+def _tenant(tenant: Tenant, table: _TenantTable | None, servers: int) -> Tenant:
     """A tenant's requests a second are the fleet's; each server holds it to an even part."""
-    if told is None:
+    if table is None:
         return tenant
-    per_s = _within(told.per_s, PER_S_MOST, f"tenants.{tenant.name}.per_s")
+    per_s = _within(table.per_s, MAX_PER_S, f"tenants.{tenant.name}.per_s")
     return replace(tenant, quota_per_ms=per_s / 1000 / servers)
 
 
-def _limited(told: _Policy, own: LocalConfiguration) -> Limits:
+def _limits(table: _PolicyTable, own: LocalConfiguration) -> Limits:
     """Limits are one server's, budgets the fleet's: each server has an even part."""
-    limits = own.limits or Limits(max_retry_after_ms=STAY_AWAY_MOST_MS)
-    found = limits
-    if (away := told.limits.stay_away_ms) is not None:
-        if _within(away, STAY_AWAY_MOST_MS, "limits.stay_away_ms") > limits.max_retry_after_ms:
-            raise InvalidPolicyError(
-                f"limits.stay_away_ms: {away:g} is more than callers honour here, "
-                f"{limits.max_retry_after_ms:g}"
-            )
-        found = replace(found, max_retry_after_ms=away)
-    if (share := told.limits.over_share_value) is not None:
-        found = replace(found, over_quota_weight_factor=_within(share, 1.0, "limits.over_share_value"))
-    if (calls := told.budgets.calls) is not None:
+    limits = own.limits or Limits(max_retry_after_ms=MAX_RETRY_AFTER_MS)
+    if (retry_after_ms := table.limits.max_retry_after_ms) is not None:
+        limits = _with_retry_after(limits, retry_after_ms)
+    if (factor := table.limits.over_share_value) is not None:
+        factor = _within(factor, 1.0, "limits.over_share_value")
+        limits = replace(limits, over_quota_weight_factor=factor)
+    if (calls := table.budgets.calls) is not None:
         if not own.shares_below:
             raise InvalidPolicyError("budgets.calls: here no service lies below that all servers share")
-        found = replace(
-            found, downstream_call_quota=_within(calls, CALLS_MOST, "budgets.calls") / own.servers
+        calls = _within(calls, MAX_CALLS, "budgets.calls")
+        limits = replace(limits, downstream_call_quota=calls / own.servers)
+    return limits
+
+
+def _with_retry_after(limits: Limits, retry_after_ms: float) -> Limits:
+    key, honoured_ms = "limits.stay_away_ms", limits.max_retry_after_ms
+    if _within(retry_after_ms, MAX_RETRY_AFTER_MS, key) > honoured_ms:
+        raise InvalidPolicyError(
+            f"{key}: {retry_after_ms:g} is more than callers honour here, {honoured_ms:g}"
         )
-    return found
+    return replace(limits, max_retry_after_ms=retry_after_ms)
 
 
-def _within(value: float, most: float, key: str) -> float:
-    if not 0.0 <= value <= most:  # NaN is neither
-        raise InvalidPolicyError(f"{key}: {value:g} is not from 0 to {most:g}")
+def _within(value: float, maximum: float, key: str) -> float:
+    if not 0.0 <= value <= maximum:  # NaN is neither
+        raise InvalidPolicyError(f"{key}: {value:g} is not from 0 to {maximum:g}")
     return value
--- a/otterrudder/fleet/records.py
+++ b/otterrudder/fleet/records.py
@@ -4,67 +4,76 @@
     FLEET/head/change         the change that is open; absent: none is
     FLEET/head/settled        how the last changes ended
     FLEET/head/trial          what the policy in force is on trial for; absent: it is for good
-    FLEET/head/leader           the member that settles a change nobody else does; hangs on its lease
-    FLEET/text/DIGEST         a policy's text, named by what it says
+    FLEET/head/leader         the member that coordinates changes; depends on its lease
+    FLEET/text/DIGEST         a policy's text, named by its digest
     FLEET/opening             the open change's text once more: a read can name it before it knows the change
     FLEET/roster/NAME         who is of the fleet, whether up or not; a change needs its vote
-    FLEET/live/NAME           the life that has the name now; hangs on its lease
+    FLEET/live/NAME           the process that has the name now; depends on its lease
     FLEET/joined              who registered last; watched by nobody
     FLEET/queue/ID            a change that waits for its turn; the store's revisions give the order
-    FLEET/vote/NAME           what it says of the open change; never changed, gone with the change
+    FLEET/vote/NAME           its vote on the open change; never changed, deleted with the change
 
-The revision that created `head/change` names a change beyond doubt: a vote compares it, so a vote that was
-sent in an earlier change, and arrives in a later one, falls."""
+The revision that created `head/change` identifies a change: a vote compares it, so a vote that was sent
+during an earlier change, and arrives in a later one, fails.
+
+The names of stored fields are those of the first release; where the attribute has another one, it is given by
+`field(name=...)`."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any, Literal, TypeVar
 
 import msgspec
+from msgspec import field
 
 from otterrudder.fleet.store import Snapshot
 
-MAX_TEXT_BYTES = 256 * 1024  # bytes of a policy: an eighth of what the engine takes in a request
-MAX_FINISHED_CHANGES = 32  # ends of changes that are kept; their texts go with them, so `back` reaches so far
-MAX_QUEUED_CHANGES = 4096  # changes that wait: a release of 2,000 twice over, in 1 MB
+MAX_TEXT_BYTES = 256 * 1024  # of a policy: an eighth of what the engine takes in a request
+MAX_FINISHED_CHANGES = 32  # that are kept; their texts go with them, so a rollback reaches so far
+MAX_QUEUED_CHANGES = 4096  # a release of 2,000 twice over, in 1 MB
 MAX_NAME_LENGTH = 128  # characters of a server's name
 MAX_NOTE_LENGTH = 500  # characters of a note or a reason
+DIGEST_BYTES = 16
 
-Absent = Literal["wait", "leave-out"]
+Absent = Literal["wait", "leave-out"]  # what a change does about a member whose lease has lapsed
 
 
 class _Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Fields that a newer program added are passed over: what must not be is in a policy's text."""
+    """Fields that a newer program added are ignored: what must not be is in a policy's text."""
 
 
 class Trial(_Record, frozen=True):
-    """A policy that is in force for now: the fleet goes back by itself if a figure, in the mean of those who
-    tell it, is above its bound."""
+    """A policy that is in force for now: the fleet rolls it back by itself if a metric, in the mean of those
+    who report it, is above its bound."""
 
     change: str  # that brought it
     version: int
-    rollback_digest: str = msgspec.field(name="back")  # of the policy to return to
+    rollback_digest: str = field(name="back")  # of the policy to return to
     span_ms: float  # from when it is first seen by whoever watches it
-    conditions: tuple[tuple[str, float], ...]  # a figure and its bound
+    conditions: tuple[tuple[str, float], ...]  # a metric and its bound
 
 
 class PolicyHead(_Record, frozen=True):
+    """The policy in force, without its text."""
+
     version: int  # 1 for the first, then one more with each that is committed
     change: str  # the change that brought it
     digest: str
     author: str = ""
     note: str = ""
-    proposed_at_ms: float = msgspec.field(default=0.0, name="at")  # Unix time, by the proposer's clock
+    proposed_at_ms: float = field(default=0.0, name="at")  # Unix time by the proposer's clock, for people
 
 
 class Change(_Record, frozen=True):
+    """The change that is open."""
+
     id: str
     version: int  # that it would have
     digest: str
     author: str
     note: str = ""
-    proposed_at_ms: float = msgspec.field(default=0.0, name="at")  # Unix time, by the proposer's clock
-    deadline_ms: float = 30_000.0  # from when it is first seen by whoever settles it
+    proposed_at_ms: float = field(default=0.0, name="at")
+    deadline_ms: float = 30_000.0  # from when it is first seen by whoever coordinates it
     trial: Trial | None = None
 
 
@@ -75,7 +84,7 @@
     digest: str = ""
     author: str = ""
     note: str = ""
-    proposed_at_ms: float = msgspec.field(default=0.0, name="at")  # Unix time, by the proposer's clock
+    proposed_at_ms: float = field(default=0.0, name="at")
     deadline_ms: float = 30_000.0  # from when it is opened
     base: str = ""
     trial_ms: float = 0.0
@@ -83,64 +92,69 @@
 
 
 class FinishedChange(_Record, frozen=True):
+    """How a change ended."""
+
     id: str
     version: int  # that it has, or would have had
     digest: str
     committed: bool
-    reason: str = msgspec.field(default="", name="why")
+    reason: str = field(default="", name="why")  # of an abort
     author: str = ""
     note: str = ""
-    left_out: tuple[str, ...] = ()
+    left_out: tuple[str, ...] = ()  # the members without whose vote it was committed
 
 
 class RosterEntry(_Record, frozen=True):
-    """`folder` names the folder that may serve under this name: its disk remembers what was voted."""
+    """A member that is of the fleet. `directory_id` names the state directory that may serve under this name:
+    its disk remembers what was voted."""
 
-    directory_id: str = msgspec.field(name="folder")
+    directory_id: str = field(name="folder")
     absent: Absent
 
 
 class MemberStatus(_Record, frozen=True):
-    """What others may know of a member; `epoch` is new with each life."""
+    """What others may know of a member that is up; `incarnation` is new with each process."""
 
-    incarnation: str = msgspec.field(name="epoch")
+    incarnation: str = field(name="epoch")
     program: str = ""
     zone: str = ""
-    version: int = 0  # of the policy it admits under; 0: none
+    version: int = 0  # of the policy that it admits under; 0: none
     digest: str = ""
-    state: str = ""
+    state: str = ""  # the label of its admission status
     products: tuple[str, ...] = ()
-    metrics: tuple[tuple[str, float], ...] = msgspec.field(
-        default=(), name="figures"
-    )  # that a trial asks for
+    metrics: tuple[tuple[str, float], ...] = field(default=(), name="figures")  # that a trial asks for
     relay: str = ""  # the address of the relay that leads, where the member is a cell
 
 
 class Vote(_Record, frozen=True):
-    accepted: bool = msgspec.field(name="yes")
-    reason: str = msgspec.field(default="", name="why")  # of a rejection: what is wrong and where
-    incarnation: str = msgspec.field(default="", name="epoch")
+    """A member's vote on the open change."""
+
+    accepted: bool = field(name="yes")
+    reason: str = field(default="", name="why")  # of a rejection: what is wrong and where
+    incarnation: str = field(default="", name="epoch")
 
 
 _T = TypeVar("_T", bound=_Record)
 
 
 def encode(record: _Record) -> bytes:
+    """The record as it is stored."""
     return msgspec.json.encode(record)
 
 
-def stored_fields(record: _Record) -> dict[str, Any]:
-    """All fields of a record, those with their defaults as well, by the names that they are stored under."""
-    return {field.encode_name: getattr(record, field.name) for field in msgspec.structs.fields(record)}
+def decode(data: bytes, record_type: type[_T]) -> _T:
+    """Raises ValueError or MsgspecError: it is no such record."""
+    return msgspec.json.decode(data, type=record_type)
 
 
-def decode(data: bytes, kind: type[_T]) -> _T:
-    """ValueError: it is no such record."""
-    return msgspec.json.decode(data, type=kind)
+def stored_fields(record: _Record) -> dict[str, Any]:
+    """All fields of a record, those with their defaults as well, by the names that they are stored under."""
+    return {one.encode_name: getattr(record, one.name) for one in msgspec.structs.fields(record)}
 
 
 def digest_of(text: str) -> str:
-    return blake2b(text.encode(), digest_size=16).hexdigest()
+    """The name of a policy's text."""
+    return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 class Keys:
@@ -148,96 +162,91 @@
 
     __slots__ = (
         "change",
-        "leader",
+        "finished",
         "fleet",
         "head",
         "joined",
-        "statuses",
+        "leader",
         "opening",
         "policy",
         "queue",
         "rosters",
-        "finished",
+        "statuses",
         "trial",
         "votes",
     )
 
     def __init__(self, fleet: str) -> None:
-        self.fleet, self.joined = fleet, f"{fleet}/joined"
-        self.queue, self.opening = f"{fleet}/queue/", f"{fleet}/opening"
-        self.rosters, self.statuses, self.votes = (f"{fleet}/{what}/" for what in ("roster", "live", "vote"))
-        self.head = head = f"{fleet}/head/"
-        self.policy, self.change, self.finished = f"{head}policy", f"{head}change", f"{head}settled"
-        self.leader, self.trial = f"{head}leader", f"{head}trial"
+        self.fleet = fleet
+        self.head = f"{fleet}/head/"
+        self.policy = f"{self.head}policy"
+        self.change = f"{self.head}change"
+        self.finished = f"{self.head}settled"
+        self.trial = f"{self.head}trial"
+        self.leader = f"{self.head}leader"
+        self.opening = f"{fleet}/opening"
+        self.joined = f"{fleet}/joined"
+        self.queue = f"{fleet}/queue/"
+        self.rosters = f"{fleet}/roster/"
+        self.statuses = f"{fleet}/live/"
+        self.votes = f"{fleet}/vote/"
 
     def text(self, digest: str) -> str:
+        """Of a policy's text."""
         return f"{self.fleet}/text/{digest}"
 
-    def queued(self, ident: str) -> str:
-        return f"{self.queue}{ident}"
+    def queued(self, change_id: str) -> str:
+        """Of a change that waits."""
+        return f"{self.queue}{change_id}"
 
     def roster(self, name: str) -> str:
+        """Of a member's entry on the roster."""
         return f"{self.rosters}{name}"
 
     def status(self, name: str) -> str:
+        """Of the process that has a member's name."""
         return f"{self.statuses}{name}"
 
     def vote(self, name: str) -> str:
+        """Of a member's vote."""
         return f"{self.votes}{name}"
 
 
 class InvalidRecordError(Exception):
-    """A key holds what is no record of ours: nothing is decided on it."""
+    """A key has what is no record of ours: nothing is decided on it."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """A snapshot as records; what was not asked for looks absent."""
+    """A snapshot of the store as records; what was not asked for looks absent. Records that can't be read
+    raise InvalidRecordError, unless a method says otherwise."""
 
     keys: Keys
     raw: Snapshot
 
-    def _one(self, key: str, kind: type[_T]) -> _T | None:
-        entry = self.raw.entries.get(key)
-        try:
-            return decode(entry.value, kind) if entry else None
-        except (ValueError, msgspec.MsgspecError) as why:
-            raise InvalidRecordError(f"{key}: {why}") from None
-
-    def _under(self, prefix: str, kind: type[_T], unread: _T | None = None) -> dict[str, _T]:
-        """By what follows the prefix. `unread`: what stands for a record that can't be read."""
-        found: dict[str, _T] = {}
-        for key in sorted(key for key in self.raw.entries if key.startswith(prefix)):
-            try:
-                record = self._one(key, kind)
-            except InvalidRecordError:
-                if unread is None:
-                    raise
-                record = unread
-            if record:
-                found[key.removeprefix(prefix)] = record
-        return found
-
     @property
     def policy(self) -> PolicyHead | None:
-        return self._one(self.keys.policy, PolicyHead)
+        """In force; None: none was ever committed."""
+        return self._record(self.keys.policy, PolicyHead)
 
     @property
     def change(self) -> Change | None:
-        return self._one(self.keys.change, Change)
+        """The open one."""
+        return self._record(self.keys.change, Change)
 
     @property
     def trial(self) -> Trial | None:
-        return self._one(self.keys.trial, Trial)
+        """Of the policy in force."""
+        return self._record(self.keys.trial, Trial)
 
     @property
     def finished(self) -> list[FinishedChange]:
-        """The oldest first."""
+        """The last changes, the oldest first."""
         entry = self.raw.entries.get(self.keys.finished)
         try:
             return msgspec.json.decode(entry.value, type=list[FinishedChange]) if entry else []
-        except (ValueError, msgspec.MsgspecError) as why:
-            raise InvalidRecordError(f"{self.keys.finished}: {why}") from None
+        except (ValueError, msgspec.MsgspecError) as error:
+            raise InvalidRecordError(f"{self.keys.finished}: {error}") from None
 
     @property
     def queue(self) -> list[QueuedChange]:
@@ -254,38 +263,64 @@
 
     @property
     def leader(self) -> str:
-        """Whose it is; "": nobody's."""
+        """The name of the member that leads; "": none does."""
         entry = self.raw.entries.get(self.keys.leader)
         return entry.value.decode("utf-8", "replace") if entry else ""
 
-    def roster(self, name: str) -> RosterEntry | None:
-        return self._one(self.keys.roster(name), RosterEntry)
-
-    def status(self, name: str) -> MemberStatus | None:
-        return self._one(self.keys.status(name), MemberStatus)
-
-    def vote(self, name: str) -> Vote | None:
-        return self._one(self.keys.vote(name), Vote)
-
     @property
     def rosters(self) -> dict[str, RosterEntry]:
-        return self._under(self.keys.rosters, RosterEntry)
+        """All members of the fleet, by name."""
+        return self._records(self.keys.rosters, RosterEntry)
 
     @property
     def statuses(self) -> dict[str, MemberStatus]:
-        """One that can't be read is alive all the same: one server's slip must not stop a change."""
-        return self._under(self.keys.statuses, MemberStatus, MemberStatus(""))
+        """The members that are up, by name. One that can't be read is up all the same: one server's fault
+        must not stop a change."""
+        return self._records(self.keys.statuses, MemberStatus, MemberStatus(""))
 
     @property
     def votes(self) -> dict[str, Vote]:
-        """One that can't be read is a no."""
-        return self._under(self.keys.votes, Vote, Vote(False, "its vote can't be read"))
+        """By the member's name. One that can't be read is a rejection."""
+        return self._records(self.keys.votes, Vote, Vote(False, "its vote can't be read"))
+
+    def roster(self, name: str) -> RosterEntry | None:
+        """A member's entry; None: it is not of the fleet."""
+        return self._record(self.keys.roster(name), RosterEntry)
+
+    def status(self, name: str) -> MemberStatus | None:
+        """A member's status; None: it is not up."""
+        return self._record(self.keys.status(name), MemberStatus)
+
+    def vote(self, name: str) -> Vote | None:
+        """A member's vote; None: it has not voted."""
+        return self._record(self.keys.vote(name), Vote)
 
     def text(self, digest: str) -> str | None:
-        """A text whose digest is not the one it is named by is none."""
+        """A policy's text; None: it is not there. One whose digest is not its name is not there either."""
         for key in (self.keys.text(digest), self.keys.opening):
             entry = self.raw.entries.get(key)
             text = entry.value.decode("utf-8", "replace") if entry else None
             if text is not None and digest_of(text) == digest:
                 return text
         return None
+
+    def _record(self, key: str, record_type: type[_T]) -> _T | None:
+        entry = self.raw.entries.get(key)
+        try:
+            return decode(entry.value, record_type) if entry else None
+        except (ValueError, msgspec.MsgspecError) as error:
+            raise InvalidRecordError(f"{key}: {error}") from None
+
+    def _records(self, prefix: str, record_type: type[_T], invalid: _T | None = None) -> dict[str, _T]:
+        """By what follows the prefix. `invalid`: what stands for a record that can't be read."""
+        found: dict[str, _T] = {}
+        for key in sorted(key for key in self.raw.entries if key.startswith(prefix)):
+            try:
+                record = self._record(key, record_type)
+            except InvalidRecordError:
+                if invalid is None:
+                    raise
+                record = invalid
+            if record:
+                found[key.removeprefix(prefix)] = record
+        return found
--- a/otterrudder/fleet/state.py
+++ b/otterrudder/fleet/state.py
@@ -1,6 +1,7 @@
-"""The typed state of a member: its standing, its rules, and what it remembers and has last seen.
+"""The typed state of a member: its admission status, its rules, what it keeps on disk and what it last
+observed.
 
-Used by `member.py`, which decides, and by whoever shows or stores these values. Plain data, no behaviour."""
+Used by `member/`, which decides, and by whoever shows or stores these values. Plain data, no behaviour."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -46,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the fleet's file says, in ms."""
+    """What the fleet's file says of members."""
 
     absent: Absent = "wait"
-    bound_ms: float = 2000.0
-    lease_ms: float = 6000.0
+    bound_ms: float = 2000.0  # for which an old policy may be applied after a commit
+    lease_ms: float = 6000.0  # of the store
     starts_from_directory: bool = False  # only under `wait`
     # Several processes take the name in turn (the relays of a cell): each one's authority ends with its
     # lease, whatever `absent` says.
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """One that is or was in force. Version 0: none was ever committed, and each server goes by its own
+    """One that is or was in force. Version 0: none was ever committed, and each server applies its own
     files."""
 
     version: int = 0
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedVote:
-    """A yes that may have reached the store."""
+    """An acceptance that is on disk and may have reached the store, as in two-phase commit."""
 
     change: str
     created: int  # the revision that made the change
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """What the last believed read showed of what concerns this member."""
+    """What the last read that is trusted showed of what concerns this member."""
 
     revision: int
     open: OpenChange | None
@@ -116,5 +117,5 @@
     roster_modified: int
     status: MemberStatus | None
     status_created: int
-    has_leader: bool  # somebody has it
+    has_leader: bool  # some member leads
     trial: Trial | None  # of the policy in force
--- a/otterrudder/fleet/store.py
+++ b/otterrudder/fleet/store.py
@@ -1,12 +1,13 @@
-"""The port to the engine that agrees: a few verbs, so that the fleet's parts know nothing of what is behind.
+"""The port to the store, an engine that keeps agreed state: a few verbs, so that the fleet's parts know
+nothing of what is behind.
 
-Behind it stand the client of an engine with etcd's published v3 API (`client.py`), and in lab and model
-search a key space in simulated time (`lab/keyspace.py`). Meanings, as that API states them: every write that
-takes effect gets the next revision; a key keeps the revision that created it and the one that last changed
-it; a commit's compares and writes are one step; a key that hangs on a lease goes when the lease lapses.
+Behind it are the client of an engine with etcd's published v3 API (`client.py`), and in lab and model search
+a key space in simulated time (`lab/keyspace.py`). Meanings, as that API states them: every write that takes
+effect gets the next revision; a key keeps the revision that created it and the one that last changed it; a
+commit's compares and writes are one step; a key that depends on a lease is deleted when the lease lapses.
 
-No answer says nothing about what took effect: `StoreUnavailableError` is raised alike for "never arrived"
-and for "took effect and its answer was lost". Who needs to know reads again."""
+A missing answer says nothing about what took effect: `StoreUnavailableError` is raised alike for "never
+arrived" and for "took effect and its answer was lost". Who needs to know reads again."""
 
 from collections.abc import AsyncIterator, Mapping, Sequence
 from dataclasses import dataclass
@@ -18,25 +19,27 @@
 
 
 class Entry(NamedTuple):
+    """A key's value, with its revisions."""
+
     value: bytes
     created: int  # the revision that made the key
     modified: int  # the revision that last wrote it
-    lease: int = 0  # that it hangs on; 0: none
+    lease: int = 0  # that it depends on; 0: none
 
 
 class Snapshot(NamedTuple):
-    """What the wanted keys were at one revision."""
+    """What the keys that were read were at one revision."""
 
     cluster: int  # of the engine: another one is another engine
     revision: int
     entries: Mapping[str, Entry]
 
     def created(self, key: str) -> int:
-        """0: the key is absent."""
+        """The revision that made the key; 0: it is absent."""
         return entry.created if (entry := self.entries.get(key)) else 0
 
     def modified(self, key: str) -> int:
-        """0: the key is absent."""
+        """The revision that last wrote the key; 0: it is absent."""
         return entry.modified if (entry := self.entries.get(key)) else 0
 
 
@@ -49,12 +52,16 @@
 
 
 class Put(NamedTuple):
+    """Write a key, which depends on `lease` (0: on none)."""
+
     key: str
     value: bytes
     lease: int = 0
 
 
 class Delete(NamedTuple):
+    """Delete a key, or all keys under a prefix."""
+
     key: str
     is_prefix: bool = False
 
@@ -67,11 +74,11 @@
 
     succeeded: bool
     revision: int
-    cluster: int = 0  # 0: not told
+    cluster: int = 0  # of the engine; 0: it did not say
 
 
 class LeaseResult(NamedTuple):
-    """How a lease stands, and by which engine, as of which revision."""
+    """How a lease stands, by which engine and as of which revision."""
 
     lease: int  # its number; 0: it has lapsed
     revision: int
@@ -80,13 +87,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """A watch says that keys under its prefix were written, up to a revision. It is a hint to read."""
+    """Keys under a watched prefix were written, up to a revision: it is time to read."""
 
     revision: int
 
 
 class Store(Protocol):
-    """All raise StoreUnavailableError. `timeout_ms` bounds each wait."""
+    """All raise StoreUnavailableError. `timeout_ms` bounds each wait for an answer."""
 
     async def read(self, names: Sequence[str], timeout_ms: float) -> Snapshot:
         """These keys, and all under those names that end in a slash, at one revision, as of now
@@ -107,9 +114,10 @@
         """Events from now on. Ends by StoreUnavailableError; the caller begins again with a read."""
 
     async def revoke(self, lease: int, timeout_ms: float) -> None:
-        """The lease ends now, and the keys that hang on it go."""
+        """The lease ends now, and the keys that depend on it are deleted."""
 
     async def switch_endpoint(self) -> None:
-        """The engine that answers is not believed: the next address is tried, if there is one."""
+        """The engine that answers is not trusted: the next address is tried, if there is one."""
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """The channel is given back."""
