--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -2,10 +2,9 @@
 
 Every decision takes the monotonic clock at the moment it is made, so a process that was frozen grants
 nothing on an authority that has ended meanwhile. A failure in one stream, request or effect ends that one
-alone. `run` gives the streams, the store's lease and the folder back on every way out."""
+alone. `run` releases the streams, the store's lease and the state directory on every way out."""
 
 import itertools
-import resource
 import secrets
 from collections import Counter
 from typing import Any
@@ -17,26 +16,23 @@
 from otterrudder import __version__, clock
 from otterrudder.durable import StateDirectory
 from otterrudder.fleet.cell.configuration import RelayRole
-from otterrudder.fleet.cell.consent import PeerRequest
+from otterrudder.fleet.cell.descriptors import max_streams
+from otterrudder.fleet.cell.effects import EndSession, PeerRequest, RelayEffect, SendToServer
+from otterrudder.fleet.cell.identity import CellIdentity
+from otterrudder.fleet.cell.limits import RelayLimits
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    BadMessage,
-    Grant,
-    InForce,
+    EndorsementRequest,
+    InvalidMessageError,
+    LeaseGrant,
+    PolicyUpdate,
     ServerMessage,
     decode_from_peer,
     encode,
 )
 from otterrudder.fleet.cell.peers import Peers
-from otterrudder.fleet.cell.relay import (
-    CellIdentity,
-    EndSession,
-    Relay,
-    RelayEffect,
-    RelayLimits,
-    SendToServer,
-)
-from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamFailed
+from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_status import TransportCounts, relay_status
+from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
 from otterrudder.fleet.configuration import Fleet
 from otterrudder.fleet.effects import Effect, effect_name
@@ -47,70 +43,57 @@
 from otterrudder.fleet.store import Store
 from otterrudder.log import log
 
-STREAMS_SPARE = 64  # streams beyond the sessions: of servers that are told that it is full, and of relays
-DESCRIPTORS_SPARE = 64  # beyond one a stream: the store, the other relays, logs
-FAILED_MS = 200.0  # ms until what failed is tried again: it must not spin
-NAP_MS = 1000.0  # ms of sleep at the most where nothing is due
-CLOSE_S = 0.2  # s that connections have to close by themselves
-FLUSH_MS = 500.0  # ms that servers have at the end to read where to go
-
-
-class TooFewDescriptors(Exception):
-    """The process may not open as many files as its sessions need."""
-
-
-def check_descriptors(sessions_most: int) -> None:
-    """Raises TooFewDescriptors. The limit is the operators' to raise."""
-    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = sessions_most + STREAMS_SPARE + DESCRIPTORS_SPARE
-    if allowed != resource.RLIM_INFINITY and allowed < wanted:
-        raise TooFewDescriptors(
-            f"relay.sessions_most: {sessions_most} sessions need {wanted} descriptors, and RLIMIT_NOFILE "
-            f"allows {allowed}"
-        )
+ERROR_RETRY_MS = 200.0  # after a failure of this code, so that it does not spin
+MIN_SLEEP_MS = 1.0
+MAX_SLEEP_MS = 1000.0  # where nothing is due
+CLOSE_TIMEOUT_S = 0.2  # that connections have to close by themselves
+FLUSH_MS = 500.0  # that servers have at the end to read their refusal
 
 
 class RelayService:
+    """Runs a relay: its streams, its requests to the store and to other relays, and its timers."""
+
     def __init__(
         self,
         fleet: Fleet,
         role: RelayRole,
         store: Store,
-        folder: StateDirectory | None,
-        record: MemberState | None,
+        directory: StateDirectory | None,
+        state: MemberState | None,
     ) -> None:
-        """`record`: what the folder holds."""
-        self.fleet, self.role = fleet, role
+        """`state`: what the state directory holds."""
+        self.fleet = fleet
+        self.role = role
         incarnation = secrets.token_hex(8)
         self.relay = Relay(
             clock.monotonic(),
             CellIdentity(fleet.name, role.cell, role.address, role.candidates),
             incarnation,
             fleet.rules,
-            RelayLimits(fleet.server_lease_ms, role.sessions_most),
-            record=record,
-            has_disk=folder is not None,
+            RelayLimits(fleet.server_lease_ms, role.max_sessions),
+            state=state,
+            has_disk=directory is not None,
             status=MemberStatus(incarnation, __version__, fleet.zone, relay=role.address),
             cluster=fleet.store_id,
-            folder="" if folder is None else record.directory_id if record else secrets.token_hex(8),
+            directory_id=_directory_id(directory, state),
         )
-        self.executor, self.peers = Executor(store, folder, fleet.timeout_ms), Peers(fleet)
+        self.executor = Executor(store, directory, fleet.timeout_ms)
+        self.peers = Peers(fleet)
         self._server: Any = None
         self._encoder = MessageEncoder()
         self._streams: dict[int, ServerStream] = {}
         self._connections = itertools.count(1)
         self._watches: dict[str, anyio.CancelScope] = {}
-        self._wake = anyio.Event()
+        self._wakeup = anyio.Event()
         self._is_stopping = False
-        self._led = False
+        self._was_leading = False
         self._received = 0  # messages of servers
-        self._failures: Counter[str] = Counter()  # streams that this side ended, by status
+        self._stream_errors: Counter[str] = Counter()  # streams that this side ended, by status
 
     def listen(self) -> None:
         """To be called in the event loop, before `run`. OSError: the address can't be listened on."""
-        handler = RelayHandler(self._handle_session, self._handle_consent)
-        streams_most = self.role.sessions_most + STREAMS_SPARE
-        self._server = make_server(self.fleet, self.role, handler, streams_most)
+        handler = RelayHandler(self._handle_session, self._handle_endorsement_request)
+        self._server = make_server(self.fleet, self.role, handler, max_streams(self.role.max_sessions))
 
     async def run(self) -> None:
         """Serves until `stop`."""
@@ -119,95 +102,76 @@
             log.info("relay listening", address=self.role.address, at=self.role.listen, cell=self.role.cell)
             async with anyio.create_task_group() as group:
                 while not self._is_stopping:
-                    await self._turn(group)
+                    await self._run_batch(group)
                 await self._dismiss_servers(group)
                 group.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after((CLOSE_TIMEOUT_MS + FLUSH_MS) / 1000):
                 await self.executor.close(self.relay.member.lease)
                 await self.peers.close()
-                await self._server.stop(CLOSE_S)
+                await self._server.stop(CLOSE_TIMEOUT_S)
 
     def stop(self) -> None:
         """The servers are sent to other relays, and the cell is free for one of them."""
         self._is_stopping = True
-        self._wake.set()
+        self._wakeup.set()
 
     def shown(self) -> dict[str, object]:
         """For the control socket."""
-        relay, now = self.relay, clock.monotonic()
-        member = relay.member
-        return dict(
-            fleet=self.fleet.name,
-            cell=self.role.cell,
-            address=self.role.address,
-            leads=relay.leads(),
-            standing=member.admission_status(now).label,
-            why=member.status_detail or member.admission_status(now).description,
-            version=member.known.version,
-            digest=member.known.digest,
-            settles=member.is_leader,
-            store_lease_left_ms=_left(member.registration.lease_until - now),
-            authority_left_ms=_left(relay.authority_until(now) - now),
-            consent_left_ms=_left(member.registration.endorsed_until - now),
-            consented_left_ms=_left(relay.promise.until - now),
-            sessions=len(relay.sessions),
-            sessions_most=self.role.sessions_most,
+        counts = TransportCounts(
             streams=len(self._streams),
             received=self._received,
-            kinds=Counter(session.kind for session in relay.sessions.values()),
-            versions=Counter(session.version for session in relay.sessions.values()),
-            standings=Counter(session.admission_status for session in relay.sessions.values()),
-            refused={reason.value: count for reason, count in relay.refused.items() if count},
-            streams_failed=self._failures,
+            streams_failed=self._stream_errors,
             worst_answer_ms=round(self.executor.take_worst_ms(), 1),
-            counts=self.executor.counts,
+            store=self.executor.counts,
         )
+        return relay_status(self.relay, counts, clock.monotonic())
 
-    # Decisions.
+    # Effects.
 
-    async def _turn(self, group: anyio.abc.TaskGroup) -> None:
+    async def _run_batch(self, group: anyio.abc.TaskGroup) -> None:
         """Begins what is due, and waits for the next event or time."""
-        self._wake = anyio.Event()
+        self._wakeup = anyio.Event()
         try:
             self._begin_effects(group)
-            self._keep_watches(group)
-            wait = self.relay.due() - clock.monotonic()
+            self._update_watches(group)
+            wait_ms = self.relay.due() - clock.monotonic()
         except Exception:  # it is decided anew
             log.exception("the relay failed", of="effects")
-            wait = FAILED_MS
-        with anyio.move_on_after(min(max(wait, 1.0), NAP_MS) / 1000):
-            await self._wake.wait()
+            wait_ms = ERROR_RETRY_MS
+        with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
+            await self._wakeup.wait()
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> None:
         now = clock.monotonic()
         for effect in self.relay.effects(now):
             self._begin(group, effect, now)
-        if self.relay.leads() is not self._led:
-            self._led = self.relay.leads()
-            log.info("relay leads" if self._led else "relay leads no more", cell=self.role.cell)
+        if self.relay.leads() is not self._was_leading:
+            self._was_leading = self.relay.leads()
+            log.info("relay leads" if self._was_leading else "relay leads no more", cell=self.role.cell)
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: RelayEffect, now: float) -> None:
-        if isinstance(effect, SendToServer):
-            self._send(effect)
-        elif isinstance(effect, EndSession):
-            if stream := self._streams.get(effect.connection):
-                stream.end()
-        elif isinstance(effect, PeerRequest):
-            group.start_soon(self._ask_peer, effect)
-        else:
-            group.start_soon(self._carry_out, effect, now)
+        match effect:
+            case SendToServer():
+                self._send(effect)
+            case EndSession():
+                if stream := self._streams.get(effect.connection):
+                    stream.end()
+            case PeerRequest():
+                group.start_soon(self._request_endorsement, effect)
+            case _:
+                group.start_soon(self._carry_out, effect, now)
 
     def _send(self, effect: SendToServer) -> None:
-        if isinstance(effect.message, Grant):
+        if isinstance(effect.message, LeaseGrant):
             reach_failpoint("before grant")
-        elif isinstance(effect.message, InForce):
+        elif isinstance(effect.message, PolicyUpdate):
             reach_failpoint("before in force")
         if stream := self._streams.get(effect.connection):
             stream.send(self._encoder.encode(effect.message))
 
     async def _carry_out(self, effect: Effect, sent: float) -> None:
-        """A failure in one of them is not the relay's."""
+        """An effect of the store or the disk. A failure in one of them is not the relay's."""
         try:
             reach_failpoint(f"before {effect_name(effect)}")
             outcome = await self.executor.perform(effect)
@@ -219,44 +183,44 @@
                 await self.executor.mistrust(now, self.relay.member.mistrust)
         except Exception:
             log.exception("the relay failed", of=effect_name(effect))
-            await anyio.sleep(FAILED_MS / 1000)
-        self._wake.set()
+            await anyio.sleep(ERROR_RETRY_MS / 1000)
+        self._wakeup.set()
 
-    async def _ask_peer(self, request: PeerRequest) -> None:
+    async def _request_endorsement(self, request: PeerRequest) -> None:
         try:
-            consent = await self.peers.ask(request)
+            endorsement = await self.peers.request(request)
         except Exception:
             log.exception("the relay failed", of="consent")
             return
-        if consent:
-            self.relay.peer_answered(consent)
-            self._wake.set()
-
-    def _keep_watches(self, group: anyio.abc.TaskGroup) -> None:
-        """One on each prefix that is wanted now."""
-        wanted = self.relay.watched()
-        for prefix in [prefix for prefix in self._watches if prefix not in wanted]:
+        if endorsement:
+            self.relay.handle_endorsement(endorsement)
+            self._wakeup.set()
+
+    def _update_watches(self, group: anyio.abc.TaskGroup) -> None:
+        """One watch on each prefix that the relay needs now."""
+        prefixes = self.relay.watched()
+        for prefix in [prefix for prefix in self._watches if prefix not in prefixes]:
             self._watches.pop(prefix).cancel()
-        for prefix in wanted:
+        for prefix in prefixes:
             if prefix not in self._watches:
                 self._watches[prefix] = anyio.CancelScope()
                 group.start_soon(self._watch, prefix, self._watches[prefix])
 
     async def _watch(self, prefix: str, scope: anyio.CancelScope) -> None:
-        def handle_watch_event() -> None:
+        def handle_event() -> None:
             self.relay.handle_watch_event(clock.monotonic(), prefix)
-            self._wake.set()
+            self._wakeup.set()
 
         with scope:
-            await self.executor.watch(prefix, handle_watch_event)
+            await self.executor.watch(prefix, handle_event)
 
     async def _dismiss_servers(self, group: anyio.abc.TaskGroup) -> None:
-        self.relay.leave(clock.monotonic())
+        self.relay.begin_shutdown()
         self._begin_effects(group)
         with anyio.move_on_after(FLUSH_MS / 1000):
             while self._streams:
-                self._wake = anyio.Event()
-                await self._wake.wait()
+                self._wakeup = anyio.Event()
+                await self._wakeup.wait()
         log.info("relay left", cell=self.role.cell, streams_left=len(self._streams))
 
     # What gRPC calls.
@@ -265,43 +229,46 @@
         """A server's stream, from its opening to its end."""
         connection = next(self._connections)
 
-        def received(message: ServerMessage) -> None:
+        def handle_message(message: ServerMessage) -> None:
             self._received += 1
-            self.relay.received(clock.monotonic(), connection, message)
-            self._wake.set()
+            self.relay.handle_message(clock.monotonic(), connection, message)
+            self._wakeup.set()
 
-        stream = self._streams[connection] = ServerStream(connection, context, received)
+        stream = self._streams[connection] = ServerStream(connection, context, handle_message)
         try:
             await stream.run()
-        except StreamFailed as failure:
-            self._failures[failure.code.name.lower()] += 1
-            log.warning("a stream is ended", peer=context.peer(), why=failure.why)
-            self._forget(connection)  # a server that does not read may hold up its status for long
-            await context.abort(failure.code, failure.why)
+        except StreamError as error:
+            self._stream_errors[error.code.name.lower()] += 1
+            log.warning("a stream is ended", peer=context.peer(), why=error.reason)
+            self._remove_stream(connection)  # a server that does not read may hold up its status for long
+            await context.abort(error.code, error.reason)
         finally:
-            self._forget(connection)
+            self._remove_stream(connection)
 
-    def _forget(self, connection: int) -> None:
+    def _remove_stream(self, connection: int) -> None:
         """The stream is over, as far as the relay goes."""
         if self._streams.pop(connection, None):
-            self.relay.closed(connection)
-            self._wake.set()
+            self.relay.handle_stream_closed(connection)
+            self._wakeup.set()
 
-    async def _handle_consent(self, data: bytes, context: Any) -> bytes:
-        """Another relay of the cell asks for consent."""
+    async def _handle_endorsement_request(self, data: bytes, context: Any) -> bytes:
+        """Another relay of the cell asks for an endorsement."""
         try:
             request = decode_from_peer(data)
-            if not isinstance(request, AskConsent):
-                raise BadMessage("an AskConsent is wanted")
-        except BadMessage as why:
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(why))
+            if not isinstance(request, EndorsementRequest):
+                raise InvalidMessageError("an AskConsent is wanted")
+        except InvalidMessageError as error:
+            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             raise  # never reached: abort raises
         reach_failpoint("before consent")
-        consent = self.relay.peer_asked(clock.monotonic(), request)
+        endorsement = self.relay.handle_endorsement_request(clock.monotonic(), request)
         reach_failpoint("after consent")
-        self._wake.set()
-        return encode(consent)
+        self._wakeup.set()
+        return encode(endorsement)
 
 
-def _left(ms: float) -> float:
-    return round(max(ms, 0.0), 1) if ms < float("inf") else -1.0  # -1: it has no end
+def _directory_id(directory: StateDirectory | None, state: MemberState | None) -> str:
+    """The name under which the roster knows the directory: a new one for an empty one, "" without one."""
+    if directory is None:
+        return ""
+    return state.directory_id if state else secrets.token_hex(8)
--- a/otterrudder/fleet/configuration.py
+++ b/otterrudder/fleet/configuration.py
@@ -13,7 +13,7 @@
 from otterrudder.files import convert, load_toml
 from otterrudder.fleet.cell.configuration import (
     SERVER_LEASE_MS,
-    BadRelay,
+    RelayConfigurationError,
     RelayRole,
     RelayTable,
     check_relays,
@@ -122,7 +122,7 @@
     if is_of_cell:
         try:
             role = _cell_part(told)
-        except BadRelay as trouble:
+        except RelayConfigurationError as trouble:
             raise InvalidFleetError(f"{path.name}: {trouble}") from None
     else:
         role = None
@@ -144,7 +144,7 @@
         store_id = -1
     if not 0 <= store_id < 2**64:
         raise bad("store_id", f"the engine's cluster id in hex is wanted, not {told.store_id!r}")
-    lasting = told.relay.folder if told.relay else told.folder
+    lasting = told.relay.state_directory if told.relay else told.folder
     folder = (path.parent / lasting) if lasting else None
     tls = told.tls
     if tls and (tls.cert is None) != (tls.key is None):
@@ -179,17 +179,19 @@
 
 
 def _cell_part(told: _Fleet) -> RelayRole | None:
-    """The relay's role, None in a server's file; BadRelay names the key."""
+    """The relay's role, None in a server's file; RelayConfigurationError names the key."""
     if told.relays and told.relay:
-        raise BadRelay("relays: a server's file has them, and this one has a relay's table [relay]")
+        raise RelayConfigurationError(
+            "relays: a server's file has them, and this one has a relay's table [relay]"
+        )
     if told.folder:
-        raise BadRelay(
+        raise RelayConfigurationError(
             "folder: a relay's is in its table [relay]"
             if told.relay
             else "folder: a server with relays keeps nothing that must outlive it"
         )
-    if told.start == "folder" and not (told.relay and told.relay.folder):
-        raise BadRelay(
+    if told.start == "folder" and not (told.relay and told.relay.state_directory):
+        raise RelayConfigurationError(
             'start: "folder" needs one: a server with relays, or several relays of a cell, have none'
         )
     check_server_lease(told.server_lease_ms, told.bound_ms)
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -5,7 +5,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from helpers import SETTINGS, Server
+from helpers import SETTINGS
+from server_process import ServerProcess
 
 from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of, tenants_of
 from otterrudder.admission.interface import Limits, Outcome
@@ -175,7 +176,7 @@
 
 def test_a_policy_is_checked_against_all_of_a_configuration(tmp_path: Path) -> None:
     """Only products and tenants were: what every server refuses was called good."""
-    with Server(tmp_path) as server:
+    with ServerProcess(tmp_path) as server:
         path = str(server.configuration)
     policy = tmp_path / "policy.toml"
     policy.write_text("version = 1\n[limits]\nstay_away_ms = 5000\n")
@@ -186,7 +187,7 @@
 
 
 def test_a_fleet_and_a_table_of_its_own_are_refused(tmp_path: Path) -> None:
-    with Server(tmp_path) as server:
+    with ServerProcess(tmp_path) as server:
         path = str(server.configuration)
     words = [sys.executable, "-m", "otterrudder", "check", "--levels", "x.toml", "--fleet", "y.toml"]
     told = subprocess.run(words, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -22,29 +22,29 @@
 from otterrudder.configuration import ConfigurationError
 from otterrudder.fleet.cell import fingerprint
 from otterrudder.fleet.cell.agent import CellAgent
+from otterrudder.fleet.cell.descriptors import (
+    SPARE_DESCRIPTORS,
+    SPARE_STREAMS,
+    DescriptorLimitError,
+    check_descriptors,
+)
+from otterrudder.fleet.cell.effects import ValidateText
 from otterrudder.fleet.cell.fingerprint import server_fingerprint
 from otterrudder.fleet.cell.messages import (
-    AskConsent,
-    Consent,
-    InForce,
+    Endorsement,
+    EndorsementRequest,
+    LeaseRefusal,
+    LeaseRenewal,
+    PolicyUpdate,
     RefusalReason,
-    Refuse,
-    Register,
-    Renew,
+    Registration,
     decode_from_peer,
     decode_from_relay,
     encode,
 )
-from otterrudder.fleet.cell.participant import CheckText
-from otterrudder.fleet.cell.service import (
-    DESCRIPTORS_SPARE,
-    STREAMS_SPARE,
-    RelayService,
-    TooFewDescriptors,
-    check_descriptors,
-)
-from otterrudder.fleet.cell.streams import INCOMING_PER_S, MessageEncoder
-from otterrudder.fleet.cell.wire import CONSENT, SESSION, open_channel
+from otterrudder.fleet.cell.service import RelayService
+from otterrudder.fleet.cell.streams import MAX_MESSAGES_PER_S, MessageEncoder
+from otterrudder.fleet.cell.wire import ENDORSE_METHOD, SESSION_METHOD, open_channel
 from otterrudder.fleet.change import coordination_keys, propose
 from otterrudder.fleet.client import Client
 from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
@@ -52,11 +52,11 @@
 from otterrudder.fleet.records import MAX_TEXT_BYTES, FleetSnapshot, Keys
 from otterrudder.fleet.server_control import ServerControl
 from otterrudder.fleet.state_file import open_state_directory
-from otterrudder.lab.processes.link import Harm, Link, free_port
+from otterrudder.lab.processes.link import Link, LinkFault, free_port
 from otterrudder.net.server_files import ServerFiles
 
 WAIT_S = 8.0
-KIND = "k"
+FINGERPRINT = "k"
 
 
 @pytest.fixture
@@ -104,7 +104,9 @@
 
     def server(self, name: str, validate: Callable[[str], str] = lambda text: "") -> CellAgent:
         fleet = self.file(name, f"relays = {self.addresses}".replace("'", '"'))
-        return CellAgent(fleet, name, KIND, validate, ServerControl(lambda text: None, lambda is_aside: None))
+        return CellAgent(
+            fleet, name, FINGERPRINT, validate, ServerControl(lambda text: None, lambda is_aside: None)
+        )
 
 
 @contextlib.asynccontextmanager
@@ -128,14 +130,14 @@
     """A stream that says what the test likes."""
     channel = open_channel(service.fleet, service.role.address)
     try:
-        yield channel.stream_stream(SESSION)()
+        yield channel.stream_stream(SESSION_METHOD)()
     finally:
         await channel.close(None)
 
 
-def register(sequence: int = 1, **other: Any) -> Register:
-    told = dict(fleet="f", name="x", incarnation="e", kind=KIND) | other
-    return Register(sequence, **told)
+def register(sequence: int = 1, **other: Any) -> Registration:
+    told = dict(fleet="f", name="x", incarnation="e", fingerprint=FINGERPRINT) | other
+    return Registration(sequence, **told)
 
 
 async def next_of(stream: Any) -> Any:
@@ -172,7 +174,7 @@
                 async with running(cells.server("again")):
                     await stream.write(encode(register()))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is RefusalReason.FULL
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.FULL
                     assert answer.detail == f"{cells.addresses[0]} has its 1 sessions"
 
     anyio.run(play)
@@ -187,7 +189,7 @@
                 for garbage in (
                     b"",
                     b"\xc1" * 50,
-                    encode(Consent(1, "x", 1.0)),
+                    encode(Endorsement(1, "x", 1.0)),
                     encode(register(name="x" * 200)),
                 ):
                     async with raw_stream(service) as stream:
@@ -213,7 +215,7 @@
         cells = Cells(engine)
         async with cells.relay("a") as service, anyio.create_task_group() as group:
             link = Link(service.role.endpoint)
-            link.set(Harm(delay_ms=150.0))
+            link.set_fault(LinkFault(delay_ms=150.0))
             group.start_soon(link.run)
             cells.addresses = ["{}:{}".format(*link.address)]
             agent = cells.server("s", lambda text: "")
@@ -236,12 +238,16 @@
                 group.start_soon(link.run)
             agent = cells.server("s", lambda text: "")
             async with running(agent):
-                for harm in (Harm(holds_back=True), Harm(delay_ms=900.0), Harm(holds_there=True)):
+                for fault in (
+                    LinkFault(holds_backward=True),
+                    LinkFault(delay_ms=900.0),
+                    LinkFault(holds_forward=True),
+                ):
                     for link in links:
-                        link.set(harm)
+                        link.set_fault(fault)
                     await anyio.sleep(5.0)
                     for link in links:
-                        link.set(Harm())
+                        link.set_fault(LinkFault())
                     await until(lambda: admits(agent))
             group.cancel_scope.cancel()
 
@@ -255,12 +261,12 @@
             for message, reason in (
                 (register(protocol=99), RefusalReason.PROTOCOL),
                 (register(fleet="g"), RefusalReason.WRONG_FLEET),
-                (Renew(1, 0), RefusalReason.PROTOCOL),
+                (LeaseRenewal(1, 0), RefusalReason.PROTOCOL),
             ):
                 async with raw_stream(service) as stream:
                     await stream.write(encode(message))
                     answer = await next_of(stream)
-                    assert isinstance(answer, Refuse) and answer.reason is reason
+                    assert isinstance(answer, LeaseRefusal) and answer.reason is reason
                     with anyio.fail_after(WAIT_S):
                         assert await stream.read() is grpc.aio.EOF
                         assert await stream.code() is grpc.StatusCode.OK
@@ -271,7 +277,7 @@
 def test_a_server_that_floods_or_says_nothing_is_ended(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTER_S", 0.2)
+    monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
 
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
@@ -281,8 +287,8 @@
             async with raw_stream(service) as stream:
                 with anyio.fail_after(WAIT_S), contextlib.suppress(grpc.RpcError):
                     await stream.write(encode(register()))
-                    for number in range(3 * INCOMING_PER_S):
-                        await stream.write(encode(Renew(number + 2, 0)))
+                    for number in range(3 * MAX_MESSAGES_PER_S):
+                        await stream.write(encode(LeaseRenewal(number + 2, 0)))
                         if number % 8 == 0:
                             await stream.read()
                 with anyio.fail_after(WAIT_S):  # its own writes may fail before the status is read
@@ -303,7 +309,7 @@
                 await stream.write(encode(register()))
                 await until(lambda: len(service.relay.sessions) == 2)
                 slow = max(service._streams)
-                data = encode(InForce(1, "c", "d", "x" * MAX_TEXT_BYTES))
+                data = encode(PolicyUpdate(1, "c", "d", "x" * MAX_TEXT_BYTES))
                 for _ in range(200):
                     if found := service._streams.get(slow):
                         found.send(data)
@@ -332,8 +338,8 @@
 
     anyio.run(play)
     encoder = MessageEncoder()
-    first = encoder.encode(InForce(1, "c", "d", "text"))
-    assert encoder.encode(InForce(1, "c", "d", "text")) is first
+    first = encoder.encode(PolicyUpdate(1, "c", "d", "text"))
+    assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
 
 
 def test_a_frozen_server_stands_aside_in_its_first_turn_and_a_slow_check_holds_up_nothing(
@@ -356,7 +362,7 @@
                 agent.pulse(clock.monotonic())
                 assert orders == ["", False, True, False]
                 await put_in_force(engine, "version = 1")
-                await until(lambda: agent.participant._check)
+                await until(lambda: agent.participant.validation.task)
                 worst, before = 0.0, clock.monotonic()
                 while not agent.counts["checked"]:
                     await anyio.sleep(0.005)
@@ -364,8 +370,8 @@
                     worst, before = max(worst, now - before), now
                 assert worst < 400.0
                 await until(lambda: agent.participant.known.version == 1)
-                agent.participant._effects.append(CheckText("d", "another text"))
-                agent._wake.set()
+                agent.participant._effects.append(ValidateText("d", "another text"))
+                agent._wakeup.set()
                 await until(lambda: agent.counts["checks_begun"] == 2)
                 began = clock.monotonic()
             assert clock.monotonic() - began < 900.0  # it ends without the thread that checks
@@ -377,11 +383,11 @@
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
-            call = channel.unary_unary(CONSENT)
-            ask = AskConsent(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
+            call = channel.unary_unary(ENDORSE_METHOD)
+            ask = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
             answer = decode_from_peer(await call(encode(ask), timeout=WAIT_S))
-            assert isinstance(answer, Consent) and answer.sequence == 7 and not answer.span_ms
-            assert answer.why == f"this relay knows other relays of the cell: {service.role.address}"
+            assert isinstance(answer, Endorsement) and answer.sequence == 7 and not answer.span_ms
+            assert answer.reason == f"this relay knows other relays of the cell: {service.role.address}"
             for garbage in (b"garbage", encode(answer)):
                 with pytest.raises(grpc.aio.AioRpcError) as failed:
                     await call(garbage, timeout=WAIT_S)
@@ -405,7 +411,7 @@
     async def answer_of(service: RelayService, fleet: Fleet) -> Any:
         channel = open_channel(fleet, service.role.address)
         try:
-            stream = channel.stream_stream(SESSION)()
+            stream = channel.stream_stream(SESSION_METHOD)()
             await stream.write(encode(register()))
             return await next_of(stream)
         finally:
@@ -421,7 +427,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
             answer = await answer_of(service, fleet)
-            assert isinstance(answer, Refuse) and answer.reason is RefusalReason.NOT_LEADER
+            assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.NOT_LEADER
             for other in (replace(fleet, cert=None, key=None), replace(fleet, ca=None)):
                 with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
                     await answer_of(service, other)
@@ -441,8 +447,8 @@
 
     anyio.run(play)
     monkeypatch.setattr("resource.getrlimit", lambda what: (1000, 4096))
-    check_descriptors(1000 - STREAMS_SPARE - DESCRIPTORS_SPARE)
-    with pytest.raises(TooFewDescriptors, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
+    check_descriptors(1000 - SPARE_STREAMS - SPARE_DESCRIPTORS)
+    with pytest.raises(DescriptorLimitError, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
         check_descriptors(1000)
 
 
--- a/tests/levels/test_table.py
+++ b/tests/levels/test_table.py
@@ -45,8 +45,8 @@
     assert (first[0], first[1][0].kind, first[2]) == ((), RestrictionKind.SPARE, ())
     assert (second[0][0].kind, second[1][0].kind) == (
         RestrictionKind.SPARE,
-        RestrictionKind.DECLINE,
-    ) and third[0][0].kind is RestrictionKind.DECLINE
+        RestrictionKind.REJECT,
+    ) and third[0][0].kind is RestrictionKind.REJECT
     assert not third[2] and parsed.levels[0].min_stay_ms == 8000.0 and not parsed.is_shadow
 
 
@@ -54,7 +54,7 @@
     cuts = SHARE + ', { do = "decline", products = ["addr-lookup"], rank_below = 0.3, tenants = ["south"] }'
     trims = parse_table(table(cuts), PRODUCTS, TENANTS).levels[0].service_level.restrictions[0]
     assert [(trim.kind, trim.criticality_below, trim.tenants) for trim in trims] == [
-        (RestrictionKind.DECLINE, 0.3, frozenset({1})),
+        (RestrictionKind.REJECT, 0.3, frozenset({1})),
         (RestrictionKind.SHARE, float("inf"), None),
     ]
 
@@ -165,13 +165,13 @@
     module.known |= {"pressure": 0.9, "demand": 2.0}
     rings(8)
     enforced = ["full", "l1", "l2"] if mode == "enforce" else ["full"]
-    assert module.told == enforced and [facts["entered"] for _, facts in logged] == ["l1", "l2"]
-    text, facts = logged[0]
+    assert module.told == enforced and [entry.fields["entered"] for entry in logged] == ["l1", "l2"]
+    text, facts = logged[0].text, logged[0].fields
     assert text == "less service" and facts["pressure_bound"] == 0.2 and facts["why"] == "entry"
     assert facts["pressure"] > 0.2 and facts.get("shadow", False) == (mode == "shadow")
     core.replace_level_table(parse_table(table(SHARE), PRODUCTS, TENANTS))
     rings(1)
-    assert module.told[-1] == "l1" and logged[-1][1]["why"] == "table"
+    assert module.told[-1] == "l1" and logged[-1].fields["why"] == "table"
     shadow = 'version = 1\nmode = "shadow"\n'
     core.replace_level_table(parse_table(table(SHARE, top=shadow), PRODUCTS, TENANTS))
     assert module.told[-1] == "full"  # a shadow enforces nothing, whatever was in force
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -14,7 +14,11 @@
 from pathlib import Path
 
 import pytest
-from helpers import ROOT, WAIT_S, Gateway, Runtime, Server
+from fake_gateway import FakeGateway
+from fake_runtime import FakeRuntime
+from helpers import ROOT
+from line_connection import WAIT_S
+from server_process import ServerProcess
 
 from otterrudder.net import control
 from otterrudder.vrrp import packet
@@ -81,7 +85,7 @@
 
 
 @pytest.fixture
-def pair(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Server, ScriptedPeer]]:
+def pair(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[ServerProcess, ScriptedPeer]]:
     keys = tmp_path / "keys.toml"
     subprocess.run(
         [sys.executable, "-m", "otterrudder", "vrrp", "keygen", str(keys)],
@@ -97,37 +101,39 @@
     monkeypatch.setenv("OTTERRUDDER_VRRP", str(tmp_path / "vrrp.toml"))
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     peer.thread.start()
-    with Server(tmp_path) as server:
+    with ServerProcess(tmp_path) as server:
         yield server, peer
     peer.close()
 
 
-def becomes(server: Server, runtime: Runtime, state: str, times: int) -> None:
+def becomes(server: ServerProcess, runtime: FakeRuntime, state: str, times: int) -> None:
     ends = time.monotonic() + WAIT_S
     while server.log.read_text().count(f"state={state}") < times:
         assert time.monotonic() < ends, server.log.read_text()
-        runtime.idle(1)
+        runtime.answer_gauges(1)
 
 
-def opens(server: Server, runtime: Runtime, times: int) -> None:
+def opens(server: ServerProcess, runtime: FakeRuntime, times: int) -> None:
     ends = time.monotonic() + WAIT_S
     while server.log.read_text().count("door=open serves") < times:
         assert time.monotonic() < ends, server.log.read_text()
-        runtime.idle(1)
+        runtime.answer_gauges(1)
 
 
-def send_request(gateway: Gateway, n: int, product: str = "look") -> int:
-    return gateway.request(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
+def send_request(gateway: FakeGateway, n: int, product: str = "look") -> int:
+    return gateway.send_request(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
 
 
-def test_it_admits_only_as_master_and_hands_over_what_it_read(pair: tuple[Server, ScriptedPeer]) -> None:
+def test_it_admits_only_as_master_and_hands_over_what_it_read(
+    pair: tuple[ServerProcess, ScriptedPeer],
+) -> None:
     server, peer = pair
     peer.is_advertising.set()
-    runtime, gateway = server.up()
-    check = gateway.ask("check")
-    assert gateway.answer()["result"]["pass"] is False  # a backup is not to be chosen
+    runtime, gateway = server.connect_all()
+    check = gateway.send_message("check")
+    assert gateway.read_answer()["result"]["pass"] is False  # a backup is not to be chosen
     rpc = send_request(gateway, 1)
-    error = gateway.answer()
+    error = gateway.read_answer()
     assert error["id"] == rpc != check and error["error"]["code"] == -32014
     assert "stop" not in error["error"]["data"] and error["error"]["data"]["pushback"] > 0
     peer.is_advertising.clear()
@@ -135,44 +141,46 @@
     opens(server, runtime, 1)
     assert peer.receive().priority == 150
     rpc = send_request(gateway, 2, "pay")
-    assert runtime.expect("start", f"{2:016x}", "pay")
+    assert runtime.expect_command("start", f"{2:016x}", "pay")
     peer.is_advertising.set()  # a better one: it steps down with a request in hand
     becomes(server, runtime, "backup", 2)
     time.sleep(0.6)  # past the grace of 400 ms
     declined = send_request(gateway, 3)
-    assert gateway.answer()["id"] == declined  # at once, while 2 still runs
-    runtime.ends(f"{2:016x}", b"paid")
-    answer = gateway.answer()
+    assert gateway.read_answer()["id"] == declined  # at once, while 2 still runs
+    runtime.end_run(f"{2:016x}", b"paid")
+    answer = gateway.read_answer()
     assert answer["id"] == rpc and "result" in answer
-    repeat = gateway.request(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
-    assert gateway.answer()["id"] == repeat  # a backup keeps its references; this one came past the grace
+    repeat = gateway.send_request(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
+    assert (
+        gateway.read_answer()["id"] == repeat
+    )  # a backup keeps its references; this one came past the grace
     peer.is_advertising.clear()
     opens(server, runtime, 2)
-    again = gateway.request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
-    answer = gateway.answer()  # known across both: from the first run, nothing starts
+    again = gateway.send_request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
+    answer = gateway.read_answer()  # known across both: from the first run, nothing starts
     assert answer["id"] == again and "result" in answer
     shown = control.query("n3", "vrrp")["vrrp"][0]
     assert (shown["state"], shown["door"], shown["priority"]) == ("master", "open", 150)
     assert control.socket_path("n3").stat().st_mode & 0o777 == 0o600
 
 
-def test_sigterm_says_priority_0_first_and_drains(pair: tuple[Server, ScriptedPeer]) -> None:
+def test_sigterm_says_priority_0_first_and_drains(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
     server, peer = pair
-    runtime, gateway = server.up()
+    runtime, gateway = server.connect_all()
     opens(server, runtime, 1)
     send_request(gateway, 1)
-    runtime.expect("start", f"{1:016x}")
+    runtime.expect_command("start", f"{1:016x}")
     server.process.send_signal(signal.SIGTERM)
     while peer.receive().priority:
         pass
-    runtime.ends(f"{1:016x}")
-    assert gateway.answer()["result"]
-    assert server.ends() == 0 and not control.socket_path("n3").exists()
+    runtime.end_run(f"{1:016x}")
+    assert gateway.read_answer()["result"]
+    assert server.wait_for_exit() == 0 and not control.socket_path("n3").exists()
 
 
-def test_forced_transitions_leave_each_request_one_answer(pair: tuple[Server, ScriptedPeer]) -> None:
+def test_forced_transitions_leave_each_request_one_answer(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
     server, peer = pair
-    runtime, gateway = server.up()
+    runtime, gateway = server.connect_all()
     opens(server, runtime, 1)
     count, rpcs = 0, []
     for turn in range(1, TURNS + 1):
@@ -189,21 +197,21 @@
         while answers < 5:
             words, _ = _either(server, runtime, gateway)
             if words:
-                runtime.ends(words[1])
+                runtime.end_run(words[1])
             else:
                 answers += 1
         peer.is_advertising.clear()
         ends = time.monotonic() + WAIT_S
         while control.query("n3", "vrrp")["vrrp"][0]["door"] != "open":
             assert time.monotonic() < ends
-            runtime.idle(1)
+            runtime.answer_gauges(1)
     assert sorted(gateway.told) == sorted(rpcs)  # each once, none twice
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
     print(f"{len(rpcs)} requests, became master {counts['became master']}, backup {counts['became backup']}")
     assert counts["became master"] > TURNS // 2
 
 
-def _either(server: Server, runtime: Runtime, gateway: Gateway) -> tuple[list[str], bytes]:
+def _either(server: ServerProcess, runtime: FakeRuntime, gateway: FakeGateway) -> tuple[list[str], bytes]:
     """The runtime's next start, or nothing once the gateway has an answer (kept in `told`)."""
     gateway.told = getattr(gateway, "told", [])
     while True:
@@ -223,18 +231,18 @@
                 gateway.told.append(told["id"])
                 return [], b""
             continue
-        words = runtime.line().decode().split(" ")
+        words = runtime.read_line().decode().split(" ")
         if words[0] == "gauges":
-            runtime.say(f"load {words[1]} 0.2 1 0.1 5")
+            runtime.send(f"load {words[1]} 0.2 1 0.1 5")
         else:
-            return words, runtime.body(int(words[-1]))
+            return words, runtime.read_body(int(words[-1]))
 
 
 def test_what_is_not_authenticated_changes_nothing_and_keys_change_by_sighup(
-    pair: tuple[Server, ScriptedPeer], tmp_path: Path
+    pair: tuple[ServerProcess, ScriptedPeer], tmp_path: Path
 ) -> None:
     server, peer = pair
-    runtime, _ = server.up()
+    runtime, _ = server.connect_all()
     opens(server, runtime, 1)
     genuine = peer.advertise(1)
     for data in (b"", b"x" * 40, genuine, genuine[:-1] + bytes([genuine[-1] ^ 1])):
@@ -250,7 +258,7 @@
         before = server.log.read_text().count("vrrp keys taken")
         server.process.send_signal(signal.SIGHUP)
         while server.log.read_text().count("vrrp keys taken") == before:
-            runtime.idle(1)
+            runtime.answer_gauges(1)
     peer.authenticator.keys = read_keys(keys)
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
     assert counts["replayed"] == 1 and counts["seal"] == 1 and counts["heard"] == 1
