--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -15,7 +15,6 @@
 from engine import Engine
 
 from otterrudder import clock
-from otterrudder.fleet.agent import open_state_directory
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.cell.descriptors import (
     SPARE_DESCRIPTORS,
@@ -44,6 +43,7 @@
 from otterrudder.fleet.configuration import Fleet, read_fleet
 from otterrudder.fleet.records import MAX_TEXT_BYTES, FleetSnapshot, Keys
 from otterrudder.fleet.server_control import ServerControl
+from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.lab.processes.link import Link, LinkFault, free_port
 
 WAIT_S = 8.0
@@ -346,7 +346,7 @@
 
         async with cells.relay("a"):
             agent = cells.server("one", validate)
-            agent.control_sender.orders = ServerControl(orders.append, orders.append)
+            agent.control_sender.control = ServerControl(orders.append, orders.append)
             async with running(agent):
                 agent.pulse(clock.monotonic())
                 agent.pulse(clock.monotonic() + 60_000.0)
