--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -46,6 +46,8 @@
 from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.lab.processes.link import Link, LinkFault, free_port
 
+pytestmark = pytest.mark.exclusive
+
 WAIT_S = 8.0
 FINGERPRINT = "k"
 
