--- a/otterrudder/lab/processes/chart.py
+++ b/otterrudder/lab/processes/chart.py
@@ -1,5 +1,6 @@
 """The chart of a run: servers down the page, time along it."""
 
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -19,14 +20,18 @@
 RECOVERY_EVENTS = ("starts", "healed", "thawed", "room")  # events that begin so are no faults
 
 
-def draw_chart(
-    title: str,
-    servers: int,
-    requests: list[RequestRecord],
-    versions: list[VersionInForce],
-    events: list[ClusterEvent],
-    path: Path,
-) -> None:
+@dataclass(frozen=True, slots=True)
+class ChartData:
+    """What the chart of a run shows."""
+
+    title: str
+    servers: int
+    requests: list[RequestRecord]
+    versions: list[VersionInForce]
+    events: list[ClusterEvent]
+
+
+def draw_chart(data: ChartData, path: Path) -> None:
     """Writes the chart as SVG: a stroke for each completed request, by its product and so by the policies
     that serve it; versions as lines, faults as crosses."""
     import matplotlib
@@ -35,14 +40,14 @@
     matplotlib.rcParams["svg.hashsalt"] = "otterrudder"
     from matplotlib import pyplot as plt
 
-    start = min((request.sent_at for request in requests), default=0.0)
-    figure, axes = plt.subplots(figsize=(11, 0.45 * servers + 1.6))
-    _draw_requests(axes, requests, start)
-    _draw_versions(axes, versions, start, servers)
-    _draw_faults(axes, events, start)
-    axes.set_yticks(range(servers), [f"n{number}" for number in range(servers)])
+    start = min((request.sent_at for request in data.requests), default=0.0)
+    figure, axes = plt.subplots(figsize=(11, 0.45 * data.servers + 1.6))
+    _draw_requests(axes, data.requests, start)
+    _draw_versions(axes, data.versions, start, data.servers)
+    _draw_faults(axes, data.events, start)
+    axes.set_yticks(range(data.servers), [f"n{number}" for number in range(data.servers)])
     axes.set_xlabel("s; lines: a version came into force; crosses: a fault")
-    axes.set_title(title, fontsize=9)
+    axes.set_title(data.title, fontsize=9)
     axes.legend(fontsize=7, loc="upper left")
     figure.tight_layout()
     figure.savefig(path, metadata={"Date": None}, dpi=110)
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from otterrudder.files import convert, load_toml
-from otterrudder.lab.processes.chart import draw_chart
+from otterrudder.lab.processes.chart import ChartData, draw_chart
 from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster
 from otterrudder.lab.processes.fault_schedule import draw
 from otterrudder.lab.processes.faults import Fault, Round
@@ -224,7 +224,8 @@
             charted.add(run.variant)
             path = directory / f"{name}-{run.variant}.svg"
             title = f"{run.variant}, seed {run.seed}"
-            draw_chart(title, run.servers, run.requests, run.versions, run.events, path)
+            data = ChartData(title, run.servers, run.requests, run.versions, run.events)
+            draw_chart(data, path)
 
 
 def _as_json(run: Run) -> dict[str, object]:
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -2,6 +2,7 @@
 faults are found, and the baseline is beaten."""
 
 import contextlib
+import json
 import os
 import signal
 import subprocess
@@ -15,7 +16,7 @@
 import pytest
 
 from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster
-from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table
+from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table, write
 from otterrudder.lab.processes.fault_schedule import draw
 from otterrudder.lab.processes.faults import DECK, Fault, Round
 from otterrudder.lab.processes.history import ClusterHistory, WireHistory, no_version_yet
@@ -272,3 +273,13 @@
     run = Run("wait", 7, False, result, [], [], [], 3)
     head, _, row = table([run]).splitlines()
     assert head.endswith("| txns |") and row.startswith("| wait | 7 | 0 |") and row.endswith("| 0 |")
+
+
+def test_results_are_written_with_a_table_and_a_chart(tmp_path: Path) -> None:
+    history = ClusterHistory(WireHistory(), [no_version_yet()], 1000.0)
+    run = Run("wait", 7, False, RunResult(check_history(history)), [], [no_version_yet()], [], 3)
+    write([run], tmp_path, "one")
+    assert {path.name for path in tmp_path.iterdir()} == {"results.json", "table.md", "one-wait.svg"}
+    (result,) = json.loads((tmp_path / "results.json").read_text())
+    keys = ["variant", "seed", "figures", "breaches", "broken", "rounds", "marks"]
+    assert list(result) == keys and result["figures"]["txns"] == 0
