--- a/otterrudder/lab/processes/cluster.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -57,6 +57,8 @@
 STALL_MS = 60.0  # of this process's own loop, from which on it counts as one
 STALL_POLL_S = 0.02
 CLAIM_TIMEOUT_S = 0.5  # from the claim of a failpoint until its process has stopped
+MAX_RUN_WAIT_S = 2.0  # for a request that a server admits
+RUN_POLL_S = 0.005
 LONG_RUNS_S = 0.25  # before a drain, in which long runs are started that it has to wait for
 SHOWN_TIMEOUT_S = 3.0
 POLL_S = 0.05
@@ -251,6 +253,7 @@
             return
         server.runtime.run_ms = LONG_RUN_MS
         await anyio.sleep(LONG_RUNS_S)
+        await self._wait_for_run(server)
         assert server.process
         server.process.terminate()
         started_at = clock()
@@ -258,6 +261,13 @@
         self.events.add(server.number, "told to drain")
         self.tasks.start_soon(self._wait_drained, server, server.process, started_at)
 
+    async def _wait_for_run(self, server: ServerProcess) -> None:
+        """Until the server starts a run: on a busy machine there may be none in hand otherwise."""
+        started_runs = server.runtime.started_runs
+        with anyio.move_on_after(MAX_RUN_WAIT_S):
+            while server.runtime.started_runs == started_runs:
+                await anyio.sleep(RUN_POLL_S)
+
     async def _wait_drained(
         self, server: ServerProcess, process: subprocess.Popen[bytes], started_at: float
     ) -> None:
--- a/otterrudder/lab/processes/fake_runtime.py
+++ b/otterrudder/lab/processes/fake_runtime.py
@@ -47,6 +47,7 @@
         self.finished_calls: set[str] = set()  # that are owed no answer any more
         self.incarnation = 0  # of the server's process: notices are numbered anew with each
         self.run_ms = RUN_MS
+        self.started_runs = 0  # ever
         self.started_at = clock() - UPTIME_MS
         self._notices: list[_Notice] = []
         self._notice_number = 0
@@ -106,6 +107,7 @@
         if call in self.finished_calls:
             await self._notify(f"{call} unknown 0 0", b"")
             return
+        self.started_runs += 1
         self._running.add(call)
         key = self.idempotency_keys.get(call, "")
         self.wire.runs.append(RunRecord(self.server, call, key, clock()))
