--- a/benchmarks/capacity/laws.py
+++ b/benchmarks/capacity/laws.py
@@ -18,7 +18,7 @@
 Figures = npt.NDArray[np.float64]
 
 
-class TooFewSizes(ValueError):
+class TooFewSizesError(ValueError):
     """A law was to be fitted to fewer than four sizes."""
 
 
@@ -52,9 +52,11 @@
 
 
 def fit(sizes: Sequence[float], figures: Sequence[float]) -> Fit:
-    """Both laws, the better first. TooFewSizes: there are not four different sizes."""
+    """Both laws, the better first. TooFewSizesError: there are not four different sizes."""
     if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(figures):
-        raise TooFewSizes(f"{len(set(sizes))} sizes with {len(figures)} figures: {SIZES_LEAST} are the least")
+        raise TooFewSizesError(
+            f"{len(set(sizes))} sizes with {len(figures)} figures: {SIZES_LEAST} are the least"
+        )
     x, y = np.asarray(sizes, float), np.asarray(figures, float)
     linear = _linear(x, y)
     if y.min() <= 0:
--- a/benchmarks/capacity/slope.py
+++ b/benchmarks/capacity/slope.py
@@ -83,7 +83,7 @@
     def add(
         self, name: str, what: str, method: str, figures: Sequence[float], limit: Limit | None = None
     ) -> None:
-        """Fits the laws to the figures; TooFewSizes as `fit`."""
+        """Fits the laws to the figures; TooFewSizesError as `fit`."""
         found = fit(self.sizes, figures)
         told = Slope(
             f"{self.row}/{name}", what, self.by, method, self.sizes, tuple(figures), self.target, limit, found
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -40,7 +40,7 @@
 ALL_BY_CLOCK = "open loop, clock of the callers' process"
 
 
-class NothingServed(Exception):
+class NothingServedError(Exception):
     """No request of a rate had a result, so it has no added time."""
 
 
@@ -133,7 +133,7 @@
 def _pooled(windows: list[Window], per_s: float) -> list[float]:
     pooled = [added for window in windows for added in window.added_ms]
     if not pooled:
-        raise NothingServed(f"none of the txns at {per_s:g} a second had a result")
+        raise NothingServedError(f"none of the txns at {per_s:g} a second had a result")
     return pooled
 
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -14,7 +14,7 @@
 
 from otterrudder.admission.interface import Outcome  # noqa: E402
 from otterrudder.files import load_toml  # noqa: E402
-from otterrudder.lab.site import BadInput, Site, site_of  # noqa: E402
+from otterrudder.lab.site import InvalidInputError, Site, site_of  # noqa: E402
 from otterrudder.levels import LevelController, LevelTable, read_table  # noqa: E402
 from otterrudder.net.core import RequestCore  # noqa: E402
 from otterrudder.net.requests import RequestFields  # noqa: E402
@@ -65,7 +65,7 @@
 
 
 def main() -> None:
-    site = site_of(load_toml(ROOT / "experiments/sites/intake.toml", BadInput), "intake.toml")
+    site = site_of(load_toml(ROOT / "experiments/sites/intake.toml", InvalidInputError), "intake.toml")
     table = read_table(ROOT / "deploy/levels.toml", site.products, site.tenants)
     runner = pyperf.Runner()
     for name, start in TABLE_OF.items():
--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -20,7 +20,7 @@
     from otterrudder.lab.runner import perform
     from otterrudder.lab.scale.experiment import is_scale, read_scale
     from otterrudder.lab.scale.play import settings_of
-    from otterrudder.lab.site import BadInput
+    from otterrudder.lab.site import InvalidInputError
 except ModuleNotFoundError as missing:
     give_up(f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt")
 
@@ -149,7 +149,7 @@
 
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
@@ -173,7 +173,7 @@
 
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
@@ -234,7 +234,7 @@
 
     try:
         broken = perform(file, choice, click.echo)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     for line in broken:
         click.echo(f"does not hold: {line}", err=True)
@@ -250,7 +250,7 @@
         _give_up_without_fleet_extra(error)
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTimeError) as error:
+    except (InvalidInputError, NotInTimeError) as error:
         give_up(error)
     except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
@@ -274,7 +274,7 @@
         give_up(f"--seeds: {seeds!r} is no list of whole numbers")
     try:
         experiment = read_experiment(file, numbers, quick)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     click.echo(f"{experiment.title}: {len(experiment.runs)} runs (simulated: {experiment.model})")
 
@@ -306,7 +306,7 @@
     for file in files:
         try:
             summary = _summary_of(file)
-        except BadInput as error:
+        except InvalidInputError as error:
             give_up(error)
         click.echo(f"{file}  {summary.title} ({summary.runs} runs)")
 
@@ -319,7 +319,7 @@
 
 
 def _summary_of(file: Path) -> ExperimentSummary:
-    values = load_toml(file, BadInput)
+    values = load_toml(file, InvalidInputError)
     title = str(values.get("title", ""))
     if is_scale(values):
         return ExperimentSummary(title, len(settings_of(read_scale(file))))
@@ -366,7 +366,7 @@
     policy across six processes, if the extra `fleet` is installed."""
     try:
         outcome = show_demo(file, folder, click.echo)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     all_hold = outcome.holds
     try:
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -23,7 +23,7 @@
 from otterrudder.files import load_toml, merged
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.shapes import Part
-from otterrudder.lab.site import BadInput, Site, convert, site_of
+from otterrudder.lab.site import InvalidInputError, Site, convert, site_of
 from otterrudder.lab.tunables import TUNABLES
 from otterrudder.levels import LevelTable, LevelTableError, read_table
 
@@ -118,15 +118,17 @@
 
 
 def read_experiment(path: str | Path, seeds: list[int] | None = None, quick: bool = False) -> Experiment:
-    """The experiment in a file, checked whole; BadInput names the file and the key."""
+    """The experiment in a file, checked whole; InvalidInputError names the file and the key."""
     path = Path(path)
     where = path.name
-    told: _Experiment = convert(load_toml(path, BadInput), _Experiment, where)
+    told: _Experiment = convert(load_toml(path, InvalidInputError), _Experiment, where)
     for variant in told.variant:
         for constant in variant.module:
             if constant not in TUNABLES:
-                raise BadInput(f"{where}: variant {variant.name}: the module has no constant {constant!r}")
-    whole = load_toml(path.parent / told.site, BadInput)
+                raise InvalidInputError(
+                    f"{where}: variant {variant.name}: the module has no constant {constant!r}"
+                )
+    whole = load_toml(path.parent / told.site, InvalidInputError)
     site_where = Path(told.site).name
     site_of(whole, site_where)
     variants = {variant.name: variant for variant in told.variant}
@@ -136,7 +138,7 @@
         place = f"{where}: case[{n}]"
         for name in case.variants:
             if name not in variants:
-                raise BadInput(f"{place}.variants: there is no {name!r}")
+                raise InvalidInputError(f"{place}.variants: there is no {name!r}")
         if quick and not case.in_quick:
             continue
         length_s = min(case.length_s, QUICK_S) if quick else case.length_s
@@ -172,13 +174,15 @@
     load = convert(_filled(case.load, values, f"{place}.load"), list[Part], f"{place}.load")
     faults = convert(_filled(case.trouble, values, f"{place}.trouble"), list[Fault], f"{place}.trouble")
     if not load:
-        raise BadInput(f"{place}.load: it is empty")
+        raise InvalidInputError(f"{place}.load: it is empty")
     for variant in variants:
         changed = merged(merged(whole, _filled(case.site, values, f"{place}.site")), variant.site)
         site = site_of(changed, f"{site_where} as {place} and {variant.name} change it")
         for k, fault in enumerate(faults, 1):
             if any(not 0 <= number < site.server.count for number in fault.servers):
-                raise BadInput(f"{place}.trouble[{k}].servers: there are {site.server.count}, counted from 0")
+                raise InvalidInputError(
+                    f"{place}.trouble[{k}].servers: there are {site.server.count}, counted from 0"
+                )
         levels = _levels(folder, variant, site)
         for seed in seeds:
             yield Run(
@@ -203,7 +207,7 @@
     try:
         return read_table(folder / variant.levels, site.products, site.tenants)
     except LevelTableError as error:
-        raise BadInput(f"variant {variant.name}: {error}") from None
+        raise InvalidInputError(f"variant {variant.name}: {error}") from None
 
 
 def _grid(grid: dict[str, list[float]]) -> Iterator[dict[str, float]]:
@@ -219,7 +223,7 @@
         return [_filled(value, values, where) for value in told]
     if isinstance(told, str) and told.startswith("$"):
         if told[1:] not in values:
-            raise BadInput(f"{where}: the grid has no {told[1:]!r}")
+            raise InvalidInputError(f"{where}: the grid has no {told[1:]!r}")
         return values[told[1:]]
     return told
 
@@ -230,14 +234,14 @@
         place = f"{where}: claim[{n}]"
         for key, name in (("variant", claim.variant), ("over", claim.over)):
             if name and name not in names:
-                raise BadInput(f"{place}.{key}: there is no variant {name!r}")
+                raise InvalidInputError(f"{place}.{key}: there is no variant {name!r}")
         bounds = [claim.at_least, claim.at_most, claim.above, claim.within]
         if all(bound is None for bound in bounds):
-            raise BadInput(f"{place}: it states no bound")
+            raise InvalidInputError(f"{place}: it states no bound")
         if not claim.over and (claim.above is not None or claim.within is not None):
-            raise BadInput(f"{place}.over: above and within are of a difference")
+            raise InvalidInputError(f"{place}.over: above and within are of a difference")
         if not quick and not any(matches(claim.cases, run) and run.variant == claim.variant for run in runs):
-            raise BadInput(f"{place}.cases: {claim.cases!r} fits no case of {claim.variant}")
+            raise InvalidInputError(f"{place}.cases: {claim.cases!r} fits no case of {claim.variant}")
 
 
 def matches(pattern: str, run: Run) -> bool:
--- a/otterrudder/lab/processes/cell_experiment.py
+++ b/otterrudder/lab/processes/cell_experiment.py
@@ -28,7 +28,7 @@
 from otterrudder.lab.processes.linked_cells import CellMutants, LinkedCellCluster
 from otterrudder.lab.processes.round_runner import Report
 from otterrudder.lab.processes.server_process import LOG_FILE
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 VERSION = 1  # of the format
 MAX_CELLS = 8
@@ -156,26 +156,30 @@
 
 
 def read(path: Path) -> CellExperiment:
-    """The experiment in a file; BadInput names the file and the key."""
-    experiment = convert(load_toml(path, BadInput), CellExperiment, f"{path.name}: ", BadInput)
+    """The experiment in a file; InvalidInputError names the file and the key."""
+    experiment = convert(
+        load_toml(path, InvalidInputError), CellExperiment, f"{path.name}: ", InvalidInputError
+    )
     if experiment.version != VERSION:
-        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {experiment.version}")
+        raise InvalidInputError(
+            f"{path.name}: version: this program reads {VERSION}, not {experiment.version}"
+        )
     cells = experiment.cells
     for key in ("servers", "quick_servers"):
         if not len(cells) <= getattr(experiment, key) <= MAX_SERVERS:
-            raise BadInput(f"{path.name}: {key}: not from one a cell to {MAX_SERVERS}")
+            raise InvalidInputError(f"{path.name}: {key}: not from one a cell to {MAX_SERVERS}")
     if not 1 <= len(cells) <= MAX_CELLS or set(cells.values()) != {RELAYS_OF_CELL}:
-        raise BadInput(f"{path.name}: cells: from 1 to {MAX_CELLS} of two relays each are wanted")
+        raise InvalidInputError(f"{path.name}: cells: from 1 to {MAX_CELLS} of two relays each are wanted")
     if not experiment.seeds or not experiment.variant:
-        raise BadInput(f"{path.name}: seeds, variant: one of each is wanted at least")
+        raise InvalidInputError(f"{path.name}: seeds, variant: one of each is wanted at least")
     return experiment
 
 
 def only(experiment: CellExperiment, names: tuple[str, ...]) -> CellExperiment:
-    """The experiment with these variants, or all if none is named; BadInput: there is none of that name."""
+    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that name."""
     known = [variant.name for variant in experiment.variant]
     if unknown := [name for name in names if name not in known]:
-        raise BadInput(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+        raise InvalidInputError(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
     variants = [experiment.variant_named(name) for name in names] or experiment.variant
     return msgspec.structs.replace(experiment, variant=variants)
 
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -20,7 +20,7 @@
 from otterrudder.lab.processes.history import ClusterEvent, RequestRecord, VersionInForce
 from otterrudder.lab.processes.history_checker import Rule
 from otterrudder.lab.processes.round_runner import Report, RunResult, check_run, play
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 VERSION = 1  # of the format
 MAX_SERVERS = 24  # processes of one machine; more of them measure its scheduler
@@ -104,23 +104,27 @@
 
 
 def read(path: Path) -> Experiment:
-    """The experiment in a file; BadInput names the file and the key."""
-    experiment = convert(load_toml(path, BadInput), Experiment, f"{path.name}: ", BadInput)
+    """The experiment in a file; InvalidInputError names the file and the key."""
+    experiment = convert(load_toml(path, InvalidInputError), Experiment, f"{path.name}: ", InvalidInputError)
     if experiment.version != VERSION:
-        raise BadInput(f"{path.name}: version: this program reads {VERSION}, not {experiment.version}")
+        raise InvalidInputError(
+            f"{path.name}: version: this program reads {VERSION}, not {experiment.version}"
+        )
     for key in ("servers", "quick_servers"):
         if not 1 <= getattr(experiment, key) <= MAX_SERVERS:
-            raise BadInput(f"{path.name}: {key}: {getattr(experiment, key)} is not from 1 to {MAX_SERVERS}")
+            raise InvalidInputError(
+                f"{path.name}: {key}: {getattr(experiment, key)} is not from 1 to {MAX_SERVERS}"
+            )
     if not experiment.seeds or not experiment.variant:
-        raise BadInput(f"{path.name}: seeds, variant: one of each is wanted at least")
+        raise InvalidInputError(f"{path.name}: seeds, variant: one of each is wanted at least")
     return experiment
 
 
 def only(experiment: Experiment, names: tuple[str, ...]) -> Experiment:
-    """The experiment with these variants, or all if none is named; BadInput: there is none of that name."""
+    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that name."""
     known = [variant.name for variant in experiment.variant]
     if unknown := [name for name in names if name not in known]:
-        raise BadInput(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+        raise InvalidInputError(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
     variants = [experiment.variant_named(name) for name in names] or experiment.variant
     return msgspec.structs.replace(experiment, variant=variants)
 
--- a/otterrudder/lab/scale/experiment.py
+++ b/otterrudder/lab/scale/experiment.py
@@ -8,7 +8,7 @@
 
 from otterrudder.files import convert, load_toml
 from otterrudder.fleet.records import Absent
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 VERSION = 1  # of the form
 
@@ -148,12 +148,12 @@
 
 
 def read_scale(path: Path) -> Experiment:
-    """Raises BadInput, which names the file and the key."""
-    told = load_toml(path, BadInput)
-    experiment: Experiment = convert(told, Experiment, f"{path.name}: ", BadInput)
+    """Raises InvalidInputError, which names the file and the key."""
+    told = load_toml(path, InvalidInputError)
+    experiment: Experiment = convert(told, Experiment, f"{path.name}: ", InvalidInputError)
     trouble = next(_troubles(experiment), None)
     if trouble:
-        raise BadInput(f"{path.name}: {trouble}")
+        raise InvalidInputError(f"{path.name}: {trouble}")
     return experiment
 
 
--- a/otterrudder/lab/scale/processes/command.py
+++ b/otterrudder/lab/scale/processes/command.py
@@ -11,7 +11,7 @@
 from otterrudder.lab.scale.processes.measure import QUICK, Plan, measure, measure_at_once
 from otterrudder.lab.scale.processes.report import Report, make_report, write_report
 from otterrudder.lab.scale.processes.rows import Row
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 TABLE = "processes"  # of the experiment's file: what differs from a Plan's own figures
 ENDING = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
@@ -22,11 +22,11 @@
 
 
 def read_plan(file: Path, is_quick: bool) -> Plan:
-    """BadInput: the file can't be read, or its table has what a plan has not."""
+    """InvalidInputError: the file can't be read, or its table has what a plan has not."""
     if is_quick:
         return QUICK
-    told = load_toml(file, BadInput).get(TABLE, {})
-    plan: Plan = convert(told, Plan, f"{file.name}: {TABLE}", BadInput)
+    told = load_toml(file, InvalidInputError).get(TABLE, {})
+    plan: Plan = convert(told, Plan, f"{file.name}: {TABLE}", InvalidInputError)
     return plan
 
 
--- a/otterrudder/lab/scale/simulated.py
+++ b/otterrudder/lab/scale/simulated.py
@@ -8,7 +8,7 @@
 from otterrudder.lab.scale.play import play, settings_of
 from otterrudder.lab.scale.report import as_json, table, write
 from otterrudder.lab.scale.verdicts import broken
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
 
 def perform(file: Path, choice: Choice, say: Callable[[str], None]) -> list[str]:
-    """Plays the chosen runs, shows and writes them; what does not hold. Raises BadInput."""
+    """Plays the chosen runs, shows and writes them; what does not hold. Raises InvalidInputError."""
     experiment = read_scale(file)
     settings = settings_of(
         experiment,
@@ -36,7 +36,7 @@
         minutes=choice.minutes,
     )
     if not settings:
-        raise BadInput(
+        raise InvalidInputError(
             f"{file.name}: .case: none of these is to be played: {', '.join(choice.names) or 'none'}"
         )
     runs = []
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -22,7 +22,7 @@
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
-class BadInput(Exception):
+class InvalidInputError(Exception):
     """What is wrong with a file of the lab, in one line that names the file and the key."""
 
 
@@ -195,13 +195,13 @@
 
 
 def convert(told: Any, kind: type[Any], where: str) -> Any:
-    """`told` as `kind`; BadInput names the place as msgspec knows it."""
+    """`told` as `kind`; InvalidInputError names the place as msgspec knows it."""
     try:
         return msgspec.convert(told, kind)
     except msgspec.ValidationError as error:
         what, _, at = str(error).partition(" - at `")
         key = at.rstrip("`").lstrip("$").lstrip(".")
-        raise BadInput(": ".join(filter(None, (where, key, what)))) from None
+        raise InvalidInputError(": ".join(filter(None, (where, key, what)))) from None
 
 
 def site_of(told: dict[str, Any], where: str) -> Site:
@@ -209,10 +209,10 @@
     site: Site = convert(told, Site, where)
     for n, product in enumerate(site.product, 1):
         if product.sla_ms > product.expiry_ms:
-            raise BadInput(f"{where}: product[{n}].sla_ms: {product.sla_ms:g} is above expiry_ms")
+            raise InvalidInputError(f"{where}: product[{n}].sla_ms: {product.sla_ms:g} is above expiry_ms")
         if product.effect == "referenced" and product.window_ms <= 0:
-            raise BadInput(f"{where}: product[{n}].window_ms: a referenced product needs one")
+            raise InvalidInputError(f"{where}: product[{n}].window_ms: a referenced product needs one")
     names = [product.name for product in site.product]
     if len(set(names)) != len(names):
-        raise BadInput(f"{where}: product: a name stands twice")
+        raise InvalidInputError(f"{where}: product: a name stands twice")
     return site
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -19,7 +19,7 @@
 from otterrudder.lab.engine import Engine
 from otterrudder.lab.plan import ClaimPart, read_experiment
 from otterrudder.lab.shapes import Part, demand
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 from otterrudder.lab.streams import Streams
 
 
@@ -190,7 +190,7 @@
         text = text.replace(f'"{here}', f'"{(ROOT / "experiments" / here).resolve()}')
     file = tmp_path / "bad.toml"
     file.write_text(text)
-    with pytest.raises(BadInput) as raised:
+    with pytest.raises(InvalidInputError) as raised:
         read_experiment(file)
     assert says in str(raised.value) and "\n" not in str(raised.value)
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -18,7 +18,7 @@
 from otterrudder.lab.plan import read_experiment
 from otterrudder.lab.runner import perform, play
 from otterrudder.lab.shapes import Part
-from otterrudder.lab.site import BadInput, site_of
+from otterrudder.lab.site import InvalidInputError, site_of
 from otterrudder.levels import read_table
 from otterrudder.net import core
 from otterrudder.net.core import RequestCore
@@ -27,7 +27,7 @@
 
 from helpers import ROOT  # isort: skip
 
-SITE = site_of(load_toml(ROOT / "experiments/sites/intake.toml", BadInput), "intake.toml")
+SITE = site_of(load_toml(ROOT / "experiments/sites/intake.toml", InvalidInputError), "intake.toml")
 TABLE = read_table(ROOT / "deploy/levels.toml", SITE.products, SITE.tenants)
 HARD = [Part(shape="constant", at=1.0), Part(shape="step", at=0.5, from_s=10, to_s=30)]
 RELEASE = [Fault(kind="release", at_s=8, for_s=1, gap_s=9)]
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -24,7 +24,7 @@
 from otterrudder.lab.scale.servers import Servers
 from otterrudder.lab.scale.simulation import Setting, Simulation
 from otterrudder.lab.scale.verdicts import broken
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 FILE = ROOT / "experiments/capacity.toml"
 NO_TIMES = ("cpu", "_cpu_")  # what a machine's clock goes into
@@ -136,7 +136,7 @@
     ],
 )
 def test_a_mistake_in_the_file_is_named_with_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
-    with pytest.raises(BadInput, match=says):
+    with pytest.raises(InvalidInputError, match=says):
         read_scale(changed(tmp_path, old, new))
 
 
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -11,7 +11,7 @@
 
 from benchmarks.capacity import size
 from benchmarks.capacity.__main__ import main
-from benchmarks.capacity.laws import TooFewSizes, fit
+from benchmarks.capacity.laws import TooFewSizesError, fit
 from benchmarks.capacity.rows import ROWS
 from benchmarks.capacity.slope import Limit, Series, Slope
 from benchmarks.capacity.sockets import held_up_to, replayed_p99_ms, wanted_us
@@ -77,7 +77,7 @@
     ],
 )
 def test_fewer_than_four_sizes_are_refused(sizes: tuple[float, ...], figures: tuple[float, ...]) -> None:
-    with pytest.raises(TooFewSizes):
+    with pytest.raises(TooFewSizesError):
         fit(sizes, figures)
 
 
