--- a/tests/vrrp/test_search.py
+++ b/tests/vrrp/test_search.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from otterrudder.lab.search import machine_of, search
+from otterrudder.lab.vrrp_search import machine_of, search
 from otterrudder.vrrp import admission_gate
 from otterrudder.vrrp.admission_gate import AdmissionGate, GateEvent, GateState
 from otterrudder.vrrp.state_machine import Action, StateMachine, Timer
@@ -13,12 +13,12 @@
 @pytest.mark.parametrize(("priorities", "depth"), [((200, 100), 12), ((100, 100), 11), ((200, 150, 100), 6)])
 def test_no_order_of_events_breaks_a_promise(priorities: tuple[int, ...], depth: int) -> None:
     found = search(priorities, depth)
-    assert found.broken is None and found.depth == depth
-    assert found.worlds > 1000
+    assert found.violation is None and found.depth == depth
+    assert found.states > 1000
 
 
 def test_without_preemption_one_master_stays() -> None:
-    assert search((200, 100), 7, lambda n, p: machine_of(n, p, preempts=False)).broken is None
+    assert search((200, 100), 7, lambda n, p: machine_of(n, p, preempts=False)).violation is None
 
 
 class Deaf(StateMachine):
@@ -58,8 +58,8 @@
 @pytest.mark.parametrize(
     ("fault", "priorities", "says"),
     [
-        (Deaf, (200, 100), "in peace the masters are [0, 1]"),
-        (Tied, (100, 100), "in peace the masters are [0, 1]"),
+        (Deaf, (200, 100), "once quiescent the masters are [0, 1]"),
+        (Tied, (100, 100), "once quiescent the masters are [0, 1]"),
         (Shy, (200, 100), "and one of priority 200 should be"),
     ],
 )
@@ -67,11 +67,11 @@
     fault: type[StateMachine], priorities: tuple[int, ...], says: str
 ) -> None:
     def make(n: int, priority: int) -> StateMachine:
-        twin = machine_of(n, priority)
-        return fault(twin.address, twin.priority, twin.own_interval)
+        copy = machine_of(n, priority)
+        return fault(copy.address, copy.priority, copy.own_interval)
 
     found = search(priorities, 8, make)
-    assert found.broken and says in found.broken.what and found.broken.trail
+    assert found.violation and says in found.violation.description and found.violation.trace
 
 
 def test_a_master_that_leaves_and_is_waited_for_is_found() -> None:
@@ -84,15 +84,15 @@
 @pytest.mark.parametrize(
     ("move", "leads", "says"),
     [
-        ((GateState.OPEN, GateEvent.BACKUP), GateState.OPEN, "the open doors are"),
-        ((GateState.HELD, GateEvent.DEADLINE), GateState.HELD, "in peace"),
-        ((GateState.DRAINING, GateEvent.DEADLINE), GateState.OPEN, "the open doors are"),
+        ((GateState.OPEN, GateEvent.BACKUP), GateState.OPEN, "the open gates are"),
+        ((GateState.HELD, GateEvent.DEADLINE), GateState.HELD, "once quiescent"),
+        ((GateState.DRAINING, GateEvent.DEADLINE), GateState.OPEN, "the open gates are"),
     ],
 )
 def test_a_fault_in_the_gate_is_found(monkeypatch, move, leads, says) -> None:
     monkeypatch.setitem(admission_gate.TRANSITIONS, move, leads)
-    found = search((200, 100), 9, worlds_most=60_000)
-    assert found.broken and says in found.broken.what
+    found = search((200, 100), 9, max_states=60_000)
+    assert found.violation and says in found.violation.description
 
 
 def test_each_gate_state_has_a_transition_for_each_event_and_the_docs_show_them() -> None:
