--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -6,7 +6,7 @@
 from benchmarks.capacity.measure import PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.interface import Outcome, ServiceLevel
+from otterrudder.admission.interface import Arrival, Outcome, ServiceLevel
 
 SIZES = (10, 100, 1_000, 10_000, 100_000)
 SIZES_QUICK = (10, 40, 160, 640)
@@ -20,6 +20,13 @@
 FEW = 10  # of what is not varied
 
 
+def arrival_of(number: int, class_count: int, tenant_count: int) -> Arrival:
+    """The request of this number, a session of its own: each class and tenant has its turn."""
+    class_index = number % class_count
+    tenant = number % tenant_count
+    return Arrival(number, class_index, tenant, session_key=number, size_kb=20.0, time_left_ms=2000.0)
+
+
 def play_requests(
     controller: AdmissionController, requests: int, class_count: int, tenant_count: int, first: int = 1
 ) -> None:
@@ -27,7 +34,9 @@
     for n in range(first, first + requests):
         controller.advance_to(n * 2.0)
         controller.handle_arrival(
-            n, n % class_count, tenant=n % tenant_count, session_key=n, size_kb=20.0, time_left_ms=2000.0
+            Arrival(
+                n, n % class_count, tenant=n % tenant_count, session_key=n, size_kb=20.0, time_left_ms=2000.0
+            )
         )
         controller.take_commands()
         controller.handle_finished(n, Outcome.OK)
@@ -84,7 +93,7 @@
         controller = controller_of(settings)
         for n in range(1, sessions + 1):  # at one moment, so that none expires
             controller.handle_arrival(
-                n, n % 10, tenant=n % 10, session_key=n, size_kb=20.0, time_left_ms=2000.0
+                Arrival(n, n % 10, tenant=n % 10, session_key=n, size_kb=20.0, time_left_ms=2000.0)
             )
             controller.handle_finished(n, Outcome.OK)
             controller.take_commands()
--- a/otterrudder/admission/admission_queues.py
+++ b/otterrudder/admission/admission_queues.py
@@ -9,7 +9,6 @@
     RECENT_WEIGHT,
     AdmissionContext,
     RejectionReason,
-    RequestFlow,
     Stage,
 )
 from otterrudder.admission.downstream_calls import DownstreamCalls
@@ -49,14 +48,13 @@
     def __init__(
         self,
         context: AdmissionContext,
-        flow: RequestFlow,
         quotas: TenantQuotas,
         limiter: ConcurrencyLimiter,
         downstream_calls: DownstreamCalls,
         load_reporter: LoadReporter,
     ) -> None:
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._quotas = quotas
         self._limiter = limiter
         self._downstream_calls = downstream_calls
--- a/otterrudder/admission/circuit_breaker.py
+++ b/otterrudder/admission/circuit_breaker.py
@@ -1,7 +1,7 @@
 """The circuit breaker for downstream calls: after failures in a row, single trials bring the calls back."""
 
 from otterrudder.admission.commands import LogMessage
-from otterrudder.admission.context import TICK_MS, AdmissionContext, RequestFlow
+from otterrudder.admission.context import TICK_MS, AdmissionContext
 from otterrudder.admission.interface import Outcome
 from otterrudder.admission.requests import Request
 
@@ -12,9 +12,9 @@
 class CircuitBreaker:
     """Spaces calls out while the downstream fails; closed while `_interval_ms` is 0."""
 
-    def __init__(self, context: AdmissionContext, flow: RequestFlow) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._consecutive_failures = 0
         self._interval_ms = 0.0
         self._last_call_at = 0.0
--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -54,26 +54,17 @@
 class ConcurrencyLimiter(Stage):
     """Limits the requests that run. Guards against crowding, whatever is out on calls or runs for nobody."""
 
-    def __init__(
-        self,
-        context: AdmissionContext,
-        memory_budget: MemoryBudget,
-        *,
-        cores: int,
-        max_concurrency_per_core: float,
-        slow_start_ms: float,
-        slow_start_from: float,
-        started_at: float,
-    ) -> None:
+    def __init__(self, context: AdmissionContext, memory_budget: MemoryBudget) -> None:
+        settings = context.settings
         self._context = context
         self._memory_budget = memory_budget
-        self._cores = cores
-        self._max_concurrency_per_core = max_concurrency_per_core
-        self._slow_start_ms = slow_start_ms
-        self._slow_start_from = slow_start_from
-        self._started_at = started_at
+        self._cores = settings.cores
+        self._max_concurrency_per_core = settings.max_concurrency_per_core
+        self._slow_start_ms = settings.slow_start_ms
+        self._slow_start_from = settings.slow_start_from
+        self._started_at = context.now - settings.uptime_ms if settings.is_cold_start else -math.inf
         self.latencies = ClassLatencies(len(context.request_classes))
-        self.limit = float(cores)
+        self.limit = float(settings.cores)
         self.running = 0  # requests on the cores
         self.in_flight = 0  # those, and requests that are out on downstream calls
         self.busy_share = 0.0  # of the cores, as last measured
--- a/otterrudder/admission/context.py
+++ b/otterrudder/admission/context.py
@@ -4,8 +4,8 @@
 from typing import Protocol
 
 from otterrudder.admission.commands import Command
-from otterrudder.admission.interface import Limits, RequestClass
 from otterrudder.admission.requests import Request
+from otterrudder.admission.settings import ControllerSettings
 from otterrudder.admission.timer_queue import TimerQueue
 
 TICK_MS = 40.0  # period of the tick: half of the 80 ms within which an answer must follow its deadline
@@ -21,12 +21,14 @@
 
 
 class AdmissionContext:
-    """The state that all stages read: the time, the policy, the requests in hand, timers and commands."""
+    """What all stages have: the time, the settings, the policy, the requests in hand, timers and commands."""
 
-    def __init__(self, now: float, request_classes: list[RequestClass], limits: Limits) -> None:
+    def __init__(self, now: float, settings: ControllerSettings, flow: "RequestFlow") -> None:
         self.now = now
-        self.request_classes = request_classes
-        self.limits = limits
+        self.settings = settings  # as of the start; the policy may change what follows
+        self.request_classes = settings.request_classes
+        self.limits = settings.limits
+        self.flow = flow
         self.requests: dict[int, Request] = {}  # queued, following, running, calling or replaying
         self.timers = TimerQueue()
         self.commands: list[Command] = []
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -8,7 +8,6 @@
 What becomes of it runs back through the chain in reverse. docs/design.md says why.
 """
 
-import math
 import zlib
 
 from otterrudder.admission.admission_queues import AdmissionQueues
@@ -29,7 +28,7 @@
 from otterrudder.admission.downstream_calls import DownstreamCalls
 from otterrudder.admission.draining import Draining
 from otterrudder.admission.interface import (
-    DownstreamKind,
+    Arrival,
     Limits,
     Outcome,
     RequestClass,
@@ -55,7 +54,7 @@
         self.settings = settings
         self._instance = instance
         self._random_count = seed
-        self.context = AdmissionContext(now, settings.request_classes, settings.limits)
+        self.context = AdmissionContext(now, settings, self)
         self._make_stages()
         self._chain: tuple[Stage, ...] = (
             self.deadlines,
@@ -73,62 +72,23 @@
         self._on_released = (self.downstream_calls, self.limiter, self.memory_budget)
 
     def _make_stages(self) -> None:
-        settings = self.settings
         context = self.context
-        self.deadlines = Deadlines(context, self)
-        self.draining = Draining(context, self, settings.drain_grace_ms)
-        self.deduplication = Deduplication(context, self, settings.clock_tick_ms)
-        self.sessions = SessionTable(context)
-        self.tenant_quotas = TenantQuotas(context, settings.tenants)
-        self.memory_budget = MemoryBudget(
-            context,
-            self,
-            self.deduplication,
-            capacity_kb=settings.memory_kb,
-            run_factor=settings.run_memory_factor,
-            entry_kb=settings.idempotency_entry_kb,
-            max_entries=settings.max_idempotency_entries,
-        )
-        self.limiter = ConcurrencyLimiter(
-            context,
-            self.memory_budget,
-            cores=settings.cores,
-            max_concurrency_per_core=settings.max_concurrency_per_core,
-            slow_start_ms=settings.slow_start_ms,
-            slow_start_from=settings.slow_start_from,
-            started_at=context.now - settings.uptime_ms if settings.is_cold_start else -math.inf,
-        )
-        self.load_reporter = LoadReporter(
-            context,
-            self.limiter,
-            self.draining,
-            signal=settings.load_signal,
-            callers=settings.callers,
-            max_idle_timeout_ms=settings.max_idle_timeout_ms,
-            are_retries_marked=settings.are_retries_marked,
-        )
         active_level = ActiveServiceLevel()
-        self.downstream_calls = DownstreamCalls(
-            context,
-            self,
-            self.limiter,
-            active_level,
-            is_shared=settings.downstream is DownstreamKind.SHARED,
-            quota_window_ms=settings.downstream_quota_window_ms,
-            linger_ms=settings.downstream_linger_ms,
-        )
+        self.deadlines = Deadlines(context)
+        self.draining = Draining(context)
+        self.deduplication = Deduplication(context)
+        self.sessions = SessionTable(context)
+        self.tenant_quotas = TenantQuotas(context)
+        self.memory_budget = MemoryBudget(context, self.deduplication)
+        self.limiter = ConcurrencyLimiter(context, self.memory_budget)
+        self.load_reporter = LoadReporter(context, self.limiter, self.draining)
+        self.downstream_calls = DownstreamCalls(context, self.limiter, active_level)
         self.queues = AdmissionQueues(
-            context, self, self.tenant_quotas, self.limiter, self.downstream_calls, self.load_reporter
+            context, self.tenant_quotas, self.limiter, self.downstream_calls, self.load_reporter
         )
-        self.service_level_stage = ServiceLevelStage(context, self, active_level, self.queues, self.limiter)
+        self.service_level_stage = ServiceLevelStage(context, active_level, self.queues, self.limiter)
         self.starter = RequestStarter(
-            context,
-            self,
-            self.memory_budget,
-            self.deduplication,
-            self.tenant_quotas,
-            self.queues,
-            can_stop_requests=settings.can_stop_requests,
+            context, self.memory_budget, self.deduplication, self.tenant_quotas, self.queues
         )
 
     @property
@@ -196,39 +156,14 @@
         self.load_reporter.on_tick()
         self.context.commands.append(ScheduleTick(TICK_MS))
 
-    def handle_arrival(
-        self,
-        request_id: int,
-        class_index: int,
-        *,
-        tenant: int = 0,
-        session_key: int = 0,
-        size_kb: float = 0.0,
-        age_ms: float = 0.0,
-        time_left_ms: float = 0.0,
-        earlier_attempt_id: int = 0,
-        is_retry: bool = False,
-        criticality: float = 1.0,
-    ) -> None:
-        """A request was read, `age_ms` after it arrived; zeros are for what its caller doesn't state.
-
-        `earlier_attempt_id` names the attempt that came with the same idempotency key."""
-        request = Request(
-            request_id,
-            class_index,
-            self.context.request_classes[class_index],
-            arrived_at=self.context.now - age_ms,
-            tenant=tenant,
-            session_key=session_key,
-            size_kb=size_kb,
-            earlier_attempt_id=earlier_attempt_id,
-            is_retry=is_retry,
-            criticality=criticality,
-        )
-        self.context.requests[request_id] = request
+    def handle_arrival(self, arrival: Arrival) -> None:
+        """A request was read."""
+        request_class = self.context.request_classes[arrival.class_index]
+        request = Request(arrival, request_class, self.context.now - arrival.age_ms)
+        self.context.requests[request.request_id] = request
         self.memory_budget.add(request)
-        self.load_reporter.record_arrival(is_retry)
-        self.deadlines.assign(request, time_left_ms, self.load_reporter.wait_share)
+        self.load_reporter.record_arrival(request.is_retry)
+        self.deadlines.assign(request, arrival.time_left_ms, self.load_reporter.wait_share)
         self._admit(request, self._chain)
 
     def handle_finished(self, request_id: int, outcome: Outcome) -> None:
--- a/otterrudder/admission/deadlines.py
+++ b/otterrudder/admission/deadlines.py
@@ -1,6 +1,6 @@
 """Deadlines: every request is answered by its deadline at the latest."""
 
-from otterrudder.admission.context import AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.requests import Request
 
 RETRY_WAIT_FACTOR = 2.0  # mean waits here that a retry is taken to have spent at other servers
@@ -10,9 +10,9 @@
 class Deadlines(Stage):
     """Sets each request's deadlines and answers the request when its deadline comes."""
 
-    def __init__(self, context: AdmissionContext, flow: RequestFlow) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
 
     def assign(self, request: Request, time_left_ms: float, wait_share: float) -> None:
         """Set the deadlines of a request that just arrived.
--- a/otterrudder/admission/deduplication.py
+++ b/otterrudder/admission/deduplication.py
@@ -1,7 +1,7 @@
 """Deduplication: no request with side effects runs twice, however often its caller sends it."""
 
 from otterrudder.admission.commands import EvictKey, RetainKey
-from otterrudder.admission.context import TICK_MS, AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.context import TICK_MS, AdmissionContext, Stage
 from otterrudder.admission.requests import Request, RequestState
 
 _UNFINISHED_STATES = (RequestState.QUEUED, RequestState.RUNNING, RequestState.CALLING)
@@ -13,10 +13,10 @@
     A later attempt waits behind an earlier one that is queued, and is answered with the response of one that
     runs or ran."""
 
-    def __init__(self, context: AdmissionContext, flow: RequestFlow, clock_tick_ms: float) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self._flow = flow
-        self._clock_tick_ms = clock_tick_ms
+        self._flow = context.flow
+        self._clock_tick_ms = context.settings.clock_tick_ms
         self.entries: dict[int, Request] = {}  # by the id of the attempt that holds the key
         # Attempts that were answered before they ran, in this tick's period and in the one before.
         self._never_ran: set[int] = set()
--- a/otterrudder/admission/downstream_calls.py
+++ b/otterrudder/admission/downstream_calls.py
@@ -5,8 +5,8 @@
 from otterrudder.admission.circuit_breaker import CircuitBreaker
 from otterrudder.admission.commands import CallDownstream, SkipCall
 from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
-from otterrudder.admission.context import AdmissionContext, RequestFlow, Stage
-from otterrudder.admission.interface import Outcome
+from otterrudder.admission.context import AdmissionContext, Stage
+from otterrudder.admission.interface import DownstreamKind, Outcome
 from otterrudder.admission.requests import Request, RequestState
 from otterrudder.admission.service_level import ActiveServiceLevel
 
@@ -20,9 +20,9 @@
 class DownstreamQuota:
     """This server's part of the mean calls outstanding at a downstream that all servers share."""
 
-    def __init__(self, context: AdmissionContext, window_ms: float) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self._max_debt_factor = window_ms * MAX_QUOTA_DEBT_SHARE
+        self._max_debt_factor = context.settings.downstream_quota_window_ms * MAX_QUOTA_DEBT_SHARE
         self._debt = 0.0  # calls outstanding beyond the quota, times ms
         self._updated_at = context.now
         self.outstanding = 0  # calls
@@ -49,22 +49,18 @@
     def __init__(
         self,
         context: AdmissionContext,
-        flow: RequestFlow,
         limiter: ConcurrencyLimiter,
         service_level: ActiveServiceLevel,
-        *,
-        is_shared: bool,
-        quota_window_ms: float,
-        linger_ms: float,
     ) -> None:
+        settings = context.settings
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._limiter = limiter
         self._service_level = service_level
-        self.is_shared = is_shared
-        self._linger_ms = linger_ms  # how long the downstream may work on after a call was given up
-        self.quota = DownstreamQuota(context, quota_window_ms)
-        self._breaker = CircuitBreaker(context, flow)
+        self.is_shared = settings.downstream is DownstreamKind.SHARED
+        self._linger_ms = settings.downstream_linger_ms
+        self.quota = DownstreamQuota(context)
+        self._breaker = CircuitBreaker(context)
         self.waiting: deque[Request] = deque()
 
     def request_call(self, request: Request) -> None:
--- a/otterrudder/admission/draining.py
+++ b/otterrudder/admission/draining.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from otterrudder.admission.commands import CloseConnections
-from otterrudder.admission.context import TICK_MS, AdmissionContext, RejectionReason, RequestFlow, Stage
+from otterrudder.admission.context import TICK_MS, AdmissionContext, RejectionReason, Stage
 from otterrudder.admission.interface import RequestScope
 from otterrudder.admission.requests import Request
 
@@ -31,10 +31,10 @@
 class Draining(Stage):
     """The drains in progress and the scopes that are drained, each until it is resumed."""
 
-    def __init__(self, context: AdmissionContext, flow: RequestFlow, grace_ms: float) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self._flow = flow
-        self._grace_ms = grace_ms
+        self._flow = context.flow
+        self._grace_ms = context.settings.drain_grace_ms
         self.drains: dict[RequestScope | None, Drain] = {}
 
     @property
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -7,6 +7,7 @@
 import math
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
 class Idempotency(Enum):
@@ -93,6 +94,21 @@
     over_quota_weight_factor: float = 0.0  # on the weight of a request beyond its tenant's quota
 
 
+class Arrival(NamedTuple):
+    """A request that was read. Zeros stand for what its caller does not state."""
+
+    request_id: int
+    class_index: int
+    tenant: int = 0
+    session_key: int = 0
+    size_kb: float = 0.0  # memory while queued
+    age_ms: float = 0.0  # from its arrival to its reading
+    time_left_ms: float = 0.0  # until its deadline
+    earlier_attempt_id: int = 0  # the attempt that came with the same idempotency key
+    is_retry: bool = False
+    criticality: float = 1.0  # 0 to 1
+
+
 class RestrictionKind(Enum):
     """What a level of reduced service does with the requests that it restricts, the mildest first.
 
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -47,29 +47,22 @@
 class LoadReporter:
     """Measures how long requests wait and how many are rejected, and tells callers what to make of it."""
 
-    def __init__(
-        self,
-        context: AdmissionContext,
-        limiter: ConcurrencyLimiter,
-        draining: Draining,
-        *,
-        signal: LoadSignal,
-        callers: int,
-        max_idle_timeout_ms: float,
-        are_retries_marked: bool,
-    ) -> None:
+    def __init__(self, context: AdmissionContext, limiter: ConcurrencyLimiter, draining: Draining) -> None:
+        settings = context.settings
         self._context = context
         self._limiter = limiter
         self._draining = draining
-        self.signal = signal
-        self.are_retries_marked = are_retries_marked
-        self._callers = max(callers, 1)
+        self.signal = settings.load_signal
+        self.are_retries_marked = settings.are_retries_marked
+        self._callers = max(settings.callers, 1)
         self._arrival_gap_ms = INITIAL_ARRIVAL_GAP_MS  # mean time between arrivals
         self._last_arrival_at = context.now
         self._advertised: float | None = None
-        self._max_idle_timeout_ms = max_idle_timeout_ms
-        self._idle_timeout_ms = MIN_IDLE_TIMEOUT_MS if self._are_callers_rare() else max_idle_timeout_ms
-        self._sent_idle_timeout_ms = max_idle_timeout_ms
+        self._max_idle_timeout_ms = settings.max_idle_timeout_ms
+        self._idle_timeout_ms = (
+            MIN_IDLE_TIMEOUT_MS if self._are_callers_rare() else settings.max_idle_timeout_ms
+        )
+        self._sent_idle_timeout_ms = settings.max_idle_timeout_ms
         self._rejected_share = 0.0  # of recent arrivals
         self.retry_share = 0.0  # of recent arrivals
         self.wait_share = 0.0  # recent mean part of the latency objective that requests wait here
--- a/otterrudder/admission/memory_budget.py
+++ b/otterrudder/admission/memory_budget.py
@@ -1,6 +1,6 @@
 """The memory budget: the server never dies for want of memory."""
 
-from otterrudder.admission.context import AdmissionContext, RejectionReason, RequestFlow, Stage
+from otterrudder.admission.context import AdmissionContext, RejectionReason, Stage
 from otterrudder.admission.deduplication import Deduplication
 from otterrudder.admission.requests import Request, RequestState
 
@@ -13,26 +13,17 @@
 class MemoryBudget(Stage):
     """Counts the memory of queued and running requests and of retained idempotency keys."""
 
-    def __init__(
-        self,
-        context: AdmissionContext,
-        flow: RequestFlow,
-        deduplication: Deduplication,
-        *,
-        capacity_kb: float,
-        run_factor: float,
-        entry_kb: float,
-        max_entries: float,
-    ) -> None:
+    def __init__(self, context: AdmissionContext, deduplication: Deduplication) -> None:
+        settings = context.settings
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._deduplication = deduplication
-        self._capacity_kb = capacity_kb
-        self._run_factor = run_factor  # memory of a running request by that of a queued one
-        self._entry_kb = entry_kb
-        self._max_entries = max_entries
-        self._queue_limit_kb = capacity_kb * MAX_QUEUED_MEMORY_SHARE
-        self._run_limit_kb = capacity_kb * MAX_RUN_MEMORY_SHARE
+        self._capacity_kb = settings.memory_kb
+        self._run_factor = settings.run_memory_factor  # memory of a running request by that of a queued one
+        self._entry_kb = settings.idempotency_entry_kb
+        self._max_entries = settings.max_idempotency_entries
+        self._queue_limit_kb = settings.memory_kb * MAX_QUEUED_MEMORY_SHARE
+        self._run_limit_kb = settings.memory_kb * MAX_RUN_MEMORY_SHARE
         self.requests_kb = 0.0
 
     @property
--- a/otterrudder/admission/request_starter.py
+++ b/otterrudder/admission/request_starter.py
@@ -2,7 +2,7 @@
 
 from otterrudder.admission.admission_queues import AdmissionQueues
 from otterrudder.admission.commands import StartRequest
-from otterrudder.admission.context import AdmissionContext, RequestFlow, Stage
+from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.deduplication import Deduplication
 from otterrudder.admission.memory_budget import MemoryBudget
 from otterrudder.admission.requests import IN_FLIGHT_STATES, Request
@@ -15,21 +15,18 @@
     def __init__(
         self,
         context: AdmissionContext,
-        flow: RequestFlow,
         memory_budget: MemoryBudget,
         deduplication: Deduplication,
         quotas: TenantQuotas,
         queues: AdmissionQueues,
-        *,
-        can_stop_requests: bool,
     ) -> None:
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._memory_budget = memory_budget
         self._deduplication = deduplication
         self._quotas = quotas
         self._queues = queues
-        self._can_stop_requests = can_stop_requests
+        self._can_stop_requests = context.settings.can_stop_requests
 
     def admit(self, request: Request) -> bool:
         """Start the request."""
--- a/otterrudder/admission/requests.py
+++ b/otterrudder/admission/requests.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from otterrudder.admission.interface import Idempotency, RequestClass
+from otterrudder.admission.interface import Arrival, Idempotency, RequestClass
 
 
 class RequestState(Enum):
@@ -52,30 +52,17 @@
         "tenant",
     )
 
-    def __init__(
-        self,
-        request_id: int,
-        class_index: int,
-        request_class: RequestClass,
-        *,
-        arrived_at: float,
-        tenant: int,
-        session_key: int,
-        size_kb: float,
-        earlier_attempt_id: int,
-        is_retry: bool,
-        criticality: float,
-    ) -> None:
-        self.request_id = request_id
-        self.class_index = class_index
+    def __init__(self, arrival: Arrival, request_class: RequestClass, arrived_at: float) -> None:
+        self.request_id = arrival.request_id
+        self.class_index = arrival.class_index
         self.request_class = request_class
         self.arrived_at = arrived_at
-        self.tenant = tenant
-        self.session_key = session_key  # 0: none
-        self.size_kb = size_kb  # memory while queued
-        self.earlier_attempt_id = earlier_attempt_id  # 0: none
-        self.is_retry = is_retry
-        self.criticality = criticality  # 0 to 1
+        self.tenant = arrival.tenant
+        self.session_key = arrival.session_key
+        self.size_kb = arrival.size_kb
+        self.earlier_attempt_id = arrival.earlier_attempt_id
+        self.is_retry = arrival.is_retry
+        self.criticality = arrival.criticality
         self.has_idempotency_key = request_class.idempotency is Idempotency.IDEMPOTENT
         self.has_side_effects = request_class.idempotency is not Idempotency.SAFE
 
--- a/otterrudder/admission/service_level_stage.py
+++ b/otterrudder/admission/service_level_stage.py
@@ -4,7 +4,7 @@
 
 from otterrudder.admission.admission_queues import AdmissionQueues
 from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
-from otterrudder.admission.context import AdmissionContext, RejectionReason, RequestFlow, Stage
+from otterrudder.admission.context import AdmissionContext, RejectionReason, Stage
 from otterrudder.admission.interface import Restriction, RestrictionKind, ServiceLevel
 from otterrudder.admission.load_reporter import DEFAULT_RETRY_AFTER_MS
 from otterrudder.admission.requests import Request
@@ -19,13 +19,12 @@
     def __init__(
         self,
         context: AdmissionContext,
-        flow: RequestFlow,
         active: ActiveServiceLevel,
         queues: AdmissionQueues,
         limiter: ConcurrencyLimiter,
     ) -> None:
         self._context = context
-        self._flow = flow
+        self._flow = context.flow
         self._active = active
         self._queues = queues
         self._limiter = limiter
--- a/otterrudder/admission/tenant_quotas.py
+++ b/otterrudder/admission/tenant_quotas.py
@@ -33,10 +33,10 @@
 class TenantQuotas:
     """A token bucket for each tenant, filled at this server's part of the tenant's quota."""
 
-    def __init__(self, context: AdmissionContext, tenants: list[Tenant]) -> None:
+    def __init__(self, context: AdmissionContext) -> None:
         self._context = context
-        self.tenants = tenants
-        self._buckets = [TokenBucket(MIN_BURST, context.now) for _ in tenants]
+        self.tenants: list[Tenant] = context.settings.tenants
+        self._buckets = [TokenBucket(MIN_BURST, context.now) for _ in self.tenants]
 
     def priority_weight(self, request: Request) -> float:
         """The weight of the request's class, reduced if the tenant has used up its quota."""
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -8,7 +8,7 @@
 from otterrudder.admission.commands import CloseConnections
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller, gauge_names
-from otterrudder.admission.interface import Outcome
+from otterrudder.admission.interface import Arrival, Outcome
 from otterrudder.drill import events
 from otterrudder.drill.events import Event
 from otterrudder.drill.frames import encode_frame
@@ -86,16 +86,18 @@
 
 def _handle_arrival(server: _Server, event: events.RequestArrived) -> None:
     server.controller.handle_arrival(
-        event.request_id,
-        event.class_index,
-        tenant=event.tenant,
-        session_key=event.session_key,
-        size_kb=event.size_kb,
-        age_ms=event.age_us / events.US_PER_MS,
-        time_left_ms=event.time_left_us / events.US_PER_MS,
-        earlier_attempt_id=event.earlier_attempt_id,
-        is_retry=bool(event.flags & events.FLAG_RETRY),
-        criticality=event.criticality,
+        Arrival(
+            event.request_id,
+            event.class_index,
+            tenant=event.tenant,
+            session_key=event.session_key,
+            size_kb=event.size_kb,
+            age_ms=event.age_us / events.US_PER_MS,
+            time_left_ms=event.time_left_us / events.US_PER_MS,
+            earlier_attempt_id=event.earlier_attempt_id,
+            is_retry=bool(event.flags & events.FLAG_RETRY),
+            criticality=event.criticality,
+        )
     )
 
 
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -14,7 +14,15 @@
 from otterrudder.admission import commands
 from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.interface import Idempotency, Limits, Outcome, RequestClass, RequestScope, Tenant
+from otterrudder.admission.interface import (
+    Arrival,
+    Idempotency,
+    Limits,
+    Outcome,
+    RequestClass,
+    RequestScope,
+    Tenant,
+)
 from otterrudder.net.downstream import DownstreamCalls
 from otterrudder.net.idempotency import IdempotencyTable, request_digest
 from otterrudder.net.messages import (
@@ -134,16 +142,18 @@
         age_ms = max(self.unix_ms - fields.received_at, 0.0)
         ttl_ms = fields.ttl_ms
         self.controller.handle_arrival(
-            request.number,
-            class_index,
-            tenant=fields.tenant_index,
-            session_key=fields.session_key,
-            size_kb=fields.size_kb,
-            age_ms=age_ms,
-            time_left_ms=0.0 if ttl_ms is None else max(ttl_ms - age_ms, MIN_TIME_LEFT_MS),
-            earlier_attempt_id=earlier.holder if earlier else 0,
-            is_retry=fields.is_retry,
-            criticality=fields.criticality,
+            Arrival(
+                request.number,
+                class_index,
+                tenant=fields.tenant_index,
+                session_key=fields.session_key,
+                size_kb=fields.size_kb,
+                age_ms=age_ms,
+                time_left_ms=0.0 if ttl_ms is None else max(ttl_ms - age_ms, MIN_TIME_LEFT_MS),
+                earlier_attempt_id=earlier.holder if earlier else 0,
+                is_retry=fields.is_retry,
+                criticality=fields.criticality,
+            )
         )
 
     def handle_disconnect(self, request_id: str) -> None:
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -9,7 +9,7 @@
 from otterrudder.admission.commands import CallDownstream, ScheduleTick, StartRequest
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.factory import create_controller
-from otterrudder.admission.interface import Outcome
+from otterrudder.admission.interface import Arrival, Outcome
 
 WAITING = 10  # requests of each server that stand at a call
 BACK_MS = 5000.0  # when the service is back
@@ -35,17 +35,17 @@
                 heapq.heappush(due, (now + TOOK_MS, n, command.request_id, outcome))
 
     for n, controller in enumerate(controllers):
-        for ident in range(1, WAITING + 1):
-            controller.handle_arrival(ident, 0, time_left_ms=16_000.0)
+        for request_id in range(1, WAITING + 1):
+            controller.handle_arrival(Arrival(request_id, 0, time_left_ms=16_000.0))
         take(n, 0.0, controller)
     while due and due[0][0] < BACK_MS + 4000.0:
-        now, n, ident, what = heapq.heappop(due)
+        now, n, request_id, what = heapq.heappop(due)
         controller = controllers[n]
         controller.advance_to(now)
         if what == "tick":
             controller.tick(0.2, 1.0)
         else:
-            controller.handle_call_ended(ident, Outcome(what))
+            controller.handle_call_ended(request_id, Outcome(what))
         take(n, now, controller)
     return [at for at in sent if at >= 0]
 
--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -1,6 +1,6 @@
 """Plays a scenario: a text file of our own notation against one server's admission controller.
 
-Names and values are those of `ControllerSettings`, `Limits`, `RequestClass` and `handle_arrival`.
+Names and values are those of `ControllerSettings`, `Limits`, `RequestClass` and `Arrival`.
 
 server cores=2 callers=4            what the server is told at its start; busy and on_cores go into each tick
 class pay idempotent latency_objective_ms=1000 deadline_ms=3000 retention_ms=9000 may_call=1
@@ -23,6 +23,7 @@
 from otterrudder.admission.commands import Command
 from otterrudder.admission.controller import AdmissionController
 from otterrudder.admission.interface import (
+    Arrival,
     DownstreamKind,
     Idempotency,
     Limits,
@@ -211,9 +212,7 @@
             case "arrive":
                 self._arrive(target, words)
             case "finished":
-                if target in self.running:
-                    self.running.remove(target)
-                controller.handle_finished(target, OUTCOME_WORDS[words[0]])
+                self._finish(target, OUTCOME_WORDS[words[0]])
             case "call_needed":
                 controller.handle_call_needed(target)
             case "call_ended":
@@ -231,10 +230,15 @@
             case _:
                 raise AssertionError(f"{verb}: no such event")
 
+    def _finish(self, name: str, outcome: Outcome) -> None:
+        if name in self.running:
+            self.running.remove(name)
+        self.controller.handle_finished(name, outcome)
+
     def _arrive(self, name: str, words: list[str]) -> None:
         request_class, *values = words
         fields = {"size_kb": DEFAULT_SIZE_KB} | read_values(values)
-        self.controller.handle_arrival(name, self._class_names().index(request_class), **fields)
+        self.controller.handle_arrival(Arrival(name, self._class_names().index(request_class), **fields))
 
     def _class_names(self) -> list[str]:
         return [request_class.name for request_class in self.request_classes]
