--- a/benchmarks/admission_pair.py
+++ b/benchmarks/admission_pair.py
@@ -53,10 +53,10 @@
     """The cost of the new checkout by that of the old one; ValueError if the replies differ."""
     measure = measure_instructions if by_instructions else measure_cpu_s
     start = {root: measure(root, Path(os.devnull)) for root in (old, new)}
-    whole = {root: measure(root, frames.absolute()) for root in (old, new)}
-    if whole[old].replies != whole[new].replies:
+    total = {root: measure(root, frames.absolute()) for root in (old, new)}
+    if total[old].replies != total[new].replies:
         raise ValueError(f"{frames}: the replies differ")
-    return (whole[new].cost - start[new].cost) / (whole[old].cost - start[old].cost)
+    return (total[new].cost - start[new].cost) / (total[old].cost - start[old].cost)
 
 
 def main() -> int:
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -25,7 +25,7 @@
 
 def configuration_text(class_count: int, tenant_count: int) -> str:
     """A server's configuration with such settings."""
-    told = {
+    fields = {
         "name": "n1",
         "listen": "127.0.0.1:1",
         "runtime": "127.0.0.1:2",
@@ -35,7 +35,7 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "settings": settings_of(class_count, tenant_count),
     }
-    return json.dumps(told)
+    return json.dumps(fields)
 
 
 def controller_of(settings: dict[str, Any]) -> AdmissionController:
--- a/otterrudder/admission/downstream_calls.py
+++ b/otterrudder/admission/downstream_calls.py
@@ -10,9 +10,7 @@
 from otterrudder.admission.requests import Request, RequestState
 from otterrudder.admission.service_level import ActiveServiceLevel
 
-MAX_QUOTA_DEBT_SHARE = (
-    0.5  # of a window's quota that calls may be ahead; other servers may use theirs at once
-)
+MAX_QUOTA_DEBT_SHARE = 0.5  # of a window's quota, by which calls may be ahead of it
 RETRY_BACKOFF_MS = 60.0  # before a call is repeated, times the attempts made
 MIN_TIMEOUT_MS = 1.0
 
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -69,9 +69,7 @@
     retention_ms: float = 0.0  # for how long an idempotency key may come again
     late_weight_factor: float = 0.0  # on the weight, for an answer that misses the latency objective
     may_call: bool = False  # may call the downstream
-    skip_weight_factor: float = (
-        0.0  # on the weight, for a request whose downstream call is skipped; 0: never is
-    )
+    skip_weight_factor: float = 0.0  # on the weight, without the downstream call; 0: never skipped
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,9 +86,7 @@
     """What an operator may change while a server runs."""
 
     max_retry_after_ms: float = 0.0  # that callers heed; 0: they don't know of it
-    downstream_call_quota: float = (
-        0.0  # this server's part of the mean calls outstanding at a shared downstream
-    )
+    downstream_call_quota: float = 0.0  # mean calls outstanding at a shared downstream
     over_quota_weight_factor: float = 0.0  # on the weight of a request beyond its tenant's quota
 
 
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -59,9 +59,9 @@
         self._last_arrival_at = context.now
         self._advertised: float | None = None
         self._max_idle_timeout_ms = settings.max_idle_timeout_ms
-        self._idle_timeout_ms = (
-            MIN_IDLE_TIMEOUT_MS if self._are_callers_rare() else settings.max_idle_timeout_ms
-        )
+        self._idle_timeout_ms = settings.max_idle_timeout_ms
+        if self._are_callers_rare():
+            self._idle_timeout_ms = MIN_IDLE_TIMEOUT_MS
         self._sent_idle_timeout_ms = settings.max_idle_timeout_ms
         self._rejected_share = 0.0  # of recent arrivals
         self.retry_share = 0.0  # of recent arrivals
--- a/otterrudder/admission/session_table.py
+++ b/otterrudder/admission/session_table.py
@@ -5,9 +5,7 @@
 from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.requests import Request
 
-SESSION_LIFETIME_FACTOR = (
-    10.0  # latency objectives for which a session lives after its last completed request
-)
+SESSION_LIFETIME_FACTOR = 10.0  # latency objectives, from the last completed request
 MAX_SESSIONS = 50_000  # entries of about 100 bytes, so 5 MB; the oldest is evicted
 
 
--- a/otterrudder/drill/events.py
+++ b/otterrudder/drill/events.py
@@ -15,7 +15,7 @@
 
     instance: int
     request_id: int
-    cost_hint: int
+    hint: int  # not used
     earlier_attempt_id: int
     size_kb: float
     session_key: int
@@ -24,7 +24,7 @@
     class_index: int
     time_left_us: int
     flags: int
-    source: int
+    source: int  # not used
     tenant: int
 
 
--- a/tests/drill/test_drill.py
+++ b/tests/drill/test_drill.py
@@ -46,9 +46,9 @@
 def test_reply_encodes() -> None:
     run = encode_command(3, StartRequest(0xC5DF65D3A91C4))
     log = encode_command(5, LogMessage("two servers known"))
-    wake = struct.pack(">HHII", 65, 3, 500000, 77)
-    assert encode_command(3, ScheduleTick(500.0)) == wake[:-4] + bytes(4)
-    assert encode_frame([run, wake, log]) == REPLY
+    tick = struct.pack(">HHII", 65, 3, 500000, 77)
+    assert encode_command(3, ScheduleTick(500.0)) == tick[:-4] + bytes(4)
+    assert encode_frame([run, tick, log]) == REPLY
 
 
 def drill(data: bytes) -> subprocess.CompletedProcess[bytes]:
--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -249,10 +249,10 @@
         return RequestScope(frozenset({self._class_names().index(name)}))
 
     def _service_level(self, words: list[str]) -> ServiceLevel:
-        told = dict(word.split("=") for word in words)
-        fields = {name: read_value(name, told.pop(name)) for name in DEFAULT_LEVEL if name in told}
-        restrictions = tuple(read_restrictions(told.pop(name, "")) for name in self._class_names())
-        assert not told, f"{', '.join(told)}: neither a class nor a field of a level"
+        values = dict(word.split("=") for word in words)
+        fields = {name: read_value(name, values.pop(name)) for name in DEFAULT_LEVEL if name in values}
+        restrictions = tuple(read_restrictions(values.pop(name, "")) for name in self._class_names())
+        assert not values, f"{', '.join(values)}: neither a class nor a field of a level"
         return ServiceLevel("level", restrictions, **(DEFAULT_LEVEL | fields))
 
     # What is expected.
