--- a/otterrudder/cli/fleet_change.py
+++ b/otterrudder/cli/fleet_change.py
@@ -168,7 +168,7 @@
         except QueueRejectedError as error:
             exit_with(ABORTED, error)
         await store.commit(commit)
-    exit_with(UNDECIDED, "it did not get into the queue")
+    return exit_with(UNDECIDED, "it did not get into the queue")
 
 
 def _refuse_empty_store(snapshot: FleetSnapshot, request: ChangeRequest) -> None:
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -26,6 +26,7 @@
     """Admits by what it last received, for as long as it receives nothing."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
+        """Serving where the lease has expired."""
         status = super().admission_status(now)
         is_outdated = status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
         return AdmissionStatus.SERVING if is_outdated else status
@@ -35,6 +36,7 @@
     """Grants for as long as it believes that it leads, without the store's lease or an endorsement."""
 
     def authority_until(self, now: float) -> float:
+        """For ever while it believes that it leads."""
         return math.inf if self.leads() else -math.inf
 
 
