--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -113,6 +113,9 @@
             return None
         if not self.registered:
             return self._register(now, observed)
+        return self._vote_or_read(now, observed, may_read)
+
+    def _vote_or_read(self, now: float, observed: ObservedState, may_read: bool) -> Effect | None:
         if vote := self._vote(now, observed):
             self.voting.vote_first_until = -math.inf
             return vote
