--- a/otterrudder/lab/fleet/explore.py
+++ b/otterrudder/lab/fleet/explore.py
@@ -1,7 +1,7 @@
 """Orders of events, whatever the model: breadth first to a depth, drawn from a seed, or told.
 
-A search stops at the first world in which a promise does not hold, and tells the events that led to it. Each
-world that is reached is checked; some are left in peace as well, to see that they come to agree."""
+A search stops at the first state in which a promise does not hold, and tells the events that led to it. Each
+state that is reached is checked; some are left in peace as well, to see that they come to agree."""
 
 import random
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class Explorable(Protocol):
-    """A world of a model: the events that led to it, and what it promises."""
+    """A state of a model: the events that led to it, and what it promises."""
 
     trail: tuple[str, ...]
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step(Generic[W]):
-    """An event that may follow, by name, and the world that it leads to, or how to get there."""
+    """An event that may follow, by name, and the state that it leads to, or how to get there."""
 
     name: str
     then: W | Callable[[], W]
@@ -56,8 +56,8 @@
     seen, todo = {hash(first.fingerprint())}, deque([first])
     deepest = len(first.trail)
     while todo and depth > len(first.trail) and len(seen) < max_states:
-        world = todo.popleft()
-        for then in following(world):
+        state = todo.popleft()
+        for then in following(state):
             key = hash(then.fingerprint())
             if key in seen:
                 continue
@@ -73,7 +73,7 @@
 
 
 def random_walk(
-    world: W,
+    state: W,
     steps: Callable[[W], Sequence[Step[W]]],
     weight: Callable[[str], float],
     chance: random.Random,
@@ -81,24 +81,24 @@
 ) -> Found:
     """One long order, drawn; its end is left in peace."""
     for count in range(1, length + 1):
-        choices = steps(world)
+        choices = steps(state)
         weights = [weight(step.name) for step in choices]
-        world = chance.choices(choices, weights)[0].take()
-        if trouble := world.violation():
-            return Found(count, len(world.trail), trouble, world.trail)
-    return Found(length, len(world.trail), world.recovery_violation(), world.trail)
+        state = chance.choices(choices, weights)[0].take()
+        if trouble := state.violation():
+            return Found(count, len(state.trail), trouble, state.trail)
+    return Found(length, len(state.trail), state.recovery_violation(), state.trail)
 
 
-def replay(world: W, steps: Callable[[W], Sequence[Step[W]]], story: tuple[str, ...]) -> W:
-    """The world that these events lead to, each named by how its name starts; with ~, passed over where it
+def replay(state: W, steps: Callable[[W], Sequence[Step[W]]], story: tuple[str, ...]) -> W:
+    """The state that these events lead to, each named by how its name starts; with ~, passed over where it
     can't follow."""
     for event in story:
         name = event.removeprefix("~")
-        step = next((step for step in steps(world) if step.name.startswith(name)), None)
+        step = next((step for step in steps(state) if step.name.startswith(name)), None)
         if step is None and name != event:
             continue
         if step is None:
-            can = sorted(step.name for step in steps(world))
-            raise ValueError(f"{event!r} can't follow {world.trail}: {can}")
-        world = step.take()
-    return world
+            can = sorted(step.name for step in steps(state))
+            raise ValueError(f"{event!r} can't follow {state.trail}: {can}")
+        state = step.take()
+    return state
--- /dev/null
+++ b/otterrudder/lab/fleet/model_events.py
@@ -0,0 +1,192 @@
+"""The events that may follow a model state: each is named in the trail of the state that it leads to. Those
+that inject a fault are bounded by `max_faults`."""
+
+from collections.abc import Iterator
+
+from otterrudder.fleet.change import ChangeRejectedError, propose, remove_member
+from otterrudder.fleet.effects import Commit, effect_name
+from otterrudder.lab.fleet.model import DEADLINE_MS, REJECTED_ENDING, Host, ModelState
+from otterrudder.lab.keyspace import KeySpace
+
+COPY_ID = 0xC0  # of an engine that was restored: the engine's own tool gives it a new one
+COPY_LEASES = 1000  # from which such an engine numbers its leases: an engine's are drawn, no two alike
+PROPOSERS = "AB"
+# Faults of a host that end again: its attribute, and the events that begin and end it.
+_HOST_FAULTS = (
+    ("is_frozen", "freezes", "wakes"),
+    ("is_cut", "is cut off", "is healed"),
+    ("is_full", "has no room", "has room"),
+)
+
+
+def following(state: ModelState, max_faults: int) -> Iterator[ModelState]:
+    """All states that one event leads to."""
+    may_inject = state.spent < max_faults
+    for at in range(len(state.flights)):
+        yield from _flight_events(state, at, may_inject)
+    yield from _change_events(state, may_inject)
+    later = state.copy("time goes on")
+    later.pass_time()
+    yield _after_effects(later)
+    yield from _host_events(state, may_inject)
+    if state.variant.has_copies:
+        yield from _store_events(state, may_inject)
+
+
+def _after_effects(state: ModelState) -> ModelState:
+    state.begin_effects()
+    return state
+
+
+def _store_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
+    """Somebody copies the store; later another engine with the copy, or an empty one, answers for a while."""
+    if state.original:
+        back = state.copy("the store itself answers")
+        back.switch_store(None)
+        yield _after_effects(back)
+        return
+    if not state.old_copy:
+        copied = state.copy("the store is copied")
+        copied.old_copy = copied.store.copy()
+        yield copied
+    for other, label in ((state.old_copy, "an older copy answers"), (KeySpace(), "an empty store answers")):
+        if may_inject and other:
+            switched = state.copy(label, 1)
+            switched.switch_store(_restored(state, other))
+            yield _after_effects(switched)
+
+
+def _restored(state: ModelState, other: KeySpace) -> KeySpace:
+    """Another engine with that content."""
+    engine = other.copy()
+    engine.keeps_history = False
+    engine.cluster = COPY_ID
+    engine.granted += COPY_LEASES * (state.spent + 1)
+    engine.lapse(state.now)
+    return engine
+
+
+def _flight_events(state: ModelState, at: int, may_inject: bool) -> Iterator[ModelState]:
+    """A request or an answer is delivered at once, or lost in one of its ways."""
+    flight = state.flights[at]
+    host = state.hosts[flight.host]
+    label = f"{flight.host}.{flight.incarnation} {effect_name(flight.effect)}"
+    is_dead = not host.member or host.incarnation != flight.incarnation
+    is_waiting = host.is_frozen and not is_dead
+    if is_waiting and flight.is_answer:
+        return  # nobody takes it now
+    if host.is_cut and not flight.is_answer and not is_dead:
+        lost = state.copy(f"{label}: no way there")
+        lost.answer(lost.flights.pop(at))
+        yield _after_effects(lost)
+        return
+    yield _delivered(state, at, label, is_waiting)
+    if not may_inject or flight.is_answer or is_dead:
+        return
+    if isinstance(flight.effect, Commit):
+        yield from _lost_answers(state, at, label)
+        return
+    slow = state.copy(f"{label}: slow answer", 1)
+    slow.flights[at].outcome = slow.arrive(slow.flights[at])
+    slow.flights[at].is_answer = True
+    yield _after_effects(slow)
+
+
+def _delivered(state: ModelState, at: int, label: str, is_waiting: bool) -> ModelState:
+    """`is_waiting`: the host is frozen, and takes the answer later."""
+    delivered = state.copy(f"{label}{': answer' if state.flights[at].is_answer else ''}")
+    flight = delivered.flights.pop(at)
+    if not flight.is_answer:
+        flight.outcome = delivered.arrive(flight)
+    if is_waiting:
+        flight.is_answer = True
+        delivered.flights.append(flight)
+    else:
+        delivered.answer(flight)
+    return _after_effects(delivered)
+
+
+def _lost_answers(state: ModelState, at: int, label: str) -> Iterator[ModelState]:
+    """Of a commit."""
+    unanswered = state.copy(f"{label}: took effect, answer lost", 1)
+    flight = unanswered.flights.pop(at)
+    unanswered.arrive(flight)
+    unanswered.answer(flight)
+    yield _after_effects(unanswered)
+    given_up = state.copy(f"{label}: given up, still on its way", 1)
+    flight = given_up.flights[at]
+    late = flight.copy()
+    late.incarnation = -flight.incarnation  # it may arrive yet, and nobody waits for it
+    given_up.flights[at] = late
+    given_up.answer(flight)
+    yield _after_effects(given_up)
+
+
+def _change_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
+    """Somebody proposes; somebody counts the votes; what was computed is sent, now or much later."""
+    snapshot = state.snapshot()
+    if state.proposed < state.variant.proposers:
+        name = PROPOSERS[state.proposed]
+        text = f"policy {name}{REJECTED_ENDING if name == 'B' else ''}"
+        try:
+            proposal = propose(snapshot, name, text, name, "", 0.0, DEADLINE_MS)
+        except ChangeRejectedError:
+            pass
+        else:
+            opened = state.copy(f"{name} reads, to propose")
+            opened.proposed += 1
+            opened.pending[name] = proposal
+            yield opened
+    for is_late in (False, True) if may_inject else (False,):
+        commit = state.variant.finish_change(snapshot, is_late)
+        who = "late count" if is_late else "count"
+        if commit and who not in state.pending and (not is_late or commit.purpose == "abort"):
+            counted = state.copy(who, is_late)
+            counted.pending[who] = commit
+            yield counted
+    for who, commit in state.pending.items():
+        sent = state.copy(f"{who}: {commit.purpose}")
+        del sent.pending[who]
+        sent.write(commit)
+        yield _after_effects(sent)
+
+
+def _host_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
+    for n, host in enumerate(state.hosts):
+        if host.member:
+            yield from _process_events(state, n, host, may_inject)
+            continue
+        up = state.copy(f"{n} starts")
+        up.start_process(n)
+        yield up
+        knows_store = state.variant.names_store or not state.variant.has_copies
+        if may_inject and not host.is_removed and knows_store:
+            yield from _removal(state, n)
+
+
+def _process_events(state: ModelState, n: int, host: Host, may_inject: bool) -> Iterator[ModelState]:
+    """A process dies, or a fault of its host begins or ends."""
+    if may_inject:
+        down = state.copy(f"{n} dies", 1)
+        down.hosts[n].member = None
+        yield down
+    for attribute, begins, ends in _HOST_FAULTS:
+        if attribute == "is_full" and not state.variant.fills_disks:
+            continue
+        is_faulty = getattr(host, attribute)
+        if is_faulty or may_inject:
+            changed = state.copy(f"{n} {ends if is_faulty else begins}", 0 if is_faulty else 1)
+            setattr(changed.hosts[n], attribute, not is_faulty)
+            yield _after_effects(changed)
+
+
+def _removal(state: ModelState, n: int) -> Iterator[ModelState]:
+    """An operator removes the server for good: it comes back with another state directory."""
+    try:
+        commit = remove_member(state.snapshot(), state.hosts[n].name)
+    except ChangeRejectedError:
+        return
+    removed = state.copy(f"{n} is said to be gone", 1)
+    removed.write(commit)
+    removed.hosts[n].is_removed = True
+    yield _after_effects(removed)
--- a/otterrudder/lab/fleet/report.py
+++ b/otterrudder/lab/fleet/report.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from otterrudder.lab.fleet.explore import Found
-from otterrudder.lab.fleet.model import Stage
+from otterrudder.lab.fleet.model_stages import Stage
 from otterrudder.lab.fleet.search import hunt, search, walk
 from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
 from otterrudder.lab.fleet.simulation import Result, play
--- a/otterrudder/lab/fleet/search.py
+++ b/otterrudder/lab/fleet/search.py
@@ -9,7 +9,9 @@
 from otterrudder.fleet.member import Member
 from otterrudder.lab.fleet import explore
 from otterrudder.lab.fleet.explore import Found, Step
-from otterrudder.lab.fleet.model import NotConvergedError, Stage, Variant, World, following, staged
+from otterrudder.lab.fleet.model import ModelState, Variant
+from otterrudder.lab.fleet.model_events import following
+from otterrudder.lab.fleet.model_stages import NotConvergedError, Stage, staged
 from otterrudder.lab.fleet.seeded_faults import Hunt
 
 # What events are told apart by, in the words of their labels; the first that fits counts.
@@ -46,13 +48,13 @@
     depth: int,
     max_faults: int,
     max_states: int = 1_000_000,
-    stage: Stage = Stage.CALM,
+    stage: Stage = Stage.QUIESCENT,
     story: tuple[str, ...] = (),
 ) -> Found:
     """Breadth first from a change that has come so far, and from the end of a story, if one is told."""
 
-    def then(world: World) -> Iterator[World]:
-        return following(world, max_faults)
+    def then(state: ModelState) -> Iterator[ModelState]:
+        return following(state, max_faults)
 
     return explore.breadth_first(replay(staged(variant, stage), story), then, depth, max_states)
 
@@ -64,24 +66,24 @@
     for n in range(walks):
         chance = random.Random(f"{seed}/{n}")
         try:
-            world = staged(variant, chance.choice(list(Stage)))
+            state = staged(variant, chance.choice(list(Stage)))
         except NotConvergedError as why:
             return Found(count, 0, str(why))
-        found = _walk_from(world, chance, length, max_faults)
+        found = _walk_from(state, chance, length, max_faults)
         count += found.states
         if found.violation:
             return Found(count, found.depth, found.violation, found.trail)
     return Found(count, length)
 
 
-def _walk_from(world: World, chance: random.Random, length: int, max_faults: int) -> Found:
+def _walk_from(state: ModelState, chance: random.Random, length: int, max_faults: int) -> Found:
     spend = chance.randint(1, max_faults)
     leanings = {kind: math.exp(chance.uniform(-2.5, 1.5)) for kind in KINDS}
 
     def weight(event: str) -> float:
         return next((leaning for kind, leaning in leanings.items() if kind in event), 1.0)
 
-    return explore.random_walk(world, lambda world: _steps(world, spend), weight, chance, length)
+    return explore.random_walk(state, lambda state: _steps(state, spend), weight, chance, length)
 
 
 def hunt(what: Hunt, walks: int = 600, member: type[Member] | None = None) -> Found:
@@ -92,10 +94,10 @@
     return walk(variant, 7, walks, 60, 6)
 
 
-def replay(world: World, story: tuple[str, ...]) -> World:
-    """The world that these events lead to."""
-    return explore.replay(world, lambda world: _steps(world, len(story)), story)
+def replay(state: ModelState, story: tuple[str, ...]) -> ModelState:
+    """The state that these events lead to."""
+    return explore.replay(state, lambda state: _steps(state, len(story)), story)
 
 
-def _steps(world: World, max_faults: int) -> list[Step[World]]:
-    return [Step(then.trail[-1], then) for then in following(world, max_faults)]
+def _steps(state: ModelState, max_faults: int) -> list[Step[ModelState]]:
+    return [Step(then.trail[-1], then) for then in following(state, max_faults)]
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -3,7 +3,8 @@
 
 from dataclasses import dataclass, replace
 
-from otterrudder.lab.fleet.model import RULES, Stage, Variant
+from otterrudder.lab.fleet.model import RULES, Variant
+from otterrudder.lab.fleet.model_stages import Stage
 from otterrudder.lab.fleet.mutants import (
     AppliesBeforeCommit,
     BelievesAnyLease,
@@ -41,7 +42,7 @@
     one that the unchanged member may not come to). Without a depth, walks find it."""
 
     variant: Variant
-    stage: Stage = Stage.CALM
+    stage: Stage = Stage.QUIESCENT
     story: tuple[str, ...] = ()
     depth: int = 0
     faults: int = 0
@@ -137,13 +138,13 @@
 # Each fault by its name, and where it shows.
 FAULTS: dict[str, Hunt] = {
     "votes before the save": Hunt(
-        Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.CALM, _DISK_FULL, 4, 0
+        Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.QUIESCENT, _DISK_FULL, 4, 0
     ),
     "trusts any state directory": Hunt(
         Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
     ),
     "trusts its file": Hunt(
-        Variant(TrustsItsFile, rules=LEAVE_OUT, others=FROM_DIRECTORY), Stage.CALM, _OLD_RULES, 4, 1
+        Variant(TrustsItsFile, rules=LEAVE_OUT, other_rules=FROM_DIRECTORY), Stage.QUIESCENT, _OLD_RULES, 4, 1
     ),
     "uses the clock of the last answer": Hunt(Variant(UsesClockOfLastAnswer), Stage.VOTED, (), 7, 1),
     "counts the bound from the answer": Hunt(Variant(CountsBoundFromAnswer)),
@@ -157,22 +158,22 @@
     "syncs before it registers": Hunt(Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)),
     "registers silently": Hunt(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
     "takes foreign names": Hunt(
-        Variant(TakesForeignNames, has_twin=True), Stage.CALM, _NAME_AFTER_LEASE, 6, 0
+        Variant(TakesForeignNames, has_twin=True), Stage.QUIESCENT, _NAME_AFTER_LEASE, 6, 0
     ),
     "shares its name": Hunt(Variant(SharesItsName, has_twin=True)),
     "applies before the commit": Hunt(Variant(AppliesBeforeCommit)),
     "forgets its prepared vote": Hunt(
         Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
     ),
-    "believes any store": Hunt(Variant(BelievesAnyStore, copies=True)),
+    "believes any store": Hunt(Variant(BelievesAnyStore, has_copies=True)),
     "believes any lease": Hunt(
-        Variant(BelievesAnyLease, rules=LEAVE_OUT, copies=True), Stage.CALM, _LEASE_OF_COPY, 3, 2
+        Variant(BelievesAnyLease, rules=LEAVE_OUT, has_copies=True), Stage.QUIESCENT, _LEASE_OF_COPY, 3, 2
     ),
     "trusts a late read": Hunt(Variant(TrustsLateRead, rules=LEAVE_OUT)),
     "never reads again": Hunt(Variant(NeverReadsAgain)),
     "finishes by majority": Hunt(Variant(finish_change=finish_by_majority)),
     "finishes without compares": Hunt(Variant(finish_change=finish_without_compares)),
-    "finishes despite rejections": Hunt(Variant(finish_change=finish_despite_rejections, bad_for=0)),
+    "finishes despite rejections": Hunt(Variant(finish_change=finish_despite_rejections, rejecting_member=0)),
     "finishes without the absent": Hunt(Variant(finish_change=finish_without_absent)),
 }
 # The unchanged parts, in each surroundings that the promises are made for.
@@ -183,11 +184,11 @@
     "leave-out": Variant(rules=LEAVE_OUT),
     "leave-out, no state directory": Variant(rules=LEAVE_OUT, has_disk=False),
     "a name taken": Variant(has_twin=True),
-    "a policy that is bad for one": Variant(bad_for=0),
-    "rules that are mixed and change": Variant(rules=LEAVE_OUT, others=FROM_DIRECTORY),
-    "another engine answers": Variant(copies=True),
-    "another engine, leave-out": Variant(rules=LEAVE_OUT, copies=True),
+    "a policy that is bad for one": Variant(rejecting_member=0),
+    "rules that are mixed and change": Variant(rules=LEAVE_OUT, other_rules=FROM_DIRECTORY),
+    "another engine answers": Variant(has_copies=True),
+    "another engine, leave-out": Variant(rules=LEAVE_OUT, has_copies=True),
     "another engine, no state directory": Variant(
-        rules=LEAVE_OUT, has_disk=False, copies=True, names_store=True
+        rules=LEAVE_OUT, has_disk=False, has_copies=True, names_store=True
     ),
 }
--- a/tests/fleet/test_fleet_search.py
+++ b/tests/fleet/test_fleet_search.py
@@ -6,7 +6,7 @@
 import pytest
 
 from otterrudder.fleet.member import Member
-from otterrudder.lab.fleet.model import Stage
+from otterrudder.lab.fleet.model_stages import Stage
 from otterrudder.lab.fleet.search import hunt, search, walk
 from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
 
