--- a/benchmarks/capacity/store.py
+++ b/benchmarks/capacity/store.py
@@ -39,11 +39,11 @@
     def _propose(self) -> None:
         return
 
-    def _look(self) -> None:
+    def _check_all(self) -> None:
         if not self.coming and self.now >= COME_MS:
             self.coming = self.counts["reads"] + self.counts["writes"] + self.counts["renewals"]
             assert all(host.member and host.member.admits(self.now) == 0 for host in self.hosts)
-        super()._look()
+        super()._check_all()
 
 
 def cost_of(members: int) -> Cost:
@@ -54,7 +54,7 @@
     return Cost(
         changed.counts["reads"] - calm.counts["reads"],
         changed.counts["writes"] - calm.counts["writes"],
-        changed.counts["hints"] - calm.counts["hints"],
+        changed.counts["watch_events"] - calm.counts["watch_events"],
         (calm.counts["reads"] + calm.counts["renewals"]) / COUNTED_S,
         changed.committed_at - BEGIN_MS,
         result.last_switch_ms,
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -459,7 +459,7 @@
 def _swap_for_copy(world: CellWorld) -> None:
     assert world.kept
     engine = world.kept.copy()
-    engine.keeps_history = False
+    engine.has_history = False
     engine.cluster, engine.granted = COPY_ID, engine.granted + COPY_LEASES * (world.spent + 1)
     engine.lapse(world.now)
     world.swap(engine)
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -173,7 +173,7 @@
 @dataclass(slots=True)
 class CellWorld:
     variant: CellVariant
-    store: KeySpace = field(default_factory=lambda: KeySpace(keeps_history=False))
+    store: KeySpace = field(default_factory=lambda: KeySpace(has_history=False))
     relays: list[RelayHost] = field(default_factory=list)
     servers: list[ServerHost] = field(default_factory=list)
     streams: list[Stream] = field(default_factory=list)
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -1,5 +1,5 @@
-"""Copies and keys of the states that model searches go through: a twin that goes its own way, and a value by
-which two states are told apart."""
+"""Copies and fingerprints of the parts of a model state: a copy that goes its own way, and a value by which
+two are told apart."""
 
 from collections import OrderedDict
 from typing import Any, TypeVar
@@ -61,9 +61,9 @@
 
 
 def clone(value: _T) -> _T:
-    """Parts that are shared within it are shared within the twin."""
-    twin: _T = _clone(value, {})
-    return twin
+    """Parts that are shared within it are shared within the copy."""
+    copy: _T = _clone(value, {})
+    return copy
 
 
 def freeze(value: Any) -> Any:
@@ -80,22 +80,22 @@
     return frozenset(value) if isinstance(value, set) else value
 
 
-def _clone(value: Any, twins: dict[int, Any]) -> Any:
+def _clone(value: Any, copies: dict[int, Any]) -> Any:
     if names := _attributes(type(value)):
-        if (known := twins.get(id(value))) is not None:
+        if (known := copies.get(id(value))) is not None:
             return known
-        twin = twins[id(value)] = object.__new__(type(value))
+        copy = copies[id(value)] = object.__new__(type(value))
         for name in names:
             item = getattr(value, name)
-            setattr(twin, name, item if type(item) in _PLAIN else _clone(item, twins))
-        if hasattr(value, "__dict__"):  # a double's own
-            twin.__dict__.update(value.__dict__)
-        return twin
+            setattr(copy, name, item if type(item) in _PLAIN else _clone(item, copies))
+        if hasattr(value, "__dict__"):  # a mutant's own
+            copy.__dict__.update(value.__dict__)
+        return copy
     if isinstance(value, dict):
-        items = ((key, _clone(item, twins)) for key, item in value.items())
+        items = ((key, _clone(item, copies)) for key, item in value.items())
         return OrderedDict(items) if isinstance(value, OrderedDict) else dict(items)
     if isinstance(value, list):
-        return [_clone(item, twins) for item in value]
+        return [_clone(item, copies) for item in value]
     return set(value) if isinstance(value, set) else value
 
 
--- a/otterrudder/lab/fleet/explore.py
+++ b/otterrudder/lab/fleet/explore.py
@@ -1,7 +1,7 @@
-"""Orders of events, whatever the model: breadth first to a depth, drawn from a seed, or told.
+"""Explores orders of events, whatever the model: breadth first to a depth, by random walks, or along a story.
 
-A search stops at the first state in which a promise does not hold, and tells the events that led to it. Each
-state that is reached is checked; some are left in peace as well, to see that they come to agree."""
+A search stops at the first state that violates a promise, and reports the events that led to it. Each state
+that is reached is checked; some also recover with all faults over, to see that they come to agree."""
 
 import random
 from collections import deque
@@ -9,7 +9,8 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-PEACE_EVERY = 64  # worlds from one that is left in peace to the next: that costs as much as a hundred others
+RECOVERY_INTERVAL = 64  # states from one that recovers to the next: that costs as much as a hundred others
+OPTIONAL = "~"  # before an event of a story that may not be possible
 
 
 class Explorable(Protocol):
@@ -17,29 +18,35 @@
 
     trail: tuple[str, ...]
 
-    def violation(self) -> str: ...
+    def violation(self) -> str:
+        """Which promise does not hold now; "": all do."""
 
-    def recovery_violation(self) -> str: ...
+    def recovery_violation(self) -> str:
+        """Which promise does not hold once all faults are over and it is quiescent; "": all do."""
 
-    def fingerprint(self) -> Hashable: ...
+    def fingerprint(self) -> Hashable:
+        """Equal for two states from which the same follows."""
 
 
-W = TypeVar("W", bound=Explorable)
+S = TypeVar("S", bound=Explorable)
 
 
 @dataclass(frozen=True, slots=True)
-class Step(Generic[W]):
+class Step(Generic[S]):
     """An event that may follow, by name, and the state that it leads to, or how to get there."""
 
     name: str
-    then: W | Callable[[], W]
+    then: S | Callable[[], S]
 
-    def take(self) -> W:
+    def take(self) -> S:
+        """The state after it."""
         return self.then() if callable(self.then) else self.then
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
+    """What a search found: how many states, how deep, and the violation where it stopped ("": none)."""
+
     states: int
     depth: int
     violation: str = ""
@@ -47,58 +54,57 @@
 
 
 def breadth_first(
-    first: W, following: Callable[[W], Iterable[W]], depth: int, max_states: int = 1_000_000
+    first: S, following: Callable[[S], Iterable[S]], depth: int, max_states: int = 1_000_000
 ) -> Found:
     """Every order of events to the depth, so that what is found is as short as it can be."""
-    if trouble := first.violation():
-        return Found(1, 0, trouble, first.trail)
-    depth += len(first.trail)
-    seen, todo = {hash(first.fingerprint())}, deque([first])
+    if violation := first.violation():
+        return Found(1, 0, violation, first.trail)
+    max_depth = depth + len(first.trail)
+    seen, queue = {hash(first.fingerprint())}, deque([first])
     deepest = len(first.trail)
-    while todo and depth > len(first.trail) and len(seen) < max_states:
-        state = todo.popleft()
-        for then in following(state):
-            key = hash(then.fingerprint())
-            if key in seen:
+    while queue and depth > 0 and len(seen) < max_states:
+        for state in following(queue.popleft()):
+            fingerprint = hash(state.fingerprint())
+            if fingerprint in seen:
                 continue
-            seen.add(key)
-            deepest = len(then.trail)
-            if trouble := then.violation() or (
-                then.recovery_violation() if len(seen) % PEACE_EVERY == 0 else ""
-            ):
-                return Found(len(seen), deepest, trouble, then.trail)
-            if deepest < depth:  # those at the depth itself are looked at, and need not be kept
-                todo.append(then)
+            seen.add(fingerprint)
+            deepest = len(state.trail)
+            violation = state.violation()
+            if not violation and len(seen) % RECOVERY_INTERVAL == 0:
+                violation = state.recovery_violation()
+            if violation:
+                return Found(len(seen), deepest, violation, state.trail)
+            if deepest < max_depth:  # those at the depth itself are checked, and need not be kept
+                queue.append(state)
     return Found(len(seen), deepest)
 
 
 def random_walk(
-    state: W,
-    steps: Callable[[W], Sequence[Step[W]]],
+    state: S,
+    steps: Callable[[S], Sequence[Step[S]]],
     weight: Callable[[str], float],
-    chance: random.Random,
+    rng: random.Random,
     length: int,
 ) -> Found:
-    """One long order, drawn; its end is left in peace."""
+    """One long order of events; its end recovers."""
     for count in range(1, length + 1):
         choices = steps(state)
         weights = [weight(step.name) for step in choices]
-        state = chance.choices(choices, weights)[0].take()
-        if trouble := state.violation():
-            return Found(count, len(state.trail), trouble, state.trail)
+        state = rng.choices(choices, weights)[0].take()
+        if violation := state.violation():
+            return Found(count, len(state.trail), violation, state.trail)
     return Found(length, len(state.trail), state.recovery_violation(), state.trail)
 
 
-def replay(state: W, steps: Callable[[W], Sequence[Step[W]]], story: tuple[str, ...]) -> W:
-    """The state that these events lead to, each named by how its name starts; with ~, passed over where it
-    can't follow."""
+def replay(state: S, steps: Callable[[S], Sequence[Step[S]]], story: tuple[str, ...]) -> S:
+    """The state that these events lead to, each named by how its name starts; an OPTIONAL one is passed over
+    where it can't follow."""
     for event in story:
-        name = event.removeprefix("~")
+        name = event.removeprefix(OPTIONAL)
         step = next((step for step in steps(state) if step.name.startswith(name)), None)
-        if step is None and name != event:
-            continue
-        if step is None:
-            can = sorted(step.name for step in steps(state))
-            raise ValueError(f"{event!r} can't follow {state.trail}: {can}")
-        state = step.take()
+        if step:
+            state = step.take()
+        elif name == event:
+            possible = sorted(step.name for step in steps(state))
+            raise ValueError(f"{event!r} can't follow {state.trail}: {possible}")
     return state
--- a/otterrudder/lab/fleet/history_checker.py
+++ b/otterrudder/lab/fleet/history_checker.py
@@ -1,4 +1,5 @@
-"""What the fleet's promises say of a version in force, from the store's writes and nothing else."""
+"""Checks the fleet's promises about a version in force against the history of the store's writes, and nothing
+else."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -7,6 +8,8 @@
 
 
 class Committed(NamedTuple):
+    """A version that came into force: by which change, and when."""
+
     change: str
     at: float
 
@@ -21,7 +24,7 @@
     for name, roster in before.rosters.items():
         vote = before.votes.get(name)
         if vote and not vote.accepted:
-            return f"version {head.version} was committed against the no of {name}"
+            return f"version {head.version} was committed against the rejection of {name}"
         if not vote and (roster.absent == "wait" or name in before.statuses):
             return f"version {head.version} was committed without the vote of {name}"
     return ""
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -114,7 +114,7 @@
     """The state of a model at one time."""
 
     variant: Variant
-    store: KeySpace = field(default_factory=lambda: KeySpace(keeps_history=False))
+    store: KeySpace = field(default_factory=lambda: KeySpace(has_history=False))
     hosts: list[Host] = field(default_factory=list)
     flights: list[Flight] = field(default_factory=list)
     pending: dict[str, Commit] = field(default_factory=dict)  # by who computed it and has not sent it yet
--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -59,7 +59,7 @@
 def _restored(state: ModelState, other: KeySpace) -> KeySpace:
     """Another engine with that content."""
     engine = other.copy()
-    engine.keeps_history = False
+    engine.has_history = False
     engine.cluster = COPY_ID
     engine.granted += COPY_LEASES * (state.spent + 1)
     engine.lapse(state.now)
--- a/otterrudder/lab/fleet/report.py
+++ b/otterrudder/lab/fleet/report.py
@@ -11,16 +11,16 @@
 from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
 from otterrudder.lab.fleet.simulation import Result, play
 
-LENGTH = 60  # events of a drawn walk
-FAULTS_MOST = 6  # faults in it
-CHUNK = 50  # walks that are handed out at a time
+WALK_LENGTH = 60  # events of a drawn walk
+MAX_FAULTS = 6  # faults in it
+WALKS_PER_TASK = 50  # walks that are handed out at a time
 DEPTH_FAULTS = 2  # faults in a search by breadth
-CALM_SIZES = (10, 50, 200, 1000)  # servers, for what a change costs without faults
+QUIESCENT_SIZES = (10, 50, 200, 1000)  # servers, for what a change costs without faults
 FAULTS_A_PLAN = 8
 
 
 def _walk(name: str, members: int, seed: int, walks: int) -> Found:
-    return walk(replace(SOUND[name], members=members), seed, walks, LENGTH, FAULTS_MOST)
+    return walk(replace(SOUND[name], members=members), seed, walks, WALK_LENGTH, MAX_FAULTS)
 
 
 def _search(name: str, members: int, stage: str, depth: int) -> Found:
@@ -31,15 +31,15 @@
     return hunt(FAULTS[name])
 
 
-def searched(walks: int, seed: int, depth: int, workers: int | None, say: Callable[[str], None]) -> bool:
+def searched(walks: int, seed: int, depth: int, workers: int | None, write: Callable[[str], None]) -> bool:
     """Whether no promise broke and each fault was found. `walks`: by variant and number of members; `depth`:
     of the search by breadth with two members, one less with three, two less with four."""
     good = True
     with ProcessPoolExecutor(workers) as pool:
         drawn = {
             (name, members): [
-                pool.submit(_walk, name, members, seed * 1000 + n, min(CHUNK, walks))
-                for n in range(max(walks // CHUNK, 1))
+                pool.submit(_walk, name, members, seed * 1000 + n, min(WALKS_PER_TASK, walks))
+                for n in range(max(walks // WALKS_PER_TASK, 1))
             ]
             for name in SOUND
             for members in (2, 3, 4)
@@ -52,64 +52,64 @@
             for stage in Stage
         }
         hunted = {name: pool.submit(_hunt, name) for name in FAULTS}
-        say("| variant | members | worlds by drawn walks | broken |")
-        say("| --- | ---: | ---: | --- |")
+        write("| variant | members | states by random walks | broken |")
+        write("| --- | ---: | ---: | --- |")
         for (name, members), parts in drawn.items():
             found = [part.result() for part in parts]
-            broken = next((one for one in found if one.violation), None)
-            good = good and not broken
-            say(
+            violating = next((one for one in found if one.violation), None)
+            good = good and not violating
+            write(
                 f"| {name} | {members} | {sum(one.states for one in found)} | "
-                f"{f'{broken.violation}: {broken.trail}' if broken else 'none'} |"
+                f"{f'{violating.violation}: {violating.trail}' if violating else 'none'} |"
             )
         for (name, members, stage_name), part in deep.items():
             one = part.result()
             good = good and not one.violation
-            say(
+            write(
                 f"| {name}, from {stage_name.lower()} | {members} | {one.states}, each to depth {one.depth} "
                 f"| {f'{one.violation}: {one.trail}' if one.violation else 'none'} |"
             )
-        say("")
-        say("| fault put in | found after worlds | as |")
-        say("| --- | ---: | --- |")
+        write("")
+        write("| fault put in | found after states | as |")
+        write("| --- | ---: | --- |")
         for name, part in hunted.items():
             one = part.result()
             good = good and bool(one.violation)
-            say(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
+            write(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
     return good
 
 
-def played(servers: int, plans: int, workers: int | None, say: Callable[[str], None]) -> bool:
+def played(servers: int, plans: int, workers: int | None, write: Callable[[str], None]) -> bool:
     """Whether nobody was past the bound in any plan, and all agreed after it."""
     good = True
-    say(
+    write(
         "| rule | plans | committed | past the bound | not agreed | worst age of the old, ms | "
-        "last switch, ms: median, 95%, most | aside |"
+        "last switch, ms: median, 95%, most | suspended |"
     )
-    say("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
+    write("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
     with ProcessPoolExecutor(workers) as pool:
         for absent in ("wait", "leave-out"):
             parts = [pool.submit(play, servers, seed, FAULTS_A_PLAN, absent) for seed in range(plans)]
             results = [part.result() for part in parts]
             breaches, apart = sum(r.breaches for r in results), sum(not r.agreed for r in results)
             good = good and not breaches and not apart
-            say(
+            write(
                 f"| {absent} | {plans} | {sum(r.committed for r in results)} | {breaches} | {apart} | "
                 f"{max(r.worst_old_ms for r in results):.0f} | {_spread(results)} | "
-                f"{sum(r.aside_share for r in results) / plans:.2%} |"
+                f"{sum(r.suspended_share for r in results) / plans:.2%} |"
             )
-        say("")
-        say(
+        write("")
+        write(
             "| servers, no fault | last switch, ms | reads a change | writes | watch events | "
-            "reads a second, calm |"
+            "reads a second, quiescent |"
         )
-        say("| ---: | ---: | ---: | ---: | ---: | ---: |")
-        calm = {size: pool.submit(play, size, 1, 0) for size in CALM_SIZES}
-        for size, part in calm.items():
+        write("| ---: | ---: | ---: | ---: | ---: | ---: |")
+        quiescent = {size: pool.submit(play, size, 1, 0) for size in QUIESCENT_SIZES}
+        for size, part in quiescent.items():
             one = part.result()
-            say(
-                f"| {size} | {one.last_switch_ms:.0f} | {one.reads} | {one.writes} | {one.hints} | "
-                f"{one.reads_calm_per_s:.0f} |"
+            write(
+                f"| {size} | {one.last_switch_ms:.0f} | {one.reads} | {one.writes} | {one.watch_events} | "
+                f"{one.quiescent_reads_per_s:.0f} |"
             )
     return good
 
--- a/otterrudder/lab/fleet/search.py
+++ b/otterrudder/lab/fleet/search.py
@@ -1,4 +1,4 @@
-"""The model of a fleet's members searched: every order of events to a stated depth, and long orders drawn
+"""Searches of the model of a fleet's members: every order of events to a stated depth, and long random walks
 from a seed."""
 
 import math
@@ -14,8 +14,8 @@
 from otterrudder.lab.fleet.model_stages import NotConvergedError, Stage, staged
 from otterrudder.lab.fleet.seeded_faults import Hunt
 
-# What events are told apart by, in the words of their labels; the first that fits counts.
-KINDS = (
+# The kinds of events, by words of their labels; the first that matches counts.
+EVENT_KINDS = (
     "time goes on",
     "copied",
     "copy answers",
@@ -41,6 +41,11 @@
     "register",
     "read",
 )
+LOG_WEIGHTS = (-2.5, 1.5)  # between which the logarithm of a kind's weight in a walk is drawn
+HUNT_SEED = 7
+HUNT_WALKS = 600
+HUNT_LENGTH = 60  # events of a walk
+HUNT_FAULTS = 6  # at most in a walk
 
 
 def search(
@@ -51,47 +56,48 @@
     stage: Stage = Stage.QUIESCENT,
     story: tuple[str, ...] = (),
 ) -> Found:
-    """Breadth first from a change that has come so far, and from the end of a story, if one is told."""
+    """Breadth first from a stage, and from the end of a story, if one is given."""
 
-    def then(state: ModelState) -> Iterator[ModelState]:
+    def next_states(state: ModelState) -> Iterator[ModelState]:
         return following(state, max_faults)
 
-    return explore.breadth_first(replay(staged(variant, stage), story), then, depth, max_states)
+    return explore.breadth_first(replay(staged(variant, stage), story), next_states, depth, max_states)
 
 
 def walk(variant: Variant, seed: int, walks: int, length: int, max_faults: int) -> Found:
-    """Long orders, drawn: what lies deeper than any search by breadth gets. Each walk has its own leanings,
-    for one that does a little of everything gets to nothing that is rare twice over."""
+    """Random walks: they get deeper than any search by breadth. Each has its own weights, for one that does a
+    little of everything gets to nothing that is rare twice over."""
     count = 0
-    for n in range(walks):
-        chance = random.Random(f"{seed}/{n}")
+    for number in range(walks):
+        rng = random.Random(f"{seed}/{number}")
         try:
-            state = staged(variant, chance.choice(list(Stage)))
-        except NotConvergedError as why:
-            return Found(count, 0, str(why))
-        found = _walk_from(state, chance, length, max_faults)
+            state = staged(variant, rng.choice(list(Stage)))
+        except NotConvergedError as error:
+            return Found(count, 0, str(error))
+        found = _walk_from(state, rng, length, max_faults)
         count += found.states
         if found.violation:
             return Found(count, found.depth, found.violation, found.trail)
     return Found(count, length)
 
 
-def _walk_from(state: ModelState, chance: random.Random, length: int, max_faults: int) -> Found:
-    spend = chance.randint(1, max_faults)
-    leanings = {kind: math.exp(chance.uniform(-2.5, 1.5)) for kind in KINDS}
+def _walk_from(state: ModelState, rng: random.Random, length: int, max_faults: int) -> Found:
+    walk_faults = rng.randint(1, max_faults)
+    weights = {kind: math.exp(rng.uniform(*LOG_WEIGHTS)) for kind in EVENT_KINDS}
 
     def weight(event: str) -> float:
-        return next((leaning for kind, leaning in leanings.items() if kind in event), 1.0)
+        return next((weight for kind, weight in weights.items() if kind in event), 1.0)
 
-    return explore.random_walk(state, lambda state: _steps(state, spend), weight, chance, length)
+    return explore.random_walk(state, lambda state: _steps(state, walk_faults), weight, rng, length)
 
 
-def hunt(what: Hunt, walks: int = 600, member: type[Member] | None = None) -> Found:
-    """Looks for a fault where it shows; with `member`, whether another one goes that way unharmed."""
+def hunt(what: Hunt, walks: int = HUNT_WALKS, member: type[Member] | None = None) -> Found:
+    """Looks for a seeded fault where it shows; with `member`, whether that member keeps its promises
+    there."""
     variant = replace(what.variant, member=member) if member else what.variant
     if what.depth:
         return search(variant, what.depth, what.faults, stage=what.stage, story=what.story)
-    return walk(variant, 7, walks, 60, 6)
+    return walk(variant, HUNT_SEED, walks, HUNT_LENGTH, HUNT_FAULTS)
 
 
 def replay(state: ModelState, story: tuple[str, ...]) -> ModelState:
@@ -100,4 +106,4 @@
 
 
 def _steps(state: ModelState, max_faults: int) -> list[Step[ModelState]]:
-    return [Step(then.trail[-1], then) for then in following(state, max_faults)]
+    return [Step(after.trail[-1], after) for after in following(state, max_faults)]
--- a/otterrudder/lab/indexed.py
+++ b/otterrudder/lab/indexed.py
@@ -12,7 +12,7 @@
     """Answers as KeySpace does, without a history."""
 
     def __init__(self) -> None:
-        super().__init__(keeps_history=False)
+        super().__init__(has_history=False)
         self._folders: dict[str, dict[str, None]] = {}  # in the order of writing, which a set has not
         self._hung: dict[int, set[str]] = {}
         self._ends: list[tuple[float, int]] = []  # one for each lease, never later than its end
--- a/otterrudder/lab/keyspace.py
+++ b/otterrudder/lab/keyspace.py
@@ -1,8 +1,8 @@
-"""A key space with revisions, compares, leases, history and compaction, in whatever time it is told: the
-stand-in's heart, from etcd's published v3 API. Lab and model search hold it as it is; on sockets a server of
-that API is put round it (`lab/processes/fake_etcd.py`).
+"""A key space with revisions, compares, leases, history and compaction, at the times that it is given: the
+core of a fake store, from etcd's published v3 API. Lab and model search use it as it is; on sockets a server
+of that API is around it (`lab/processes/fake_etcd.py`).
 
-One step of it is one call. It draws no chance and knows no clock. Its history is bounded: what lies before
+One step of it is one call. It has no randomness and no clock. Its history is bounded: what is older than
 `compacted` can't be watched any more."""
 
 import bisect
@@ -26,6 +26,8 @@
 
 @dataclass(slots=True)
 class KeySpace:
+    """The keys with their revisions, and the leases that some depend on."""
+
     cluster: int = 1
     revision: int = 1
     keys: dict[str, Entry] = field(default_factory=dict)
@@ -33,11 +35,11 @@
     granted: int = 0  # leases so far
     history: list[Event] = field(default_factory=list)
     compacted: int = 0  # the newest revision that is no longer in the history
-    keeps_history: bool = True
+    has_history: bool = True
     writes: int = 0  # commits that took effect, for the figures
 
     def copy(self) -> "KeySpace":
-        """A twin that goes its own way."""
+        """One that goes its own way."""
         return KeySpace(
             self.cluster,
             self.revision,
@@ -46,7 +48,7 @@
             self.granted,
             list(self.history),
             self.compacted,
-            self.keeps_history,
+            self.has_history,
             self.writes,
         )
 
@@ -67,18 +69,21 @@
         return True
 
     def read(self, names: Sequence[str]) -> Snapshot:
+        """These keys, and all under those names that end in a slash."""
         found = {name: self.keys[name] for name in names if name in self.keys}
         prefixes = tuple(name for name in names if name.endswith("/"))
         if prefixes:
             found |= {key: entry for key, entry in self.keys.items() if key.startswith(prefixes)}
         return Snapshot(self.cluster, self.revision, found)
 
-    def holds(self, compare: Compare) -> bool:
+    def matches(self, compare: Compare) -> bool:
+        """Whether the compare holds now."""
         entry = self.keys.get(compare.key)
         return (getattr(entry, compare.attribute) if entry else 0) == compare.equals
 
     def commit(self, compares: Sequence[Compare], writes: Sequence[Write]) -> CommitResult:
-        if not all(map(self.holds, compares)):
+        """All of the writes if all of the compares hold, else none."""
+        if not all(map(self.matches, compares)):
             return CommitResult(False, self.revision, self.cluster)
         if any(isinstance(write, Put) and write.lease and write.lease not in self.leases for write in writes):
             return CommitResult(False, self.revision, self.cluster)  # etcd: the lease is not found
@@ -93,11 +98,13 @@
         return CommitResult(True, self.revision, self.cluster)
 
     def grant(self, now: float, span_ms: float) -> LeaseResult:
+        """A new lease."""
         self.granted += 1
         self.leases[self.granted] = (span_ms, now + span_ms)
         return LeaseResult(self.granted, self.revision, self.cluster)
 
     def renew(self, now: float, lease: int) -> LeaseResult:
+        """Its whole span again, if it lives."""
         if lease not in self.leases:
             return LeaseResult(0, self.revision, self.cluster)
         span_ms = self.leases[lease][0]
@@ -105,7 +112,7 @@
         return LeaseResult(lease, self.revision, self.cluster)
 
     def answer(self, now: float, effect: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
-        """What a member asks of the store, at that time."""
+        """A request to the store, at that time."""
         self.lapse(now)
         if isinstance(effect, Read):
             return self.read(effect.names)
@@ -144,7 +151,7 @@
         self._note(key, None)
 
     def _note(self, key: str, entry: Entry | None) -> None:
-        if not self.keeps_history:
+        if not self.has_history:
             return
         self.history.append(Event(self.revision, key, entry))
         if len(self.history) > MAX_HISTORY_EVENTS:
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -182,7 +182,7 @@
         space, before = engine.space, engine.space.revision
         if any(isinstance(w, Put) and w.lease and w.lease not in space.leases for w in writes):
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
-        held = all(space.holds(_compare(compare)) for compare in request.compare)
+        held = all(space.matches(_compare(compare)) for compare in request.compare)
         if held and writes:
             space.commit((), writes)
             engine.tell(before)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -615,7 +615,7 @@
     assert [result.breaches for result in results] == [0] * 10 and all(result.agreed for result in results)
     assert sum(result.committed for result in results) >= 6
     calm = play(40, 1, 0, absent)
-    assert calm.committed and calm.last_switch_ms < 100.0 and calm.aside_share == 0.0
+    assert calm.committed and calm.last_switch_ms < 100.0 and calm.suspended_share == 0.0
 
 
 @pytest.mark.parametrize(("latency_ms", "least", "most"), [(2.0, 10.0, 50.0), (400.0, 750.0, 1550.0)])
