--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -27,6 +27,7 @@
 from otterrudder.fleet.server_control import ServerControl, ServerControlSender
 from otterrudder.fleet.state import MemberState
 from otterrudder.fleet.store import Store
+from otterrudder.fleet.validation import validate_text
 from otterrudder.log import log
 
 FAILURE_PAUSE_MS = 200.0  # ms until what failed is tried again: it must not spin
@@ -186,17 +187,10 @@
 
     async def _outcome(self, effect: Effect) -> Outcome:
         if isinstance(effect, ValidatePolicy):
-            return await anyio.to_thread.run_sync(self._validate, effect.text)
+            # In a thread: a policy of hundreds of names would hold up the loop for tens of ms.
+            return await anyio.to_thread.run_sync(validate_text, self.validate, self.member.name, effect.text)
         return await self.executor.perform(effect)
 
     def _handle_watch_event(self) -> None:
         self.member.handle_watch_event()
         self.wakeup.set()
-
-    def _validate(self, text: str) -> str:
-        """In a thread: a policy of hundreds of names would hold up the loop for tens of ms."""
-        try:
-            return self.validate(text)
-        except Exception as error:  # a rejection, with what there is of a reason
-            log.exception("a policy could not be validated")
-            return f"{self.member.name}: {type(error).__name__}: {error}"
--- a/otterrudder/fleet/validation.py
+++ b/otterrudder/fleet/validation.py
@@ -10,5 +10,5 @@
     try:
         return validate(text)
     except Exception as error:
-        log.exception("policy validation failed")
+        log.exception("a policy could not be validated")
         return f"{server}: {type(error).__name__}: {error}"
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -55,6 +55,7 @@
     """Admits from its start by the policy in its state directory, whatever was changed while it was down."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
+        """Serving as soon as it starts."""
         status = super().admission_status(now)
         is_starting = status in (AdmissionStatus.STARTING, AdmissionStatus.REGISTERING)
         return AdmissionStatus.SERVING if is_starting else status
