--- a/otterrudder/lab/indexed.py
+++ b/otterrudder/lab/indexed.py
@@ -12,18 +12,19 @@
     """Answers as KeySpace does, without a history."""
 
     def __init__(self) -> None:
-        super().__init__(keeps_history=False)
+        super().__init__(has_history=False)
         self._folders: dict[str, dict[str, None]] = {}  # in the order of writing, which a set has not
         self._hung: dict[int, set[str]] = {}
         self._ends: list[tuple[float, int]] = []  # one for each lease, never later than its end
 
     def read(self, names: Sequence[str]) -> Snapshot:
+        """By the index, in the time of what is found."""
         plain = (name for name in names if name in self.keys)
         under = (key for name in names if name.endswith("/") for key in self._folders.get(name, ()))
         return Snapshot(self.cluster, self.revision, {key: self.keys[key] for key in (*plain, *under)})
 
     def lapse(self, now: float) -> None:
-        """Leases whose end has passed go, with the keys that hang on them."""
+        """Leases whose end has passed go, with the keys that depend on them."""
         ends = self._ends
         while ends and ends[0][0] <= now:
             _, lease = heapq.heappop(ends)
@@ -47,6 +48,7 @@
         return True
 
     def grant(self, now: float, span_ms: float) -> LeaseResult:
+        """A new lease, whose end is in the index."""
         leased = super().grant(now, span_ms)
         heapq.heappush(self._ends, (now + span_ms, leased.lease))
         return leased
