--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -24,15 +24,21 @@
 from otterrudder.fleet.configuration import read_fleet  # noqa: E402
 from otterrudder.fleet.server_control import ServerControl  # noqa: E402
 from otterrudder.lab.processes.cells import CellCluster, CellLayout, RelayProcess  # noqa: E402
-from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster  # noqa: E402
+from otterrudder.lab.processes.cluster import FLEET, ClusterOptions, ProcessCluster  # noqa: E402
 from otterrudder.lab.processes.server_process import ServerProcess  # noqa: E402
 
-SETTLE_S = 8.0  # s from the start until figures are taken
+WARM_UP_S = 8.0  # from the start until figures are taken
 SPAN_S = 30.0
 TICKS = os.sysconf("SC_CLK_TCK")
 LEASE_MS = 3000.0  # the default of a server's lease
 BOUND_MS = 3000.0
 STORE_LEASE_MS = 6000.0
+FINGERPRINTS = 3  # among the servers of a relay
+CONNECT_INTERVAL_S = 0.01  # from the start of one client to the next
+LEAD_TIMEOUT_S = 10.0
+CONNECT_TIMEOUT_S = 60.0
+
+Figures = dict[str, float]
 
 
 class CountingProxy:
@@ -43,7 +49,7 @@
         self.target = ("", 0)
 
     async def listen(self, group: anyio.abc.TaskGroup) -> str:
-        """Its own address."""
+        """Begins to listen; its own address."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         group.start_soon(listener.serve, self._pass_on)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -70,56 +76,68 @@
     proxy_address = ""
 
     def write_fleet_file(self, server: ServerProcess) -> None:
+        """The file has the proxy's address in place of the relay's."""
         super().write_fleet_file(server)
         path = server.directory / "fleet.toml"
         path.write_text(path.read_text().replace(self.relays[0].address, self.proxy_address))
 
 
 def rss_mb(pid: int) -> float:
+    """The resident memory of a process."""
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("Rss:")) / 1024
 
 
 def cpu_s(pid: int) -> float:
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / TICKS
+    """The CPU time that a process has used."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    user_ticks, system_ticks = fields[11:13]
+    return (int(user_ticks) + int(system_ticks)) / TICKS
 
 
-async def over_span(pid: int, count: Callable[[], int] = lambda: 0) -> dict[str, float]:
+async def measure_process(pid: int, byte_count: Callable[[], int] = lambda: 0) -> Figures:
     """Figures of a process over the span."""
-    await anyio.sleep(SETTLE_S)
-    cpu, counted = cpu_s(pid), count()
+    await anyio.sleep(WARM_UP_S)
+    cpu_before_s = cpu_s(pid)
+    bytes_before = byte_count()
     await anyio.sleep(SPAN_S)
     return dict(
         rss_mb=round(rss_mb(pid), 1),
-        cpu_percent=round((cpu_s(pid) - cpu) / SPAN_S * 100, 2),
-        bytes_per_s=round((count() - counted) / SPAN_S, 1),
+        cpu_percent=round((cpu_s(pid) - cpu_before_s) / SPAN_S * 100, 2),
+        bytes_per_s=round((byte_count() - bytes_before) / SPAN_S, 1),
     )
 
 
-async def measure_server(kind: str) -> dict[str, float]:
+async def measure_server(kind: str) -> Figures:
     """`kind`: "alone", "member", or "cell"."""
-    with tempfile.TemporaryDirectory() as folder:
-        layout = CellLayout({"z": 2}, server_lease_ms=LEASE_MS)
-        proxy = CountingProxy()
-        cluster: ProcessCluster
+    with tempfile.TemporaryDirectory() as directory:
         if kind == "cell":
-            options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
-            cluster = ProxiedCluster(Path(folder), 1, layout, options)
-            proxy.target = _endpoint(cluster.relays[0])
-        else:
-            options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS, with_fleet=kind == "member")
-            cluster = ProcessCluster(Path(folder), 1, options)
-        async with anyio.create_task_group() as group:
-            if isinstance(cluster, ProxiedCluster):
-                cluster.proxy_address = await proxy.listen(group)
-            async with cluster.running():
-                server = cluster.servers[0]
-                server.gateway.is_sending = False
-                assert server.process
-                found = await over_span(server.process.pid, lambda: proxy.count)
-            group.cancel_scope.cancel()
-        return found
+            return await _measure_leased_server(Path(directory))
+        options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS, with_fleet=kind == "member")
+        return await _measure_first_server(ProcessCluster(Path(directory), 1, options))
+
+
+async def _measure_leased_server(directory: Path) -> Figures:
+    proxy = CountingProxy()
+    layout = CellLayout({"z": 2}, server_lease_ms=LEASE_MS)
+    options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
+    cluster = ProxiedCluster(directory, 1, layout, options)
+    proxy.target = _endpoint(cluster.relays[0])
+    async with anyio.create_task_group() as group:
+        cluster.proxy_address = await proxy.listen(group)
+        figures = await _measure_first_server(cluster, lambda: proxy.count)
+        group.cancel_scope.cancel()
+    return figures
+
+
+async def _measure_first_server(
+    cluster: ProcessCluster, byte_count: Callable[[], int] = lambda: 0
+) -> Figures:
+    async with cluster.running():
+        server = cluster.servers[0]
+        server.gateway.is_sending = False
+        assert server.process
+        return await measure_process(server.process.pid, byte_count)
 
 
 def _endpoint(relay: RelayProcess) -> tuple[str, int]:
@@ -127,64 +145,78 @@
     return host, int(port)
 
 
-async def hold_sessions(path: Path, count: int) -> None:
+async def open_sessions(path: Path, count: int) -> None:
     """In a process of its own: so many servers' clients, until it is killed."""
     fleet = read_fleet(path)
-    orders = ServerControl(lambda text: None, lambda is_aside: None)
-    agents = [CellAgent(fleet, f"n{n}", f"kind{n % 3}", lambda text: "", orders) for n in range(count)]
+    control = ServerControl(lambda text: None, lambda is_suspended: None)
+    agents = [
+        CellAgent(fleet, f"n{number}", f"kind{number % FINGERPRINTS}", lambda text: "", control)
+        for number in range(count)
+    ]
     async with anyio.create_task_group() as group:
         for agent in agents:
             group.start_soon(agent.run)
-            await anyio.sleep(0.01)
+            await anyio.sleep(CONNECT_INTERVAL_S)
 
 
-async def measure_relay(sessions: int) -> dict[str, float]:
-    with tempfile.TemporaryDirectory() as folder:
+async def measure_relay(sessions: int) -> Figures:
+    """Figures of a relay with so many sessions, beside one that is empty."""
+    with tempfile.TemporaryDirectory() as directory:
         layout = CellLayout({"z": 1}, server_lease_ms=LEASE_MS, max_sessions=max(sessions, 1))
         options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
-        cluster = CellCluster(Path(folder), 0, layout, options)
+        cluster = CellCluster(Path(directory), 0, layout, options)
         cluster.server_count = 1  # the relays are started for a server that is not
-        children: list[subprocess.Popen[bytes]] = []
         try:
             await cluster.start_fleet()
-            relay = cluster.relays[0]
-            assert relay.process
-            with anyio.fail_after(10.0):
-                while not (await cluster.relay_status(relay))["authority_left_ms"]:
-                    await anyio.sleep(0.05)
-            empty = rss_mb(relay.process.pid)
-            path = Path(folder) / "servers.toml"
-            path.write_text(f'version = 1\nfleet = "rig"\nbound_ms = 3000\nrelays = ["{relay.address}"]\n')
-            line = [sys.executable, __file__, "hold", str(path), str(sessions)]
-            children.append(subprocess.Popen(line, cwd=ROOT))
-            with anyio.fail_after(60.0):
-                while (await cluster.relay_status(relay))["sessions"] < sessions:
-                    await anyio.sleep(0.1)
-            before, began = (await cluster.relay_status(relay))["received"], clock.monotonic()
-            found = await over_span(relay.process.pid)
-            status = await cluster.relay_status(relay)
-            renewals_per_s = (status["received"] - before) / (clock.monotonic() - began) * 1000
-            found["sessions"] = status["sessions"]
-            found["renewals_per_s"] = round(renewals_per_s, 1)
-            found["rss_empty_mb"] = round(empty, 1)
-            found["cpu_ms_a_renewal"] = round(found["cpu_percent"] * 10 / renewals_per_s, 3)
-            return found
+            return await _measure_first_relay(cluster, Path(directory), sessions)
         finally:
-            for child in children:
-                child.kill()
-                child.wait()
             cluster.end_processes()
 
 
+async def _measure_first_relay(cluster: CellCluster, directory: Path, sessions: int) -> Figures:
+    relay = cluster.relays[0]
+    assert relay.process
+    with anyio.fail_after(LEAD_TIMEOUT_S):
+        while not (await cluster.relay_status(relay))["authority_left_ms"]:
+            await anyio.sleep(0.05)
+    empty_mb = rss_mb(relay.process.pid)
+    clients = _start_clients(relay, directory, sessions)
+    try:
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
+            while (await cluster.relay_status(relay))["sessions"] < sessions:
+                await anyio.sleep(0.1)
+        received_before = (await cluster.relay_status(relay))["received"]
+        began = clock.monotonic()
+        figures = await measure_process(relay.process.pid)
+        status = await cluster.relay_status(relay)
+        renewals_per_s = (status["received"] - received_before) / (clock.monotonic() - began) * 1000
+    finally:
+        clients.kill()
+        clients.wait()
+    return figures | dict(
+        sessions=status["sessions"],
+        renewals_per_s=round(renewals_per_s, 1),
+        rss_empty_mb=round(empty_mb, 1),
+        cpu_ms_a_renewal=round(figures["cpu_percent"] * 10 / renewals_per_s, 3),
+    )
+
+
+def _start_clients(relay: RelayProcess, directory: Path, sessions: int) -> subprocess.Popen[bytes]:
+    path = directory / "servers.toml"
+    path.write_text(f'version = 1\nfleet = "{FLEET}"\nbound_ms = 3000\nrelays = ["{relay.address}"]\n')
+    return subprocess.Popen([sys.executable, __file__, "hold", str(path), str(sessions)], cwd=ROOT)
+
+
 async def main() -> None:
-    words = sys.argv[1:]
-    if words[0] == "hold":
-        await hold_sessions(Path(words[1]), int(words[2]))
-    elif words[0] == "server":
-        for kind in words[1:] or ("alone", "member", "cell"):
+    """The command line, as above."""
+    command, *arguments = sys.argv[1:]
+    if command == "hold":
+        await open_sessions(Path(arguments[0]), int(arguments[1]))
+    elif command == "server":
+        for kind in arguments or ("alone", "member", "cell"):
             print(f"{kind:8}", await measure_server(kind), flush=True)
     else:
-        for sessions in map(int, words[1:] or ("300",)):
+        for sessions in map(int, arguments or ("300",)):
             began = clock.monotonic()
             print(f"{sessions:6}", await measure_relay(sessions), flush=True)
             print(f"{'':6} took {(clock.monotonic() - began) / 1000:.0f} s")
