--- a/otterrudder/fleet/cell/endorsement.py
+++ b/otterrudder/fleet/cell/endorsement.py
@@ -1,5 +1,5 @@
 """Endorsement of a leader's lease by the other relays of its cell, so that the cell serves on while the store
-is away. Pure.
+is unreachable. Pure.
 
 The relay that leads a cell holds a lease of the store, and its authority ends with it: another relay of the
 cell could have taken the cell over. While the store does not answer, the leader asks every other relay of
--- a/otterrudder/fleet/cell/identity.py
+++ b/otterrudder/fleet/cell/identity.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """What a server tells a relay of itself."""
+    """What a server registers with at a relay."""
 
     fleet: str
     name: str
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -16,7 +16,7 @@
   before.
 - A relay that takes a cell over does not vote for a moment: until then servers of the former leader may not
   have found it, and would not be asked. So no poll is decided before.
-- While the store is away, the leader goes on with the endorsement of all other relays of its cell
+- While the store is unreachable, the leader goes on with the endorsement of all other relays of its cell
   (`endorsement.py`). A relay that has endorsed does not take the cell over while that binds it: it could
   grant nothing, and the leader is to have its place again once the store is back."""
 
--- a/otterrudder/fleet/cell/streams.py
+++ b/otterrudder/fleet/cell/streams.py
@@ -100,7 +100,7 @@
         self._outgoing.put_nowait(None)
 
     async def run(self) -> None:
-        """Runs until either side ends the stream; StreamError says why this side does."""
+        """Runs until either side ends the stream; StreamError: why this side does."""
         await self._context.send_initial_metadata(())
         tasks = [asyncio.create_task(run()) for run in (self._read, self._write, self._wait_for_overflow)]
         try:
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -31,9 +31,9 @@
     """All that may happen next, while no more than `max_faults` are injected."""
     may_inject = state.injected_faults < max_faults
     return [
-        Event("time goes on", partial(_pass_time, STEP_MS)),
-        Event("long time goes on", partial(_pass_time, LONG_STEP_MS)),
-        Event("little time goes on", partial(_pass_time, SHORT_STEP_MS)),
+        Event("time passes", partial(_pass_time, STEP_MS)),
+        Event("much time passes", partial(_pass_time, LONG_STEP_MS)),
+        Event("little time passes", partial(_pass_time, SHORT_STEP_MS)),
         Event("all is delivered", _deliver_all),
         *store_events(state, may_inject),
         *peer_events(state, may_inject),
--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -114,7 +114,7 @@
             yield from _stream_faults(state, at, stream)
     for place, host in enumerate(state.servers):
         if host.runs and host.validations:
-            yield Event(f"{host.name} has checked", partial(_finish_validation, place))
+            yield Event(f"{host.name} has validated", partial(_finish_validation, place))
 
 
 def _message_events(state: CellState, at: int, stream: Stream) -> Iterator[Event]:
--- a/otterrudder/lab/fleet/cell_process_events.py
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -21,8 +21,8 @@
 
 
 STORE_CUTS = (
-    StoreCut("is_send_cut", "is not heard by the store", "is heard by the store again"),
-    StoreCut("is_receive_cut", "does not hear the store", "hears the store again"),
+    StoreCut("is_send_cut", "cannot send to the store", "can send to the store again"),
+    StoreCut("is_receive_cut", "cannot receive from the store", "can receive from the store again"),
 )
 
 
@@ -35,10 +35,10 @@
         if may_inject:
             yield Event(f"{host.address} dies", partial(_stop_relay, place), 1)
             if not host.is_frozen:
-                yield Event(f"{host.address} leaves", partial(_shut_down_relay, place), 1)
+                yield Event(f"{host.address} shuts down", partial(_shut_down_relay, place), 1)
         if host.is_frozen:
-            yield Event(f"{host.address} wakes", partial(_thaw_relay, place))
-            yield Event(f"{host.address} wakes and hears first", partial(_thaw_relay_with_messages, place))
+            yield Event(f"{host.address} thaws", partial(_thaw_relay, place))
+            yield Event(f"{host.address} thaws and receives first", partial(_thaw_relay_with_messages, place))
         elif may_inject:
             yield Event(f"{host.address} freezes", partial(_freeze_relay, place), 1)
         yield from _store_cut_events(place, host, may_inject)
@@ -112,8 +112,8 @@
         if may_inject:
             yield Event(f"{host.name} dies", partial(_stop_server, place), 1)
         if host.is_frozen:
-            yield Event(f"{host.name} wakes", partial(_set_server_frozen, place, False))
-            yield Event(f"{host.name} wakes and hears first", partial(_thaw_server_with_messages, place))
+            yield Event(f"{host.name} thaws", partial(_set_server_frozen, place, False))
+            yield Event(f"{host.name} thaws and receives first", partial(_thaw_server_with_messages, place))
         elif may_inject:
             yield Event(f"{host.name} freezes", partial(_set_server_frozen, place, True), 1)
 
@@ -170,17 +170,17 @@
 
 
 def engine_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of the store: it goes away and comes back, or another engine answers in its place."""
+    """Of the store: it is unreachable and comes back, or another engine answers in its place."""
     if state.is_store_unreachable:
         yield Event("the store is back", partial(_set_store_unreachable, False))
     elif may_inject:
-        yield Event("the store is away", partial(_set_store_unreachable, True), 1)
+        yield Event("the store is unreachable", partial(_set_store_unreachable, True), 1)
     if not state.variant.has_backups:
         return
     if state.store.primary:
         yield Event("the store itself answers", cell_store.return_to_primary)
     elif not state.store.backup:
-        yield Event("the store is copied", _back_up)
+        yield Event("a backup is taken", _back_up)
     elif may_inject:
         yield Event("an older copy answers", cell_store.restore_backup, 1)
 
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -93,7 +93,7 @@
 
 
 def shut_down_relay(state: CellState, place: int) -> None:
-    """The relay sends its servers away, gives its lease back and ends."""
+    """The relay dismisses its servers, revokes its lease and ends."""
     host = state.relays[place]
     assert host.relay
     host.relay.begin_shutdown()
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -9,13 +9,15 @@
 
 STEP_MS = 500.0  # by which time passes
 RECOVERY_STEPS = 100  # in which all have to agree
-SETTLING_STEPS = RECOVERY_STEPS // 5  # before the store goes away: a relay that has just started may endorse
+SETTLING_STEPS = (
+    RECOVERY_STEPS // 5
+)  # before the store is unreachable: a relay that has just started may endorse
 UNREACHABLE_STEPS = 30  # without the store, after recovery
 
 
 def recovery_violation_of(state: CellState) -> str:
     """From here on with everything delivered and every process up: "" if all come to admit under the one
-    version in force with no change open and none queued, and admit on while the store is away."""
+    version in force with no change open and none queued, and admit on while the store is unreachable."""
     recovered = state.copy()
     recover(recovered)
     for _ in range(RECOVERY_STEPS):
@@ -69,8 +71,9 @@
 
 
 def _violation_without_store(state: CellState) -> str:
-    """Under `wait` servers admit on while the store is away and all relays of their cell are up. A relay
-    that has just started takes part in nothing for a while, so the store stays a little."""
+    """Under `wait` servers admit on while the store is unreachable and all relays of their cell are up.
+
+    A relay that has just started takes part in nothing for a while, so the store stays a little."""
     if state.variant.rules.absent != "wait":
         return ""
     for steps, is_unreachable in ((SETTLING_STEPS, False), (UNREACHABLE_STEPS, True)):
@@ -85,6 +88,6 @@
 def _step_violation(state: CellState) -> str:
     drop_unserved(state)
     if violation := deliver_all(state) or violation_in(state):
-        return f"the store is away: {violation}"
+        return f"the store is unreachable: {violation}"
     found = disagreements(state) if state.is_store_unreachable else []
-    return f"the store is away, nothing is open: {', '.join(found)}" if found else ""
+    return f"the store is unreachable, nothing is open: {', '.join(found)}" if found else ""
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -42,7 +42,7 @@
 
 
 class GrantsPastAuthority(MutantRelay):
-    """Grants a whole span whenever it may grant at all."""
+    """Grants a full span whenever it may grant at all."""
 
     def authority_until(self, now: float) -> float:
         until = super().authority_until(now)
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -54,7 +54,7 @@
 
 
 def _rounds(steps: int) -> tuple[str, ...]:
-    return ("all is delivered", "time goes on") * steps
+    return ("all is delivered", "time passes") * steps
 
 
 _PROPOSED = ("B reads", "B: propose")
@@ -62,68 +62,68 @@
     "s1 dies",
     "r00.1 count",
     "r00.1 commit",
-    "time goes on",
+    "time passes",
     "s1 starts",
     "r00 to s1: opened",
     "s1 to r00: Registration",
     "~r00 to s1: PolicyUpdate",
-    "~s1 has checked",
+    "~s1 has validated",
     "~r00 to s1: LeaseGrant",
 )
 _LATE_GRANT = (
-    "time goes on",
+    "time passes",
     "s0 to r00: LeaseRenewal",
     *_PROPOSED,
     "r00.1 read",
     "r00 to s1: ValidationRequest",
-    "s1 has checked",
+    "s1 has validated",
     "~s1 to r00: LeaseRenewal",
     "s1 to r00: ValidationResult",
     "r00.1 vote",
     "r00.1 count",
     "r00.1 commit",
-    "time goes on",
+    "time passes",
     "r00 to s0: LeaseGrant",
-    *("time goes on",) * 5,
+    *("time passes",) * 5,
 )
 _SLOW_CLOCK = (
-    "time goes on",
+    "time passes",
     "s0 to r00: LeaseRenewal",
     "r00 to s0: LeaseGrant",
     *_PROPOSED,
     "r00.1 read",
     "r00 to s1: ValidationRequest",
-    "s1 has checked",
+    "s1 has validated",
     "~s1 to r00: LeaseRenewal",
     "s1 to r00: ValidationResult",
     "r00.1 vote",
     "r00.1 count",
     "r00.1 commit",
-    *("time goes on",) * 6,
-    "little time goes on",
+    *("time passes",) * 6,
+    "little time passes",
 )
 _SLOW_CHECK = (
     "r00.1 read",
-    *(("~s0 to r00: LeaseRenewal", "~r00 to s0: PolicyUpdate", "~r00 to s0: LeaseGrant", "time goes on") * 8),
+    *(("~s0 to r00: LeaseRenewal", "~r00 to s0: PolicyUpdate", "~r00 to s0: LeaseGrant", "time passes") * 8),
 )
-_LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time goes on", "s0 to r00: LeaseRenewal")
-_FROZEN = ("s0 freezes", *("time goes on",) * 8, "s0 wakes")
+_LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time passes", "s0 to r00: LeaseRenewal")
+_FROZEN = ("s0 freezes", *("time passes",) * 8, "s0 thaws")
 _SET_BACK = (
-    "time goes on",
-    "time goes on",
+    "time passes",
+    "time passes",
     "s0 to r00: LeaseRenewal",
     "r00 to s0: older version",
     "r00 to s0: LeaseGrant",
 )
-_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has checked")
-_STANDBY_CUT_OFF = ("r00 is not heard", "r01 is not heard", *_rounds(14), *_PROPOSED, *_rounds(8))
-_LEADER_CUT_OFF = ("r00 is not heard", "r00 to r01: cut", *_rounds(14), *_PROPOSED, *_rounds(8))
+_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has validated")
+_STANDBY_CUT_OFF = ("r00 cannot send", "r01 cannot send", *_rounds(14), *_PROPOSED, *_rounds(8))
+_LEADER_CUT_OFF = ("r00 cannot send", "r00 to r01: cut", *_rounds(14), *_PROPOSED, *_rounds(8))
 _TWO_LEAD = (
-    "r00 is not heard",
+    "r00 cannot send",
     *_rounds(16),
     *_PROPOSED,
     *_rounds(5),
-    "the store is away",
+    "the store is unreachable",
     "r01 to r00: cut",
     *_rounds(6),
     "r01 to r00: healed",
@@ -131,12 +131,12 @@
     "~r01 to s0: opened",
     "~s0 to r01: Registration",
     "~r01 to s0: LeaseRefusal",
-    "~time goes on",
+    "~time passes",
     "~r00 to s0: opened",
     "~s0 to r00: Registration",
 )
 _RESTARTED = (
-    "r00 is not heard",
+    "r00 cannot send",
     "r01 dies",
     "the store is back",
     "r01 starts",
@@ -144,7 +144,7 @@
     *_rounds(3),
 )
 _STORE_BACK_FOR_STANDBY = (
-    "r00 is not heard",
+    "r00 cannot send",
     "the store is back",
     *_PROPOSED,
     *_rounds(1),
@@ -163,7 +163,7 @@
     *_rounds(4),
 )
 _OLD_COPY = (
-    "the store is copied",
+    "a backup is taken",
     *_PROPOSED,
     *_rounds(3),
     "an older copy answers",
@@ -200,7 +200,7 @@
         CellStage.QUIESCENT,
         _LATE_GRANT,
     ),
-    "trusts the whole span of a lease": SeededFault(
+    "trusts the full span of a lease": SeededFault(
         CellVariant(participant=TrustsFullSpan, server_rates=SLOW_AND_FAST),
         CellStage.QUIESCENT,
         _SLOW_CLOCK,
--- a/otterrudder/lab/fleet/cell_stages.py
+++ b/otterrudder/lab/fleet/cell_stages.py
@@ -39,7 +39,7 @@
     COMMITTED = "it is committed, and no relay has read that"
     LEADER_LOST = "the leading relay of the first cell has just died"
     STORE_LOST = "the store has just gone"
-    ENDORSED = "the store has been away for longer than its leases"
+    ENDORSED = "the store has been unreachable for longer than its leases"
 
 
 def converged(variant: CellVariant) -> CellModel:
--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -4,9 +4,9 @@
 
 from otterrudder.lab.keyspace import KeySpace
 
-STORE_ID = 1  # of the store, as a key space has it unless told another
+STORE_ID = 1  # of the store, as a key space has it by default
 COPY_ID = 0xC0  # of an engine that was restored: the engine's own tool gives it a new one
-COPY_LEASES = 1000  # from which such an engine numbers its leases: an engine's are drawn, no two alike
+COPY_LEASES = 1000  # from which such an engine numbers its leases: those of a real engine are random
 
 
 def _new_engine() -> KeySpace:
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -1,4 +1,4 @@
-"""The endorsement of a leader's lease by the other relays, and cells while the store is away."""
+"""The endorsement of a leader's lease by the other relays, and cells while the store is unreachable."""
 
 import math
 from dataclasses import replace
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
 def test_a_cell_serves_on_without_the_store_though_endorsements_are_lost(lease_ms: float) -> None:
-    """Two of each cell, whenever the store went, and though the others have heard it until then."""
+    """Two of each cell, whenever the store goes, and though it has answered the others until then."""
     for phase_ms in range(13, 1600, 200):
         harness = LossyHarness(rules=replace(RULES, lease_ms=lease_ms), limits=RelayLimits(span_ms=1500.0))
         for cell in ("east", "west"):
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("held", [True, False])
 def test_a_coordinator_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
-    """Whether it leads its member says, once it has read."""
+    """Whether it leads is known to its member, once it has read."""
     coordinator, now = ChangeCoordinator(KEYS, "east", retains_leadership=True), 0.0
     while not (lead := coordinator.effects(now, "", False, False, 1, 1)):
         now = coordinator.due()
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -245,7 +245,9 @@
     harness = at_work(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().finished] == [False]  # east has said yes, west no
+    assert [end.committed for end in harness.view().finished] == [
+        False
+    ]  # east has accepted, west has rejected it
     for name in ("west-s0", "west-s1"):
         harness.remove_server(name)
     harness.add_server("east-s2", tuple(a for a in harness.relays if a.startswith("east")), "kind of north")
@@ -361,7 +363,7 @@
 
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
-    """The relay has not heard yet that the stream before has ended."""
+    """The relay does not know yet that the stream before has ended."""
     harness = at_work(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -118,7 +118,7 @@
 
 @contextlib.asynccontextmanager
 async def raw_stream(service: RelayService) -> AsyncIterator[Any]:
-    """A stream that says what the test likes."""
+    """A stream on which the test sends what it likes."""
     channel = open_channel(service.fleet, service.role.address)
     try:
         yield channel.stream_stream(SESSION_METHOD)()
@@ -218,7 +218,7 @@
 
 
 def test_a_server_outlives_attempts_to_connect_that_it_gives_up(engine: Engine) -> None:
-    """Its part in the fleet ended without a word as one was cancelled, and it stood aside for good."""
+    """Its part in the fleet ended silently as one was cancelled, and it was suspended for good."""
 
     async def play() -> None:
         cells = Cells(engine)
@@ -323,7 +323,7 @@
                 await put_in_force(engine, text)
                 await until(lambda: all(agent.participant.known.text == text for agent in agents))
                 assert all(admits(agent) for agent in agents)
-                # one server of the kind was asked, and each checked the text that it went over to
+                # one server of the fingerprint was asked, and each validated the text that it switched to
                 assert sum(agent.counts["checked"] for agent in agents) == 3
                 assert service.shown()["versions"]
 
