--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -1,4 +1,4 @@
-"""The validation of an open change by the servers of a cell, from the member's request to the result. Pure."""
+"""The validation of a change by the servers of a cell, from the member's request to the result. Pure."""
 
 import math
 from dataclasses import dataclass
