--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -59,11 +59,12 @@
 def cell_search(walks: int, seed: int, depth: int, workers: int | None, names: tuple[str, ...]) -> None:
     """Search what may happen to cells of a few relays and servers; exits with 1 if a promise breaks or a
     fault that was put in is not found."""
-    from otterrudder.lab.fleet.cell_report import cells_searched, variant_names
+    from otterrudder.lab.fleet.cell_report import CellSearchPlan, cells_searched, variant_names
 
     if unknown := set(names) - set(variant_names()):
         give_up(f"no such variant: {', '.join(sorted(unknown))}; there are: {'; '.join(variant_names())}")
-    sys.exit(0 if cells_searched(walks, seed, depth, workers, click.echo, names) else 1)
+    plan = CellSearchPlan(walks, seed, depth, names)
+    sys.exit(0 if cells_searched(plan, workers, click.echo) else 1)
 
 
 @lab.command("fleet-simulation")
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -41,12 +41,13 @@
     ServerMessage,
     ValidationResult,
 )
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.cell.sessions import Session, SessionTable
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, ValidatePolicy
 from otterrudder.fleet.member import Member
-from otterrudder.fleet.records import Keys, MemberStatus
-from otterrudder.fleet.state import MemberState, Policy, Rules
+from otterrudder.fleet.records import Keys
+from otterrudder.fleet.state import Policy, Rules
 
 MIN_GRANT_MS = 200.0  # a shorter lease would be over before its answer is used
 SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
@@ -82,18 +83,11 @@
         self,
         now: float,
         identity: CellIdentity,
-        incarnation: str,
+        start: RelayStart,
         rules: Rules,
         limits: RelayLimits = RelayLimits(),  # noqa: B008 (frozen)
-        *,
-        state: MemberState | None = None,
-        has_disk: bool = False,
-        status: MemberStatus | None = None,
-        cluster: int = 0,
-        directory_id: str = "",
     ) -> None:
-        """`rules.is_shared` where the cell has more than one relay; `state`, `has_disk`, `cluster`: as for
-        a Member. `directory_id`: of the state directory, which is the holder of a cell of one relay."""
+        """`rules.is_shared` where the cell has more than one relay."""
         if limits.span_ms > rules.bound_ms:
             raise ValueError(f"a lease of {limits.span_ms:g} ms outlasts the bound of {rules.bound_ms:g} ms")
         keys = Keys(identity.fleet)
@@ -103,14 +97,14 @@
             now,
             keys,
             identity.cell,
-            incarnation,
-            identity.holder if rules.is_shared else directory_id or identity.holder,
+            start.incarnation,
+            identity.holder if rules.is_shared else start.directory_id or identity.holder,
             rules,
             lambda text: "",
-            record=state,
-            has_disk=has_disk,
-            status=status,
-            cluster=cluster,
+            record=start.state,
+            has_disk=start.has_disk,
+            status=start.status,
+            cluster=start.cluster,
         )
         self.coordinator = ChangeCoordinator(keys, identity.cell, retains_leadership=True)
         self.sessions = SessionTable(limits.max_sessions)
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -31,6 +31,7 @@
 )
 from otterrudder.fleet.cell.peers import Peers
 from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.cell.relay_status import TransportCounts, relay_status
 from otterrudder.fleet.cell.streams import MessageEncoder, RelayHandler, ServerStream, StreamError
 from otterrudder.fleet.cell.wire import make_server
@@ -65,17 +66,20 @@
         self.fleet = fleet
         self.role = role
         incarnation = secrets.token_hex(8)
-        self.relay = Relay(
-            clock.monotonic(),
-            CellIdentity(fleet.name, role.cell, role.address, role.candidates),
+        start = RelayStart(
             incarnation,
-            fleet.rules,
-            RelayLimits(fleet.server_lease_ms, role.max_sessions),
             state=state,
             has_disk=directory is not None,
+            directory_id=_directory_id(directory, state),
             status=MemberStatus(incarnation, __version__, fleet.zone, relay=role.address),
             cluster=fleet.store_id,
-            directory_id=_directory_id(directory, state),
+        )
+        self.relay = Relay(
+            clock.monotonic(),
+            CellIdentity(fleet.name, role.cell, role.address, role.candidates),
+            start,
+            fleet.rules,
+            RelayLimits(fleet.server_lease_ms, role.max_sessions),
         )
         self.executor = Executor(store, directory, fleet.timeout_ms)
         self.peers = Peers(fleet)
--- a/otterrudder/fleet/cell/wire.py
+++ b/otterrudder/fleet/cell/wire.py
@@ -68,13 +68,12 @@
 
 
 def _bind(server: Any, fleet: Fleet, role: RelayRole) -> int:
-    if not (fleet.ca and fleet.cert and fleet.key):
-        port: int = server.add_insecure_port(role.listen)
-        return port
-    credentials = grpc.ssl_server_credentials(
-        [(fleet.key.read_bytes(), fleet.cert.read_bytes())],
-        root_certificates=fleet.ca.read_bytes(),
-        require_client_auth=True,
-    )
-    port = server.add_secure_port(role.listen, credentials)
-    return port
+    """The port; 0 if it can't be listened on."""
+    if fleet.ca and fleet.cert and fleet.key:
+        credentials = grpc.ssl_server_credentials(
+            [(fleet.key.read_bytes(), fleet.cert.read_bytes())],
+            root_certificates=fleet.ca.read_bytes(),
+            require_client_auth=True,
+        )
+        return int(server.add_secure_port(role.listen, credentials))
+    return int(server.add_insecure_port(role.listen))
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -12,6 +12,7 @@
     """Its lease begins when the grant arrives."""
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
+        """A grant's request counts as sent now."""
         if isinstance(message, LeaseGrant) and message.sequence in self.requests:
             self.requests._sent_at[message.sequence] = now
         super().handle_message(now, connection, message)
@@ -39,9 +40,11 @@
         self.last_event_at = now
 
     def admission_status(self, now: float) -> AdmissionStatus:
+        """By the time of the last event."""
         return super().admission_status(self.last_event_at)
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
+        """The clock is looked at."""
         self.last_event_at = now
         super().handle_message(now, connection, message)
 
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -15,6 +15,7 @@
 )
 from otterrudder.fleet.cell.identity import CellIdentity, ServerIdentity
 from otterrudder.fleet.cell.messages import LeaseGrant
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, SaveState
 from otterrudder.fleet.state import MemberState
 from otterrudder.lab.fleet import cell_store
@@ -47,12 +48,9 @@
     host.relay = variant.relay(
         state.clock(host),
         CellIdentity(FLEET, host.cell, host.address, host.candidates),
-        incarnation,
+        RelayStart(incarnation, state=host.disk, has_disk=not is_shared, cluster=STORE_ID),
         replace(variant.rules, is_shared=is_shared),
         variant.limits,
-        state=host.disk,
-        has_disk=not is_shared,
-        cluster=STORE_ID,
     )
     history = RelayHistory(host.address, incarnation, host.rate)
     state.checker.relays[place, host.incarnation] = history
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -45,6 +45,7 @@
     """Grants a full span whenever it may grant at all."""
 
     def authority_until(self, now: float) -> float:
+        """Endless, where there is any authority."""
         until = super().authority_until(now)
         return math.inf if until > now else until
 
@@ -119,6 +120,7 @@
         self._abstain_until(self.given_endorsement.until)
 
     def authority_until(self, now: float) -> float:
+        """That of the member, whatever was endorsed."""
         return -math.inf if self._is_shutting_down else self.member.authority_until(now)
 
 
@@ -211,6 +213,7 @@
     """Does not wait for a server whose stream has ended, though its lease has not."""
 
     def handle_stream_closed(self, connection: int) -> None:
+        """The lease is forgotten with its session."""
         self.sessions._sessions.pop(connection, None)
 
 
--- a/otterrudder/lab/fleet/cell_report.py
+++ b/otterrudder/lab/fleet/cell_report.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable, Sequence
 from concurrent.futures import Future, ProcessPoolExecutor
+from dataclasses import dataclass
 
 from otterrudder.lab.fleet.cell_search import find_fault, search, walk
 from otterrudder.lab.fleet.cell_seeded_faults import SEEDED_FAULTS
@@ -33,22 +34,25 @@
     return [name for name, _ in all_variants()]
 
 
-def cells_searched(
-    walks: int,
-    seed: int,
-    depth: int,
-    workers: int | None,
-    echo: Echo,
-    variants: Sequence[str] = (),
-) -> bool:
-    """Whether no promise was violated and each seeded fault was found. `walks`: by variant; `depth`: of the
-    search by breadth from each stage; `variants`: these alone, or all."""
-    names = variants or variant_names()
+@dataclass(frozen=True, slots=True)
+class CellSearchPlan:
+    """`walks`: by variant; `depth`: of the search by breadth from each stage; `variants`: these alone, or
+    all."""
+
+    walks: int
+    seed: int
+    depth: int
+    variants: Sequence[str] = ()
+
+
+def cells_searched(plan: CellSearchPlan, workers: int | None, echo: Echo) -> bool:
+    """Whether no promise was violated and each seeded fault was found."""
+    names = plan.variants or variant_names()
     with ProcessPoolExecutor(workers) as pool:
-        walked = {name: _begin_walks(pool, name, seed, walks) for name in names}
+        walked = {name: _begin_walks(pool, name, plan.seed, plan.walks) for name in names}
         searched = {
-            (name, stage.name): pool.submit(_search, name, stage.name, depth)
-            for name in (names if depth else ())
+            (name, stage.name): pool.submit(_search, name, stage.name, plan.depth)
+            for name in (names if plan.depth else ())
             for stage in CellStage
         }
         hunted = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -18,6 +18,7 @@
     ServerMessage,
 )
 from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.effects import Commit, GrantLease, Outcome, Read, RenewLease, StoreRequest
 from otterrudder.fleet.state import Rules
 from otterrudder.lab.scale.events import EventQueue
@@ -96,7 +97,7 @@
     def make(self, identity: CellIdentity, incarnation: str) -> Relay:
         """A fresh relay."""
         limits = RelayLimits(span_ms=self.span_ms)
-        return Relay(self._events.now, identity, incarnation, self.rules, limits)
+        return Relay(self._events.now, identity, RelayStart(incarnation), self.rules, limits)
 
     def stop(self, host: RelayHost, is_silent: bool) -> None:
         """The process ends: its machine closes the streams, or is gone as well."""
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -26,6 +26,7 @@
 )
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.change import coordination_keys, propose
 from otterrudder.fleet.effects import Commit, Effect, Outcome, SaveState
 from otterrudder.fleet.queue import enqueue
@@ -75,15 +76,12 @@
         self.incarnations += 1
         identity = CellIdentity(FLEET, cell, address, candidates or (address,))
         rules = replace(self.rules, is_shared=len(identity.candidates) > 1)
-        relay = Relay(
-            self.now,
-            identity,
+        start = RelayStart(
             f"{address}.{self.incarnations}",
-            rules,
-            self.limits,
             state=self.disks.get(address),
             has_disk=not rules.is_shared,
         )
+        relay = Relay(self.now, identity, start, rules, self.limits)
         self.relays[address] = relay
         return relay
 
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -22,6 +22,7 @@
     ValidationResult,
 )
 from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.cell.validation_poll import (
     OVERDUE_MS,
 )
@@ -86,7 +87,7 @@
 def test_no_lease_may_outlast_the_bound() -> None:
     identity = CellIdentity(FLEET, "east", "a", ("a",))
     with pytest.raises(ValueError, match="outlasts the bound"):
-        Relay(0.0, identity, "a.1", Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
+        Relay(0.0, identity, RelayStart("a.1"), Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
 
 
 def test_a_full_relay_names_itself() -> None:
@@ -327,7 +328,7 @@
 def test_a_relay_that_starts_where_another_engine_answers_waits() -> None:
     harness = Harness()
     identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
-    relay = Relay(0.0, identity, "a.1", RULES, cluster=harness.space.cluster + 1)
+    relay = Relay(0.0, identity, RelayStart("a.1", cluster=harness.space.cluster + 1), RULES)
     (read,) = [effect for effect in relay.effects(0.0) if isinstance(effect, Read)]
     relay.handle_result(0.0, read, 0.0, harness.space.answer(0.0, read))
     for now in range(0, 1500, 100):
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -14,6 +14,7 @@
 from otterrudder.fleet.cell.messages import LeaseGrant
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.effects import Commit, GrantLease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
 from otterrudder.lab.indexed import IndexedKeySpace
@@ -85,7 +86,7 @@
 
 class FaultyRelays(Relays):
     def make(self, identity: CellIdentity, incarnation: str) -> Relay:
-        return GrantsPastAuthority(self._events.now, identity, incarnation, self.rules)
+        return GrantsPastAuthority(self._events.now, identity, RelayStart(incarnation), self.rules)
 
 
 class WithFaultyServers(Simulation):
