--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -23,7 +23,7 @@
     help="Configuration whose names the table uses; by default NODE_CONFIG's, else the table's own names.",
 )
 
-RESTRICTION_TEXTS = {
+RESTRICTION_EFFECTS = {
     RestrictionKind.OMIT: "runs without its call",
     RestrictionKind.SPARE: "runs where a slot is free, and is never held",
     RestrictionKind.ESTABLISHED: "newcomers are declined",
@@ -182,8 +182,10 @@
     ]
     service = level.service_level
     for request_class, restrictions in zip(request_classes, service.restrictions, strict=True):
-        for restriction in restrictions:
-            lines.append(f"   {request_class.name}: {_restriction_text(restriction, tenants)}")
+        lines += [
+            f"   {request_class.name}: {_restriction_text(restriction, tenants)}"
+            for restriction in restrictions
+        ]
     queued = "is answered at once" if service.rejects_queued else "is kept and runs"
     retry = "asked to stay away" if service.sends_retry_after else "not asked to stay away"
     lines.append(f"   what is held when it starts {queued}; callers are {retry}")
@@ -194,7 +196,7 @@
     if restriction.kind is RestrictionKind.SHARE:
         effect = f"admits {restriction.admitted_share:.0%}"
     else:
-        effect = RESTRICTION_TEXTS[restriction.kind]
+        effect = RESTRICTION_EFFECTS[restriction.kind]
     limits = []
     if restriction.tenants:
         limits.append("of " + ", ".join(tenants[index].name for index in sorted(restriction.tenants)))
