--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -10,7 +10,7 @@
 
 
 def _new_engine() -> KeySpace:
-    return KeySpace(keeps_history=False)
+    return KeySpace(has_history=False)
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
         """An engine with the state that was kept answers. `restores`: differs from those of earlier ones."""
         assert self.backup
         engine = self.backup.copy()
-        engine.keeps_history = False
+        engine.has_history = False
         engine.cluster = COPY_ID
         engine.granted += COPY_LEASES * (restores + 1)
         engine.lapse(now)
