--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -22,6 +22,7 @@
     ValidationResult,
 )
 from otterrudder.fleet.cell.relay import TAKEOVER_VOTE_DELAY_MS, Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.cell.validation_poll import (
     OVERDUE_MS,
 )
@@ -86,7 +87,7 @@
 def test_no_lease_may_outlast_the_bound() -> None:
     identity = CellIdentity(FLEET, "east", "a", ("a",))
     with pytest.raises(ValueError, match="outlasts the bound"):
-        Relay(0.0, identity, "a.1", Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
+        Relay(0.0, identity, RelayStart("a.1"), Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
 
 
 def test_a_full_relay_names_itself() -> None:
@@ -245,7 +246,9 @@
     harness = at_work(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
-    assert [end.committed for end in harness.view().finished] == [False]  # east has said yes, west no
+    assert [end.committed for end in harness.view().finished] == [
+        False
+    ]  # east has accepted, west has rejected it
     for name in ("west-s0", "west-s1"):
         harness.remove_server(name)
     harness.add_server("east-s2", tuple(a for a in harness.relays if a.startswith("east")), "kind of north")
@@ -325,7 +328,7 @@
 def test_a_relay_that_starts_where_another_engine_answers_waits() -> None:
     harness = Harness()
     identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
-    relay = Relay(0.0, identity, "a.1", RULES, cluster=harness.space.cluster + 1)
+    relay = Relay(0.0, identity, RelayStart("a.1", cluster=harness.space.cluster + 1), RULES)
     (read,) = [effect for effect in relay.effects(0.0) if isinstance(effect, Read)]
     relay.handle_result(0.0, read, 0.0, harness.space.answer(0.0, read))
     for now in range(0, 1500, 100):
@@ -361,7 +364,7 @@
 
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
-    """The relay has not heard yet that the stream before has ended."""
+    """The relay does not know yet that the stream before has ended."""
     harness = at_work(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
