--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -121,7 +121,8 @@
 
 
 def only(experiment: Experiment, names: tuple[str, ...]) -> Experiment:
-    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that name."""
+    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that
+    name."""
     known = [variant.name for variant in experiment.variant]
     if unknown := [name for name in names if name not in known]:
         raise InvalidInputError(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
