--- a/tests/lab/test_tunables.py
+++ b/tests/lab/test_tunables.py
@@ -4,7 +4,7 @@
 
 from otterrudder.admission import admission_queues
 from otterrudder.files import load_toml
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 from otterrudder.lab.tunables import TUNABLES, tuned
 
 from helpers import ROOT  # isort: skip
@@ -16,7 +16,7 @@
 
 
 def test_the_experiments_use_known_names() -> None:
-    variants = load_toml(ROOT / "experiments/kit.toml", BadInput)["variant"]
+    variants = load_toml(ROOT / "experiments/kit.toml", InvalidInputError)["variant"]
     used = {name for variant in variants for name in variant.get("module", {})}
     assert used and used <= TUNABLES.keys()
 
