--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -130,8 +130,8 @@
     pairs = [(n, round(n * size.TENANTS / size.ROUTES)) for n in sizes]
     series = Series("decisions", "products, with 3.4 tenants each", sizes, size.ROUTES)
     seconds, kept = [build_s(*pair) for pair in pairs], [build_mb(*pair) for pair in pairs]
-    series.add("build", "a Rudder's build, s", PROCESS_TIME, seconds, CHANGE)
-    series.add("memory", "a Rudder's memory, MB", TRACED, kept, CONTROL_MB)
+    series.add("build", "a controller's build, s", PROCESS_TIME, seconds, CHANGE)
+    series.add("memory", "a controller's memory, MB", TRACED, kept, CONTROL_MB)
     return series.slopes
 
 
