--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -21,7 +21,7 @@
 from otterrudder.fleet.effects import Commit, Read, RenewLease, SaveState, ValidatePolicy
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.policy import InvalidPolicyError, LocalConfiguration, parse
-from otterrudder.fleet.records import FinishedChange, FleetSnapshot, Keys, digest_of
+from otterrudder.fleet.records import FinishedChange, FleetSnapshot, Keys, digest_of, stored_fields
 from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Delete
 from otterrudder.lab.fleet.simulation import play
@@ -641,3 +641,19 @@
     assert coordinator.effects(0.0, "", False, False, 1, 1) is None
     assert coordinator.effects(coordinator.due(), "", False, True, 1, 1) is None
     assert coordinator.effects(coordinator.due(), "", False, False, 1, 1) is None, "it waits anew"
+
+
+def test_the_design_page_has_the_admission_statuses_of_the_code() -> None:
+    page = (ROOT / "docs/design/fleet.md").read_text()
+    rows = [
+        f"| `{status.label}` | {'yes' if status.admits else 'no'} | {status.description} |"
+        for status in AdmissionStatus
+    ]
+    assert "| status | admits | |\n| --- | --- | --- |\n" + "\n".join(rows) + "\n\n" in page
+
+
+def test_a_record_is_shown_whole_by_its_stored_names() -> None:
+    end = FinishedChange("c-1", 1, "ab", False, "late")
+    assert stored_fields(end) == dict(
+        id="c-1", version=1, digest="ab", committed=False, why="late", author="", note="", left_out=()
+    )
