--- a/otterrudder/fleet/member/documents.py
+++ b/otterrudder/fleet/member/documents.py
@@ -25,7 +25,7 @@
         return self.rejection if self.validated == digest else None
 
     def with_text(self, digest: str, text: str) -> "PolicyDocuments":
-        """The newest documents are kept, within MAX_DOCUMENTS."""
+        """The newest documents are retained, within MAX_DOCUMENTS."""
         others = tuple(document for document in self.texts if document[0] != digest)
         missing = "" if self.missing == digest else self.missing
         return replace(self, texts=(*others, (digest, text))[-MAX_DOCUMENTS:], missing=missing)
--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -33,7 +33,7 @@
         if effect.lane is Lane.REPORT_STATUS:
             self._handle_report_result(now, outcome)
             return
-        is_void = effect.lane is Lane.STORE and self.reads.take_void()
+        is_discarded = effect.lane is Lane.STORE and self.reads.take_discarded()
         if isinstance(outcome, Snapshot | CommitResult | LeaseResult):
             self.answered_at = now
         if isinstance(outcome, CommitResult | LeaseResult) and not self.trust.trusts(outcome):
@@ -44,7 +44,7 @@
             self._handle_validation_result(effect, outcome)
         elif effect.lane is Lane.LEASE:
             self._handle_lease_result(now, sent, outcome)
-        elif is_void:
+        elif is_discarded:
             self.reads.is_stale = True
         else:
             self._handle_store_result(now, sent, outcome)
@@ -235,7 +235,7 @@
         self.reads.is_stale = True
         self.voting.vote_first_until = -math.inf
         # A read that was sent before, and comes late, would show the registration as it was.
-        self.reads.is_void = Lane.STORE in self._busy
+        self.reads.is_discarded = Lane.STORE in self._busy
         if self.rules.is_shared:
             self.reads.retry_at = -math.inf  # the store is back, and all that depend on this name wait for it
 
--- a/otterrudder/fleet/member/policy_state.py
+++ b/otterrudder/fleet/member/policy_state.py
@@ -35,8 +35,8 @@
         """What a read shows of policies; `change`: the open one. True: the store has to be read again at
         once; False: not before its time; None: nothing follows for the next read."""
         head = snapshot.policy
-        wanted = (head.digest if head else "", change.digest if change else "")
-        self._keep_texts(snapshot, wanted)
+        needed_digests = (head.digest if head else "", change.digest if change else "")
+        self._retain_texts(snapshot, needed_digests)
         if not head or head.version <= self.known.version:
             return None
         self.head, self.head_change = head.version, head.change
@@ -53,11 +53,11 @@
         self.rejection = rejection
         return None
 
-    def _keep_texts(self, snapshot: FleetSnapshot, wanted: tuple[str, str]) -> None:
-        for digest in filter(None, (self.documents.missing, *wanted)):
+    def _retain_texts(self, snapshot: FleetSnapshot, needed_digests: tuple[str, str]) -> None:
+        for digest in filter(None, (self.documents.missing, *needed_digests)):
             if (text := snapshot.text(digest)) is not None:
                 self.documents = self.documents.with_text(digest, text)
-        if self.documents.missing not in wanted:
+        if self.documents.missing not in needed_digests:
             self.documents = self.documents.with_missing("")  # it was of a change that has ended
 
     def validation_effect(self) -> ValidatePolicy | None:
--- a/otterrudder/fleet/member/read_schedule.py
+++ b/otterrudder/fleet/member/read_schedule.py
@@ -12,12 +12,12 @@
 class ReadSchedule:
     """The times of the reads, and of the repeats of requests to the store that failed."""
 
-    __slots__ = ("failures", "is_stale", "is_void", "read_at", "retry_at")
+    __slots__ = ("failures", "is_stale", "is_discarded", "read_at", "retry_at")
 
     def __init__(self, now: float) -> None:
         self.is_stale = True  # the store has to be read
         # The read under way began before the registration was lost: it proves nothing.
-        self.is_void = False
+        self.is_discarded = False
         self.read_at = -math.inf  # when the last read was begun
         self.retry_at = now  # no request before
         self.failures = 0  # in a row
@@ -26,10 +26,10 @@
         """A read is sent."""
         self.is_stale, self.read_at = False, now
 
-    def take_void(self) -> bool:
+    def take_discarded(self) -> bool:
         """Whether the request that has just ended is void; the next one is not."""
-        is_void, self.is_void = self.is_void, False
-        return is_void
+        is_discarded, self.is_discarded = self.is_discarded, False
+        return is_discarded
 
     def succeed(self, now: float) -> None:
         """A read was answered by a store that is trusted."""
--- a/otterrudder/fleet/member/status_reporter.py
+++ b/otterrudder/fleet/member/status_reporter.py
@@ -41,9 +41,9 @@
     def status(self, known: Policy, current: tuple[int, str], trial: Trial | None) -> MemberStatus:
         """The record of the status key."""
         version, label = current
-        wanted = {metric for metric, _ in trial.conditions} if trial else set()
+        asked_metrics = {metric for metric, _ in trial.conditions} if trial else set()
         # One that is no number would be null in the record, and the whole of it unread.
-        metrics = tuple(one for one in self.metrics if one[0] in wanted and math.isfinite(one[1]))
+        metrics = tuple(one for one in self.metrics if one[0] in asked_metrics and math.isfinite(one[1]))
         template = self.template
         return MemberStatus(
             self.identity.incarnation,
--- a/otterrudder/fleet/queue.py
+++ b/otterrudder/fleet/queue.py
@@ -141,21 +141,21 @@
 def append_finished(
     snapshot: FleetSnapshot, end: FinishedChange, in_force: str
 ) -> tuple[list[Write], list[Compare]]:
-    """Appends an end to those that are kept; the texts of those that drop out are deleted, where nothing else
+    """Appends an end to those that are retained; the texts of those that drop out are deleted, where nothing else
     needs them. Whoever queues such a text again writes `joined`, which is compared: then it is counted
     anew."""
     ends = [*snapshot.finished, end]
-    kept, keys = ends[-MAX_FINISHED_CHANGES:], snapshot.keys
-    unneeded = sorted({one.digest for one in ends} - _needed_digests(snapshot, kept, in_force))
-    writes: list[Write] = [Put(keys.finished, msgspec.json.encode(kept))]
+    retained, keys = ends[-MAX_FINISHED_CHANGES:], snapshot.keys
+    unneeded = sorted({one.digest for one in ends} - _needed_digests(snapshot, retained, in_force))
+    writes: list[Write] = [Put(keys.finished, msgspec.json.encode(retained))]
     writes += [Delete(keys.text(digest)) for digest in unneeded]
     compares = [Compare(keys.joined, "modified", snapshot.raw.modified(keys.joined))] if unneeded else []
     return writes, compares
 
 
-def _needed_digests(snapshot: FleetSnapshot, kept: list[FinishedChange], in_force: str) -> set[str]:
+def _needed_digests(snapshot: FleetSnapshot, retained: list[FinishedChange], in_force: str) -> set[str]:
     """Of the texts that something may still be made of."""
-    needed = {in_force, *(end.digest for end in kept), *(entry.digest for entry in snapshot.queue)}
+    needed = {in_force, *(end.digest for end in retained), *(entry.digest for entry in snapshot.queue)}
     change = snapshot.change
     if change:
         needed.add(change.digest)
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -28,13 +28,13 @@
 from otterrudder.lab.fleet.cloning import clone
 from otterrudder.lab.fleet.history_checker import Committed, wrong_admission, wrong_commit
 from otterrudder.lab.fleet.model_fingerprint import STEP_MS, member_fingerprint, steps_ago, steps_left
+from otterrudder.lab.fleet.model_store import STORE_ID
 from otterrudder.lab.keyspace import KeySpace
 
 KEYS = Keys("f")
 RULES = Rules(bound_ms=2000.0, lease_ms=4000.0)
 DEADLINE_MS = 8000.0  # of the changes
 RECOVERY_STEPS = 40  # of time in which all have to agree once faults end: some leases, a deadline and polls
-STORE_ID = 1  # of the store, as a key space has it unless another is given
 MAX_DELIVERIES = 400  # at one time while it recovers; more: it is never quiescent
 REJECTED_ENDING = "!"  # of a policy's text that one member may reject
 
--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -6,10 +6,9 @@
 from otterrudder.fleet.change import ChangeRejectedError, propose, remove_member
 from otterrudder.fleet.effects import Commit, effect_name
 from otterrudder.lab.fleet.model import DEADLINE_MS, REJECTED_ENDING, Host, ModelState
+from otterrudder.lab.fleet.model_store import COPY_ID, COPY_LEASES
 from otterrudder.lab.keyspace import KeySpace
 
-COPY_ID = 0xC0  # of an engine that was restored: the engine's own tool gives it a new one
-COPY_LEASES = 1000  # from which such an engine numbers its leases: an engine's are drawn, no two alike
 PROPOSERS = "AB"
 # Faults of a host that end again: its attribute, and the events that begin and end it.
 _HOST_FAULTS = (
--- a/otterrudder/lab/fleet/mutants.py
+++ b/otterrudder/lab/fleet/mutants.py
@@ -147,7 +147,7 @@
 # Registration.
 
 
-class KeepsSyncWithoutLease(Member):
+class RetainsSyncWithoutLease(Member):
     """After its lease has lapsed it trusts, once it has one again, what it read before."""
 
     def lose_registration(self) -> None:
@@ -163,7 +163,7 @@
     def lose_registration(self) -> None:
         """But takes the read under way."""
         super().lose_registration()
-        self.reads.is_void = False
+        self.reads.is_discarded = False
 
 
 class _SilentRegistration(Registration):
@@ -225,7 +225,7 @@
         return True
 
 
-class BelievesAnyStore(Member):
+class AcceptsAnyStore(Member):
     """Trusts an engine that went back to an older state."""
 
     trust_type = TrustsAnyStore
@@ -237,7 +237,7 @@
         return isinstance(result, LeaseResult) or super().trusts(result)
 
 
-class BelievesAnyLease(Member):
+class AcceptsAnyLease(Member):
     """Takes its lease to live because some engine says so."""
 
     trust_type = _TrustsAnyLease
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -6,15 +6,15 @@
 from otterrudder.lab.fleet.model import RULES, Variant
 from otterrudder.lab.fleet.model_stages import Stage
 from otterrudder.lab.fleet.mutants import (
+    AcceptsAnyLease,
+    AcceptsAnyStore,
     AppliesBeforeCommit,
-    BelievesAnyLease,
-    BelievesAnyStore,
     CountsBoundFromAnswer,
     ForgetsPreparedVote,
-    KeepsSyncWithoutLease,
     NeverReadsAgain,
     NeverSuspends,
     RegistersSilently,
+    RetainsSyncWithoutLease,
     ServesWithoutLease,
     SharesItsName,
     SyncsBeforeRegistration,
@@ -150,7 +150,9 @@
     "counts the bound from the answer": Hunt(Variant(CountsBoundFromAnswer)),
     "never suspends": Hunt(Variant(NeverSuspends)),
     "serves without a lease": Hunt(Variant(ServesWithoutLease, rules=LEAVE_OUT)),
-    "keeps its sync without a lease": Hunt(Variant(KeepsSyncWithoutLease, rules=LEAVE_OUT, has_disk=False)),
+    "retains its sync without a lease": Hunt(
+        Variant(RetainsSyncWithoutLease, rules=LEAVE_OUT, has_disk=False)
+    ),
     "votes for any change": Hunt(Variant(VotesForAnyChange), Stage.OPEN, _LATE_VOTE, 5, 0),
     "votes for any incarnation": Hunt(
         Variant(VotesForAnyIncarnation, rules=LEAVE_OUT, has_disk=False), Stage.OPEN, _OLD_INCARNATION, 5, 0
@@ -165,9 +167,9 @@
     "forgets its prepared vote": Hunt(
         Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
     ),
-    "believes any store": Hunt(Variant(BelievesAnyStore, has_copies=True)),
-    "believes any lease": Hunt(
-        Variant(BelievesAnyLease, rules=LEAVE_OUT, has_copies=True), Stage.QUIESCENT, _LEASE_OF_COPY, 3, 2
+    "accepts any store": Hunt(Variant(AcceptsAnyStore, has_copies=True)),
+    "accepts any lease": Hunt(
+        Variant(AcceptsAnyLease, rules=LEAVE_OUT, has_copies=True), Stage.QUIESCENT, _LEASE_OF_COPY, 3, 2
     ),
     "trusts a late read": Hunt(Variant(TrustsLateRead, rules=LEAVE_OUT)),
     "never reads again": Hunt(Variant(NeverReadsAgain)),
