--- a/otterrudder/fleet/queue.py
+++ b/otterrudder/fleet/queue.py
@@ -141,8 +141,8 @@
 def append_finished(
     snapshot: FleetSnapshot, end: FinishedChange, in_force: str
 ) -> tuple[list[Write], list[Compare]]:
-    """Appends an end to those that are retained; the texts of those that drop out are deleted, where nothing else
-    needs them. Whoever queues such a text again writes `joined`, which is compared: then it is counted
+    """Appends an end to those that are retained; the texts of those that drop out are deleted, where nothing
+    else needs them. Whoever queues such a text again writes `joined`, which is compared: then it is counted
     anew."""
     ends = [*snapshot.finished, end]
     retained, keys = ends[-MAX_FINISHED_CHANGES:], snapshot.keys
