--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -20,7 +20,7 @@
     from otterrudder.lab.runner import perform
     from otterrudder.lab.scale.experiment import is_scale, read_scale
     from otterrudder.lab.scale.play import settings_of
-    from otterrudder.lab.site import BadInput
+    from otterrudder.lab.site import InvalidInputError
 except ModuleNotFoundError as missing:
     give_up(f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt")
 
@@ -61,11 +61,12 @@
 def cell_search(walks: int, seed: int, depth: int, workers: int | None, names: tuple[str, ...]) -> None:
     """Search the states of cells of a few relays and servers; exits with 1 if an invariant breaks or a seeded
     fault is not found."""
-    from otterrudder.lab.fleet.cell_report import cells_searched, variant_names
+    from otterrudder.lab.fleet.cell_report import CellSearchPlan, cells_searched, variant_names
 
     if unknown := set(names) - set(variant_names()):
         give_up(f"no such variant: {', '.join(sorted(unknown))}; there are: {'; '.join(variant_names())}")
-    sys.exit(0 if cells_searched(walks, seed, depth, workers, click.echo, names) else 1)
+    plan = CellSearchPlan(walks, seed, depth, names)
+    sys.exit(0 if cells_searched(plan, workers, click.echo) else 1)
 
 
 @lab.command("fleet-simulation")
@@ -149,7 +150,7 @@
 
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
@@ -173,7 +174,7 @@
 
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
@@ -234,7 +235,7 @@
 
     try:
         broken = perform(file, choice, click.echo)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     for line in broken:
         click.echo(f"does not hold: {line}", err=True)
@@ -250,7 +251,7 @@
         _give_up_without_fleet_extra(error)
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (BadInput, NotInTimeError) as error:
+    except (InvalidInputError, NotInTimeError) as error:
         give_up(error)
     except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
@@ -274,7 +275,7 @@
         give_up(f"--seeds: {seeds!r} is no list of whole numbers")
     try:
         experiment = read_experiment(file, numbers, quick)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     click.echo(f"{experiment.title}: {len(experiment.runs)} runs (simulated: {experiment.model})")
 
@@ -306,7 +307,7 @@
     for file in files:
         try:
             summary = _summary_of(file)
-        except BadInput as error:
+        except InvalidInputError as error:
             give_up(error)
         click.echo(f"{file}  {summary.title} ({summary.runs} runs)")
 
@@ -319,7 +320,7 @@
 
 
 def _summary_of(file: Path) -> ExperimentSummary:
-    values = load_toml(file, BadInput)
+    values = load_toml(file, InvalidInputError)
     title = str(values.get("title", ""))
     if is_scale(values):
         return ExperimentSummary(title, len(settings_of(read_scale(file))))
@@ -366,7 +367,7 @@
     policy across six processes, if the extra `fleet` is installed."""
     try:
         outcome = show_demo(file, folder, click.echo)
-    except BadInput as error:
+    except InvalidInputError as error:
         give_up(error)
     all_hold = outcome.holds
     try:
--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -4,13 +4,13 @@
 
 from otterrudder.lab.keyspace import KeySpace
 
-STORE_ID = 1  # of the store, as a key space has it unless told another
+STORE_ID = 1  # of the store, as a key space has it by default
 COPY_ID = 0xC0  # of an engine that was restored: the engine's own tool gives it a new one
-COPY_LEASES = 1000  # from which such an engine numbers its leases: an engine's are drawn, no two alike
+COPY_LEASES = 1000  # from which such an engine numbers its leases: those of a real engine are random
 
 
 def _new_engine() -> KeySpace:
-    return KeySpace(keeps_history=False)
+    return KeySpace(has_history=False)
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
         """An engine with the state that was kept answers. `restores`: differs from those of earlier ones."""
         assert self.backup
         engine = self.backup.copy()
-        engine.keeps_history = False
+        engine.has_history = False
         engine.cluster = COPY_ID
         engine.granted += COPY_LEASES * (restores + 1)
         engine.lapse(now)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -21,7 +21,7 @@
 from otterrudder.fleet.effects import Commit, Read, RenewLease, SaveState, ValidatePolicy
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.policy import InvalidPolicyError, LocalConfiguration, parse
-from otterrudder.fleet.records import FinishedChange, FleetSnapshot, Keys, digest_of
+from otterrudder.fleet.records import FinishedChange, FleetSnapshot, Keys, digest_of, stored_fields
 from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Delete
 from otterrudder.lab.fleet.simulation import play
@@ -615,7 +615,7 @@
     assert [result.breaches for result in results] == [0] * 10 and all(result.agreed for result in results)
     assert sum(result.committed for result in results) >= 6
     calm = play(40, 1, 0, absent)
-    assert calm.committed and calm.last_switch_ms < 100.0 and calm.aside_share == 0.0
+    assert calm.committed and calm.last_switch_ms < 100.0 and calm.suspended_share == 0.0
 
 
 @pytest.mark.parametrize(("latency_ms", "least", "most"), [(2.0, 10.0, 50.0), (400.0, 750.0, 1550.0)])
@@ -641,3 +641,19 @@
     assert coordinator.effects(0.0, "", False, False, 1, 1) is None
     assert coordinator.effects(coordinator.due(), "", False, True, 1, 1) is None
     assert coordinator.effects(coordinator.due(), "", False, False, 1, 1) is None, "it waits anew"
+
+
+def test_the_design_page_has_the_admission_statuses_of_the_code() -> None:
+    page = (ROOT / "docs/design/fleet.md").read_text()
+    rows = [
+        f"| `{status.label}` | {'yes' if status.admits else 'no'} | {status.description} |"
+        for status in AdmissionStatus
+    ]
+    assert "| status | admits | |\n| --- | --- | --- |\n" + "\n".join(rows) + "\n\n" in page
+
+
+def test_a_record_is_shown_whole_by_its_stored_names() -> None:
+    end = FinishedChange("c-1", 1, "ab", False, "late")
+    assert stored_fields(end) == dict(
+        id="c-1", version=1, digest="ab", committed=False, why="late", author="", note="", left_out=()
+    )
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -14,6 +14,7 @@
 from otterrudder.fleet.cell.messages import LeaseGrant
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
+from otterrudder.fleet.cell.relay_start import RelayStart
 from otterrudder.fleet.effects import Commit, GrantLease, Read
 from otterrudder.fleet.store import Compare, Delete, Put
 from otterrudder.lab.indexed import IndexedKeySpace
@@ -24,7 +25,7 @@
 from otterrudder.lab.scale.servers import Servers
 from otterrudder.lab.scale.simulation import Setting, Simulation
 from otterrudder.lab.scale.verdicts import broken
-from otterrudder.lab.site import BadInput
+from otterrudder.lab.site import InvalidInputError
 
 FILE = ROOT / "experiments/capacity.toml"
 NO_TIMES = ("cpu", "_cpu_")  # what a machine's clock goes into
@@ -85,7 +86,7 @@
 
 class FaultyRelays(Relays):
     def make(self, identity: CellIdentity, incarnation: str) -> Relay:
-        return GrantsPastAuthority(self._events.now, identity, incarnation, self.rules)
+        return GrantsPastAuthority(self._events.now, identity, RelayStart(incarnation), self.rules)
 
 
 class WithFaultyServers(Simulation):
@@ -136,7 +137,7 @@
     ],
 )
 def test_a_mistake_in_the_file_is_named_with_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
-    with pytest.raises(BadInput, match=says):
+    with pytest.raises(InvalidInputError, match=says):
         read_scale(changed(tmp_path, old, new))
 
 
