--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -37,6 +37,8 @@
 
 
 class VariantPart(_Strict, kw_only=True):
+    """A variant of the module: its levels, and constants that it changes."""
+
     name: str
     levels: str = ""  # a table's file, beside the experiment's; none: no levels
     bare: bool = False  # its thresholds without windows, stays and damping
@@ -45,6 +47,8 @@
 
 
 class CasePart(_Strict, kw_only=True):
+    """A load with its faults, played by some variants over a grid of values."""
+
     name: str
     length_s: Annotated[float, msgspec.Meta(gt=0, le=LENGTH_MOST_S)] = 600.0
     variants: list[str] = []  # all if empty
@@ -56,6 +60,8 @@
 
 
 class ClaimPart(_Strict, kw_only=True):
+    """What the figures of some cases must show."""
+
     text: str
     cases: str  # a pattern over the names of cases
     figure: str
@@ -69,6 +75,8 @@
 
 
 class ChartPart(_Strict, kw_only=True):
+    """A chart to draw."""
+
     kind: Literal["timeline", "lines"]
     file: str
     title: str
@@ -109,6 +117,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
+    """A whole experiment, checked: its runs, claims and charts."""
+
     name: str
     title: str
     model: str
--- a/otterrudder/lab/report.py
+++ b/otterrudder/lab/report.py
@@ -109,6 +109,7 @@
 
 
 def bounds_of(verdict: Verdict) -> str:
+    """The bounds of a claim in words."""
     claim = verdict.claim
     shown = [
         f">= {claim.at_least:g}" if claim.at_least is not None else "",
@@ -120,6 +121,7 @@
 
 
 def shown(group: Group) -> str:
+    """A group's mean with its interval."""
     return f"{group.mean:.3f}" + (f" ± {group.half_width:.3f}" if group.half_width else "")
 
 
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -27,6 +27,7 @@
 
     @property
     def holds(self) -> bool:
+        """Whether no rule was broken and all claims hold."""
         return not self.broken and all(verdict.holds for verdict in self.verdicts)
 
 
--- a/otterrudder/lab/scale/churn.py
+++ b/otterrudder/lab/scale/churn.py
@@ -17,6 +17,8 @@
 
 
 class Churn:
+    """Restarts, failures and scripted faults of a run."""
+
     def __init__(
         self,
         topology: Topology,
@@ -70,6 +72,7 @@
         return self._chance.sample(servers, min(count, len(servers)))
 
     def script(self, fault: FaultPart) -> None:
+        """Schedules a fault of the experiment's file."""
         self._events.at(fault.at_s * 1000.0, self._begin, fault)
 
     def _begin(self, fault: FaultPart, _: object) -> None:
--- a/otterrudder/lab/scale/experiment.py
+++ b/otterrudder/lab/scale/experiment.py
@@ -129,6 +129,8 @@
 
 
 class Experiment(_Strict, kw_only=True, frozen=True):
+    """An experiment's file."""
+
     version: int
     name: str
     title: str
@@ -151,9 +153,9 @@
     """Raises InvalidInputError, which names the file and the key."""
     told = load_toml(path, InvalidInputError)
     experiment: Experiment = convert(told, Experiment, f"{path.name}: ", InvalidInputError)
-    trouble = next(_troubles(experiment), None)
-    if trouble:
-        raise InvalidInputError(f"{path.name}: {trouble}")
+    error = next(_errors(experiment), None)
+    if error:
+        raise InvalidInputError(f"{path.name}: {error}")
     return experiment
 
 
@@ -162,17 +164,22 @@
     return "topology" in told
 
 
-def _troubles(experiment: Experiment) -> Iterator[str]:
-    yield from _topology_troubles(experiment)
-    yield from _case_troubles(experiment)
+def _errors(experiment: Experiment) -> Iterator[str]:
+    """What is wrong with the file, each by its key."""
+    yield from _head_errors(experiment)
+    yield from _topology_errors(experiment)
+    yield from _case_errors(experiment)
 
 
-def _topology_troubles(experiment: Experiment) -> Iterator[str]:
-    topology, store = experiment.topology, experiment.store
+def _head_errors(experiment: Experiment) -> Iterator[str]:
     if experiment.version != VERSION:
         yield f".version: this program reads {VERSION}"
     if not experiment.seeds:
         yield ".seeds: none is given"
+
+
+def _topology_errors(experiment: Experiment) -> Iterator[str]:
+    topology = experiment.topology
     count = len(topology.regions)
     if count < 1 or len(set(topology.regions)) != count:
         yield ".topology.regions: a name is there twice, or none is"
@@ -183,19 +190,29 @@
     if len(topology.latency_ms) != count or any(len(row) != count for row in topology.latency_ms):
         yield f".topology.latency_ms: not {count} rows of {count} numbers"
         return
-    for here in range(count):
+    yield from _distance_errors(experiment)
+    yield from _store_errors(experiment)
+
+
+def _distance_errors(experiment: Experiment) -> Iterator[str]:
+    topology = experiment.topology
+    for here in range(len(topology.regions)):
         for there in range(here):
             if topology.latency_ms[here][there] != topology.latency_ms[there][here]:
                 names = f"{topology.regions[here]} and {topology.regions[there]}"
                 yield f".topology.latency_ms: {names} are not as far from each other both ways"
-    for region in store.regions:
-        if region not in topology.regions:
+
+
+def _store_errors(experiment: Experiment) -> Iterator[str]:
+    regions = experiment.store.regions
+    for region in regions:
+        if region not in experiment.topology.regions:
             yield f".store.regions: {region!r} is no region"
-    if not store.regions:
+    if not regions:
         yield ".store.regions: none is given"
 
 
-def _case_troubles(experiment: Experiment) -> Iterator[str]:
+def _case_errors(experiment: Experiment) -> Iterator[str]:
     names = [case.name for case in experiment.case]
     if len(set(names)) != len(names):
         yield ".case: two have one name"
--- a/otterrudder/lab/scale/network.py
+++ b/otterrudder/lab/scale/network.py
@@ -21,6 +21,7 @@
     size: int = 0
 
     def add(self, size: int) -> None:
+        """Counts a message of so many bytes."""
         self.messages += 1
         self.size += size
 
@@ -36,6 +37,7 @@
     counts: Counter[type] = field(default_factory=Counter)
 
     def of(self, message: object) -> int:
+        """The size of a message on the wire, in bytes; only some of each type are encoded."""
         kind = type(message)
         self.counts[kind] += 1
         if self.counts[kind] % RESIZE_EVERY == 1:
@@ -78,4 +80,5 @@
         return low + width * self._chance.random()
 
     def is_cut(self, region: int, other: int) -> bool:
+        """Whether no message passes between two regions."""
         return region != other and (region in self.cut_regions or other in self.cut_regions)
--- a/otterrudder/lab/scale/processes/bench.py
+++ b/otterrudder/lab/scale/processes/bench.py
@@ -130,12 +130,15 @@
     @staticmethod
     @contextlib.asynccontextmanager
     async def running(folder: Path) -> AsyncIterator["StandIn"]:
+        """The fake store's process, ended at the end of the block."""
         async with running([STORE_MODULE, "0"], folder / "store.log") as child:
             yield StandIn(child, int(await child.read_line()))
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
+    """A change that was sent to the store."""
+
     version: int  # that the policy will have
     sent_ms: float  # when the proposal was sent, by the monotonic clock
 
@@ -177,6 +180,7 @@
     _news: anyio.Event = field(default_factory=anyio.Event)
 
     def told(self, switched: Switched) -> None:
+        """A hollow server has switched."""
         self.latest[switched.server] = switched
         if switched.admits:
             self.arrived_ms.setdefault(switched.version, {}).setdefault(switched.server, switched.at_ms)
@@ -197,6 +201,7 @@
         self._news = anyio.Event()
 
     def all_admit(self, version: int) -> bool:
+        """Whether all servers admit under this version or a newer one."""
         told = self.latest
         return all(name in told and told[name].admits for name in self.names) and all(
             told[name].version >= version for name in self.names
--- a/otterrudder/lab/scale/processes/children.py
+++ b/otterrudder/lab/scale/processes/children.py
@@ -30,6 +30,7 @@
 
     @property
     def pid(self) -> int:
+        """The process's id."""
         return self.process.pid
 
     async def read_line(self) -> bytes:
@@ -37,6 +38,7 @@
         return await self._output.receive_until(b"\n", MAX_LINE_BYTES)
 
     async def tell(self, line: bytes) -> None:
+        """Sends a line."""
         await self._input.send(line + b"\n")
 
     async def ask(self, line: bytes) -> bytes:
--- a/otterrudder/lab/scale/processes/laws.py
+++ b/otterrudder/lab/scale/processes/laws.py
@@ -10,11 +10,14 @@
 
 
 class LinearLaw(msgspec.Struct, frozen=True):
+    """A cost that grows by a constant a server."""
+
     start: float
     slope: float  # per server
     residual: float
 
     def at(self, size: float) -> float:
+        """The cost at this size."""
         return self.start + self.slope * size
 
     def __str__(self) -> str:
@@ -22,11 +25,14 @@
 
 
 class PowerLaw(msgspec.Struct, frozen=True):
+    """A cost that grows by a power of the number of servers."""
+
     factor: float
     exponent: float
     residual: float
 
     def at(self, size: float) -> float:
+        """The cost at this size."""
         return float(self.factor * size**self.exponent)
 
     def __str__(self) -> str:
--- a/otterrudder/lab/scale/processes/measure.py
+++ b/otterrudder/lab/scale/processes/measure.py
@@ -70,6 +70,7 @@
 
     @property
     def requests(self) -> int:
+        """All requests at the store."""
         return sum(self.store.requests.values())
 
     def count(self, verb: str) -> int:
--- a/otterrudder/lab/scale/processes/report.py
+++ b/otterrudder/lab/scale/processes/report.py
@@ -63,12 +63,16 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
+    """A claim on the figures, and whether it holds."""
+
     text: str
     holds: bool
     figures: str
 
 
 class Report(msgspec.Struct, frozen=True):
+    """All that a run of the experiment has shown."""
+
     plan: Plan
     rows: list[Row]
     figures: list[FittedFigure]
@@ -78,10 +82,12 @@
 
     @property
     def holds(self) -> bool:
+        """Whether all claims hold."""
         return all(claim.holds for claim in self.claims)
 
 
 def make_report(plan: Plan, rows: Sequence[Row]) -> Report:
+    """Fits the laws to the rows and checks the claims."""
     figures = [figure for kind in FIGURES for figure in _fit(kind, [row for row in rows if row.kind == kind])]
     budgets = [_budget(kind, figures, rows) for kind in FIGURES]
     claims = list(_claims(plan, rows, figures))
--- a/otterrudder/lab/scale/processes/usage.py
+++ b/otterrudder/lab/scale/processes/usage.py
@@ -11,6 +11,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
+    """What a process has used."""
+
     cpu_s: float  # since the process began, user and system
     rss_mb: float  # now
 
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -20,6 +20,8 @@
 
 @dataclass(slots=True)
 class Proposal:
+    """A change that is asked for, and from which region."""
+
     ident: str
     region: int
 
@@ -53,6 +55,7 @@
             at += self._chance.expovariate(per_s) * 1000.0
 
     def burst(self, begin: float, count: int, span_ms: float) -> None:
+        """Schedules so many changes, evenly over a span."""
         for number in range(count):
             self._events.at(begin + span_ms * number / max(count, 1), self._ask, self._next())
 
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -46,9 +46,11 @@
 class ServerSide(Protocol):
     """The other end of the streams."""
 
-    def receive(self, stream: Stream, message: RelayMessage) -> None: ...
+    def receive(self, stream: Stream, message: RelayMessage) -> None:
+        """A message of a relay has arrived."""
 
-    def ended(self, stream: Stream, _: object) -> None: ...
+    def ended(self, stream: Stream, _: object) -> None:
+        """The relay's end was closed."""
 
 
 class Relays:
@@ -80,11 +82,13 @@
         self._store_region = topology.store_regions[0]
 
     def use(self, store: StoreService, servers: ServerSide) -> None:
+        """Sets what was made after the relays."""
         self.store, self.servers = store, servers
 
     # Its incarnation.
 
     def start(self, host: RelayHost, _: object = None) -> None:
+        """Starts a relay's process, unless it runs or its machine is down."""
         if host.relay or not host.is_machine_up:
             return
         host.incarnation += 1
@@ -125,10 +129,12 @@
         self.store.revoke(lease)
 
     def freeze(self, host: RelayHost, until: float) -> None:
+        """Stops the process until then; what arrives meanwhile is deferred."""
         host.frozen_until = until
         self._events.at(until, self.thaw, host)
 
     def thaw(self, host: RelayHost, _: object = None) -> None:
+        """Lets the process go on with what was deferred."""
         held, host.deferred = host.deferred, []
         for handler, subject, argument in held:
             handler(subject, argument)
@@ -138,6 +144,7 @@
     # What happens to it.
 
     def fire_timer(self, host: RelayHost, at: float) -> None:
+        """The relay's timer is due, unless it was set anew."""
         if host.timer_at != at or not host.relay:
             return
         host.timer_at = math.inf
@@ -145,12 +152,14 @@
             self._step(host)
 
     def accept(self, stream: Stream) -> None:
+        """A server's connection is accepted."""
         host = stream.relay
         host.last_stream += 1
         stream.number, stream.relay_incarnation = host.last_stream, host.incarnation
         host.streams[stream.number] = stream
 
     def receive(self, stream: Stream, message: ServerMessage) -> None:
+        """A message of a server has arrived."""
         host = stream.relay
         relay, now = host.relay, self._events.now
         if not relay or stream.relay_incarnation != host.incarnation or stream.number not in host.streams:
@@ -181,6 +190,7 @@
             host.relay.handle_stream_closed(stream.number)
 
     def handle_watch_event(self, host: RelayHost, argument: tuple[int, str]) -> None:
+        """A key under a watched prefix has changed."""
         incarnation, prefix = argument
         if (
             not host.relay
--- a/otterrudder/lab/scale/report.py
+++ b/otterrudder/lab/scale/report.py
@@ -58,6 +58,7 @@
 
 
 def as_json(experiment: Experiment, runs: list[Run]) -> str:
+    """The figures of all runs."""
     return json.dumps(
         {
             "experiment": experiment.name,
--- a/otterrudder/lab/scale/sampling.py
+++ b/otterrudder/lab/scale/sampling.py
@@ -31,6 +31,7 @@
         return self.calls % self.every == 0
 
     def add(self, began_ns: int) -> None:
+        """Counts the CPU time since `began_ns`."""
         self.timed += 1
         self.spent_ns += max(thread_time_ns() - began_ns - self.overhead_ns, 0.0)
 
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -51,6 +51,7 @@
     # Its incarnation.
 
     def start(self, host: ServerHost, _: object = None) -> None:
+        """Starts a server's process, unless it runs."""
         if host.participant:
             return
         host.incarnation += 1
@@ -76,6 +77,7 @@
             self._send_close(stream)
 
     def freeze(self, host: ServerHost, until: float) -> None:
+        """Stops the process until then; what arrives meanwhile is deferred."""
         host.frozen_until = until
         self._events.at(until, self.thaw, host)
 
@@ -91,6 +93,7 @@
     # What happens to it.
 
     def fire_timer(self, host: ServerHost, at: float) -> None:
+        """The server's timer is due, unless it was set anew."""
         participant = host.participant
         if host.timer_at != at or not participant:
             return
@@ -105,6 +108,7 @@
         self._step(host)
 
     def receive(self, stream: Stream, message: RelayMessage) -> None:
+        """A message of the relay has arrived."""
         host = stream.server
         participant = host.participant
         if not participant or host.incarnation != stream.server_incarnation:
@@ -130,6 +134,7 @@
             self._events.at(due, self.fire_timer, host, due)
 
     def connected(self, stream: Stream, _: object) -> None:
+        """The connection to a relay stands."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
@@ -153,6 +158,7 @@
         self._step(host)
 
     def checked(self, host: ServerHost, argument: tuple[int, str]) -> None:
+        """A policy has been validated."""
         incarnation, digest = argument
         if not host.participant or host.incarnation != incarnation:
             return
--- a/otterrudder/lab/scale/simulation.py
+++ b/otterrudder/lab/scale/simulation.py
@@ -41,6 +41,7 @@
 
     @property
     def label(self) -> str:
+        """The setting in a word."""
         return f"{self.case.name}/{self.absent}/{self.servers}/{self.seed}"
 
 
@@ -133,10 +134,12 @@
 
     @property
     def end_ms(self) -> float:
+        """When the load ends."""
         return self.begin_ms + self.setting.minutes * 60_000.0
 
     @property
     def begin_ms(self) -> float:
+        """When the load begins."""
         return self.experiment.warm_up_s * 1000.0
 
     def play(self) -> None:
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -58,6 +58,7 @@
         return self._ways[region] + self._chance.uniform(*self._part.watch_ms)
 
     def answer(self, now: float, request: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
+        """Carries a request out."""
         self.counts[COUNTED[type(request)]] += 1
         if isinstance(request, Commit):
             self.counts[request.purpose] += 1
@@ -77,6 +78,7 @@
         self._tell()
 
     def revoke(self, lease: int) -> None:
+        """Ends a lease and drops its keys."""
         self.counts["leases"] += 1
         self.keys.revoke(lease)
         self._tell()
--- a/otterrudder/lab/scale/topology.py
+++ b/otterrudder/lab/scale/topology.py
@@ -16,6 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
+    """Zones in regions, and how far they are from each other."""
+
     zones: tuple[Zone, ...]
     regions: tuple[str, ...]
     latency_ms: tuple[tuple[float, ...], ...]  # one way, between regions
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -49,6 +49,8 @@
 
 
 class TenantPart(_Strict, kw_only=True, frozen=True):
+    """A tenant and its share of the load."""
+
     name: str
     share: Positive
 
@@ -76,6 +78,7 @@
 
     @property
     def memory_kb(self) -> float:
+        """The limit of a server's memory."""
         return self.held_kb * self.run_factor * self.memory_runs * self.cores
 
 
@@ -106,6 +109,8 @@
 
 
 class Site(_Strict, kw_only=True, frozen=True):
+    """A site's file: request classes, tenants, servers, gateways and the downstream service."""
+
     product: Annotated[list[ProductPart], msgspec.Meta(min_length=1)]
     tenant: list[TenantPart] = []
     server: ServerPart = ServerPart()
@@ -119,6 +124,7 @@
 
     @property
     def products(self) -> list[RequestClass]:
+        """The request classes."""
         return [
             RequestClass(
                 p.name,
@@ -136,15 +142,18 @@
 
     @property
     def tenants(self) -> list[Tenant]:
+        """The tenants."""
         return [Tenant(t.name, t.share) for t in self.tenant]
 
     @property
     def mean_work_ms(self) -> float:
+        """Mean work of a request, on a core of speed 1."""
         whole = sum(p.share for p in self.product)
         return sum(p.share / whole * p.work_ms for p in self.product)
 
     @property
     def read_ms(self) -> float:
+        """Work of reading a request."""
         return self.server.read_share * self.mean_work_ms
 
     @property
