--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -6,10 +6,9 @@
 from otterrudder.fleet.change import ChangeRejectedError, propose, remove_member
 from otterrudder.fleet.effects import Commit, effect_name
 from otterrudder.lab.fleet.model import DEADLINE_MS, REJECTED_ENDING, Host, ModelState
+from otterrudder.lab.fleet.model_store import restored_engine
 from otterrudder.lab.keyspace import KeySpace
 
-COPY_ID = 0xC0  # of an engine that was restored: the engine's own tool gives it a new one
-COPY_LEASES = 1000  # from which such an engine numbers its leases: an engine's are drawn, no two alike
 PROPOSERS = "AB"
 # Faults of a host that end again: its attribute, and the events that begin and end it.
 _HOST_FAULTS = (
@@ -52,20 +51,10 @@
     for other, label in ((state.old_copy, "an older copy answers"), (KeySpace(), "an empty store answers")):
         if may_inject and other:
             switched = state.copy(label, 1)
-            switched.switch_store(_restored(state, other))
+            switched.switch_store(restored_engine(other, state.now, state.spent))
             yield _after_effects(switched)
 
 
-def _restored(state: ModelState, other: KeySpace) -> KeySpace:
-    """Another engine with that content."""
-    engine = other.copy()
-    engine.has_history = False
-    engine.cluster = COPY_ID
-    engine.granted += COPY_LEASES * (state.spent + 1)
-    engine.lapse(state.now)
-    return engine
-
-
 def _flight_events(state: ModelState, at: int, may_inject: bool) -> Iterator[ModelState]:
     """A request or an answer is delivered at once, or lost in one of its ways."""
     flight = state.flights[at]
--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -13,6 +13,16 @@
     return KeySpace(has_history=False)
 
 
+def restored_engine(content: KeySpace, now: float, restores: int) -> KeySpace:
+    """Another engine with that content. `restores`: differs from those of earlier ones."""
+    engine = content.copy()
+    engine.has_history = False
+    engine.cluster = COPY_ID
+    engine.granted += COPY_LEASES * (restores + 1)
+    engine.lapse(now)
+    return engine
+
+
 @dataclass(slots=True)
 class ModelStore:
     """Which engine answers. `primary`: the store itself, while another engine answers in its place."""
@@ -43,13 +53,8 @@
     def restore_backup(self, now: float, restores: int) -> None:
         """An engine with the state that was kept answers. `restores`: differs from those of earlier ones."""
         assert self.backup
-        engine = self.backup.copy()
-        engine.has_history = False
-        engine.cluster = COPY_ID
-        engine.granted += COPY_LEASES * (restores + 1)
-        engine.lapse(now)
         self.primary = self.engine
-        self.engine = engine
+        self.engine = restored_engine(self.backup, now, restores)
 
     def return_to_primary(self) -> None:
         """The store itself answers again."""
