--- a/otterrudder/lab/report.py
+++ b/otterrudder/lab/report.py
@@ -30,7 +30,6 @@
 import matplotlib.pyplot as plt  # noqa: E402
 
 SMOOTH_S = 10  # s over which the lines of a chart are meant: single seconds hold some ten requests
-BARS_MOST = 12  # cases on a chart of lines without an x: more can't be read
 
 
 def write(outcome: Outcome, folder: Path) -> list[Path]:
--- a/otterrudder/lab/scale/processes/measure.py
+++ b/otterrudder/lab/scale/processes/measure.py
@@ -23,7 +23,6 @@
 from otterrudder.lab.scale.processes.tcp import Connections, carried
 from otterrudder.lab.scale.processes.usage import Usage
 
-RENEWAL = "lease renew"  # kind of request
 UP_S = 60.0  # s that the servers may take until all admit
 IN_FORCE_S = 30.0  # s that a change may take until all go by it
 MESSAGES: Mapping[Kind, str] = {"members": "asked", "cells": "sent"}  # what an agent counts of those
