--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -2,7 +2,7 @@
 
 from benchmarks.capacity import size
 from benchmarks.capacity.slope import Limit
-from otterrudder.fleet.change import COUNT_MS
+from otterrudder.fleet.change import COUNT_INTERVAL_MS
 from otterrudder.fleet.records import MAX_TEXT_BYTES
 
 ADDED_US = Limit(size.ADDED_MS * 1000, "1.5 ms added to a request")
@@ -20,7 +20,7 @@
 EACH_SECOND = Limit(1.0, "one core, each second")
 ANSWER_BYTES = Limit(16 * 1024 * 1024.0, "16 MB of an answer, the client's bound")
 REQUEST_BYTES = Limit(1.5 * 1024 * 1024, "1.5 MB of a request, the engine's published bound, not run here")
-COUNT_S = Limit(COUNT_MS / 1000 * size.CONTROL_CORE, "1.3% of a core, a count each 250 ms")
+COUNT_S = Limit(COUNT_INTERVAL_MS / 1000 * size.CONTROL_CORE, "1.3% of a core, a count each 250 ms")
 TEXT = Limit(float(MAX_TEXT_BYTES), "256 KB of a policy")
 # What the engine's project publishes of its own, three machines of 8 cores and 1,000 clients: not run here.
 ENGINE_WRITES = Limit(44_341.0, "an engine's published writes a second, not run here")
--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -109,7 +109,7 @@
         version = (view.policy.version if view.policy else 0) + 1
         commit = propose(view, text, text, "capacity", "", 0.0, DEADLINE_MS)
         assert (await self.proposer.commit(commit.compares, commit.writes, 1000.0)).succeeded
-        await self._until(lambda agent: agent.member.known.version == version)
+        await self._until(lambda agent: agent.member.applied_policy.version == version)
 
     async def _until(self, holds: Callable[[Agent], bool]) -> None:
         with anyio.fail_after(COME_S):
--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -1,9 +1,9 @@
 """The fleet's actor in a server: carries out the effects of the member, and controls the server by what
 follows.
 
-The dispatcher calls `pulse` first in each batch, so what is decided on the member's status is decided by the
-clock of the very batch that admits: a process that was frozen finds out before its first admission after it
-runs again. No request ever waits for the store: effects run in tasks of their own, one a lane, each with its
+The dispatcher calls `update_server` first in each batch, so the admission status is evaluated with the clock of
+the batch that admits: a process that was frozen suspends admission, if it has to, before it admits its first
+request after it resumes. No request ever waits for the store: effects run in tasks of their own, one a lane, each with its
 deadline, and the state directory is written by a thread.
 
 The store's channel and the state directory are given back in `run`, on every way out."""
@@ -86,12 +86,12 @@
 
     # In the dispatcher's batch.
 
-    def pulse(self, now: float) -> None:
+    def update_server(self, now: float) -> None:
         """Ahead of what arrives: which policy is in force, and whether this server admits."""
         member = self.member
-        self.control_sender.send(member.known, member.admission_status(now), member.status_detail)
+        self.control_sender.send(member.applied_policy, member.admission_status(now), member.status_detail)
 
-    def shown(self) -> dict[str, object]:
+    def control_status(self) -> dict[str, object]:
         """For the control socket; its keys are those of the first release."""
         member, now = self.member, clock.monotonic()
         status = member.admission_status(now)
@@ -103,15 +103,15 @@
             standing=status.label,
             admits=status.admits,
             why=member.status_detail or status.description,
-            version=member.known.version,
-            digest=member.known.digest,
-            head=member.policies.head,
+            version=member.applied_policy.version,
+            digest=member.applied_policy.digest,
+            head=member.policies.newest_version,
             pledged=member.prepared_vote.change if member.prepared_vote else "",
             registered=bool(member.registered),
             leader=member.is_leader,
             absent=member.rules.absent,
             lease_left_ms=round(max(member.registration.lease_until - now, 0.0), 1),
-            worst_answer_ms=round(self.executor.take_worst_ms(), 1),
+            worst_answer_ms=round(self.executor.take_max_answer_ms(), 1),
             counts=self.executor.counts | {"asides": self.control_sender.suspensions},
         )
 
@@ -169,13 +169,13 @@
         outcome = await self._outcome(effect)
         reach_failpoint(f"after {name}")
         now = clock.monotonic()
-        self.executor.worst_ms = max(self.executor.worst_ms, now - sent)
+        self.executor.max_answer_ms = max(self.executor.max_answer_ms, now - sent)
         if effect.lane is Lane.COORDINATE:
             await self._handle_coordinator_result(now, effect, outcome)
             return
         self.member.handle_result(now, effect, sent, outcome)
-        if self.member.mistrust:
-            await self.executor.mistrust(now, self.member.mistrust)
+        if self.member.distrust_reason:
+            await self.executor.handle_untrusted_store(now, self.member.distrust_reason)
 
     async def _handle_coordinator_result(self, now: float, effect: Effect, outcome: Outcome) -> None:
         if isinstance(effect, Commit):
--- a/otterrudder/fleet/assembly.py
+++ b/otterrudder/fleet/assembly.py
@@ -9,7 +9,13 @@
 
 from otterrudder import __version__
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.policy import EMPTY_POLICY, Content, InvalidPolicyError, LocalConfiguration, parse
+from otterrudder.fleet.policy import (
+    EMPTY_POLICY,
+    InvalidPolicyError,
+    LocalConfiguration,
+    PolicyContent,
+    parse,
+)
 from otterrudder.fleet.server_control import ServerControl
 from otterrudder.log import log
 
@@ -24,7 +30,7 @@
 
     def __init__(self, name: str, own: LocalConfiguration) -> None:
         self._name, self._own = name, own
-        self._parsed: dict[str, Content] = {}
+        self._parsed: dict[str, PolicyContent] = {}
 
     def check(self, text: str) -> str:
         """What is wrong with the text here; "": nothing."""
@@ -36,7 +42,7 @@
         self._parsed[text] = content
         return ""
 
-    def content(self, text: str) -> Content | None:
+    def content(self, text: str) -> PolicyContent | None:
         """The content of a text in force ("": no policy is in force); None: it can't be applied here."""
         try:
             return self._parsed.get(text) or parse(text or EMPTY_POLICY, self._own)
@@ -48,13 +54,15 @@
     fleet: Fleet,
     name: str,
     own: LocalConfiguration,
-    apply: Callable[[Content], None],
+    apply: Callable[[PolicyContent], None],
     suspend_admission: Callable[[bool], None],
     load_report: Callable[[], Mapping[str, float]] = dict,
 ) -> "Agent | CellAgent":
-    """The agent of the server `name`. `apply` and `suspend_admission` are called from the agent's `pulse`;
-    `load_report`: the server's metrics, for trials. DirectoryInUseError: another process has the state
-    directory; OSError: it or a key file can't be read."""
+    """Returns the agent of the server `name`.
+
+    The agent's `update_server` calls `apply` and `suspend_admission`. `load_report` returns the server's metrics
+    for trials. Raises DirectoryInUseError if another process holds the state directory, and OSError if the state
+    directory or a key file can't be read."""
     checker = PolicyChecker(name, own)
 
     def apply_policy(text: str) -> None:
@@ -92,7 +100,7 @@
         fleet=fleet.name,
         absent=fleet.rules.absent,
         bound_ms=fleet.rules.bound_ms,
-        known=agent.member.known.version,
+        known=agent.member.applied_policy.version,
         prepared=bool(agent.member.prepared_vote),
         state_directory=str(fleet.state_directory),
     )
--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -2,8 +2,8 @@
 follows to the dispatcher.
 
 The interface is that of the plain member's agent (`fleet/agent.py`). The dispatcher asks it at the start of
-each batch (`pulse`), so a process that was frozen finds out before its first admission after it runs again
-that its lease has ended. No request waits for a relay: streams have tasks of their own, and texts are
+each batch (`update_server`), so a process that was frozen finds out before its first admission after it runs
+again that its lease has ended. No request waits for a relay: streams have tasks of their own, and texts are
 validated in a thread."""
 
 import functools
@@ -50,7 +50,7 @@
 
     # In the dispatcher's batch.
 
-    def pulse(self, now: float) -> None:
+    def update_server(self, now: float) -> None:
         """Ahead of what arrives: which policy is in force, and whether this server admits."""
         participant = self.participant
         admission_status = participant.admission_status(now)
@@ -67,7 +67,7 @@
                 with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
                     await self._wakeup.wait()
 
-    def shown(self) -> dict[str, object]:
+    def control_status(self) -> dict[str, object]:
         """For the control socket."""
         now = clock.monotonic()
         participant = self.participant
--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -61,7 +61,7 @@
             return NO_STEP
         if not _is_open(member, self.poll.digest):
             # A policy in force is not for this relay's servers to reject; of any other nothing is known.
-            is_in_force = member.policies.head > member.known.version
+            is_in_force = member.policies.newest_version > member.applied_policy.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
         questions = tuple(self.poll.next_questions(now, candidates))
--- a/otterrudder/fleet/cell/fingerprint.py
+++ b/otterrudder/fleet/cell/fingerprint.py
@@ -30,7 +30,7 @@
         "tenants": [_tenant_fields(tenant) for tenant in own.tenants],
         "servers": own.servers,
         "limits": None if own.limits is None else _limits_fields(own.limits),
-        "shares_below": own.shares_below,
+        "shares_below": own.has_shared_downstream,
     }
 
 
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -310,7 +310,7 @@
         self._grant(now, session, sequence, span)
 
     def _grant(self, now: float, session: Session, sequence: int, span: float) -> None:
-        known = self.member.known
+        known = self.member.applied_policy
         self._push_policy(now, session)
         session.deferred_request = 0
         session.granted_until = now + span
@@ -338,7 +338,7 @@
         if not self.member.prepared_vote:
             return False
         voting = self.member.voting
-        return voting.vote_sent and voting.fresh_at < session.registered_at
+        return voting.vote_sent and voting.confirmed_open_at < session.registered_at
 
     def _authority_detail(self, now: float) -> str:
         if now < self.given_endorsement.until:
@@ -347,7 +347,7 @@
 
     def _push_policy(self, now: float, session: Session) -> None:
         """Sends the text in force to a server that does not go by it."""
-        known = self.member.known
+        known = self.member.applied_policy
         if not session.needs_policy(now, known.version):
             return
         session.pushed_version = known.version
@@ -409,8 +409,8 @@
             self._abstain_until(now + TAKEOVER_VOTE_DELAY_MS)
         self._was_leading = leads
         self._answer_deferred_requests(now)
-        if self.member.known is not self._pushed_policy:
-            self._pushed_policy = self.member.known
+        if self.member.applied_policy is not self._pushed_policy:
+            self._pushed_policy = self.member.applied_policy
             for session in self.sessions:
                 self._push_policy(now, session)
 
@@ -425,7 +425,7 @@
         Nor does it take the cell over, so that the leader finds its place free once the store answers it
         again."""
         self._abstain_until(self.given_endorsement.until)
-        self.member.registration.registers_from = self.given_endorsement.until
+        self.member.registration.register_not_before = self.given_endorsement.until
 
     def _abstain_until(self, until: float) -> None:
         voting = self.member.voting
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -120,13 +120,13 @@
         self._is_stopping = True
         self._wakeup.set()
 
-    def shown(self) -> dict[str, object]:
+    def control_status(self) -> dict[str, object]:
         """For the control socket."""
         counts = TransportCounts(
             streams=len(self._streams),
             received=self._received,
             streams_failed=self._stream_errors,
-            worst_answer_ms=round(self.executor.take_worst_ms(), 1),
+            worst_answer_ms=round(self.executor.take_max_answer_ms(), 1),
             store=self.executor.counts,
         )
         return relay_status(self.relay, counts, clock.monotonic())
@@ -181,10 +181,10 @@
             outcome = await self.executor.perform(effect)
             reach_failpoint(f"after {effect_name(effect)}")
             now = clock.monotonic()
-            self.executor.worst_ms = max(self.executor.worst_ms, now - sent)
+            self.executor.max_answer_ms = max(self.executor.max_answer_ms, now - sent)
             self.relay.handle_result(now, effect, sent, outcome)
-            if self.relay.member.mistrust:
-                await self.executor.mistrust(now, self.relay.member.mistrust)
+            if self.relay.member.distrust_reason:
+                await self.executor.handle_untrusted_store(now, self.relay.member.distrust_reason)
         except Exception:
             log.exception("the relay failed", of=effect_name(effect))
             await anyio.sleep(ERROR_RETRY_MS / 1000)
--- a/otterrudder/fleet/change/__init__.py
+++ b/otterrudder/fleet/change/__init__.py
@@ -13,7 +13,7 @@
 
 A commit has a handful of writes and compares at any size of the fleet, for engines bound them (etcd: 128)."""
 
-from otterrudder.fleet.change.coordinator import COUNT_MS, ChangeCoordinator
+from otterrudder.fleet.change.coordinator import COUNT_INTERVAL_MS, ChangeCoordinator
 from otterrudder.fleet.change.finish import finish_change
 from otterrudder.fleet.change.proposal import (
     ChangeRejectedError,
@@ -22,11 +22,11 @@
     remove_member,
     withdraw,
 )
-from otterrudder.fleet.change.trial import evaluate_trial, trial_key, trial_metrics
+from otterrudder.fleet.change.trial import evaluate_trial, trial_id, trial_metrics
 from otterrudder.fleet.change.votes import VoteCount, coordination_keys, count_votes
 
 __all__ = [
-    "COUNT_MS",
+    "COUNT_INTERVAL_MS",
     "ChangeCoordinator",
     "ChangeRejectedError",
     "VoteCount",
@@ -37,7 +37,7 @@
     "finish_change",
     "propose",
     "remove_member",
-    "trial_key",
+    "trial_id",
     "trial_metrics",
     "withdraw",
 ]
--- a/otterrudder/fleet/change/coordinator.py
+++ b/otterrudder/fleet/change/coordinator.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from otterrudder.fleet.change.finish import finish_change
-from otterrudder.fleet.change.trial import evaluate_trial, trial_key
+from otterrudder.fleet.change.trial import evaluate_trial, trial_id
 from otterrudder.fleet.change.votes import coordination_keys
 from otterrudder.fleet.effects import Commit, Effect, Lane, Outcome, Read
 from otterrudder.fleet.member import Member
@@ -14,8 +14,8 @@
 from otterrudder.fleet.store import CommitResult, Compare, Put, Snapshot
 
 LEADER_SPREAD_MS = 1500.0  # ms over which members come forward to coordinate a change: one does
-COUNT_MS = 250.0  # ms between counts of the votes by whoever coordinates
-MAX_COUNT_MS = 2000.0  # ms between them once a change has been open for long
+COUNT_INTERVAL_MS = 250.0  # ms between counts of the votes by whoever coordinates
+MAX_COUNT_INTERVAL_MS = 2000.0  # ms between them once a change has been open for long
 COUNT_AGE_SHARE = 1 / 8  # of the change's age, between counts
 QUEUE_POLL_MS = 2000.0  # ms between looks for a change that waits, where no watch event came
 MAX_LATENCY_MS = 100.0  # ms to the store's answer, from which on a coordinator comes forward as late as any
@@ -107,11 +107,11 @@
         """By what the member has last seen; nothing is coordinated on a store that it does not trust."""
         observed = member.observed
         change = ""
-        if observed and not member.mistrust:
-            trial = trial_key(observed.trial) if observed.trial else ""
+        if observed and not member.distrust_reason:
+            trial = trial_id(observed.trial) if observed.trial else ""
             change = observed.open.id if observed.open else trial
         elif self.retains_leadership:
-            self._due_at = max(self._due_at, now + COUNT_MS)
+            self._due_at = max(self._due_at, now + COUNT_INTERVAL_MS)
             return None
         has_leader = bool(observed and observed.has_leader)
         return self.effects(now, change, member.is_leader, has_leader, member.lease, member.registered)
@@ -126,7 +126,7 @@
         ended, self._ended = self._ended, None
         if isinstance(outcome, CommitResult) and isinstance(effect, Commit):
             # Whether it leads now, its member knows once it has read.
-            self._due_at = now + COUNT_MS if effect.purpose == "lead" else now
+            self._due_at = now + COUNT_INTERVAL_MS if effect.purpose == "lead" else now
             if outcome.succeeded and ended:
                 return self._open_next(now, ended, effect, outcome)
         if not isinstance(outcome, Snapshot):
@@ -149,14 +149,14 @@
             return 0.0
         if not self.change:
             return QUEUE_POLL_MS
-        return min(max(COUNT_MS, age_ms * COUNT_AGE_SHARE), MAX_COUNT_MS)
+        return min(max(COUNT_INTERVAL_MS, age_ms * COUNT_AGE_SHARE), MAX_COUNT_INTERVAL_MS)
 
     def _begin_commit(self, now: float, snapshot: FleetSnapshot, age_ms: float) -> Commit | None:
         """What follows from a read: the end of the open change, the next in the queue, the end of a trial."""
         change, trial = snapshot.change, snapshot.trial
         if change and change.id != self.change:  # the member has not seen it yet
             self.change, self._seen_since, age_ms = change.id, now, 0.0
-            self._due_at = now if self._has_event else now + COUNT_MS
+            self._due_at = now if self._has_event else now + COUNT_INTERVAL_MS
         lacks_next_text = self._lacks_next_text(snapshot)
         commit: Commit | None = None
         if change:
@@ -166,7 +166,7 @@
             self._due_at = now  # it is opened with its text, which is read first
         else:
             commit = open_next(snapshot)
-            if not commit and trial and trial_key(trial) == self.change:
+            if not commit and trial and trial_id(trial) == self.change:
                 commit, self._strikes = evaluate_trial(snapshot, age_ms, self._strikes)
         return self._begin(now, commit) if commit else None
 
@@ -180,7 +180,7 @@
         self, now: float, ended: FleetSnapshot, effect: Commit, result: CommitResult
     ) -> Commit | None:
         """The next in the queue is opened at once, by what was read before the end was committed."""
-        in_force = PolicyInForce.of(ended)
+        in_force = PolicyInForce.from_snapshot(ended)
         if effect.purpose == "commit" and ended.change:
             in_force = PolicyInForce(ended.change.version, ended.change.digest, result.revision)
         commit = open_next(ended, in_force)
--- a/otterrudder/fleet/change/trial.py
+++ b/otterrudder/fleet/change/trial.py
@@ -11,7 +11,7 @@
 ROLLBACK_AUTHOR = "the fleet"
 
 
-def trial_key(trial: Trial) -> str:
+def trial_id(trial: Trial) -> str:
     """What a coordinator knows a trial by."""
     return f"trial of {trial.change}"
 
--- a/otterrudder/fleet/executor.py
+++ b/otterrudder/fleet/executor.py
@@ -30,7 +30,9 @@
 WATCH_EVENT_MS = 50.0
 WATCH_RETRY_MS = 500.0  # ms until a watch that ended is begun again
 CLOSE_TIMEOUT_MS = 500.0  # ms that the way out may take: the name is free at once for the next process
-MISTRUST_MS = 2000.0  # ms at an address whose store is not trusted: the right one may be back by then
+ENDPOINT_SWITCH_INTERVAL_MS = (
+    2000.0  # ms at an address whose store is not trusted: the right one may be back by then
+)
 
 
 class Executor:
@@ -43,7 +45,7 @@
         self.is_writing = False  # to the state directory
         # Their names are those on the control socket.
         self.counts = {"asked": 0, "unanswered": 0, "hints": 0, "watches_ended": 0}
-        self.worst_ms = 0.0  # longest wait for an answer since it was last taken
+        self.max_answer_ms = 0.0  # longest wait for an answer since it was last taken
         self._unavailable_since = 0.0  # when the store first did not answer; 0: it answers
         self._switch_at = 0.0  # when a store that is not trusted may next be left for another address
 
@@ -81,11 +83,11 @@
                 log.exception("a watch failed")
             await anyio.sleep(WATCH_RETRY_MS / 1000)
 
-    async def mistrust(self, now: float, reason: str) -> None:
+    async def handle_untrusted_store(self, now: float, reason: str) -> None:
         """The store that answered is not trusted: another address is tried, if there is one."""
         if now < self._switch_at:
             return
-        self._switch_at = now + MISTRUST_MS
+        self._switch_at = now + ENDPOINT_SWITCH_INTERVAL_MS
         log.warning("the store is not trusted", why=reason)
         await self.store.switch_endpoint()
 
@@ -104,10 +106,10 @@
             if self.directory and not self.is_writing:
                 self.directory.close()
 
-    def take_worst_ms(self) -> float:
+    def take_max_answer_ms(self) -> float:
         """The longest wait for an answer since the last call."""
-        worst_ms, self.worst_ms = self.worst_ms, 0.0
-        return worst_ms
+        max_answer_ms, self.max_answer_ms = self.max_answer_ms, 0.0
+        return max_answer_ms
 
     async def _request(self, effect: Effect) -> Outcome:
         if isinstance(effect, Read):
--- a/otterrudder/fleet/member/__init__.py
+++ b/otterrudder/fleet/member/__init__.py
@@ -24,6 +24,6 @@
 
 from otterrudder.fleet.member.member import Member
 from otterrudder.fleet.member.read_schedule import POLL_SHARE
-from otterrudder.fleet.member.voting import VOTE_FIRST_MS
+from otterrudder.fleet.member.voting import VOTE_PRIORITY_MS
 
-__all__ = ["POLL_SHARE", "VOTE_FIRST_MS", "Member"]
+__all__ = ["POLL_SHARE", "VOTE_PRIORITY_MS", "Member"]
--- a/otterrudder/fleet/member/local_state.py
+++ b/otterrudder/fleet/member/local_state.py
@@ -48,4 +48,4 @@
 
 def _essentials(state: MemberState) -> tuple[object, ...]:
     """What is worth a write by itself; the store's revision goes with it."""
-    return state.known, state.prepared_vote, state.joined, state.waits_for_member
+    return state.applied_policy, state.prepared_vote, state.joined, state.waits_for_member
--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -10,7 +10,7 @@
 from otterrudder.fleet.member.read_schedule import MAX_RETRY_MS, POLL_SHARE
 from otterrudder.fleet.member.registration import RENEW_SHARE
 from otterrudder.fleet.member.status_reporter import REGISTERING
-from otterrudder.fleet.member.voting import VOTE_FIRST_MS
+from otterrudder.fleet.member.voting import VOTE_PRIORITY_MS
 from otterrudder.fleet.records import FleetSnapshot, InvalidRecordError, Vote
 from otterrudder.fleet.state import AdmissionStatus, ObservedState, OpenChange
 from otterrudder.fleet.store import CommitResult, LeaseResult, Snapshot
@@ -92,9 +92,9 @@
         """When requests to the store are due."""
         reads, voting = self.reads, self.voting
         read_at = reads.retry_at if reads.is_stale else self._next_read()
-        times = [max(read_at, voting.vote_first_until)]
+        times = [max(read_at, voting.vote_priority_until)]
         if not self.registered and self._may_register():
-            times.append(max(self.registration.registers_from, reads.retry_at))
+            times.append(max(self.registration.register_not_before, reads.retry_at))
         if self.registered and voting.is_abstaining:
             times.append(max(voting.abstains_until, reads.retry_at))
         return times
@@ -105,11 +105,11 @@
         """One request at a time: a read that is due, a registration, a vote."""
         if Lane.STORE in self._busy or now < self.reads.retry_at:
             return None
-        may_read = now >= self.voting.vote_first_until
+        may_read = now >= self.voting.vote_priority_until
         if may_read and (self.reads.is_stale or now >= self._next_read()):
             return self._read(now)
         observed, registration = self.observed, self.registration
-        if not observed or registration.is_others(observed):
+        if not observed or registration.is_name_unavailable(observed):
             return None
         if not self.registered:
             return self._register(now, observed)
@@ -117,7 +117,7 @@
 
     def _vote_or_read(self, now: float, observed: ObservedState, may_read: bool) -> Effect | None:
         if vote := self._vote(now, observed):
-            self.voting.vote_first_until = -math.inf
+            self.voting.vote_priority_until = -math.inf
             return vote
         if self.reads.is_stale and may_read:  # a text is missing
             return self._read(now)
@@ -143,7 +143,7 @@
             return read_at + rules.bound_ms * POLL_SHARE
         if self.policies.documents.missing:
             return read_at + MAX_RETRY_MS
-        if self.observed and self.registration.is_others(self.observed) or self.mistrust:
+        if self.observed and self.registration.is_name_unavailable(self.observed) or self.distrust_reason:
             return read_at + rules.lease_ms * RENEW_SHARE
         return read_at + rules.lease_ms  # a watch may be dead and not know it
 
@@ -159,14 +159,14 @@
     def _handle_read_result(self, now: float, sent: float, raw: Snapshot) -> None:
         snapshot = FleetSnapshot(self.keys, raw)
         try:
-            self.trust.mistrust = self.trust.check_snapshot(
-                snapshot, self.policies.head, self.policies.head_change
+            self.trust.distrust_reason = self.trust.check_snapshot(
+                snapshot, self.policies.newest_version, self.policies.newest_change
             )
-            if not self.mistrust:
+            if not self.distrust_reason:
                 self._accept(now, sent, snapshot)
         except InvalidRecordError as error:
-            self.trust.mistrust = str(error)
-        if self.mistrust:
+            self.trust.distrust_reason = str(error)
+        if self.distrust_reason:
             self._fail(now)
         else:
             self.reads.succeed(now)
@@ -186,7 +186,7 @@
         if self.registered and observed.revision >= self.registered:
             registration.has_synced = True
         registration.is_leader = self.registered > 0 and snapshot.leader == self.name
-        self.voting.vote_first_until = now + VOTE_FIRST_MS if self._may_vote_next(now) else -math.inf
+        self.voting.vote_priority_until = now + VOTE_PRIORITY_MS if self._may_vote_next(now) else -math.inf
         if self.registered:
             has_news = self._current_report(now) != self.reporter.reported or observed.trial is not None
             self.reporter.schedule(now, has_news, self._draw)
@@ -218,14 +218,14 @@
     # Registration and lease.
 
     def _register(self, now: float, observed: ObservedState) -> Commit | None:
-        if not self._may_register() or now < self.registration.registers_from:
+        if not self._may_register() or now < self.registration.register_not_before:
             return None
-        status = self.reporter.status(self.known, (0, REGISTERING), None)
+        status = self.reporter.status(self.applied_policy, (0, REGISTERING), None)
         return self.registration.commit(observed, status)
 
     def _may_register(self) -> bool:
         """The name is free, a lease is there, and the state directory does not say what is no longer so."""
-        is_free = self.observed is not None and not self.registration.is_others(self.observed)
+        is_free = self.observed is not None and not self.registration.is_name_unavailable(self.observed)
         has_outlived_wait = not self.registration.waits_for_member and self.local_state.has_saved_wait()
         return is_free and self.lease > 0 and not self.reads.is_stale and not has_outlived_wait
 
@@ -233,7 +233,7 @@
         """The lease or the status key is gone: the store is read before anything else counts."""
         self.registration.lose()
         self.reads.is_stale = True
-        self.voting.vote_first_until = -math.inf
+        self.voting.vote_priority_until = -math.inf
         # A read that was sent before, and comes late, would show the registration as it was.
         self.reads.is_discarded = Lane.STORE in self._busy
         if self.rules.is_shared:
@@ -244,7 +244,7 @@
 
     def _handle_lease_result(self, now: float, sent: float, outcome: Outcome) -> None:
         if outcome is None:
-            self.registration.fail_renewal(now, bool(self.mistrust))
+            self.registration.fail_renewal(now, bool(self.distrust_reason))
             return
         assert isinstance(outcome, LeaseResult)
         if not outcome.lease:
@@ -327,7 +327,7 @@
         """The version that is applied, and the label of the status that others may know."""
         status = self.admission_status(now)
         shown = AdmissionStatus.SERVING if status.admits else status
-        return self.known.version, shown.label
+        return self.applied_policy.version, shown.label
 
     def _report_effect(self, now: float) -> Commit | None:
         is_due = self.registered and now >= self.reporter.report_at
@@ -336,7 +336,7 @@
         current = self._current_report(now)
         trial = self.observed.trial if self.observed else None
         self.reporter.begin(now, current, trial, self._draw)
-        status = self.reporter.status(self.known, current, trial)
+        status = self.reporter.status(self.applied_policy, current, trial)
         return commits.report_status(self.keys, self.name, status, self.registered, self.lease)
 
     def _handle_report_result(self, now: float, outcome: Outcome) -> None:
--- a/otterrudder/fleet/member/parts.py
+++ b/otterrudder/fleet/member/parts.py
@@ -93,9 +93,9 @@
         return self.identity.name
 
     @property
-    def known(self) -> Policy:
+    def applied_policy(self) -> Policy:
         """The policy applied here."""
-        return self.policies.known
+        return self.policies.applied_policy
 
     @property
     def prepared_vote(self) -> PreparedVote | None:
@@ -118,14 +118,14 @@
         return self.registration.is_leader
 
     @property
-    def mistrust(self) -> str:
+    def distrust_reason(self) -> str:
         """Why the store is not trusted; "": it is."""
-        return self.trust.mistrust
+        return self.trust.distrust_reason
 
     @property
     def status_detail(self) -> str:
         """More on its status, for operators."""
-        return self.policies.rejection or self.trust.mistrust or self.local_state.error
+        return self.policies.rejection or self.trust.distrust_reason or self.local_state.error
 
     # Whether it admits.
 
@@ -145,7 +145,7 @@
 
     def admits(self, now: float) -> int | None:
         """The version that it admits under; None: admission is suspended."""
-        return self.known.version if self.admission_status(now).admits else None
+        return self.applied_policy.version if self.admission_status(now).admits else None
 
     def authority_until(self, now: float) -> float:
         """Until when it goes on admitting, or granting leases, if it hears nothing more; -inf: it does not
@@ -172,7 +172,7 @@
         return MemberState(
             self.name,
             self.identity.directory_id,
-            self.known,
+            self.applied_policy,
             self.prepared_vote,
             registration.joined,
             trust.cluster,
--- a/otterrudder/fleet/member/policy_state.py
+++ b/otterrudder/fleet/member/policy_state.py
@@ -12,24 +12,24 @@
 class PolicyState:
     """Adopts the policy in force once its text is here and validated."""
 
-    __slots__ = ("documents", "head", "head_change", "known", "rejection")
+    __slots__ = ("documents", "newest_version", "newest_change", "applied_policy", "rejection")
 
     def __init__(self, record: MemberState | None, validate: Callable[[str], str]) -> None:
         """`validate`: what is wrong for this server with a text, "" if nothing."""
-        self.known = record.known if record else Policy()  # applied here
-        self.head = self.known.version  # in force, as last seen
-        self.head_change = self.known.change
+        self.applied_policy = record.applied_policy if record else Policy()  # applied here
+        self.newest_version = self.applied_policy.version  # in force, as last seen
+        self.newest_change = self.applied_policy.change
         # What is wrong with the applied policy here; "": nothing.
-        self.rejection = validate(self.known.text) if self.known.version else ""
-        self.documents = PolicyDocuments(validated=self.known.digest, rejection=self.rejection)
+        self.rejection = validate(self.applied_policy.text) if self.applied_policy.version else ""
+        self.documents = PolicyDocuments(validated=self.applied_policy.digest, rejection=self.rejection)
 
     def is_outdated(self) -> bool:
         """A newer policy is in force than the one applied here."""
-        return self.head > self.known.version
+        return self.newest_version > self.applied_policy.version
 
     def is_up_to_date(self) -> bool:
         """The newest policy in force, as far as it was seen, is the one applied here."""
-        return self.head == self.known.version
+        return self.newest_version == self.applied_policy.version
 
     def update(self, snapshot: FleetSnapshot, change: OpenChange | None) -> bool | None:
         """What a read shows of policies; `change`: the open one. True: the store has to be read again at
@@ -37,9 +37,9 @@
         head = snapshot.policy
         needed_digests = (head.digest if head else "", change.digest if change else "")
         self._retain_texts(snapshot, needed_digests)
-        if not head or head.version <= self.known.version:
+        if not head or head.version <= self.applied_policy.version:
             return None
-        self.head, self.head_change = head.version, head.change
+        self.newest_version, self.newest_change = head.version, head.change
         text = self.documents.text(head.digest)
         if text is None:
             is_new = self.documents.missing != head.digest  # else it was just asked for, and is not there
@@ -49,7 +49,7 @@
         if rejection is None:
             self.documents = self.documents.with_pending(head.digest)
             return None
-        self.known = Policy(head.version, head.change, head.digest, text)
+        self.applied_policy = Policy(head.version, head.change, head.digest, text)
         self.rejection = rejection
         return None
 
--- a/otterrudder/fleet/member/registration.py
+++ b/otterrudder/fleet/member/registration.py
@@ -28,7 +28,7 @@
         "lease",
         "lease_until",
         "registered",
-        "registers_from",
+        "register_not_before",
         "renew_at",
         "rules",
         "waits_for_member",
@@ -43,7 +43,7 @@
         self.waits_for_member = bool(record and record.waits_for_member and rules.absent == "wait")
         self.has_synced = False  # the store was read since the registration
         self.registered = 0  # the revision that made this process's status key; 0: there is none
-        self.registers_from = -math.inf  # it does not register before
+        self.register_not_before = -math.inf  # it does not register before
         self.lease = 0  # the store's number of it; 0: there is none
         self.lease_until = -math.inf  # by this process's clock, from the sending of the last renewal
         self.endorsed_until = -math.inf  # what the other relays that share the name have endorsed
@@ -64,7 +64,7 @@
             return False
         return roster.absent == "wait"
 
-    def is_others(self, observed: ObservedState) -> bool:
+    def is_name_unavailable(self, observed: ObservedState) -> bool:
         """The name is not this process's to register."""
         return self.is_name_taken(observed) or self.is_foreign(observed)
 
@@ -121,7 +121,7 @@
 
     def may_lease(self, observed: ObservedState | None) -> bool:
         """Whether a lease is to be granted or renewed."""
-        return self.lease > 0 or observed is not None and not self.is_others(observed)
+        return self.lease > 0 or observed is not None and not self.is_name_unavailable(observed)
 
     def lease_effect(self, now: float, observed: ObservedState | None) -> GrantLease | RenewLease | None:
         """The request that is due, if any."""
--- a/otterrudder/fleet/member/status_reporter.py
+++ b/otterrudder/fleet/member/status_reporter.py
@@ -8,7 +8,7 @@
 
 # ms over which members report that they have switched, so that a change is no burst of writes
 REPORT_SPREAD_MS = 2000.0
-METRICS_MS = 3000.0  # ms between reports of metrics while a policy is on trial
+METRICS_INTERVAL_MS = 3000.0  # ms between reports of metrics while a policy is on trial
 REGISTERING = AdmissionStatus.REGISTERING.label
 
 
@@ -36,7 +36,7 @@
         """A report is sent; while a policy is on trial, the next one follows with new metrics."""
         self.reported = current
         spread = 0.75 + draw("figures") / 2
-        self.report_at = now + METRICS_MS * spread if trial else math.inf
+        self.report_at = now + METRICS_INTERVAL_MS * spread if trial else math.inf
 
     def status(self, known: Policy, current: tuple[int, str], trial: Trial | None) -> MemberStatus:
         """The record of the status key."""
--- a/otterrudder/fleet/member/store_trust.py
+++ b/otterrudder/fleet/member/store_trust.py
@@ -9,14 +9,14 @@
 class StoreTrust:
     """The store's identity and newest revision, as far as this member has heard."""
 
-    __slots__ = ("cluster", "floor", "mistrust", "revision")
+    __slots__ = ("cluster", "floor", "distrust_reason", "revision")
 
     def __init__(self, cluster: int, revision: int) -> None:
         """`cluster`: the only engine that is trusted; 0: the first that answers."""
         self.cluster = cluster
         self.revision = revision  # the newest that was heard of
         self.floor = 0  # the revision that was known when the store's request under way was begun
-        self.mistrust = ""  # why the store is not trusted; "": it is
+        self.distrust_reason = ""  # why the store is not trusted; "": it is
 
     def begin_request(self) -> None:
         """Its answer has to be as new as what is known now."""
@@ -30,8 +30,8 @@
     def check_snapshot(self, snapshot: FleetSnapshot, version: int, change: str) -> str:
         """Why a read is not trusted; "": it is. `version` and `change`: of the newest policy in force."""
         raw = snapshot.raw
-        if mistrust := self._check_engine(raw.cluster, raw.revision, self.floor):
-            return mistrust
+        if distrust_reason := self._check_engine(raw.cluster, raw.revision, self.floor):
+            return distrust_reason
         head = snapshot.policy
         new_version, new_change = (head.version, head.change) if head else (0, "")
         if new_version < version or new_version == version and new_change != change:
@@ -47,8 +47,8 @@
         if not result.cluster:
             return True  # it has said nothing of itself, and that it did nothing
         floor = 0 if isinstance(result, LeaseResult) else self.floor
-        if mistrust := self._check_engine(result.cluster, result.revision, floor):
-            self.mistrust = mistrust
+        if distrust_reason := self._check_engine(result.cluster, result.revision, floor):
+            self.distrust_reason = distrust_reason
             return False
         self.revision = max(self.revision, result.revision)
         return True
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Content:
+class PolicyContent:
     """A parsed policy, ready for a server; what it does not name is as in the server's configuration."""
 
     levels: LevelTable | None
@@ -43,13 +43,13 @@
 @dataclass(frozen=True, slots=True)
 class LocalConfiguration:
     """What a server's own configuration says, against which a policy is checked. `limits`: None where it is
-    not known; `servers`: of the fleet; `shares_below`: the downstream service is one for all servers."""
+    not known; `servers`: of the fleet; `has_shared_downstream`: the downstream service is one for all servers."""
 
     products: Sequence[RequestClass]
     tenants: Sequence[Tenant]
     servers: int = 1
     limits: Limits | None = None
-    shares_below: bool = True
+    has_shared_downstream: bool = True
 
 
 def local_configuration_of(settings: dict[str, Any]) -> LocalConfiguration:
@@ -90,7 +90,7 @@
     budgets: _BudgetsTable = _BudgetsTable()
 
 
-def parse(text: str, own: LocalConfiguration) -> Content:
+def parse(text: str, own: LocalConfiguration) -> PolicyContent:
     """InvalidPolicyError says what is wrong, by the key."""
     try:
         document = tomllib.loads(text)
@@ -107,7 +107,7 @@
         levels = None if table.levels is None else build_table(table.levels, own.products, own.tenants)
     except LevelTableError as error:
         raise InvalidPolicyError(f"levels.{error}") from None
-    return Content(levels, request_classes, tenants, _limits(table, own))
+    return PolicyContent(levels, request_classes, tenants, _limits(table, own))
 
 
 def _check_names(key: str, table: Mapping[str, object], known: Sequence[str]) -> None:
@@ -144,7 +144,7 @@
         factor = _within(factor, 1.0, "limits.over_share_value")
         limits = replace(limits, over_quota_weight_factor=factor)
     if (calls := table.budgets.calls) is not None:
-        if not own.shares_below:
+        if not own.has_shared_downstream:
             raise InvalidPolicyError("budgets.calls: here no service lies below that all servers share")
         calls = _within(calls, MAX_CALLS, "budgets.calls")
         limits = replace(limits, downstream_call_quota=calls / own.servers)
--- a/otterrudder/fleet/queue.py
+++ b/otterrudder/fleet/queue.py
@@ -42,7 +42,7 @@
     modified: int  # the revision that wrote its key; 0: there is none
 
     @staticmethod
-    def of(snapshot: FleetSnapshot) -> "PolicyInForce":
+    def from_snapshot(snapshot: FleetSnapshot) -> "PolicyInForce":
         """As the snapshot has it."""
         head = snapshot.policy
         modified = snapshot.raw.modified(snapshot.keys.policy)
@@ -92,7 +92,7 @@
     open."""
     if not snapshot.queue or in_force is None and snapshot.change:
         return None
-    in_force = in_force or PolicyInForce.of(snapshot)
+    in_force = in_force or PolicyInForce.from_snapshot(snapshot)
     entry, keys = snapshot.queue[0], snapshot.keys
     key = keys.queued(entry.id)
     compares = (
--- a/otterrudder/fleet/state.py
+++ b/otterrudder/fleet/state.py
@@ -87,7 +87,7 @@
 
     name: str
     directory_id: str = msgspec.field(name="folder")
-    known: Policy = Policy()
+    applied_policy: Policy = msgspec.field(default=Policy(), name="known")
     prepared_vote: PreparedVote | None = msgspec.field(default=None, name="pledge")
     joined: bool = False  # the store has had this directory's id on the roster
     cluster: int = 0
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -103,7 +103,7 @@
         super().__init__(*arguments, **named)
         self.given_endorsement.until = -math.inf
         self.member.voting.abstains_until = -math.inf
-        self.member.registration.registers_from = -math.inf
+        self.member.registration.register_not_before = -math.inf
 
 
 class VotesThoughItEndorsed(MutantRelay):
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -294,7 +294,7 @@
         return bool(status and host.member and status.incarnation == host.member.identity.incarnation)
 
     def _wrong_admission(self, host: Host, member: Member, version: int) -> str:
-        change, bound_ms = member.known.change, self.variant.rules.bound_ms
+        change, bound_ms = member.applied_policy.change, self.variant.rules.bound_ms
         return wrong_admission(version, change, host.started, self.now, bound_ms, self.committed)
 
     def recovery_violation(self) -> str:
--- a/otterrudder/lab/fleet/model_fingerprint.py
+++ b/otterrudder/lab/fleet/model_fingerprint.py
@@ -15,15 +15,15 @@
         "abstains_until",
         "endorsed_until",
         "lease_until",
-        "registers_from",
+        "register_not_before",
         "renew_at",
         "report_at",
         "retry_at",
         "save_at",
-        "vote_first_until",
+        "vote_priority_until",
     }
 )
-_TIMES_AGO = frozenset({"fresh_at", "read_at"})
+_TIMES_AGO = frozenset({"confirmed_open_at", "read_at"})
 # By which members never differ, or which nothing depends on from here on.
 _PASSED_OVER = frozenset({"answered_at", "cluster", "failures", "has_disk", "identity", "rules", "template"})
 
--- a/otterrudder/lab/fleet/mutants.py
+++ b/otterrudder/lab/fleet/mutants.py
@@ -63,7 +63,7 @@
     def _accept(self, now: float, sent: float, snapshot: FleetSnapshot) -> None:
         super()._accept(now, sent, snapshot)
         if self.observed:
-            self.registration.has_synced = not self.registration.is_others(self.observed)
+            self.registration.has_synced = not self.registration.is_name_unavailable(self.observed)
 
 
 class AppliesBeforeCommit(Member):
@@ -72,7 +72,7 @@
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
         commit = super()._vote(now, observed)
         if commit and self.prepared_vote and (change := observed.open):
-            self.policies.known = Policy(change.version, change.id, change.digest)
+            self.policies.applied_policy = Policy(change.version, change.id, change.digest)
         return commit
 
 
--- a/otterrudder/lab/fleet/simulation.py
+++ b/otterrudder/lab/fleet/simulation.py
@@ -260,7 +260,7 @@
                 self._send(host, incarnation, more)
         else:
             host.member.handle_result(self.now, effect, sent, outcome)
-            if host.member.known.version == self.version and host.switched == math.inf:
+            if host.member.applied_policy.version == self.version and host.switched == math.inf:
                 host.switched = self.now
         self._run(host, incarnation)
 
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -23,7 +23,7 @@
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.configuration import Fleet, read_fleet
-from otterrudder.fleet.policy import Content, LocalConfiguration, local_configuration_of
+from otterrudder.fleet.policy import LocalConfiguration, PolicyContent, local_configuration_of
 from otterrudder.log import configure_logging
 
 MAX_COUNT = 500  # servers of one process
@@ -52,7 +52,7 @@
 
 
 class HollowServer:
-    """A server's coordination alone. `pulse` stands for the turn of a server's event loop."""
+    """A server's coordination alone. `update_server` stands for the turn of a server's event loop."""
 
     def __init__(self, fleet: Fleet, name: str, own: LocalConfiguration) -> None:
         self.name = name
@@ -61,9 +61,9 @@
         self._last_sent = (0, False)
         self.agent = make_agent(fleet, name, own, self._apply, self._suspend_admission)
 
-    def pulse(self, now: float) -> Switched | None:
+    def update_server(self, now: float) -> Switched | None:
         """What has changed since the last one."""
-        self.agent.pulse(now)
+        self.agent.update_server(now)
         policy = self.agent.control_sender.applied
         present = (policy.version if policy else 0, self._admits)
         if present == self._last_sent:
@@ -73,11 +73,11 @@
 
     def counts(self) -> dict[str, int]:
         """What the agent has counted, as an operator sees it."""
-        shown = self.agent.shown()["counts"]
+        shown = self.agent.control_status()["counts"]
         assert isinstance(shown, dict)
         return shown
 
-    def _apply(self, content: Content) -> None:
+    def _apply(self, content: PolicyContent) -> None:
         """A server's core would go by it from here on."""
 
     def _suspend_admission(self, is_suspended: bool) -> None:
@@ -87,7 +87,7 @@
 async def run_servers(servers: Sequence[HollowServer], lines: asyncio.StreamReader) -> None:
     """Until the input ends; the servers leave in order then."""
     async with anyio.create_task_group() as group:
-        group.start_soon(_pulse_all, servers)
+        group.start_soon(_update_all, servers)
         group.start_soon(_start_all, servers)
         while await lines.readline():
             total = sum((Counter(server.counts()) for server in servers), Counter())
@@ -102,10 +102,10 @@
             await anyio.sleep(START_SPACING_S)
 
 
-async def _pulse_all(servers: Sequence[HollowServer]) -> None:
+async def _update_all(servers: Sequence[HollowServer]) -> None:
     while True:
         now = clock.monotonic()
-        switched = [told for server in servers if (told := server.pulse(now))]
+        switched = [told for server in servers if (told := server.update_server(now))]
         if switched:
             _write(switched)
         await anyio.sleep(PULSE_S)
--- a/otterrudder/net/fleet_setup.py
+++ b/otterrudder/net/fleet_setup.py
@@ -8,7 +8,7 @@
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.policy import Content, local_configuration_of
+from otterrudder.fleet.policy import PolicyContent, local_configuration_of
 from otterrudder.levels import LevelController
 from otterrudder.net.dispatcher import Dispatcher
 
@@ -21,7 +21,7 @@
     core = dispatcher.core
     own = replace(local_configuration_of(configuration.settings), products=core.request_classes)
 
-    def apply_policy(content: Content) -> None:
+    def apply_policy(content: PolicyContent) -> None:
         dispatcher.post(
             core.update_policy,
             content.levels,
@@ -41,5 +41,5 @@
         agent = make_agent(fleet, configuration.name, own, apply_policy, set_suspended, load_report)
     except (DirectoryInUseError, OSError) as error:
         raise ConfigurationError(f"fleet: {error}") from None
-    dispatcher.batch_hooks.append(agent.pulse)
+    dispatcher.batch_hooks.append(agent.update_server)
     return agent
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -35,7 +35,7 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             group.start_soon(_stop_at_signal, signals, service.stop)
-            group.start_soon(control.ControlSocket(control_name(role), {"relay": service.shown}).run)
+            group.start_soon(control.ControlSocket(control_name(role), {"relay": service.control_status}).run)
             await service.run()
             group.cancel_scope.cancel()
 
--- a/otterrudder/net/server_parts.py
+++ b/otterrudder/net/server_parts.py
@@ -97,7 +97,7 @@
     if parts.router:
         answers["vrrp"] = parts.router.status
     if parts.agent:
-        answers["fleet"] = parts.agent.shown
+        answers["fleet"] = parts.agent.control_status
     if not answers:
         return None
     from otterrudder.net.control import ControlSocket
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -11,7 +11,7 @@
     RelayMessage,
 )
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.change import COUNT_MS, ChangeCoordinator, finish_change
+from otterrudder.fleet.change import COUNT_INTERVAL_MS, ChangeCoordinator, finish_change
 from otterrudder.fleet.effects import Commit, Lane, Read
 from otterrudder.fleet.queue import (
     PolicyInForce,
@@ -156,7 +156,7 @@
     harness.propose("A")
     leader.member.reads.retry_at = harness.now + 1000.0  # its own reads are held up
     harness.run(900.0)
-    assert len(reads) <= 900.0 / COUNT_MS + 4  # hints: of the change, of two votes
+    assert len(reads) <= 900.0 / COUNT_INTERVAL_MS + 4  # hints: of the change, of two votes
 
 
 @pytest.mark.parametrize("held", [True, False])
@@ -167,7 +167,7 @@
         now = coordinator.due()
     assert isinstance(lead, Commit) and lead.purpose == "lead"
     assert coordinator.handle_result(now, lead, CommitResult(held, 9, 1)) is None
-    assert coordinator.due() >= now + COUNT_MS
+    assert coordinator.due() >= now + COUNT_INTERVAL_MS
 
 
 def run_changes(harness: Harness, count: int) -> None:
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -28,7 +28,7 @@
 )
 from otterrudder.fleet.change import finish_change
 from otterrudder.fleet.effects import Commit, GrantLease, Lane, Read
-from otterrudder.fleet.member import VOTE_FIRST_MS
+from otterrudder.fleet.member import VOTE_PRIORITY_MS
 from otterrudder.fleet.records import digest_of
 from otterrudder.fleet.state import Rules
 
@@ -80,7 +80,7 @@
     harness.is_store_unreachable = False
     while not relay.member.prepared_vote:
         assert harness._run_effects()
-    until = relay.member.voting.fresh_at + relay.member.rules.bound_ms
+    until = relay.member.voting.confirmed_open_at + relay.member.rules.bound_ms
     assert relay.member.voting.vote_sent and relay.authority_until(harness.now) <= until
 
 
@@ -272,7 +272,7 @@
             begin(address, of, effect)
 
     harness.propose("A", "policy!")
-    harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
+    harness.run(VOTE_PRIORITY_MS + 50.0)  # from then on a hint's read goes before the vote
     harness._relay_effect = delay_reads  # type: ignore[method-assign]
     relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
@@ -313,7 +313,7 @@
     harness.propose("A")
     while "east" not in harness.view().votes:
         harness._run_effects()
-    now = relay.member.voting.fresh_at + 300.0
+    now = relay.member.voting.confirmed_open_at + 300.0
     relay.handle_message(now, 999, registration(5, name="new"))
     effects = relay.effects(now)
     assert not [effect for effect in messages_to_servers(effects) if isinstance(effect, LeaseGrant)]
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -14,7 +14,7 @@
     finish_change,
     propose,
     remove_member,
-    trial_key,
+    trial_id,
     withdraw,
 )
 from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
@@ -110,7 +110,7 @@
         "version = 1\n[limits]\nstay_away_ms = 600", LocalConfiguration(PRODUCTS, [], 8, Limits(500.0))
     )
     assert trouble_in(
-        "version = 1\n[budgets]\ncalls = 24", LocalConfiguration(PRODUCTS, [], shares_below=False)
+        "version = 1\n[budgets]\ncalls = 24", LocalConfiguration(PRODUCTS, [], has_shared_downstream=False)
     ) == ("budgets.calls: here no service lies below that all servers share")
     assert "limits.over_share_value: 3 is not from 0 to 1" in trouble_in(
         "version = 1\n[limits]\nover_share_value = 3", LocalConfiguration(PRODUCTS, [])
@@ -214,7 +214,7 @@
     assert fleet.admits() == [1, 1, 1]
     end = find_change(fleet.view, "one")
     assert isinstance(end, FinishedChange) and end.committed and find_change(fleet.view, "two") is None
-    assert fleet.members["a"].known.text == "first"
+    assert fleet.members["a"].applied_policy.text == "first"
 
 
 def test_one_no_aborts_and_names_who_and_why() -> None:
@@ -342,7 +342,7 @@
     (renewal,) = (effect for effect in member.effects(fleet.now) if isinstance(effect, RenewLease))
     told = fleet.space.renew(fleet.now, renewal.lease)
     member.handle_result(fleet.now, renewal, fleet.now, told._replace(revision=1))
-    assert not member.mistrust and member.registration.lease_until == fleet.now + 5400.0
+    assert not member.distrust_reason and member.registration.lease_until == fleet.now + 5400.0
 
 
 def test_where_the_file_names_the_engine_a_first_start_believes_no_other() -> None:
@@ -502,7 +502,7 @@
             fleet.members[name].reporter.metrics = tuple(told.items())
         fleet.later(100.0)
         view = fleet.view
-        opened = view.change.id if view.change else trial_key(view.trial) if view.trial else ""
+        opened = view.change.id if view.change else trial_id(view.trial) if view.trial else ""
         effect = coordinator.effects(fleet.now, opened, False, False, 0, 0)
         if isinstance(effect, Read):
             commit = coordinator.handle_result(fleet.now, effect, fleet.space.read(effect.names))
@@ -529,7 +529,7 @@
 def test_a_policy_on_trial_goes_back_by_the_mean_of_the_fleet(figures: dict, goes_back: bool) -> None:
     fleet = on_trial({"busy": 0.5}, figures, 9_000.0)
     assert fleet.admits() == ([3, 3, 3] if goes_back else [2, 2, 2])
-    assert fleet.members["a"].known.text == ("first" if goes_back else "second")
+    assert fleet.members["a"].applied_policy.text == ("first" if goes_back else "second")
     if goes_back:
         end = find_change(fleet.view, "back-two")
         assert isinstance(end, FinishedChange) and end.author == "the fleet"
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -160,8 +160,8 @@
             one, other = cells.server("one"), cells.server("other")
             async with running(one), running(other):
                 assert (one.participant.relay, other.participant.relay) == tuple(cells.addresses)
-                assert first.shown()["refused"] == {"full": 1}
-                assert (first.shown()["sessions"], second.shown()["sessions"]) == (1, 1)
+                assert first.control_status()["refused"] == {"full": 1}
+                assert (first.control_status()["sessions"], second.control_status()["sessions"]) == (1, 1)
             async with raw_stream(first) as stream:
                 await until(lambda: not first.relay.sessions)
                 async with running(cells.server("again")):
@@ -195,8 +195,8 @@
                     with anyio.fail_after(WAIT_S):
                         assert await stream.code() is not grpc.StatusCode.OK
                 assert admits(agent) and agent.counts["ended"] == 0
-                assert service.shown()["streams_failed"] == {"invalid_argument": 4}
-                await until(lambda: len(service.relay.sessions) == service.shown()["streams"] == 1)
+                assert service.control_status()["streams_failed"] == {"invalid_argument": 4}
+                await until(lambda: len(service.relay.sessions) == service.control_status()["streams"] == 1)
 
     anyio.run(play)
 
@@ -286,7 +286,10 @@
                             await stream.read()
                 with anyio.fail_after(WAIT_S):  # its own writes may fail before the status is read
                     assert await stream.code() is not grpc.StatusCode.OK
-            assert service.shown()["streams_failed"] == {"deadline_exceeded": 1, "resource_exhausted": 1}
+            assert service.control_status()["streams_failed"] == {
+                "deadline_exceeded": 1,
+                "resource_exhausted": 1,
+            }
 
     anyio.run(play)
 
@@ -309,7 +312,7 @@
                         assert found._outgoing.qsize() <= 16
                     await anyio.sleep(0)
                 await until(lambda: slow not in service._streams)
-                assert service.shown()["streams_failed"] == {"resource_exhausted": 1}
+                assert service.control_status()["streams_failed"] == {"resource_exhausted": 1}
                 assert len(service.relay.sessions) == 1 and admits(agent)
 
     anyio.run(play)
@@ -327,7 +330,7 @@
                 assert all(admits(agent) for agent in agents)
                 # one server of the fingerprint was asked, and each validated the text that it switched to
                 assert sum(agent.counts["checked"] for agent in agents) == 3
-                assert service.shown()["versions"]
+                assert service.control_status()["versions"]
 
     anyio.run(play)
     encoder = MessageEncoder()
@@ -350,9 +353,9 @@
             agent = cells.server("one", validate)
             agent.control_sender.control = ServerControl(orders.append, orders.append)
             async with running(agent):
-                agent.pulse(clock.monotonic())
-                agent.pulse(clock.monotonic() + 60_000.0)
-                agent.pulse(clock.monotonic())
+                agent.update_server(clock.monotonic())
+                agent.update_server(clock.monotonic() + 60_000.0)
+                agent.update_server(clock.monotonic())
                 assert orders == ["", False, True, False]
                 await put_in_force(engine, "version = 1")
                 await until(lambda: agent.participant.validation.task)
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -31,7 +31,7 @@
 def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
-    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
+    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, has_shared_downstream=False)]
     kinds = [
         server_fingerprint(own),
         server_fingerprint(own, "another program"),
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -95,18 +95,20 @@
 
 def member(folder: Path) -> object:
     fleet = fleet_of(folder, f'folder = "{folder}/state"\n')
-    return Agent(fleet, Client(fleet), "n1", MemberStatus(""), lambda text: "", ORDERS, None, None).shown()
+    return Agent(
+        fleet, Client(fleet), "n1", MemberStatus(""), lambda text: "", ORDERS, None, None
+    ).control_status()
 
 
 def cell_server(folder: Path) -> object:
     fleet = fleet_of(folder, 'relays = ["127.0.0.1:7301"]\n')
-    return CellAgent(fleet, "n1", "kind", lambda text: "", ORDERS).shown()
+    return CellAgent(fleet, "n1", "kind", lambda text: "", ORDERS).control_status()
 
 
 def relay(folder: Path) -> object:
     fleet = fleet_of(folder, RELAY)
     assert fleet.relay
-    return RelayService(fleet, fleet.relay, Client(fleet), None, None).shown()
+    return RelayService(fleet, fleet.relay, Client(fleet), None, None).control_status()
 
 
 def replaced(answer: object) -> object:
