--- a/otterrudder/fleet/agent.py
+++ b/otterrudder/fleet/agent.py
@@ -1,10 +1,10 @@
 """The fleet's actor in a server: carries out the effects of the member, and controls the server by what
 follows.
 
-The dispatcher calls `update_server` first in each batch, so the admission status is evaluated with the clock of
-the batch that admits: a process that was frozen suspends admission, if it has to, before it admits its first
-request after it resumes. No request ever waits for the store: effects run in tasks of their own, one a lane, each with its
-deadline, and the state directory is written by a thread.
+The dispatcher calls `update_server` first in each batch, so the admission status is evaluated with the clock
+of the batch that admits: a process that was frozen suspends admission, if it has to, before it admits its
+first request after it resumes. No request ever waits for the store: effects run in tasks of their own, one a
+lane, each with its deadline, and the state directory is written by a thread.
 
 The store's channel and the state directory are given back in `run`, on every way out."""
 
--- a/otterrudder/fleet/assembly.py
+++ b/otterrudder/fleet/assembly.py
@@ -60,9 +60,9 @@
 ) -> "Agent | CellAgent":
     """Returns the agent of the server `name`.
 
-    The agent's `update_server` calls `apply` and `suspend_admission`. `load_report` returns the server's metrics
-    for trials. Raises DirectoryInUseError if another process holds the state directory, and OSError if the state
-    directory or a key file can't be read."""
+    The agent's `update_server` calls `apply` and `suspend_admission`. `load_report` returns the server's
+    metrics for trials. Raises DirectoryInUseError if another process holds the state directory, and OSError
+    if the state directory or a key file can't be read."""
     checker = PolicyChecker(name, own)
 
     def apply_policy(text: str) -> None:
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -43,7 +43,8 @@
 @dataclass(frozen=True, slots=True)
 class LocalConfiguration:
     """What a server's own configuration says, against which a policy is checked. `limits`: None where it is
-    not known; `servers`: of the fleet; `has_shared_downstream`: the downstream service is one for all servers."""
+    not known; `servers`: of the fleet; `has_shared_downstream`: the downstream service is one for all
+    servers."""
 
     products: Sequence[RequestClass]
     tenants: Sequence[Tenant]
