--- a/otterrudder/fleet/__init__.py
+++ b/otterrudder/fleet/__init__.py
@@ -1,8 +1,10 @@
-"""A fleet of servers that agree on who is of it and which policy is in force, by way of a store that exists.
+"""A fleet is a group of servers that agree, through an external store, on their membership and on the policy
+in force.
 
-`store` is the port to the engine, `records` what is kept there, `member` one server's part, `change` a change
-of policy from its proposal to its end, `queue` the changes that wait; all pure but the port. `agent` runs a
-member in a server, by its `executor`. Off where no fleet file is named."""
+`store` defines the interface to the store, `records` the data that is stored there, `member` the state
+machine of one server, `change` a policy change from its proposal to its end, and `queue` the changes that
+wait for their turn. All of these are pure, except the store interface. `agent` runs a member in a server and
+carries out its effects through `executor`. A server without a fleet file runs without any of this."""
 
 from otterrudder.fleet.change import (
     ChangeCoordinator,
--- a/otterrudder/fleet/commits.py
+++ b/otterrudder/fleet/commits.py
@@ -1,7 +1,8 @@
-"""The commits that a member sends: its registration, its vote, its status. Pure.
+"""Builds the commits that a member sends: its registration, its vote and its status. Pure.
 
-Each compares what makes it void if it arrives late: a registration, that no status key is there; a vote, the
-creation of the change and of the member's registration."""
+Each commit compares whatever would make it invalid if it arrived late: a registration compares that the
+status key is absent, and a vote compares the creation revisions of the change and of the member's status
+key."""
 
 from otterrudder.fleet.effects import Commit, Lane
 from otterrudder.fleet.records import Keys, MemberStatus, RosterEntry, Vote, encode
@@ -12,16 +13,17 @@
 def register(
     keys: Keys, name: str, status: MemberStatus, roster: RosterEntry, observed: ObservedState, lease: int
 ) -> Commit:
-    """Makes the status key, which depends on `lease`, and the roster's entry if it is not there as it should
-    be."""
+    """Creates the status key, attached to `lease`, and writes the roster entry unless it is already
+    correct."""
     compares = (
         Compare(keys.status(name), "created", 0),
         Compare(keys.roster(name), "modified", observed.roster_modified),
     )
     writes = [
         Put(keys.status(name), encode(status), lease),
-        # Whoever has counted the votes without this member has to count anew. The change itself is not
-        # touched: all members watch it, and a zone that comes back would have all read for each.
+        # Makes a coordinator that counted the votes without this member count again. The change's own key is
+        # not written: all members watch it, and when a zone comes back, each registration would make all of
+        # them read.
         Put(keys.joined, name.encode()),
     ]
     if observed.roster != roster:
@@ -30,7 +32,7 @@
 
 
 def vote(keys: Keys, name: str, change: OpenChange, registered: int, ballot: Vote) -> Commit:
-    """`registered`: the revision that made the status key of the process that votes."""
+    """Writes the vote. `registered` is the revision that created the status key of the voting process."""
     compares = (
         Compare(keys.change, "created", change.created),
         Compare(keys.status(name), "created", registered),
@@ -40,7 +42,7 @@
 
 
 def report_status(keys: Keys, name: str, status: MemberStatus, registered: int, lease: int) -> Commit:
-    """Writes the status of the process that made its key at the revision `registered`."""
+    """Writes the status of the process whose status key was created at revision `registered`."""
     key = keys.status(name)
     compares = (Compare(key, "created", registered),)
     return Commit("tell", compares, (Put(key, encode(status), lease),), Lane.REPORT_STATUS)
--- a/otterrudder/fleet/state.py
+++ b/otterrudder/fleet/state.py
@@ -1,7 +1,8 @@
-"""The typed state of a member: its admission status, its rules, what it keeps on disk and what it last
-observed.
+"""Data types for the state of a member: its admission status, its rules, the state that it saves to disk, and
+its last observation of the store.
 
-Used by `member/`, which decides, and by whoever shows or stores these values. Plain data, no behaviour."""
+`member/` makes its decisions on these values; other modules display or store them. The types have no
+behaviour."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,22 +13,23 @@
 
 
 class AdmissionStatus(Enum):
-    """Whether a member admits requests, and if not, why. Only the first two admit."""
+    """Whether a member admits requests, and if not, why. Requests are admitted only while SERVING or
+    PREPARED."""
 
     SERVING = ("serving", "serving")
     PREPARED = ("pledged", "serving, and has voted for the open change")
     STARTING = ("starting", "has not read the store since it started")
-    NAME_TAKEN = ("taken", "the name is another process's")
+    NAME_TAKEN = ("taken", "another process holds the name")
     FOREIGN_DIRECTORY = ("foreign", "the name is registered to another state directory")
-    REGISTERING = ("joining", "is not registered yet, or has not read since")
-    OUTDATED = ("behind", "a newer policy is in force and not here yet")
-    POLICY_REJECTED = ("unfit", "the policy in force can't be applied here")
-    OUTCOME_UNKNOWN = ("unheard", "has voted, and has not heard for so long whether it was committed")
-    LEASE_EXPIRED = ("lapsed", "its lease has lapsed, so a change may have gone on without it")
+    REGISTERING = ("joining", "has not registered, or has not read the store since it registered")
+    OUTDATED = ("behind", "a newer policy is in force, and this member has not applied it yet")
+    POLICY_REJECTED = ("unfit", "the policy in force can't be applied to this server")
+    OUTCOME_UNKNOWN = ("unheard", "has voted, and has not learned the outcome of the change within bound_ms")
+    LEASE_EXPIRED = ("lapsed", "its lease has expired, so a change may have been committed without it")
 
     def __init__(self, label: str, description: str) -> None:
-        self.label = label  # in the store, on the control socket and in messages of cells
-        self.description = description  # for people
+        self.label = label  # used in the store, on the control socket and in messages of cells
+        self.description = description  # shown to operators
 
     @property
     def admits(self) -> bool:
@@ -37,36 +39,37 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """Who a member is."""
+    """The identity of a member."""
 
-    keys: Keys  # of its fleet
+    keys: Keys  # the keys of its fleet
     name: str
-    incarnation: str  # of this process: new with each start
-    directory_id: str  # of the state directory, whose disk remembers what was voted
+    incarnation: str  # identifies this process; differs for each start
+    directory_id: str  # identifies the state directory, which records how the member voted
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the fleet's file says of members."""
+    """The settings of the fleet file that govern members."""
 
     absent: Absent = "wait"
-    bound_ms: float = 2000.0  # for which an old policy may be applied after a commit
-    lease_ms: float = 6000.0  # of the store
-    starts_from_directory: bool = False  # only under `wait`
-    # Several processes take the name in turn (the relays of a cell): each one's authority ends with its
-    # lease, whatever `absent` says.
+    bound_ms: float = 2000.0  # maximum time that a member may apply the old policy after a commit, in ms
+    lease_ms: float = 6000.0  # duration of a lease in the store, in ms
+    # Whether a member may admit after a start without reading the store first; only with absent = "wait".
+    starts_from_directory: bool = False
+    # Whether several processes hold the name in turn, as the relays of a cell do. Each one's authority then
+    # ends with its lease, whatever `absent` says.
     is_shared: bool = False
 
     @property
     def depends_on_lease(self) -> bool:
-        """Whether somebody may act in this member's place, or without it, once its lease has lapsed."""
+        """Whether the fleet may act in this member's place, or without it, once its lease has expired."""
         return self.is_shared or self.absent == "leave-out"
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """One that is or was in force. Version 0: none was ever committed, and each server applies its own
-    files."""
+    """A policy that is or was in force. Version 0 means that no policy was ever committed; each server then
+    applies its own configuration files."""
 
     version: int = 0
     change: str = ""
@@ -76,29 +79,32 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedVote:
-    """An acceptance that is on disk and may have reached the store, as in two-phase commit."""
+    """A vote to accept a change, saved to disk before it is sent to the store, like the prepared state of
+    two-phase commit."""
 
     change: str
-    created: int  # the revision that made the change
+    created: int  # revision that created the change's key
 
 
 class MemberState(msgspec.Struct, frozen=True):
-    """What the state directory keeps of a member. The names in the file are those of its first release."""
+    """The state of a member that is saved in its state directory. The names in the file are those of the
+    first release."""
 
     name: str
     directory_id: str = msgspec.field(name="folder")
     applied_policy: Policy = msgspec.field(default=Policy(), name="known")
     prepared_vote: PreparedVote | None = msgspec.field(default=None, name="pledge")
-    joined: bool = False  # the store has had this directory's id on the roster
+    joined: bool = False  # whether the roster has ever listed this directory's ID
     cluster: int = 0
     revision: int = 0
-    # Changes wait for it there, as far as any process of this directory can have asked for.
+    # Whether the roster entry says that changes wait for this member, as last written by a process of this
+    # directory.
     waits_for_member: bool = msgspec.field(default=False, name="waited")
 
 
 @dataclass(frozen=True, slots=True)
 class OpenChange:
-    """The open change, as last seen."""
+    """The open change, as last read."""
 
     id: str
     version: int
@@ -108,14 +114,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """What the last read that is trusted showed of what concerns this member."""
+    """The part of the last trusted read that concerns this member."""
 
     revision: int
     open: OpenChange | None
-    voted: bool | None  # its own vote; None: none is there
+    voted: bool | None  # whether its own vote accepts the open change; None if it has not voted
     roster: RosterEntry | None
     roster_modified: int
     status: MemberStatus | None
     status_created: int
-    has_leader: bool  # some member leads
-    trial: Trial | None  # of the policy in force
+    has_leader: bool  # whether any member is the leader
+    trial: Trial | None  # trial of the policy in force
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -42,7 +42,7 @@
     assert open_next(view) is None
     harness.commit(withdraw_queued(view, "a"))
     assert [entry.id for entry in harness.view().queue] == ["m"]
-    with pytest.raises(QueueRejectedError, match="does not wait"):
+    with pytest.raises(QueueRejectedError, match="the change is not in the queue"):
         withdraw_queued(harness.view(), "a")
 
 
@@ -50,7 +50,9 @@
     harness = Harness()
     entry = encode_record(QueuedChange("x"))
     harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(MAX_QUEUED_CHANGES)))
-    with pytest.raises(QueueRejectedError, match=f"{MAX_QUEUED_CHANGES} changes wait already"):
+    with pytest.raises(
+        QueueRejectedError, match=f"the queue is full: {MAX_QUEUED_CHANGES} changes are already waiting"
+    ):
         enqueue(harness.view(), QueuedChange("y"), "text")
 
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -94,7 +94,7 @@
     )
     assert trouble_in(
         "version = 1\n[products.form-check]\nlate_value = 2", LocalConfiguration(PRODUCTS, [])
-    ) == ("products.form-check.late_value: 2 is not from 0 to 1")
+    ) == ("products.form-check.late_value: 2 is not between 0 and 1")
     told = parse(
         "version = 1\n[products.form-check]\nvalue = 7\n[tenants.north]\nper_s = 400",
         LocalConfiguration(PRODUCTS, [Tenant("north", 0.5), Tenant("south", 0.5, 0.02)], servers=4),
@@ -106,13 +106,13 @@
         LocalConfiguration(PRODUCTS, [], 8, Limits(500.0, 1.0, 0.1)),
     )
     assert told.limits == Limits(300.0, 3.0, 0.1)
-    assert "limits.stay_away_ms: 600 is more than callers honour here, 500" in trouble_in(
+    assert "limits.stay_away_ms: 600 is above 500, the longest delay that callers honour" in trouble_in(
         "version = 1\n[limits]\nstay_away_ms = 600", LocalConfiguration(PRODUCTS, [], 8, Limits(500.0))
     )
     assert trouble_in(
         "version = 1\n[budgets]\ncalls = 24", LocalConfiguration(PRODUCTS, [], has_shared_downstream=False)
-    ) == ("budgets.calls: here no service lies below that all servers share")
-    assert "limits.over_share_value: 3 is not from 0 to 1" in trouble_in(
+    ) == ("budgets.calls: the servers do not share one downstream service")
+    assert "limits.over_share_value: 3 is not between 0 and 1" in trouble_in(
         "version = 1\n[limits]\nover_share_value = 3", LocalConfiguration(PRODUCTS, [])
     )
     with pytest.raises(InvalidPolicyError, match="not TOML"):
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -183,7 +183,7 @@
     words = [sys.executable, "-m", "otterrudder", "fleet", "policy", "check", str(policy)]
     told = subprocess.run(words, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
     assert told.returncode == 2
-    assert "limits.stay_away_ms: 5000 is more than callers honour here, 1000" in told.stderr
+    assert "limits.stay_away_ms: 5000 is above 1000, the longest delay that callers honour" in told.stderr
 
 
 def test_a_fleet_and_a_table_of_its_own_are_refused(tmp_path: Path) -> None:
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -87,7 +87,7 @@
                 == ABORTED
             )
             told = (tmp_path / "proposers.txt").read_text()
-            assert "products.nothing: no product is named so" in told
+            assert "products.nothing: no product has this name" in told
             assert await all_shown(cluster) == ["look", "look"]
 
             # A relay that is told to stop sends its servers on.
