--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -1,5 +1,5 @@
-"""What a member does: each result goes to the part that it concerns, and from what the parts know follow the
-effects that are due. The rules that this keeps are in the package's docstring."""
+"""The state machine of a member: passes each result to the part that it concerns, and derives the effects
+that are due from the state of the parts. The package's docstring states the rules that a member follows."""
 
 import math
 import zlib
@@ -17,18 +17,18 @@
 
 
 class Member(MemberParts):
-    """One member of the fleet: results and times in, effects out."""
+    """One member of the fleet. Takes results and times, and returns effects."""
 
     __slots__ = ()
 
     # Events.
 
     def handle_watch_event(self) -> None:
-        """Something changed in the store, or a watch was begun: it is read."""
+        """Schedules a read, because the store has changed or a watch has started."""
         self.reads.is_stale = True
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
-        """How an effect ended; `sent`: when it was begun."""
+        """Handles the outcome of an effect that was started at `sent`."""
         self._busy -= {effect.lane}
         if effect.lane is Lane.REPORT_STATUS:
             self._handle_report_result(now, outcome)
@@ -50,31 +50,33 @@
             self._handle_store_result(now, sent, outcome)
 
     def validation_result(self, digest: str) -> str | None:
-        """What is wrong with that text, "" if nothing; None: it was not validated last."""
+        """Returns why this server rejects the text, or "" if it accepts it. Returns None if this was not the
+        text validated last."""
         return self.policies.documents.result_for(digest)
 
     def discard_validation(self) -> None:
-        """The last validation may no longer be right: no vote goes by it, and a vote not sent is
-        withdrawn."""
+        """Discards the last validation, which may be out of date, and withdraws a vote based on it that has
+        not been sent."""
         self.policies.documents = self.policies.documents.without_result()
         self.voting.withdraw_unsent()
 
-    # What it asks for.
+    # Effects.
 
     def effects(self, now: float) -> list[Effect]:
-        """What is to be begun now; each owes `handle_result` one outcome. A vote needs a validation and a
-        save."""
+        """Returns the effects to start now. The caller must pass the outcome of each to `handle_result`."""
+        # The store comes first: a vote that it prepares makes the validation or the save due.
         store, disk = self._store_effect(now), self._disk_effect(now)
         validation, lease = self._validation_effect(), self._lease_effect(now)
-        found = [store, validation, disk, lease, self._report_effect(now)]
-        begun = [effect for effect in found if effect]
-        self._busy |= {effect.lane for effect in begun}
-        if any(effect.lane is Lane.STORE for effect in begun):
+        candidates = [store, validation, disk, lease, self._report_effect(now)]
+        due = [effect for effect in candidates if effect]
+        self._busy |= {effect.lane for effect in due}
+        if any(effect.lane is Lane.STORE for effect in due):
             self.trust.begin_request()
-        return begun
+        return due
 
     def due(self) -> float:
-        """When `effects` may next return something by itself; -inf: now."""
+        """Returns the earliest time at which `effects` may return something without a new event; -inf means
+        now."""
         times = [math.inf]
         if Lane.STORE not in self._busy:
             times += self._store_times()
@@ -89,7 +91,7 @@
         return min(times)
 
     def _store_times(self) -> list[float]:
-        """When requests to the store are due."""
+        """Returns the times at which requests to the store are due."""
         reads, voting = self.reads, self.voting
         read_at = reads.retry_at if reads.is_stale else self._next_read()
         times = [max(read_at, voting.vote_priority_until)]
@@ -102,7 +104,8 @@
     # Reads of the store.
 
     def _store_effect(self, now: float) -> Effect | None:
-        """One request at a time: a read that is due, a registration, a vote."""
+        """Returns the next request to the store, if any: a read that is due, a registration or a vote. Only
+        one request is in flight at a time."""
         if Lane.STORE in self._busy or now < self.reads.retry_at:
             return None
         may_read = now >= self.voting.vote_priority_until
@@ -119,7 +122,7 @@
         if vote := self._vote(now, observed):
             self.voting.vote_priority_until = -math.inf
             return vote
-        if self.reads.is_stale and may_read:  # a text is missing
+        if self.reads.is_stale and may_read:  # `_vote` found that a text has to be read
             return self._read(now)
         return None
 
@@ -133,11 +136,11 @@
             names.append(keys.text(missing))
         is_ready = change is not None and not self.voting.binds() and self.policies.has_text(change)
         if self.registered and not is_ready:
-            names.append(keys.opening)  # a change may have been opened: its text comes with it
+            names.append(keys.opening)  # if a change has been opened, its text is read at once
         return Read(tuple(names))
 
     def _next_read(self) -> float:
-        """When it reads without a watch event."""
+        """Returns when the next read is due without a watch event."""
         read_at, rules = self.reads.read_at, self.rules
         if self.prepared_vote:
             return read_at + rules.bound_ms * POLL_SHARE
@@ -145,14 +148,14 @@
             return read_at + MAX_RETRY_MS
         if self.observed and self.registration.is_name_unavailable(self.observed) or self.distrust_reason:
             return read_at + rules.lease_ms * RENEW_SHARE
-        return read_at + rules.lease_ms  # a watch may be dead and not know it
+        return read_at + rules.lease_ms  # a watch may have stopped without an error
 
     def _handle_store_result(self, now: float, sent: float, outcome: Outcome) -> None:
-        """Of a read, a registration or a vote."""
+        """Handles the outcome of a read, a registration or a vote."""
         if isinstance(outcome, Snapshot):
             self._handle_read_result(now, sent, outcome)
             return
-        self.reads.is_stale = True  # whatever took effect: what is so now is read
+        self.reads.is_stale = True  # the store is read to find out what took effect
         if outcome is None or isinstance(outcome, CommitResult) and not outcome.succeeded:
             self._fail(now)
 
@@ -172,7 +175,7 @@
             self.reads.succeed(now)
 
     def _accept(self, now: float, sent: float, snapshot: FleetSnapshot) -> None:
-        """A read that is trusted."""
+        """Updates the member from a trusted read."""
         raw = snapshot.raw
         self.trust.accept(raw.cluster, raw.revision)
         self.observed = observed = self._observe(snapshot)
@@ -189,10 +192,10 @@
         self.voting.vote_priority_until = now + VOTE_PRIORITY_MS if self._may_vote_next(now) else -math.inf
         if self.registered:
             has_news = self._current_report(now) != self.reporter.reported or observed.trial is not None
-            self.reporter.schedule(now, has_news, self._draw)
+            self.reporter.schedule(now, has_news, self._jitter)
 
     def _observe(self, snapshot: FleetSnapshot) -> ObservedState:
-        """What the read shows of what concerns this member."""
+        """Returns the part of the snapshot that concerns this member."""
         keys, name, raw, change = self.keys, self.name, snapshot.raw, snapshot.change
         entry = raw.entries.get(keys.change)
         vote = snapshot.vote(name)
@@ -209,11 +212,12 @@
         )
 
     def _fail(self, now: float) -> None:
-        """A request to the store failed: it is repeated later, in time for the bound while a vote binds."""
+        """Schedules a retry after a failed request to the store. While a vote is prepared, the retry comes
+        early enough for bound_ms."""
         max_wait_ms = MAX_RETRY_MS
         if self.prepared_vote:
             max_wait_ms = min(max_wait_ms, self.rules.bound_ms * POLL_SHARE)
-        self.reads.fail(now, max_wait_ms, self._draw)
+        self.reads.fail(now, max_wait_ms, self._jitter)
 
     # Registration and lease.
 
@@ -224,20 +228,23 @@
         return self.registration.commit(observed, status)
 
     def _may_register(self) -> bool:
-        """The name is free, a lease is there, and the state directory does not say what is no longer so."""
-        is_free = self.observed is not None and not self.registration.is_name_unavailable(self.observed)
-        has_outlived_wait = not self.registration.waits_for_member and self.local_state.has_saved_wait()
-        return is_free and self.lease > 0 and not self.reads.is_stale and not has_outlived_wait
+        """Whether the member may register: its name is available, it has a lease, and the state directory
+        does not still say that changes wait for the member although its rules have changed."""
+        is_available = self.observed is not None and not self.registration.is_name_unavailable(self.observed)
+        has_outdated_wait = not self.registration.waits_for_member and self.local_state.has_saved_wait()
+        return is_available and self.lease > 0 and not self.reads.is_stale and not has_outdated_wait
 
     def lose_registration(self) -> None:
-        """The lease or the status key is gone: the store is read before anything else counts."""
+        """Handles the loss of the lease or of the status key. The store has to be read again before the
+        member does anything else."""
         self.registration.lose()
         self.reads.is_stale = True
         self.voting.vote_priority_until = -math.inf
-        # A read that was sent before, and comes late, would show the registration as it was.
+        # The result of a read that was sent before would still show the lost registration.
         self.reads.is_discarded = Lane.STORE in self._busy
         if self.rules.is_shared:
-            self.reads.retry_at = -math.inf  # the store is back, and all that depend on this name wait for it
+            # The store answers again, and all servers of the cell wait for the registration.
+            self.reads.retry_at = -math.inf
 
     def _lease_effect(self, now: float) -> Effect | None:
         return None if Lane.LEASE in self._busy else self.registration.lease_effect(now, self.observed)
@@ -251,28 +258,29 @@
             self.lose_registration()
         self.registration.renew(now, sent, outcome.lease)
 
-    # The vote, and the validation that it needs.
+    # Voting and validation.
 
     def _change_to_vote_on(self) -> OpenChange | None:
-        """The open change, as last seen, where it is registered and has not voted on it."""
+        """Returns the open change, as last read, if this member is registered and has not voted on it."""
         if not self.registered or not self.observed or self.observed.voted is not None:
             return None
         return self.observed.open
 
     def _may_vote_next(self, now: float) -> bool:
-        """Whether nothing more has to be read for the vote that it owes."""
+        """Whether the member has an outstanding vote and has read everything that the vote needs."""
         change = self._change_to_vote_on()
         if not change or self.policies.is_outdated() or now < self.voting.abstains_until:
             return False
         return self.validation_result(change.digest) is not None or self.policies.has_text(change)
 
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
-        """The vote that is owed and ready to be sent, if any."""
+        """Returns the outstanding vote if it is ready to be sent, or None."""
         voting, change = self.voting, observed.open
         voting.is_abstaining = False
         if not change or observed.voted is not None:
             return None
-        # A prepared vote of an earlier process binds what is admitted; the vote says what is so now.
+        # Even if an earlier process has prepared a vote, which binds admission, the vote that is sent states
+        # the result of the current validation.
         rejection = self._rejection_of(change)
         if rejection is None:
             return None
@@ -282,13 +290,14 @@
         if not rejection:
             voting.prepare(change)
             if self.local_state.is_dirty(self._state()):
-                return None  # not before the prepared vote is on disk
+                return None  # the prepared vote has to be on disk first
             voting.mark_sent(now)
         ballot = Vote(not rejection, rejection, self.identity.incarnation)
         return commits.vote(self.keys, self.name, change, self.registered, ballot)
 
     def _rejection_of(self, change: OpenChange) -> str | None:
-        """Why the change is rejected; "": it is accepted; None: the text is read or validated first."""
+        """Returns why the change is rejected, or "" if it is accepted. Returns None if the text has to be
+        read or validated first."""
         if self.local_state.error:
             return f"{self.name}: its folder: {self.local_state.error}"
         rejection = self.policies.review(change)
@@ -315,16 +324,17 @@
             self.local_state.succeed(effect.record)
         else:
             self.local_state.fail(now)
-            self.voting.withdraw_unsent()  # nothing was sent: it will be a rejection
+            self.voting.withdraw_unsent()  # the member will reject the change instead
 
-    # What it reports for operators.
+    # Status reports for operators.
 
     def _may_report(self) -> bool:
-        """A vote, for which all others wait, goes first."""
+        """Whether a report may be sent. An outstanding vote goes first, because all other members wait for
+        it."""
         return self._change_to_vote_on() is None
 
     def _current_report(self, now: float) -> tuple[int, str]:
-        """The version that is applied, and the label of the status that others may know."""
+        """Returns the version of the applied policy and the label of the published status."""
         status = self.admission_status(now)
         shown = AdmissionStatus.SERVING if status.admits else status
         return self.applied_policy.version, shown.label
@@ -335,19 +345,21 @@
             return None
         current = self._current_report(now)
         trial = self.observed.trial if self.observed else None
-        self.reporter.begin(now, current, trial, self._draw)
+        self.reporter.begin(now, current, trial, self._jitter)
         status = self.reporter.status(self.applied_policy, current, trial)
         return commits.report_status(self.keys, self.name, status, self.registered, self.lease)
 
     def _handle_report_result(self, now: float, outcome: Outcome) -> None:
-        """What did not get through is reported again, if the member is still registered then."""
+        """Handles the outcome of a report. A report without an answer is repeated; if the commit failed, the
+        store is read, because the registration may be lost."""
         if outcome is None:
             self.reporter.report_at = min(self.reporter.report_at, now + MAX_RETRY_MS)
         elif isinstance(outcome, CommitResult) and not outcome.succeeded:
             self.reads.is_stale = True
 
-    def _draw(self, purpose: str) -> float:
-        """A number from 0 to 1 that differs between members, processes and failures: no randomness inside."""
+    def _jitter(self, purpose: str) -> float:
+        """Returns a number from 0 to 1 that differs between members, processes and failures. It is a hash
+        instead of a random number, because the member is pure."""
         seed = (
             f"{self.name}/{self.identity.incarnation}/{purpose}/{self.reads.failures}/{self.trust.revision}"
         )
--- a/otterrudder/fleet/member/parts.py
+++ b/otterrudder/fleet/member/parts.py
@@ -1,4 +1,4 @@
-"""The parts of which a member is made, and whether it admits by what they know."""
+"""The parts of a member, and the admission status that follows from their state."""
 
 import math
 from collections.abc import Callable
@@ -24,9 +24,9 @@
 
 
 class MemberParts:
-    """The parts of a member, and what others ask of them most."""
+    """Holds the parts of a member and provides the values that other modules read most."""
 
-    # The parts; a mutant of a model search has one of its own.
+    # Types of the parts. The model search replaces them by faulty variants.
     registration_type: type[Registration] = Registration
     voting_type: type[Voting] = Voting
     trust_type: type[StoreTrust] = StoreTrust
@@ -61,9 +61,12 @@
         status: MemberStatus | None = None,
         cluster: int = 0,
     ) -> None:
-        """`record`: what the state directory has, None where it is empty; `directory_id`: new with an empty
-        one. `validate`: what is wrong for this server with the text that the record has, "" if nothing.
-        `cluster`: the only engine that is trusted, where the fleet's file names it; 0: the first."""
+        """Creates a member that has not read the store yet.
+
+        `record` is the state from the state directory, or None if the directory is empty; an empty directory
+        gets a new `directory_id`. `validate` returns why this server rejects the policy text in the record,
+        or "" if it accepts it. `cluster` is the ID of the only trusted store, if the fleet file names it; 0
+        means the first one that answers."""
         self.identity = MemberIdentity(keys, name, incarnation, directory_id)
         self.rules = rules
         self.policies = PolicyState(record, validate)
@@ -76,61 +79,61 @@
         is_same_store = record is not None and record.cluster == trusted
         self.trust = self.trust_type(trusted, record.revision if record and is_same_store else 0)
         self.observed: ObservedState | None = None
-        self.answered_at = -math.inf  # when the store last answered anything
+        self.answered_at = -math.inf  # when the last answer of the store arrived
         self._busy: frozenset[Lane] = frozenset()
         self.registration.has_synced = self._may_trust_directory()
 
-    # What others ask of it most.
+    # Values that other modules read.
 
     @property
     def keys(self) -> Keys:
-        """Of the fleet."""
+        """The store keys of the fleet."""
         return self.identity.keys
 
     @property
     def name(self) -> str:
-        """The member's, unique in the fleet."""
+        """The member's name, which is unique in the fleet."""
         return self.identity.name
 
     @property
     def applied_policy(self) -> Policy:
-        """The policy applied here."""
+        """The policy that this server applies."""
         return self.policies.applied_policy
 
     @property
     def prepared_vote(self) -> PreparedVote | None:
-        """The vote that binds this member, or will once it is sent."""
+        """The vote that binds this member, or will bind it once it is sent; None if there is none."""
         return self.voting.prepared_vote
 
     @property
     def registered(self) -> int:
-        """The revision that made this process's status key; 0: it is not registered."""
+        """The revision that created this process's status key; 0 if it is not registered."""
         return self.registration.registered
 
     @property
     def lease(self) -> int:
-        """The store's number of its lease; 0: it has none."""
+        """The ID of its lease in the store; 0 if it has none."""
         return self.registration.lease
 
     @property
     def is_leader(self) -> bool:
-        """Whether it is the one member that coordinates changes."""
+        """Whether this member is the leader, which coordinates changes."""
         return self.registration.is_leader
 
     @property
     def distrust_reason(self) -> str:
-        """Why the store is not trusted; "": it is."""
+        """Why the store is not trusted; "" if it is trusted."""
         return self.trust.distrust_reason
 
     @property
     def status_detail(self) -> str:
-        """More on its status, for operators."""
+        """Details on the admission status for operators; "" if there are none."""
         return self.policies.rejection or self.trust.distrust_reason or self.local_state.error
 
-    # Whether it admits.
+    # Admission.
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """At the moment of an admission, by the time of that moment."""
+        """Returns the admission status at the time `now`, which is the moment of the admission."""
         if not self.registration.has_synced:
             return self.registration.status_before_sync(self.observed)
         if self.policies.is_outdated():
@@ -144,21 +147,24 @@
         return AdmissionStatus.PREPARED if self.prepared_vote else AdmissionStatus.SERVING
 
     def admits(self, now: float) -> int | None:
-        """The version that it admits under; None: admission is suspended."""
+        """Returns the version of the policy under which requests are admitted, or None if admission is
+        suspended."""
         return self.applied_policy.version if self.admission_status(now).admits else None
 
     def authority_until(self, now: float) -> float:
-        """Until when it goes on admitting, or granting leases, if it hears nothing more; -inf: it does not
-        admit."""
+        """Returns until when the member may admit requests, or grant leases, if no further answer arrives.
+        Returns -inf if admission is suspended."""
         if not self.admission_status(now).admits:
             return -math.inf
         until = self.registration.valid_until() if self.rules.depends_on_lease else math.inf
         return min(until, self.voting.valid_until(self.rules.bound_ms))
 
     def _may_trust_directory(self) -> bool:
-        """No change can have been committed without this name's vote, and it has given none that it does not
-        know the outcome of. A new directory has never been asked, so it can't know; and where the file has
-        said "leave-out" until now, the roster still does."""
+        """Whether the member may admit after a start without reading the store first.
+
+        It may if no change can have been committed without its vote and it has prepared no vote whose outcome
+        it does not know. This does not hold for a new directory, which has no record of earlier votes, nor if
+        the fleet file said "leave-out" until now, because the roster still says so."""
         return (
             self.rules.starts_from_directory
             and self.registration.waits_for_member
@@ -167,7 +173,7 @@
         )
 
     def _state(self) -> MemberState:
-        """What a start would need to know."""
+        """Returns the state that a restart would need."""
         registration, trust = self.registration, self.trust
         return MemberState(
             self.name,
--- a/otterrudder/fleet/member/status_reporter.py
+++ b/otterrudder/fleet/member/status_reporter.py
@@ -1,4 +1,4 @@
-"""What a member reports of itself to operators, by its status key. Nothing waits for it."""
+"""Reports a member's status to operators through its status key. No other operation waits for a report."""
 
 import math
 from collections.abc import Callable
@@ -6,44 +6,48 @@
 from otterrudder.fleet.records import MemberStatus, Trial
 from otterrudder.fleet.state import AdmissionStatus, MemberIdentity, Policy
 
-# ms over which members report that they have switched, so that a change is no burst of writes
+# Members spread their reports of a new status over this time, so that a change causes no burst of writes.
 REPORT_SPREAD_MS = 2000.0
-METRICS_INTERVAL_MS = 3000.0  # ms between reports of metrics while a policy is on trial
+METRICS_INTERVAL_MS = 3000.0  # mean interval between reports of metrics while a policy is on trial
 REGISTERING = AdmissionStatus.REGISTERING.label
 
 
 class StatusReporter:
-    """The last report, and when the next one is due."""
+    """Keeps the last report and the time of the next one."""
 
     __slots__ = ("identity", "metrics", "report_at", "reported", "template")
 
     def __init__(self, identity: MemberIdentity, template: MemberStatus | None) -> None:
-        """`template`: what does not change while the process runs."""
+        """`template` has the fields that do not change while the process runs."""
         self.identity = identity
         self.template = template or MemberStatus(identity.incarnation)
-        self.metrics: tuple[tuple[str, float], ...] = ()  # how this server does, as it last said
-        self.report_at = math.inf
-        self.reported = (0, "")  # the version and the status's label
+        self.metrics: tuple[tuple[str, float], ...] = ()  # the server's latest metrics
+        self.report_at = math.inf  # when the next report is due; inf if there is nothing to report
+        self.reported = (0, "")  # policy version and status label of the last report
 
-    def schedule(self, now: float, has_news: bool, draw: Callable[[str], float]) -> None:
-        """After a read: news are reported within REPORT_SPREAD_MS."""
+    def schedule(self, now: float, has_news: bool, jitter: Callable[[str], float]) -> None:
+        """Schedules a report of a changed status within REPORT_SPREAD_MS. Called after each read."""
         if has_news and self.report_at == math.inf:
-            self.report_at = now + draw("tell") * REPORT_SPREAD_MS
+            self.report_at = now + jitter("tell") * REPORT_SPREAD_MS
 
     def begin(
-        self, now: float, current: tuple[int, str], trial: Trial | None, draw: Callable[[str], float]
+        self, now: float, current: tuple[int, str], trial: Trial | None, jitter: Callable[[str], float]
     ) -> None:
-        """A report is sent; while a policy is on trial, the next one follows with new metrics."""
+        """Records that a report is sent, and schedules the next report of metrics if a policy is on trial."""
         self.reported = current
-        spread = 0.75 + draw("figures") / 2
+        spread = 0.75 + jitter("figures") / 2
         self.report_at = now + METRICS_INTERVAL_MS * spread if trial else math.inf
 
     def status(self, known: Policy, current: tuple[int, str], trial: Trial | None) -> MemberStatus:
-        """The record of the status key."""
+        """Returns the record for the status key."""
         version, label = current
         asked_metrics = {metric for metric, _ in trial.conditions} if trial else set()
-        # One that is no number would be null in the record, and the whole of it unread.
-        metrics = tuple(one for one in self.metrics if one[0] in asked_metrics and math.isfinite(one[1]))
+        # JSON encodes NaN and infinity as null, which would make the whole record undecodable.
+        metrics = tuple(
+            (metric, value)
+            for metric, value in self.metrics
+            if metric in asked_metrics and math.isfinite(value)
+        )
         template = self.template
         return MemberStatus(
             self.identity.incarnation,
--- a/otterrudder/fleet/member/voting.py
+++ b/otterrudder/fleet/member/voting.py
@@ -1,16 +1,17 @@
-"""A member's vote on the open change: prepared on disk, sent once, and binding until the outcome is known."""
+"""A member's vote on the open change. It is saved to disk, sent once, and binds the member until the outcome
+is known."""
 
 import math
 
 from otterrudder.fleet.state import MemberState, ObservedState, OpenChange, PreparedVote
 
-# ms after a read in which the vote that it leads to is made ready, and goes before the read that the next
-# watch event asks for: where the store is far, all others would wait for that read as well
+# For this time after a read, the vote on the change that it shows takes precedence over the read that the
+# next watch event asks for. With a distant store, all other members would have to wait for that read too.
 VOTE_PRIORITY_MS = 150.0
 
 
 class Voting:
-    """The vote that this member has prepared, and when it may vote at all."""
+    """Tracks the vote that this member has prepared, and when it may vote."""
 
     __slots__ = (
         "abstains_until",
@@ -23,50 +24,49 @@
 
     def __init__(self, record: MemberState | None) -> None:
         self.prepared_vote = record.prepared_vote if record else None
-        self.vote_sent = self.prepared_vote is not None  # by an earlier process: it may have been
-        # When the read was sent that last showed the change open that the prepared vote is about.
+        # Whether the vote may have reached the store. An earlier process may have sent a vote found on disk.
+        self.vote_sent = self.prepared_vote is not None
+        # When the last read was sent that showed the change of the prepared vote still open.
         self.confirmed_open_at = -math.inf
-        self.abstains_until = -math.inf  # it does not vote before
-        self.is_abstaining = False  # it would vote, if it did not abstain
-        self.vote_priority_until = (
-            -math.inf
-        )  # a read that a watch event asks for waits for the vote until then
+        self.abstains_until = -math.inf  # earliest time of a vote
+        self.is_abstaining = False  # whether a vote is ready and is held back only by `abstains_until`
+        self.vote_priority_until = -math.inf  # until this time, reads wait for the vote
 
     def prepare(self, change: OpenChange) -> None:
-        """A vote for this change is to be sent, once it is on disk."""
+        """Prepares the vote to accept this change. It may be sent once it is on disk."""
         vote = PreparedVote(change.id, change.created)
         if self.prepared_vote != vote:
             self.prepared_vote, self.vote_sent = vote, False
 
     def mark_sent(self, now: float) -> None:
-        """The vote is on its way: it may count from now on."""
+        """Records that the vote is sent, so the change may be committed by it from now on."""
         if not self.vote_sent:
             self.vote_sent, self.confirmed_open_at = True, now
 
     def withdraw_unsent(self) -> None:
-        """A vote that was prepared and not sent does not bind."""
+        """Withdraws a prepared vote that has not been sent."""
         if self.prepared_vote and not self.vote_sent:
             self.prepared_vote = None
 
     def update(self, sent: float, observed: ObservedState, is_up_to_date: bool) -> None:
-        """What a read that was sent then shows of the change that the vote is about. `is_up_to_date`: the
-        newest policy in force is applied here."""
+        """Updates the vote from a read sent at `sent`. `is_up_to_date` says whether the newest policy in
+        force is applied here."""
         change = observed.open
         opened = PreparedVote(change.id, change.created) if change else None
         if opened and observed.voted and self.prepared_vote != opened:
-            # An earlier process's, whose state directory is not here.
+            # An earlier process sent this vote, and its state directory was lost.
             self.prepared_vote, self.vote_sent, self.confirmed_open_at = opened, True, sent
         if not self.prepared_vote:
             return
         if opened == self.prepared_vote:
             self.confirmed_open_at = max(self.confirmed_open_at, sent)
-        elif is_up_to_date:  # the change has ended, and what is in force since is here
+        elif is_up_to_date:  # the change has ended, and its outcome is applied
             self.prepared_vote, self.vote_sent, self.confirmed_open_at = None, False, -math.inf
 
     def binds(self) -> bool:
-        """Whether the change may be committed by this member's vote."""
+        """Whether the change may be committed with this member's vote."""
         return self.prepared_vote is not None and self.vote_sent
 
     def valid_until(self, bound_ms: float) -> float:
-        """Until when the policy before the change may be applied; inf: no vote binds."""
+        """Returns until when the policy before the change may be applied; inf if no vote binds the member."""
         return self.confirmed_open_at + bound_ms if self.binds() else math.inf
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -333,7 +333,7 @@
     relay.handle_result(0.0, read, 0.0, harness.space.answer(0.0, read))
     for now in range(0, 1500, 100):
         assert not [effect for effect in relay.effects(float(now)) if isinstance(effect, Read)]
-    assert relay.member.status_detail.startswith("another engine answers") and relay.due() == 1500.0
+    assert relay.member.status_detail.startswith("another store answers") and relay.due() == 1500.0
 
 
 def test_a_prepared_vote_of_an_earlier_incarnation_is_no_vote() -> None:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -326,7 +326,7 @@
     fleet.space.cluster = 7
     fleet.later(6000.0)
     assert fleet.members["a"].admission_status(fleet.now) is AdmissionStatus.LEASE_EXPIRED
-    assert "another engine answers: 7, not 1" in fleet.members["a"].status_detail
+    assert "another store answers: cluster 7, not 1" in fleet.members["a"].status_detail
     fleet.space = true
     fleet.later(3000.0)
     assert fleet.admits() == [0]
@@ -410,7 +410,7 @@
     assert fleet.admits() == [1, 1] and "revision went back" in fleet.members["a"].status_detail
     fleet.space = KeySpace(cluster=7, revision=900)
     fleet.later(11_000.0)
-    assert fleet.admits() == [1, 1] and "another engine answers" in fleet.members["a"].status_detail
+    assert fleet.admits() == [1, 1] and "another store answers" in fleet.members["a"].status_detail
 
 
 def test_a_name_is_one_process_s_until_an_operator_says_that_it_is_gone() -> None:
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -221,7 +221,7 @@
             group.start_soon(agent.run)
             await until(admits)
             engine.stop()
-            await until(lambda: "another engine answers: 99" in agent.member.distrust_reason)
+            await until(lambda: "another store answers: cluster 99" in agent.member.distrust_reason)
             await until(lambda: not admits())  # its lease lapses, whatever the other one says
             engine.start()
             await until(lambda: admits() and not agent.member.distrust_reason)
