--- a/otterrudder/fleet/change/__init__.py
+++ b/otterrudder/fleet/change/__init__.py
@@ -1,17 +1,17 @@
-"""A change of policy, from its proposal to its end, and its trial. Pure: a snapshot of the store in, one
-commit out.
+"""The life of a policy change, from its proposal to its end, and its trial. Pure: each function takes a
+snapshot of the store and returns at most one commit.
 
-`proposal` opens and withdraws changes, `votes` counts them, `finish` ends a change by the votes, `trial`
-watches a policy on trial, `coordinator` sees to it that all of this happens.
+`proposal` opens and withdraws changes, `votes` counts the votes, `finish` commits or aborts a change by its
+votes, `trial` monitors a policy on trial, and `coordinator` drives all of this.
 
-A coordinator decides nothing: the votes do. A change is committed once every member on the roster has
-accepted it, or was left out by its own rule with its lease lapsed; it is aborted at the first rejection and
-at its deadline. Each of these is one commit that compares the open change as it was read, and who had
-registered by then; so of any number of coordinators at any time, dead or alive, one commit takes effect and
-the others fail. A vote, once in the store, stays until the change ends: what was counted at a read still
-stands at the commit.
+The coordinator makes no decisions of its own; the votes decide. A change is committed once every member on
+the roster has accepted it or is left out, which is possible only if its own rule allows that and its lease
+has expired. A change is aborted at the first rejection or at its deadline. Each outcome is one commit that
+compares the open change as it was read, and a successful outcome also compares the key `joined`, which each
+registration writes. So of any number of coordinators only one commit takes effect, and the others fail. A
+vote stays in the store until the change ends, so the votes counted at a read are still there at the commit.
 
-A commit has a handful of writes and compares at any size of the fleet, for engines bound them (etcd: 128)."""
+A commit has only a few writes and compares at any fleet size, because stores limit them (etcd: 128)."""
 
 from otterrudder.fleet.change.coordinator import COUNT_INTERVAL_MS, ChangeCoordinator
 from otterrudder.fleet.change.finish import finish_change
--- a/otterrudder/fleet/change/finish.py
+++ b/otterrudder/fleet/change/finish.py
@@ -1,4 +1,4 @@
-"""The end of the open change: committed or aborted, by the votes alone."""
+"""Ends the open change: the votes alone decide whether it is committed or aborted."""
 
 from otterrudder.fleet.change.votes import VoteCount, count_votes
 from otterrudder.fleet.effects import Commit, Lane
@@ -13,41 +13,44 @@
 )
 from otterrudder.fleet.store import Compare, Delete, Put, Write
 
-MAX_REASONS = 8  # rejections that are kept with an end: one has a file and a key to look at, not a thousand
+# Maximum number of names that the outcome of a change lists, for example those of the members that rejected
+# it. A few are enough to find the file and key at fault, even if a thousand members rejected it.
+MAX_REASONS = 8
 
 
-def finish_change(snapshot: FleetSnapshot, is_late: bool) -> Commit | None:
-    """The end of the open change, if it is decided. `is_late`: its deadline has passed."""
+def finish_change(snapshot: FleetSnapshot, is_past_deadline: bool) -> Commit | None:
+    """Returns the commit that ends the open change, or None if its outcome is not decided yet."""
     change = snapshot.change
     if not change:
         return None
     votes = count_votes(snapshot)
     if votes.rejections:
-        return end_change(snapshot, change, False, _rejections(votes))
+        return end_change(snapshot, change, False, _describe_rejections(votes))
     if not votes.pending:
         return end_change(snapshot, change, True, "", votes.left_out)
-    if is_late:
-        return end_change(snapshot, change, False, _missing(votes))
+    if is_past_deadline:
+        return end_change(snapshot, change, False, _describe_pending(votes))
     return None
 
 
-def _rejections(votes: VoteCount) -> str:
-    named = [f"{name}: {reason}" for name, reason in votes.rejections[:MAX_REASONS]]
-    more = len(votes.rejections) - len(named)
-    return "; ".join(named) + (f"; and {more} more" if more else "")
+def _describe_rejections(votes: VoteCount) -> str:
+    listed = [f"{name}: {reason}" for name, reason in votes.rejections[:MAX_REASONS]]
+    more = len(votes.rejections) - len(listed)
+    return "; ".join(listed) + (f"; and {more} more" if more else "")
 
 
-def _missing(votes: VoteCount) -> str:
-    named = list(votes.pending[:MAX_REASONS])
-    if more := len(votes.pending) - len(named):
-        named.append(f"{more} more")
-    return f"no word in time from {', '.join(named)}"
+def _describe_pending(votes: VoteCount) -> str:
+    listed = list(votes.pending[:MAX_REASONS])
+    if more := len(votes.pending) - len(listed):
+        listed.append(f"{more} more")
+    return f"no vote in time from {', '.join(listed)}"
 
 
 def end_change(
     snapshot: FleetSnapshot, change: Change, committed: bool, reason: str, left_out: tuple[str, ...] = ()
 ) -> Commit:
-    """Ends the open change, with `reason` where it is aborted."""
+    """Returns the commit that ends the open change. `reason` says why it is aborted, and is empty if it is
+    committed."""
     keys, raw = snapshot.keys, snapshot.raw
     end = FinishedChange(
         change.id,
@@ -71,14 +74,15 @@
     if committed:
         writes += _policy_writes(snapshot, change)
     compares = [Compare(keys.change, "modified", raw.entries[keys.change].modified), *end_compares]
-    if committed and not end_compares:  # nobody has come since whose vote was not counted
+    # makes the commit fail if a member has registered since the votes were read
+    if committed and not end_compares:
         compares.append(Compare(keys.joined, "modified", raw.modified(keys.joined)))
     purpose = "commit" if committed else "abort"
     return Commit(purpose, tuple(compares), tuple(writes), Lane.COORDINATE)
 
 
 def _policy_writes(snapshot: FleetSnapshot, change: Change) -> list[Write]:
-    """The change's policy is in force, on trial if it says so."""
+    """Returns the writes that put the change's policy in force, on trial if the change says so."""
     keys = snapshot.keys
     head = PolicyHead(
         change.version, change.id, change.digest, change.author, change.note, change.proposed_at_ms
--- a/otterrudder/fleet/change/trial.py
+++ b/otterrudder/fleet/change/trial.py
@@ -1,4 +1,4 @@
-"""A policy on trial: the fleet goes back by itself while one of its metrics is above its bound."""
+"""Trials of a policy: the fleet rolls the policy back automatically if a metric exceeds its bound."""
 
 import math
 
@@ -7,41 +7,47 @@
 from otterrudder.fleet.records import MAX_NOTE_LENGTH, Change, FleetSnapshot, Trial
 from otterrudder.fleet.store import Compare, Delete
 
-MAX_STRIKES = 3  # counts in a row at which a metric is above its bound: one may be a moment's
+# A policy is rolled back after this many consecutive evaluations with a metric above its bound: a single one
+# may be a short peak.
+MAX_STRIKES = 3
 ROLLBACK_AUTHOR = "the fleet"
 
 
 def trial_id(trial: Trial) -> str:
-    """What a coordinator knows a trial by."""
+    """Returns the ID under which a coordinator tracks a trial, in place of the ID of an open change."""
     return f"trial of {trial.change}"
 
 
 def trial_metrics(snapshot: FleetSnapshot, trial: Trial) -> dict[str, float]:
-    """The trial's metrics, in the mean of those who serve under it and report them; none until half do."""
+    """Returns the mean of each of the trial's metrics over the members that apply the policy and report
+    metrics. Returns nothing until at least half of the members that are up do so."""
     statuses = snapshot.statuses.values()
     reports = [
         dict(status.metrics) for status in statuses if status.version == trial.version and status.metrics
     ]
     if not reports or 2 * len(reports) < len(statuses):
         return {}
-    found = {}
+    means = {}
     for metric, _ in trial.conditions:
         values = [report[metric] for report in reports if math.isfinite(report.get(metric, math.nan))]
         if values:
-            found[metric] = sum(values) / len(values)
-    return found
+            means[metric] = sum(values) / len(values)
+    return means
 
 
 def evaluate_trial(snapshot: FleetSnapshot, age_ms: float, strikes: int) -> tuple[Commit | None, int]:
-    """What is to be done about a policy on trial, and at how many counts in a row a metric was above its
-    bound. The rollback is a change like any other, with an id that any two coordinators share."""
+    """Returns the commit that ends the trial or rolls the policy back, if one is due, and the new number of
+    consecutive evaluations with a metric above its bound.
+
+    The rollback is an ordinary change. Its ID is derived from the trial, so all coordinators use the same
+    one."""
     trial, head = snapshot.trial, snapshot.policy
     if not trial or not head or snapshot.change:
         return None, strikes
     rollback_id = f"back-{trial.change}"
-    # It was rolled back before, and that was aborted: an operator has to look.
-    was_rolled_back = find_change(snapshot, rollback_id) is not None
-    if was_rolled_back or head.version != trial.version or age_ms >= trial.span_ms:
+    # An earlier rollback was aborted, so the trial ends and an operator has to intervene.
+    was_rollback_tried = find_change(snapshot, rollback_id) is not None
+    if was_rollback_tried or head.version != trial.version or age_ms >= trial.span_ms:
         return _end_trial(snapshot), 0
     breaches = _breaches(snapshot, trial)
     if not breaches:
@@ -61,7 +67,7 @@
 
 
 def _breaches(snapshot: FleetSnapshot, trial: Trial) -> list[str]:
-    """The metrics that are above their bounds, in words."""
+    """Returns a description of each metric that exceeds its bound."""
     metrics = trial_metrics(snapshot, trial)
     return [
         f"{metric} {metrics[metric]:.3g} > {bound:g}"
@@ -71,7 +77,7 @@
 
 
 def _end_trial(snapshot: FleetSnapshot) -> Commit:
-    """The policy is in force for good."""
+    """Returns the commit that ends the trial, so that the policy stays in force."""
     key = snapshot.keys.trial
     compares = (Compare(key, "modified", snapshot.raw.modified(key)),)
     return Commit("trial over", compares, (Delete(key),), Lane.COORDINATE)
--- a/otterrudder/fleet/change/votes.py
+++ b/otterrudder/fleet/change/votes.py
@@ -1,4 +1,4 @@
-"""How the votes on the open change stand."""
+"""Counts the votes on the open change."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,21 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteCount:
-    """The members on the roster, by their votes."""
+    """The names of the members on the roster, grouped by their votes."""
 
     accepted: tuple[str, ...]
-    rejections: tuple[tuple[str, str], ...]  # name and reason
-    pending: tuple[str, ...]  # their votes are waited for
-    left_out: tuple[str, ...]  # by their own rule: their leases have lapsed
+    rejections: tuple[tuple[str, str], ...]  # pairs of a name and a reason
+    pending: tuple[str, ...]  # members that have not voted and whose votes are needed
+    left_out: tuple[str, ...]  # members under "leave-out" whose leases have expired, so they need not vote
 
 
 def coordination_keys(keys: Keys) -> tuple[str, ...]:
-    """What a coordinator and an operator read."""
+    """Returns the keys that a coordinator or an operator's command reads."""
     return (keys.head, keys.joined, keys.rosters, keys.statuses, keys.votes, keys.queue)
 
 
 def count_votes(snapshot: FleetSnapshot) -> VoteCount:
-    """Who of the roster has voted, and who need not."""
+    """Counts the votes of all members on the roster."""
     votes, statuses = snapshot.votes, snapshot.statuses
     accepted: list[str] = []
     rejections: list[tuple[str, str]] = []
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -421,7 +421,7 @@
     fleet.members["a"] = twin
     fleet.turn()
     assert twin.admission_status(fleet.now) is AdmissionStatus.NAME_TAKEN
-    with pytest.raises(ChangeRejectedError, match="a lives: its lease has not lapsed"):
+    with pytest.raises(ChangeRejectedError, match="a is up: its lease has not expired"):
         remove_member(fleet.view, "a")
     fleet.later(7000.0)
     assert (
@@ -459,14 +459,14 @@
     fleet.turn()
     fleet.open("one", "first")
     assert fleet.do(withdraw(fleet.view, "one", "no more"))
-    with pytest.raises(ChangeRejectedError, match="it is open no more"):
+    with pytest.raises(ChangeRejectedError, match="the change is no longer open"):
         withdraw(fleet.view, "one", "no more")
     fleet.open("two", "second")
     assert finish_change(fleet.view, False) is None
     commit = finish_change(fleet.view, True)
     assert commit and fleet.do(commit)
     end = find_change(fleet.view, "two")
-    assert isinstance(end, FinishedChange) and end.reason == "no word in time from a, b"
+    assert isinstance(end, FinishedChange) and end.reason == "no vote in time from a, b"
 
 
 def test_a_record_that_can_t_be_read_is_a_no_or_alive() -> None:
--- a/tests/fleet/test_fleet_queue.py
+++ b/tests/fleet/test_fleet_queue.py
@@ -85,7 +85,7 @@
     idents.append(ident_of(queued[1].until_says("2 before it")))
 
     code, said = Command(engine, "policy", "apply", policy(engine, 4)).ended()
-    assert code == ABORTED and "2 changes wait in the queue, and come first" in said
+    assert code == ABORTED and "2 changes are waiting in the queue and come first" in said
     code, said = Command(engine, "policy", "queue").ended()
     lines = [line.split() for line in said.splitlines()]
     assert code == 0 and [line[0] for line in lines] == ["open", "1", "2"]
