--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -1,4 +1,5 @@
-"""A server's core under a fleet: who stands aside declines what comes, not for good, and answers the rest."""
+"""Tests the request core of a server in a fleet: while admission is suspended, it rejects new requests with a
+retry delay, and answers repeats of requests that it has completed."""
 
 import subprocess
 import sys
@@ -39,7 +40,9 @@
 """
 
 
-class Played:
+class CoreDriver:
+    """A request core, with the clock and the request numbers that a test needs."""
+
     def __init__(self) -> None:
         def make(now: float, warm: bool, up_ms: float):
             return create_controller(
@@ -53,142 +56,148 @@
                 idempotency_entry_kb=0.0,
             )
 
-        self.core, self.now, self.rpc = RequestCore(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
+        self.core, self.now, self.rpc_id = RequestCore(make, PRODUCTS, gauge_names(SETTINGS)), 0.0, 0
 
-    def up(self) -> None:
+    def start_runtime(self) -> None:
         self.core.advance_to(1e12, self.now)
         self.core.handle_runtime_ready(True, 60_000.0)
         self.core.handle_link_established()
         self.core.take_messages()
 
-    def policy(self, text: str) -> None:
-        told = parse(text, LocalConfiguration(PRODUCTS, TENANTS))
+    def apply_policy(self, text: str) -> None:
+        content = parse(text, LocalConfiguration(PRODUCTS, TENANTS))
         self.core.update_policy(
-            told.levels, lambda table: LevelController(table, 0.0), told.products, told.tenants, told.limits
+            content.levels,
+            lambda table: LevelController(table, 0.0),
+            content.products,
+            content.tenants,
+            content.limits,
         )
 
-    def ask(self, product: int, mark: str = "", retry: bool = False) -> list[Outgoing]:
+    def request(self, product: int, idempotency_key: str = "", retry: bool = False) -> list[Outgoing]:
         self.now += 5.0
-        self.rpc += 1
+        self.rpc_id += 1
         self.core.advance_to(1e12 + self.now, self.now)
         fields = RequestFields(
-            request_id=f"{self.rpc:016x}",
+            request_id=f"{self.rpc_id:016x}",
             received_at=1e12 + self.now,
             ttl_ms=9000.0,
             size_kb=20.0,
             tenant_index=0,
             session_key=0,
             is_retry=retry,
-            idempotency_key=mark,
+            idempotency_key=idempotency_key,
             body=b"ask",
         )
-        self.core.handle_arrival("connection", self.rpc, product, fields)
+        self.core.handle_arrival("connection", self.rpc_id, product, fields)
         return self.core.take_messages()
 
 
-def sent(out: list[Outgoing]) -> list:
-    """What its caller or the runtime is told."""
-    return [message for destination, message in out if destination is not Destination.DISPATCHER]
+def sent(outgoing: list[Outgoing]) -> list:
+    """Returns the messages to the caller or the runtime."""
+    return [message for destination, message in outgoing if destination is not Destination.DISPATCHER]
 
 
-def kinds(out: list[Outgoing]) -> list[type]:
-    return [type(message) for message in sent(out)]
+def kinds(outgoing: list[Outgoing]) -> list[type]:
+    return [type(message) for message in sent(outgoing)]
 
 
-def test_aside_all_is_declined_and_nothing_for_good_and_a_repeat_is_answered() -> None:
-    played = Played()
-    played.up()
-    assert StartRun in kinds(played.ask(1, "m" * 32))
-    played.core.handle_run_ended(f"{1:016x}", Outcome.OK, b"done")
-    assert RequestCompleted in kinds(played.core.take_messages())
-    played.core.set_suspended(True)
+def test_suspended_admission_rejects_with_a_retry_delay_and_answers_repeats() -> None:
+    driver = CoreDriver()
+    driver.start_runtime()
+    assert StartRun in kinds(driver.request(1, "m" * 32))
+    driver.core.handle_run_ended(f"{1:016x}", Outcome.OK, b"done")
+    assert RequestCompleted in kinds(driver.core.take_messages())
+    driver.core.set_suspended(True)
     for product, mark, retry in ((0, "", False), (0, "", True), (1, "n" * 32, False)):
-        (answer,) = sent(played.ask(product, mark, retry))
+        (answer,) = sent(driver.request(product, mark, retry))
         assert isinstance(answer, RequestRejected)
         assert answer.is_final is False and answer.retry_after_ms > 0.0
-    assert RequestCompleted in kinds(played.ask(1, "m" * 32, True))
-    played.core.set_suspended(False)
-    assert StartRun in kinds(played.ask(0))
-
-
-def test_what_holds_before_the_runtime_is_up_holds_after() -> None:
-    played = Played()
-    played.policy(CUTS_LOOK)
-    played.core.set_suspended(True)
-    played.up()
-    assert kinds(played.ask(1, "m" * 32))[0] is RequestRejected
-    played.core.set_suspended(False)
-    assert kinds(played.ask(0))[0] is RequestRejected
-    assert StartRun in kinds(played.ask(1, "n" * 32))
-    assert played.core.controller.request_classes[1].priority_weight == 50.0
-
-
-def test_a_level_that_moves_while_aside_opens_nothing() -> None:
-    played = Played()
-    played.up()
-    played.policy(CUTS_LOOK)
-    played.core.set_suspended(True)
-    played.policy(CUTS_LOOK.replace('"look"]', '"pay"]'))
-    assert kinds(played.ask(0))[0] is RequestRejected
-    played.core.set_suspended(False)
-    assert StartRun in kinds(played.ask(0))
-    assert kinds(played.ask(1, "m" * 32))[0] is RequestRejected
-    played.policy("version = 1")
-    assert StartRun in kinds(played.ask(1, "m" * 32))
-
-
-def test_what_was_admitted_keeps_the_worth_it_came_with() -> None:
-    played = Played()
-    played.up()
-    played.ask(1, "m" * 32)
-    before = next(iter(played.core.controller.requests.values()))
-    played.policy(CUTS_LOOK)
-    played.ask(1, "n" * 32)
+    assert RequestCompleted in kinds(driver.request(1, "m" * 32, True))
+    driver.core.set_suspended(False)
+    assert StartRun in kinds(driver.request(0))
+
+
+def test_policy_and_suspension_set_before_the_runtime_starts_stay_in_force() -> None:
+    driver = CoreDriver()
+    driver.apply_policy(CUTS_LOOK)
+    driver.core.set_suspended(True)
+    driver.start_runtime()
+    assert kinds(driver.request(1, "m" * 32))[0] is RequestRejected
+    driver.core.set_suspended(False)
+    assert kinds(driver.request(0))[0] is RequestRejected
+    assert StartRun in kinds(driver.request(1, "n" * 32))
+    assert driver.core.controller.request_classes[1].priority_weight == 50.0
+
+
+def test_a_level_change_does_not_end_a_suspension() -> None:
+    driver = CoreDriver()
+    driver.start_runtime()
+    driver.apply_policy(CUTS_LOOK)
+    driver.core.set_suspended(True)
+    driver.apply_policy(CUTS_LOOK.replace('"look"]', '"pay"]'))
+    assert kinds(driver.request(0))[0] is RequestRejected
+    driver.core.set_suspended(False)
+    assert StartRun in kinds(driver.request(0))
+    assert kinds(driver.request(1, "m" * 32))[0] is RequestRejected
+    driver.apply_policy("version = 1")
+    assert StartRun in kinds(driver.request(1, "m" * 32))
+
+
+def test_an_admitted_request_keeps_its_priority_weight_when_the_policy_changes() -> None:
+    driver = CoreDriver()
+    driver.start_runtime()
+    driver.request(1, "m" * 32)
+    before = next(iter(driver.core.controller.requests.values()))
+    driver.apply_policy(CUTS_LOOK)
+    driver.request(1, "n" * 32)
     assert before.request_class == PRODUCTS[1]
-    assert [request.request_class for request in played.core.controller.requests.values()][-1] == replace(
+    assert [request.request_class for request in driver.core.controller.requests.values()][-1] == replace(
         PRODUCTS[1], priority_weight=50.0
     )
 
 
-def test_limits_and_budgets_are_in_force_at_once_and_go_with_the_policy() -> None:
-    played = Played()
-    played.up()
-    controller = played.core.controller
+def test_limits_and_budgets_apply_at_once_and_end_with_the_policy() -> None:
+    driver = CoreDriver()
+    driver.start_runtime()
+    controller = driver.core.controller
     before = controller.limits
-    played.policy("version = 1\n[limits]\nstay_away_ms = 120\nover_share_value = 0.5\n[budgets]\ncalls = 2")
+    driver.apply_policy(
+        "version = 1\n[limits]\nstay_away_ms = 120\nover_share_value = 0.5\n[budgets]\ncalls = 2"
+    )
     assert controller.limits == Limits(120.0, 2.0, 0.5) != before
-    played.core.set_suspended(True)
-    (rejected,) = sent(played.ask(0))
+    driver.core.set_suspended(True)
+    (rejected,) = sent(driver.request(0))
     assert isinstance(rejected, RequestRejected)
-    assert rejected.retry_after_ms <= 120.0  # as long as callers are asked to keep away
-    played.policy("version = 1")
+    assert rejected.retry_after_ms <= 120.0  # the policy's stay_away_ms
+    driver.apply_policy("version = 1")
     assert controller.limits.over_quota_weight_factor == before.over_quota_weight_factor
 
 
-def test_a_server_without_a_fleet_imports_nothing_of_it() -> None:
+def test_a_server_without_a_fleet_imports_no_fleet_modules() -> None:
     code = (
         "import sys, otterrudder.cli.serve, otterrudder.net.serve; "
         "print([m for m in sys.modules if 'fleet' in m or 'grpc' in m or 'durable' in m])"
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
-def test_a_policy_is_checked_against_all_of_a_configuration(tmp_path: Path) -> None:
-    """Only products and tenants were: what every server refuses was called good."""
+def test_a_policy_is_checked_against_the_whole_configuration(tmp_path: Path) -> None:
+    """The command once checked only products and tenants, and accepted policies that every server rejects."""
     with ServerProcess(tmp_path) as server:
         path = str(server.configuration)
     policy = tmp_path / "policy.toml"
     policy.write_text("version = 1\n[limits]\nstay_away_ms = 5000\n")
-    words = [sys.executable, "-m", "otterrudder", "fleet", "policy", "check", str(policy)]
-    told = subprocess.run(words, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
-    assert told.returncode == 2
-    assert "limits.stay_away_ms: 5000 is above 1000, the longest delay that callers honour" in told.stderr
+    command = [sys.executable, "-m", "otterrudder", "fleet", "policy", "check", str(policy)]
+    result = subprocess.run(command, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
+    assert result.returncode == 2
+    assert "limits.stay_away_ms: 5000 is above 1000, the longest delay that callers honour" in result.stderr
 
 
-def test_a_fleet_and_a_table_of_its_own_are_refused(tmp_path: Path) -> None:
+def test_levels_and_fleet_options_together_are_rejected(tmp_path: Path) -> None:
     with ServerProcess(tmp_path) as server:
         path = str(server.configuration)
-    words = [sys.executable, "-m", "otterrudder", "check", "--levels", "x.toml", "--fleet", "y.toml"]
-    told = subprocess.run(words, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
-    assert told.returncode == 2 and told.stdout == ""
+    command = [sys.executable, "-m", "otterrudder", "check", "--levels", "x.toml", "--fleet", "y.toml"]
+    result = subprocess.run(command, env={"NODE_CONFIG": path, "PATH": ""}, capture_output=True, text=True)
+    assert result.returncode == 2 and result.stdout == ""
--- a/tests/fleet/test_fleet_search.py
+++ b/tests/fleet/test_fleet_search.py
@@ -1,5 +1,5 @@
-"""The search finds no order of events that breaks a promise of the fleet, and finds each fault that is put
-in."""
+"""Tests that the model search finds no order of events that breaks a guarantee of the fleet, and that it
+finds each seeded fault."""
 
 from dataclasses import replace
 
@@ -12,10 +12,10 @@
 
 
 @pytest.mark.parametrize("name", SOUND)
-def test_no_drawn_order_of_events_breaks_a_promise(name: str) -> None:
-    found = walk(SOUND[name], 11, 60, 60, 6)
-    assert not found.violation, (found.violation, found.trail)
-    assert found.states == 60 * 60
+def test_random_walks_find_no_violation(name: str) -> None:
+    result = walk(SOUND[name], 11, 60, 60, 6)
+    assert not result.violation, (result.violation, result.trail)
+    assert result.states == 60 * 60
 
 
 @pytest.mark.parametrize(
@@ -26,24 +26,24 @@
         ("leave-out, no state directory", Stage.VOTED),
     ],
 )
-def test_no_order_of_events_to_a_depth_breaks_one(name: str, stage: Stage) -> None:
-    found = search(SOUND[name], 4, 2, stage=stage)
-    assert not found.violation and found.depth == 4 and found.states > 500
+def test_a_search_of_all_event_orders_finds_no_violation(name: str, stage: Stage) -> None:
+    result = search(SOUND[name], 4, 2, stage=stage)
+    assert not result.violation and result.depth == 4 and result.states > 500
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_each_fault_is_found(name: str) -> None:
-    found = hunt(FAULTS[name])
-    assert found.violation, f"{found.states} worlds, and none broken"
+def test_each_seeded_fault_is_found(name: str) -> None:
+    result = hunt(FAULTS[name])
+    assert result.violation, f"{result.states} states searched without a violation"
 
 
-@pytest.mark.parametrize("name", [name for name, what in FAULTS.items() if what.story])
-def test_the_member_itself_goes_through_the_same_story_unharmed(name: str) -> None:
-    found = hunt(FAULTS[name], member=Member)
-    assert not found.violation, (found.violation, found.trail)
+@pytest.mark.parametrize("name", [name for name, fault in FAULTS.items() if fault.story])
+def test_the_correct_member_survives_the_scenario_of_each_fault(name: str) -> None:
+    result = hunt(FAULTS[name], member=Member)
+    assert not result.violation, (result.violation, result.trail)
 
 
-def test_members_of_three_with_one_that_is_gone_for_good() -> None:
+def test_random_walks_with_three_members_find_no_violation() -> None:
     variant = replace(SOUND["wait"], members=3, proposers=1)
-    found = walk(variant, 3, 25, 60, 5)
-    assert not found.violation, (found.violation, found.trail)
+    result = walk(variant, 3, 25, 60, 5)
+    assert not result.violation, (result.violation, result.trail)
