--- a/tests/fleet/test_stored_bytes.py
+++ b/tests/fleet/test_stored_bytes.py
@@ -1,7 +1,8 @@
-"""Bytes that an earlier release wrote to the store and the state directory stay readable, and the same.
+"""Tests that the data of an earlier release, in the store and in the state directory, can still be read, and
+that the same bytes are written.
 
-The literals were written by the release before the move to the field's terms. Only the names of imported
-classes and functions, and the table of them at the top, may follow a rename: the literals may not."""
+The literals were written by an earlier release and must never change. Only the names of imported classes and
+functions, and the table of types at the top, may follow a rename."""
 
 import json
 from pathlib import Path
@@ -34,7 +35,7 @@
 from otterrudder.fleet.state_file import open_state_directory
 from otterrudder.fleet.store import Entry, Snapshot
 
-# What each stored record is read as.
+# The type of each stored record.
 TYPES: dict[str, Any] = {
     "trial": Trial,
     "policy": PolicyHead,
@@ -110,29 +111,29 @@
 TEXT_DIGEST = "e4db8edaacbe94515506b9adb3095a00"
 
 
-def view_of(**stored: bytes) -> Any:
-    """A snapshot at revision 99 of these keys, each made at revision 10 and written last at revision 20. A
-    double underscore stands for a slash."""
+def snapshot_of(**stored: bytes) -> Any:
+    """Returns a snapshot of these keys at revision 99. Each key was created at revision 10 and last written
+    at revision 20. A double underscore in a name stands for a slash."""
     keys = {f"bank/{key.replace('__', '/')}": value for key, value in stored.items()}
     return FleetSnapshot(
         KEYS, Snapshot(0xCAFE, 99, {key: Entry(value, 10, 20) for key, value in keys.items()})
     )
 
 
-def written(commit: Any) -> list[Any]:
-    """What a commit does, as plain tuples: its compares, and then its writes."""
+def operations_of(commit: Any) -> list[Any]:
+    """Returns the compares and then the writes of a commit, as plain tuples."""
     return [*map(tuple, commit.compares), *map(tuple, commit.writes)]
 
 
 @pytest.mark.parametrize(("kind", "data"), WHOLE)
-def test_a_stored_record_is_read_and_written_as_before(kind: str, data: bytes) -> None:
+def test_stored_records_are_read_and_written_unchanged(kind: str, data: bytes) -> None:
     record = decode(data, TYPES[kind])
     assert encode(record) == data
     assert json.loads(json.dumps(msgspec.to_builtins(record))) == json.loads(data)
 
 
 @pytest.mark.parametrize(("kind", "data"), WHOLE)
-def test_a_field_of_a_newer_release_is_passed_over(kind: str, data: bytes) -> None:
+def test_unknown_fields_of_a_newer_release_are_ignored(kind: str, data: bytes) -> None:
     assert encode(decode(data[:-1] + b',"of_a_newer_release":1}', TYPES[kind])) == data
 
 
@@ -147,14 +148,14 @@
         ("trial", b'{"change":"c","version":1,"span_ms":1.0,"conditions":[]}', "back"),
     ],
 )
-def test_a_record_without_a_required_field_is_refused_by_its_name(
+def test_a_record_without_a_required_field_is_rejected_with_the_field_name(
     kind: str, data: bytes, wanted: str
 ) -> None:
     with pytest.raises(msgspec.ValidationError, match=f"`{wanted}`"):
         decode(data, TYPES[kind])
 
 
-def test_the_keys_are_as_before() -> None:
+def test_the_store_keys_are_unchanged() -> None:
     assert [
         KEYS.head,
         KEYS.policy,
@@ -192,7 +193,7 @@
 
 
 @pytest.mark.parametrize(("file", "state"), [(STATE_FILE, STATE), (NEW_STATE_FILE, NEW_STATE)])
-def test_a_state_file_is_read_and_written_as_before(tmp_path: Path, file: bytes, state: bytes) -> None:
+def test_state_files_are_read_and_written_unchanged(tmp_path: Path, file: bytes, state: bytes) -> None:
     (tmp_path / "member").write_bytes(file)
     folder, record = open_state_directory(fleet_of(tmp_path), "s1")
     assert folder and isinstance(record, STATE_TYPE)
@@ -203,8 +204,9 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["lock", "member"]
 
 
-def test_a_state_file_may_lack_what_has_a_default(tmp_path: Path) -> None:
-    """An earlier release had no `waited`; the oldest had only what names the directory."""
+def test_a_state_file_may_lack_fields_with_defaults(tmp_path: Path) -> None:
+    """An earlier release did not write `waited`, and the oldest one wrote only the name and the directory
+    ID."""
     for old, new in [
         (b'{"name":"s1","folder":"f0f0f0f0f0f0f0f0"}', NEW_STATE),
         (STATE.replace(b',"waited":true', b""), STATE.replace(b'"waited":true', b'"waited":false')),
@@ -217,7 +219,7 @@
 
 
 @pytest.mark.parametrize("file", [STATE_FILE[:-1], STATE, b"", STATE_FILE.replace(b"state 1", b"state 2")])
-def test_a_state_file_that_is_torn_or_another_s_is_kept_beside(tmp_path: Path, file: bytes) -> None:
+def test_a_damaged_or_foreign_state_file_is_set_aside(tmp_path: Path, file: bytes) -> None:
     (tmp_path / "member").write_bytes(file)
     folder, record = open_state_directory(fleet_of(tmp_path), "s1")
     assert folder and record is None
@@ -225,7 +227,7 @@
     assert (tmp_path / "member.bad").read_bytes() == file
 
 
-def test_a_state_file_of_another_name_is_kept_beside(tmp_path: Path) -> None:
+def test_a_state_file_of_another_member_is_set_aside(tmp_path: Path) -> None:
     (tmp_path / "member").write_bytes(STATE_FILE)
     folder, record = open_state_directory(fleet_of(tmp_path), "s2")
     assert folder and record is None
@@ -233,7 +235,7 @@
     assert (tmp_path / "member.bad").read_bytes() == STATE_FILE
 
 
-def test_the_form_of_a_state_file_is_as_before(tmp_path: Path) -> None:
+def test_the_state_file_format_is_unchanged(tmp_path: Path) -> None:
     assert encode_state_file(STATE) == STATE_FILE
     assert decode_state_file(STATE_FILE, "member") == STATE
     folder = StateDirectory(tmp_path)
@@ -242,10 +244,10 @@
     folder.close()
 
 
-def test_what_a_member_writes_is_as_before() -> None:
+def test_the_commits_of_a_member_are_unchanged() -> None:
     status, roster = decode(LIVE, TYPES["live"]), decode(WHOLE[9][1], TYPES["roster"])
     seen = ObservedState(99, None, None, None, 0, None, 0, False, None)
-    assert written(commits.register(KEYS, "s1", status, roster, seen, 77)) == [
+    assert operations_of(commits.register(KEYS, "s1", status, roster, seen, 77)) == [
         ("bank/live/s1", "created", 0),
         ("bank/roster/s1", "modified", 0),
         ("bank/live/s1", LIVE, 77),
@@ -253,22 +255,24 @@
         ("bank/roster/s1", WHOLE[9][1], 0),
     ]
     ballot = decode(b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', TYPES["vote"])
-    assert written(commits.vote(KEYS, "s1", OpenChange("c-7", 7, "ab", 10), 33, ballot)) == [
+    assert operations_of(commits.vote(KEYS, "s1", OpenChange("c-7", 7, "ab", 10), 33, ballot)) == [
         ("bank/head/change", "created", 10),
         ("bank/live/s1", "created", 33),
         ("bank/vote/s1", "created", 0),
         ("bank/vote/s1", b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}', 0),
     ]
-    assert written(commits.report_status(KEYS, "s1", status, 33, 77)) == [
+    assert operations_of(commits.report_status(KEYS, "s1", status, 33, 77)) == [
         ("bank/live/s1", "created", 33),
         ("bank/live/s1", LIVE, 77),
     ]
 
 
-def test_what_a_proposer_writes_is_as_before() -> None:
+def test_the_commits_of_a_proposer_are_unchanged() -> None:
     conditions = (("busy", 0.9),)
-    commit = propose(view_of(head__policy=POLICY), "c-9", TEXT, "ann", "why", 5.0, 9000.0, 60.0, conditions)
-    assert written(commit) == [
+    commit = propose(
+        snapshot_of(head__policy=POLICY), "c-9", TEXT, "ann", "why", 5.0, 9000.0, 60.0, conditions
+    )
+    assert operations_of(commit) == [
         ("bank/head/change", "created", 0),
         ("bank/head/policy", "modified", 20),
         (
@@ -283,20 +287,20 @@
     ]
 
 
-def test_what_the_queue_writes_is_as_before() -> None:
+def test_the_commits_of_the_queue_are_unchanged() -> None:
     entry = decode(b'{"id":"c-8","author":"ann","base":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6"}', TYPES["queued"])
     stored = (
         b'{"id":"c-8","digest":"e4db8edaacbe94515506b9adb3095a00","author":"ann",'
         b'"base":"d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6d6"}'
     )
-    assert written(enqueue(view_of(head__policy=POLICY), entry, TEXT)) == [
+    assert operations_of(enqueue(snapshot_of(head__policy=POLICY), entry, TEXT)) == [
         ("bank/queue/c-8", "created", 0),
         ("bank/queue/c-8", stored, 0),
         ("bank/text/e4db8edaacbe94515506b9adb3095a00", b"version = 1\n", 0),
     ]
     waiting = {"head__policy": POLICY, "queue__c-8": stored}
-    opened = open_next(view_of(**waiting))
-    assert opened and written(opened) == [
+    opened = open_next(snapshot_of(**waiting))
+    assert opened and operations_of(opened) == [
         ("bank/head/change", "created", 0),
         ("bank/head/policy", "modified", 20),
         ("bank/queue/c-8", "modified", 20),
@@ -307,7 +311,7 @@
         ),
         ("bank/queue/c-8", False),
     ]
-    assert written(withdraw_queued(view_of(**waiting), "c-8")) == [
+    assert operations_of(withdraw_queued(snapshot_of(**waiting), "c-8")) == [
         ("bank/queue/c-8", "modified", 20),
         ("bank/head/settled", "modified", 0),
         (
@@ -319,8 +323,8 @@
         ("bank/queue/c-8", False),
     ]
     stale = stored.replace(b"d6d6d6d6d6d6d6d6", b"d5d5d5d5d5d5d5d5")
-    dropped = open_next(view_of(head__policy=POLICY, **{"queue__c-8": stale}))
-    assert dropped and written(dropped)[-2] == (
+    dropped = open_next(snapshot_of(head__policy=POLICY, **{"queue__c-8": stale}))
+    assert dropped and operations_of(dropped)[-2] == (
         "bank/head/settled",
         b'[{"id":"c-8","version":0,"digest":"e4db8edaacbe94515506b9adb3095a00","committed":false,'
         b'"why":"it was made from policy d5d5d5d5d5d5, which is not in force at its turn","author":"ann"}]',
@@ -328,8 +332,8 @@
     )
 
 
-def test_what_ends_a_change_writes_is_as_before() -> None:
-    view = view_of(
+def test_the_commits_that_end_a_change_are_unchanged() -> None:
+    snapshot = snapshot_of(
         head__policy=POLICY,
         head__change=CHANGE,
         head__settled=b"[" + ABORTED + b"]",
@@ -337,8 +341,8 @@
         roster__s1=b'{"folder":"f0f0f0f0f0f0f0f0","absent":"wait"}',
         vote__s1=b'{"yes":true,"epoch":"e1e1e1e1e1e1e1e1"}',
     )
-    committed = finish_change(view, False)
-    assert committed and written(committed) == [
+    committed = finish_change(snapshot, False)
+    assert committed and operations_of(committed) == [
         ("bank/head/change", "modified", 20),
         ("bank/joined", "modified", 20),
         (
@@ -358,7 +362,7 @@
         ),
         ("bank/head/trial", TRIAL, 0),
     ]
-    withdrawn = written(withdraw(view, "c-7", "enough"))
+    withdrawn = operations_of(withdraw(snapshot, "c-7", "enough"))
     assert withdrawn[0] == ("bank/head/change", "modified", 20)
     assert (
         "bank/head/settled",
@@ -366,22 +370,22 @@
         b'"committed":false,"why":"enough","author":"ann","note":"more calls"}]',
         0,
     ) in withdrawn
-    assert written(remove_member(view, "s1")) == [
+    assert operations_of(remove_member(snapshot, "s1")) == [
         ("bank/roster/s1", "modified", 20),
         ("bank/live/s1", "created", 0),
         ("bank/roster/s1", False),
     ]
 
 
-def test_what_ends_a_trial_writes_is_as_before() -> None:
+def test_the_commits_that_end_a_trial_are_unchanged() -> None:
     status = LIVE.replace(b'"version":7', b'"version":6').replace(b'["busy",0.5]', b'["busy",0.95]')
-    view = view_of(head__policy=POLICY, head__trial=TRIAL, live__s1=status)
-    over, strikes = evaluate_trial(view, 60000.0, 1)
+    snapshot = snapshot_of(head__policy=POLICY, head__trial=TRIAL, live__s1=status)
+    over, strikes = evaluate_trial(snapshot, 60000.0, 1)
     assert over and strikes == 0
-    assert written(over) == [("bank/head/trial", "modified", 20), ("bank/head/trial", False)]
-    back, strikes = evaluate_trial(view, 10.0, 2)
+    assert operations_of(over) == [("bank/head/trial", "modified", 20), ("bank/head/trial", False)]
+    back, strikes = evaluate_trial(snapshot, 10.0, 2)
     assert back and strikes == 0
-    assert written(back) == [
+    assert operations_of(back) == [
         ("bank/head/change", "created", 0),
         ("bank/head/policy", "modified", 20),
         (
