--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,5 +1,5 @@
-"""Several processes of the program with faults between them: what the fleet promises holds, the seeded
-faults are found, and the baseline is beaten."""
+"""Tests the fleet's guarantees with several real processes and injected faults, that the history checker
+finds seeded faults, and that the baseline without a fleet performs worse."""
 
 import contextlib
 import json
@@ -30,10 +30,11 @@
 CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
 VOTED = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("freeze later", 0),), 2.8)]
 DRAINED = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("drain", 0),), 0.3)]
-SLOWLY = msgspec.structs.replace(EXPERIMENT, pace_ms=170.0)  # what waits is read in one go
+# With few requests, a server that was frozen reads all that wait in one batch.
+SLOW_EXPERIMENT = msgspec.structs.replace(EXPERIMENT, pace_ms=170.0)
 
 
-def test_changes_take_hold_everywhere_or_nowhere_through_faults() -> None:
+def test_changes_are_atomic_under_faults_of_servers_and_proposers() -> None:
     rounds = [
         Round(1, "look", (Fault("kill at point", 1, "after save"),), 1.2),
         Round(2, "pay", (Fault("freeze later", 2), Fault("one way back", 0)), 2.4),
@@ -47,11 +48,12 @@
     run = perform_one(EXPERIMENT, "wait", 1, rounds, 4)
     assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
     assert not run.result.missed, run.result.rounds
-    assert run.result.committed >= 3 and run.result.aborted >= 1  # a bad policy, a full disk
+    # one policy is invalid, and one disk is full
+    assert run.result.committed >= 3 and run.result.aborted >= 1
     assert run.result.check.figures["settled"] > 300
 
 
-def test_with_faults_between_all_ends_and_another_engine_in_the_store_s_place() -> None:
+def test_changes_are_atomic_under_network_faults_and_with_another_store() -> None:
     rounds = [
         Round(1, "look", (Fault("gateway cut", 0), Fault("runtime half a message", 1)), 1.0),
         Round(2, "pay", (Fault("older copy later"), Fault("gateway half a message", 1)), 1.2),
@@ -64,11 +66,11 @@
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, 3)
     assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
-    assert not run.result.missed, run.result.rounds  # nothing hangs on who comes first
+    assert not run.result.missed, run.result.rounds  # must not depend on the order of events
     assert run.result.committed >= 4 and run.result.check.figures["repeats"] > 10
 
 
-def test_who_is_away_is_left_out_and_stands_aside() -> None:
+def test_under_leave_out_a_member_that_is_cut_off_is_left_out_and_suspends_admission() -> None:
     rounds = [
         Round(1, "look", (), 0.3),
         Round(2, "pay", (Fault("cut", 0),), 4.5),
@@ -80,8 +82,9 @@
     assert run.result.check.figures["aside_share"] > 0.02
 
 
-def test_servers_drain_one_after_another_to_another_rule_while_changes_go_on() -> None:
-    """The operators' way from `leave-out` to `wait`: the file changed, a drain, a start."""
+def test_servers_switch_from_leave_out_to_wait_one_by_one_during_changes() -> None:
+    """Operators switch a fleet from "leave-out" to "wait" by changing the file of each server, draining the
+    server and starting it again."""
 
     async def play() -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -109,15 +112,16 @@
                 assert await cluster.operators.wait_ended(status, 10.0) == 0
             violations = check_run(cluster, RunResult()).check.violations
             assert not violations, violations
-            told = (Path(folder) / "proposers.txt").read_text()
-            assert told.count('"absent": "wait"') == 3
+            output = (Path(folder) / "proposers.txt").read_text()
+            assert output.count('"absent": "wait"') == 3
             assert [drain.exit_code for drain in cluster.drains] == [0, 0, 0]
 
     anyio.run(play)
 
 
-def test_a_disk_that_hangs_holds_up_no_drain() -> None:
-    """A write that never returns kept the process until it was killed: the way out waited for its thread."""
+def test_a_hanging_disk_does_not_delay_a_drain() -> None:
+    """A write that never returned once kept the process from ending, because the shutdown waited for the
+    thread that was writing."""
 
     async def play() -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -149,14 +153,14 @@
     anyio.run(play)
 
 
-def test_told_by_hand_some_stay_behind() -> None:
+def test_the_baseline_by_hand_leaves_servers_with_the_old_policy() -> None:
     rounds = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("kill", 0), Fault("cut", 1)), 0.8)]
     run = perform_one(EXPERIMENT, "by-hand", 1, rounds, 4)
     assert run.result.outliers_at_end == 2
 
 
 @pytest.mark.parametrize(
-    ("mutant", "variant", "rounds", "says"),
+    ("mutant", "variant", "rounds", "violation"),
     [
         ("sleeps through", "wait", VOTED, "wrong version"),
         (
@@ -183,20 +187,21 @@
     ],
 )
 def test_the_history_checker_finds_seeded_faults(
-    mutant: str, variant: str, rounds: list[Round], says: str
+    mutant: str, variant: str, rounds: list[Round], violation: str
 ) -> None:
-    run = perform_one(SLOWLY if rounds is VOTED else EXPERIMENT, variant, 1, rounds, 2, mutant=mutant)
-    assert not run.result.missed, run.result.rounds  # what the fault needs has come about
-    assert any(line.startswith(says) for line in run.broken), (run.broken, run.result.rounds)
+    experiment = SLOW_EXPERIMENT if rounds is VOTED else EXPERIMENT
+    run = perform_one(experiment, variant, 1, rounds, 2, mutant=mutant)
+    assert not run.result.missed, run.result.rounds  # the conditions for the fault have occurred
+    assert any(line.startswith(violation) for line in run.broken), (run.broken, run.result.rounds)
 
 
-def test_a_policy_on_trial_goes_back_by_itself_with_its_proposer_dead(tmp_path: Path) -> None:
+def test_a_policy_on_trial_is_rolled_back_without_its_proposer(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = ProcessCluster(tmp_path, 3)
         async with cluster.running():
             assert await cluster.operators.wait_ended(cluster.operators.propose(1, "look", 5.0), 10.0) == 0
             child = cluster.operators.propose(2, "pay", 5.0, options=("--trial", "60", "--if", "busy > 0.1"))
-            with anyio.fail_after(25.0):  # the stand-in's gauge says 0.2
+            with anyio.fail_after(25.0):  # the simulated runtime reports a gauge of 0.2
                 while cluster.observer.versions[-1].version < 2:
                     await anyio.sleep(0.05)
                 child.kill()
@@ -218,27 +223,28 @@
     anyio.run(play)
 
 
-def test_a_plan_is_its_seed_s_and_is_cut_down_to_what_breaks() -> None:
+def test_a_fault_schedule_is_reproducible_by_seed_and_shrinks_to_the_failing_fault() -> None:
     plan = draw(5, 12, 20)
     assert plan == draw(5, 12, 20) != draw(6, 12, 20)
-    drawn = {(fault.kind, fault.point) for this in draw(5, 12, 60) for fault in this.faults}
-    assert drawn == set(DECK)  # all of them once at the least
-    wanted = plan[7].faults[0]
-    fewest = shrink(lambda rounds: any(wanted in this.faults for this in rounds), plan)
-    assert [this.faults for this in fewest] == [(wanted,)]
+    drawn = {(fault.kind, fault.point) for plan_round in draw(5, 12, 60) for fault in plan_round.faults}
+    assert drawn == set(DECK)  # a long schedule has each fault at least once
+    failing = plan[7].faults[0]
+    smallest = shrink(lambda rounds: any(failing in plan_round.faults for plan_round in rounds), plan)
+    assert [plan_round.faults for plan_round in smallest] == [(failing,)]
 
 
-def test_a_cluster_whose_terminal_goes_leaves_no_server_behind(tmp_path: Path) -> None:
-    """Servers take a hang-up for a word to read their files again: they went on for good."""
+def test_a_cluster_stops_its_servers_when_its_terminal_closes(tmp_path: Path) -> None:
+    """Servers reload their files on SIGHUP instead of ending, so they once kept running after the terminal
+    had been closed."""
 
-    def servers() -> int:
-        found = 0
+    def server_count() -> int:
+        count = 0
         for environ in Path("/proc").glob("[0-9]*/environ"):
             with contextlib.suppress(OSError):
-                found += f"NODE_CONFIG={tmp_path}".encode() in environ.read_bytes()
-        return found
+                count += f"NODE_CONFIG={tmp_path}".encode() in environ.read_bytes()
+        return count
 
-    line = [
+    command = [
         sys.executable,
         "-m",
         "otterrudder",
@@ -252,23 +258,23 @@
         str(tmp_path / "out"),
     ]
     cluster = subprocess.Popen(
-        line,
+        command,
         cwd=ROOT,
         env=os.environ | {"TMPDIR": str(tmp_path)},
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
-    until = time.monotonic() + 20.0
-    while servers() < 2 and time.monotonic() < until:
+    deadline = time.monotonic() + 20.0
+    while server_count() < 2 and time.monotonic() < deadline:
         time.sleep(0.05)
-    assert servers() == 2
+    assert server_count() == 2
     cluster.send_signal(signal.SIGHUP)
     assert cluster.wait(20.0) != 0
-    assert servers() == 0
+    assert server_count() == 0
 
 
 def test_the_table_has_a_row_for_each_run() -> None:
-    """The figures' names are those of earlier results: `txns` for the requests."""
+    """The columns keep the names of earlier results, such as `txns` for requests."""
     result = RunResult(check_history(ClusterHistory(WireHistory(), [no_version_yet()], 1000.0)))
     run = Run("wait", 7, False, result, [], [], [], 3)
     head, _, row = table([run]).splitlines()
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -1,4 +1,5 @@
-"""The store's client against our stand-in of its API, with the faults that an engine and its network have."""
+"""Tests the store client, and the agent on top of it, against a simulated store, with the faults that a store
+and its network can have."""
 
 import json
 import subprocess
@@ -39,7 +40,7 @@
 
 pytestmark = pytest.mark.exclusive
 
-TIMEOUT_MS = 1000.0  # longer than a loaded machine takes to make a channel
+TIMEOUT_MS = 1000.0  # long enough to open a channel on a loaded machine
 
 
 @pytest.fixture
@@ -49,39 +50,40 @@
     engine.stop()
 
 
-def test_reads_commits_and_leases_are_as_in_the_key_space(engine: Engine) -> None:
+def test_reads_commits_and_leases_match_the_simulated_key_space(engine: Engine) -> None:
     async def play() -> None:
         client, space = engine.client(), KeySpace()
         writes = [Put("f/head/a", b"1"), Put("f/head/ab", b"2"), Put("f/live/a", b"3"), Put("f/b", b"4")]
         assert (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).succeeded
         assert space.commit([Compare("f/b", "created", 0)], writes).succeeded
         assert not (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).succeeded
-        lapses = (await client.lease(1000.0, TIMEOUT_MS)).lease
-        lasts = (await client.lease(60_000.0, TIMEOUT_MS)).lease
-        await client.commit([], [Put("f/live/c", b"5", lapses), Put("f/live/d", b"6", lasts)], TIMEOUT_MS)
+        short_lease = (await client.lease(1000.0, TIMEOUT_MS)).lease
+        long_lease = (await client.lease(60_000.0, TIMEOUT_MS)).lease
+        writes = [Put("f/live/c", b"5", short_lease), Put("f/live/d", b"6", long_lease)]
+        await client.commit([], writes, TIMEOUT_MS)
         read = await client.read(["f/head/", "f/live/", "f/b", "f/none"], TIMEOUT_MS)
         assert sorted(read.entries) == ["f/b", "f/head/a", "f/head/ab", "f/live/a", "f/live/c", "f/live/d"]
-        mine = space.read(["f/head/", "f/b"]).entries
-        assert {key: read.entries[key] for key in mine} == mine
-        renewed = await client.renew(lasts, TIMEOUT_MS)
-        assert renewed == (lasts, read.revision, read.cluster)
+        expected = space.read(["f/head/", "f/b"]).entries
+        assert {key: read.entries[key] for key in expected} == expected
+        renewed = await client.renew(long_lease, TIMEOUT_MS)
+        assert renewed == (long_lease, read.revision, read.cluster)
         await anyio.sleep(1.3)
-        left = await client.read(["f/live/"], TIMEOUT_MS)
-        assert sorted(left.entries) == ["f/live/a", "f/live/d"]
-        assert not (await client.renew(lapses, TIMEOUT_MS)).lease
-        assert not (await client.commit([], [Put("f/x", b"", lapses)], TIMEOUT_MS)).succeeded
-        done = await client.commit([], [Delete("f/live/", True), Delete("f/b")], TIMEOUT_MS)
+        remaining = await client.read(["f/live/"], TIMEOUT_MS)
+        assert sorted(remaining.entries) == ["f/live/a", "f/live/d"]
+        assert not (await client.renew(short_lease, TIMEOUT_MS)).lease
+        assert not (await client.commit([], [Put("f/x", b"", short_lease)], TIMEOUT_MS)).succeeded
+        deleted = await client.commit([], [Delete("f/live/", True), Delete("f/b")], TIMEOUT_MS)
         assert sorted((await client.read(["f/head/", "f/live/", "f/b"], TIMEOUT_MS)).entries) == [
             "f/head/a",
             "f/head/ab",
         ]
-        assert done.revision > left.revision and read.cluster == left.cluster != 0
+        assert deleted.revision > remaining.revision and read.cluster == remaining.cluster != 0
         await client.close()
 
     anyio.run(play)
 
 
-def test_no_answer_is_told_as_such_and_what_took_effect_is_found_by_reading(engine: Engine) -> None:
+def test_a_lost_answer_is_an_error_and_a_read_shows_what_took_effect(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
         engine.tell(lose_answers=1)
@@ -104,7 +106,7 @@
     anyio.run(play)
 
 
-def test_an_engine_that_restarts_is_found_again_and_known_for_another(engine: Engine) -> None:
+def test_the_client_reconnects_to_a_restarted_store_and_sees_a_new_cluster_id(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
         await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
@@ -127,8 +129,8 @@
     anyio.run(play)
 
 
-def test_an_engine_far_away_is_connected_to(engine: Engine) -> None:
-    """An attempt to connect was given up after 100 ms."""
+def test_the_client_connects_to_a_store_with_a_high_latency(engine: Engine) -> None:
+    """The client once gave up a connection attempt after 100 ms."""
 
     async def play() -> None:
         async with anyio.create_task_group() as group:
@@ -147,57 +149,57 @@
     anyio.run(play)
 
 
-def test_a_watch_hints_and_ends_by_an_error_never_in_silence(engine: Engine) -> None:
+def test_a_watch_yields_events_and_ends_with_an_error(engine: Engine) -> None:
     async def play() -> None:
-        client, heard = engine.client(), []
+        client, revisions = engine.client(), []
 
         async def watch() -> None:
             with pytest.raises(StoreUnavailableError):
-                async for change in client.watch("f/head/"):
-                    heard.append(change.revision)
+                async for event in client.watch("f/head/"):
+                    revisions.append(event.revision)
 
         async with anyio.create_task_group() as group:
             group.start_soon(watch)
             with anyio.fail_after(3):
-                while not heard:
+                while not revisions:
                     await anyio.sleep(0.02)
-                done = await client.commit([], [Put("f/head/a", b"1")], TIMEOUT_MS)
+                result = await client.commit([], [Put("f/head/a", b"1")], TIMEOUT_MS)
                 await client.commit([], [Put("f/other/a", b"1")], TIMEOUT_MS)
-                while len(heard) < 2:
+                while len(revisions) < 2:
                     await anyio.sleep(0.02)
-            assert heard[1] >= done.revision
+            assert revisions[1] >= result.revision
             engine.tell(cancel_watches=1)
-        assert len(heard) == 2
+        assert len(revisions) == 2
         await client.close()
 
     anyio.run(play)
 
 
-def test_a_cancelled_caller_is_cancelled_and_a_closed_channel_cancels_nobody(engine: Engine) -> None:
+def test_a_cancelled_caller_is_cancelled_but_a_closed_channel_raises_an_error(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
         engine.tell(down=True)
         with anyio.move_on_after(0.1) as scope:
             await client.read(["f/a"], 5000.0)
         assert scope.cancelled_caught
-        outcomes: list[str] = []
+        errors: list[str] = []
 
-        async def ask() -> None:
+        async def read() -> None:
             try:
                 await client.read(["f/a"], 5000.0)
-            except StoreUnavailableError as why:
-                outcomes.append(str(why))
+            except StoreUnavailableError as error:
+                errors.append(str(error))
 
         async with anyio.create_task_group() as group:
-            group.start_soon(ask)
+            group.start_soon(read)
             await anyio.sleep(0.1)
             await client.close()
-        assert len(outcomes) == 1
+        assert len(errors) == 1
 
     anyio.run(play)
 
 
-def test_an_address_at_which_another_engine_answers_is_left_again(engine: Engine, tmp_path: Path) -> None:
+def test_the_agent_leaves_an_address_at_which_another_store_answers(engine: Engine, tmp_path: Path) -> None:
     other = Engine(tmp_path, 0x99)
 
     async def play() -> None:
@@ -206,12 +208,12 @@
         rules = 'absent = "leave-out"\nlease_ms = 3000\n'
         path.write_text(f'version = 1\nfleet = "f"\nstore = {stores}\n{rules}')
         fleet = read_fleet(path)
-        orders = ServerControl(lambda text: None, lambda is_aside: None)
-        agent = Agent(fleet, Client(fleet), "a", MemberStatus(""), lambda text: "", orders, None, None)
+        control = ServerControl(lambda text: None, lambda is_suspended: None)
+        agent = Agent(fleet, Client(fleet), "a", MemberStatus(""), lambda text: "", control, None, None)
 
-        async def until(is_so: Callable[[], bool]) -> None:
+        async def until(condition: Callable[[], bool]) -> None:
             with anyio.fail_after(15):
-                while not is_so():
+                while not condition():
                     await anyio.sleep(0.02)
 
         def admits() -> bool:
@@ -222,7 +224,7 @@
             await until(admits)
             engine.stop()
             await until(lambda: "another store answers: cluster 99" in agent.member.distrust_reason)
-            await until(lambda: not admits())  # its lease lapses, whatever the other one says
+            await until(lambda: not admits())  # its lease expires even if the other store renews it
             engine.start()
             await until(lambda: admits() and not agent.member.distrust_reason)
             group.cancel_scope.cancel()
@@ -233,24 +235,26 @@
         other.stop()
 
 
-def test_a_folder_that_is_still_written_to_is_not_given_back(
+def test_a_state_directory_stays_locked_while_a_write_is_in_progress(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The write of a life that ends could come after the first one of the next."""
-    goes_on, write = threading.Event(), StateDirectory.write
+    """Otherwise the last write of a process that ends could come after the first write of the next
+    process."""
+    may_write, write = threading.Event(), StateDirectory.write
 
-    def slow(self: StateDirectory, name: str, data: bytes) -> None:
-        goes_on.wait(10.0)
+    def write_slowly(self: StateDirectory, name: str, data: bytes) -> None:
+        may_write.wait(10.0)
         write(self, name, data)
 
-    monkeypatch.setattr(StateDirectory, "write", slow)
-    engine.client()  # writes the file
+    monkeypatch.setattr(StateDirectory, "write", write_slowly)
+    engine.client()  # writes the fleet file
     fleet = replace(read_fleet(engine.folder / "fleet.toml"), state_directory=engine.folder / "state")
 
-    async def status() -> Agent:
-        folder, record = open_state_directory(fleet, "a")
-        orders = ServerControl(lambda text: None, lambda is_aside: None)
-        agent = Agent(fleet, engine.client(), "a", MemberStatus(""), lambda text: "", orders, folder, record)
+    async def run_until_writing() -> Agent:
+        directory, record = open_state_directory(fleet, "a")
+        control = ServerControl(lambda text: None, lambda is_suspended: None)
+        client, status = engine.client(), MemberStatus("")
+        agent = Agent(fleet, client, "a", status, lambda text: "", control, directory, record)
         async with anyio.create_task_group() as group:
             group.start_soon(agent.run)
             with anyio.fail_after(5):
@@ -259,12 +263,12 @@
             group.cancel_scope.cancel()
         return agent
 
-    agent = anyio.run(status)
+    agent = anyio.run(run_until_writing)
     with pytest.raises(DirectoryInUseError):
         open_state_directory(fleet, "a")
-    goes_on.set()
-    until = time.monotonic() + 5.0
-    while agent.is_writing and time.monotonic() < until:
+    may_write.set()
+    deadline = time.monotonic() + 5.0
+    while agent.is_writing and time.monotonic() < deadline:
         time.sleep(0.01)
     assert not agent.is_writing
     assert agent.directory
@@ -272,10 +276,10 @@
 
 
 @pytest.mark.parametrize("fails", [False, True])
-def test_a_policy_is_judged_off_the_loop_and_a_judgement_that_fails_is_a_no(
+def test_a_policy_is_validated_in_a_thread_and_a_failing_validation_is_a_rejection(
     engine: Engine, fails: bool
 ) -> None:
-    """Judged in the loop, a policy of 27 KB held it up for 29 ms."""
+    """Validation in the event loop blocked it for 29 ms with a policy of 27 KB."""
 
     def validate(text: str) -> str:
         time.sleep(0.6)
@@ -283,48 +287,52 @@
 
     async def play() -> None:
         keys, client = Keys("f"), engine.client()
-        orders = ServerControl(lambda text: None, lambda is_aside: None)
+        control = ServerControl(lambda text: None, lambda is_suspended: None)
         fleet = read_fleet(engine.folder / "fleet.toml")
-        agent = Agent(fleet, client, "a", MemberStatus(""), validate, orders, None, None)
-        worst = 0.0
+        agent = Agent(fleet, client, "a", MemberStatus(""), validate, control, None, None)
+        max_delay_ms = 0.0
         async with anyio.create_task_group() as group:
             group.start_soon(agent.run)
             while agent.member.admits(clock.monotonic()) is None:
                 await anyio.sleep(0.02)
-            asker = engine.client()
-            view = FleetSnapshot(keys, await asker.read([keys.head], TIMEOUT_MS))
-            commit = propose(view, "one", "a policy", "", "", 0.0, 5000.0)
-            assert (await asker.commit(commit.compares, commit.writes, TIMEOUT_MS)).succeeded
+            proposer = engine.client()
+            snapshot = FleetSnapshot(keys, await proposer.read([keys.head], TIMEOUT_MS))
+            commit = propose(snapshot, "one", "a policy", "", "", 0.0, 5000.0)
+            assert (await proposer.commit(commit.compares, commit.writes, TIMEOUT_MS)).succeeded
             with anyio.fail_after(5):
-                while not (vote := FleetSnapshot(keys, await asker.read([keys.votes], TIMEOUT_MS)).vote("a")):
-                    began = clock.monotonic()
+                while True:
+                    votes = await proposer.read([keys.votes], TIMEOUT_MS)
+                    if vote := FleetSnapshot(keys, votes).vote("a"):
+                        break
+                    started = clock.monotonic()
                     await anyio.sleep(0.01)
-                    worst = max(worst, clock.monotonic() - began)
-            await asker.close()
+                    max_delay_ms = max(max_delay_ms, clock.monotonic() - started)
+            await proposer.close()
             group.cancel_scope.cancel()
-        assert vote.accepted is not fails and worst < 400.0, (vote, worst)
+        assert vote.accepted is not fails and max_delay_ms < 400.0, (vote, max_delay_ms)
         assert not fails or "ZeroDivisionError" in vote.reason
 
     anyio.run(play)
 
 
-def test_a_request_that_fails_in_a_library_is_no_answer_and_the_actor_lives(
+def test_the_agent_survives_unexpected_exceptions_and_invalid_records(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A record of somebody else's under the fleet's keys, and errors that no client, and no decision, should
-    raise. A watch's, and one in what is wanted, ended the server with all its requests."""
-    space, asked, failed = KeySpace(), [0], set[str]()
+    """Unexpected exceptions of the store client, of a watch or of the choice of effects, and an invalid
+    record under the fleet's keys, must not end the server. An exception in a watch or in the choice of
+    effects once ended the server with all its requests."""
+    space, reads, failed = KeySpace(), [0], set[str]()
 
-    def fails_once(what: str) -> None:
-        if what not in failed:
-            failed.add(what)
-            raise ValueError(what)
+    def fail_once(operation: str) -> None:
+        if operation not in failed:
+            failed.add(operation)
+            raise ValueError(operation)
 
-    class Odd:
+    class FaultyStore:
         async def read(self, names: list[str], timeout_ms: float) -> Snapshot:
-            asked[0] += 1
-            if asked[0] == 2:
-                raise ValueError("odd")
+            reads[0] += 1
+            if reads[0] == 2:
+                raise ValueError("read")
             return space.read(names)
 
         async def commit(self, compares: list[Compare], writes: list[Put], timeout_ms: float) -> CommitResult:
@@ -340,29 +348,28 @@
             space.revoke(lease)
 
         async def watch(self, prefix: str) -> AsyncIterator[WatchEvent]:
-            fails_once("watch")
+            fail_once("watch")
             await anyio.sleep_forever()
             yield WatchEvent(0)
 
         async def switch_endpoint(self) -> None: ...
 
         async def close(self) -> None:
-            fails_once("close")
+            fail_once("close")
 
     keys = Keys("f")
-    odd = [Put(keys.roster("x"), b"not JSON")]
-    space.commit([], odd)
+    space.commit([], [Put(keys.roster("x"), b"not JSON")])
     fleet = Fleet("f", (("127.0.0.1", 1),), Rules(absent="leave-out"), None, "", None, None, None)
-    orders = ServerControl(lambda text: None, lambda is_aside: None)
-    agent = Agent(fleet, Odd(), "a", MemberStatus(""), lambda text: "", orders, None, None)
-    effects = agent.coordinator.effects_for
+    control = ServerControl(lambda text: None, lambda is_suspended: None)
+    agent = Agent(fleet, FaultyStore(), "a", MemberStatus(""), lambda text: "", control, None, None)
+    effects_for = agent.coordinator.effects_for
 
-    def fails_first(now: float, member: Member) -> object:
+    def fail_first(now: float, member: Member) -> object:
         if member.observed:
-            fails_once("effects")
-        return effects(now, member)
+            fail_once("effects")
+        return effects_for(now, member)
 
-    monkeypatch.setattr(ChangeCoordinator, "effects_for", lambda self, now, member: fails_first(now, member))
+    monkeypatch.setattr(ChangeCoordinator, "effects_for", lambda self, now, member: fail_first(now, member))
 
     async def play() -> None:
         async with anyio.create_task_group() as group:
@@ -370,38 +377,38 @@
             with anyio.fail_after(5):
                 while agent.member.admits(clock.monotonic()) is None:
                     await anyio.sleep(0.02)
-                view = FleetSnapshot(keys, space.read([keys.head]))
-                commit = propose(view, "A", "version = 1", "", "", 0.0, 1000.0)
+                snapshot = FleetSnapshot(keys, space.read([keys.head]))
+                commit = propose(snapshot, "A", "version = 1", "", "", 0.0, 1000.0)
                 space.commit(commit.compares, commit.writes)
                 agent.member.handle_watch_event()
                 while not agent.member.prepared_vote:
                     agent.wakeup.set()
                     await anyio.sleep(0.02)
-            await anyio.sleep(2.5)  # the coordinator has come upon the record by now, and is alive
+            await anyio.sleep(2.5)  # by now the coordinator has read the invalid record
             assert agent.member.admission_status(clock.monotonic()).admits
             group.cancel_scope.cancel()
 
     anyio.run(play)
-    assert not space.leases  # given back on the way out
+    assert not space.leases  # the agent revoked its lease when it ended
     assert failed == {"watch", "effects", "close"}
 
 
-def test_the_commands_from_an_empty_store_to_a_way_back(engine: Engine, tmp_path: Path) -> None:
-    engine.client()  # writes the file
+def test_the_commands_apply_show_and_roll_back_policies(engine: Engine, tmp_path: Path) -> None:
+    engine.client()  # writes the fleet file
     first, second = tmp_path / "first.toml", tmp_path / "second.toml"
     first.write_text("version = 1\n[products.look]\nvalue = 2.0\n")
     second.write_text("version = 1\n[products.look]\nvalue = 3.0\n")
 
-    def run(*words: str) -> tuple[int, str]:
+    def run(*arguments: str) -> tuple[int, str]:
         env = {"OTTERRUDDER_FLEET": str(tmp_path / "fleet.toml"), "PATH": "", "USER": "ann"}
-        told = subprocess.run(
-            [sys.executable, "-m", "otterrudder", "fleet", *words],
+        result = subprocess.run(
+            [sys.executable, "-m", "otterrudder", "fleet", *arguments],
             capture_output=True,
             text=True,
             cwd=ROOT,
             env=env,
         )
-        return told.returncode, told.stdout + told.stderr
+        return result.returncode, result.stdout + result.stderr
 
     assert run("status") == (0, "f, on the store e7cd: no policy yet: each server goes by its own files\n")
     assert run("policy", "back")[0] == 3
