--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -17,7 +17,7 @@
 )
 from benchmarks.capacity.measure import MB, PROCESS_TIME, TRACED, cpu_s, memory_of
 from benchmarks.capacity.slope import Series, Slope
-from otterrudder.admission.factory import request_classes_of, tenants_of
+from otterrudder.admission.factory import parse_request_classes, parse_tenants
 from otterrudder.configuration import read_configuration
 from otterrudder.fleet.policy import local_configuration_of
 from otterrudder.fleet.policy import parse as parse_policy
@@ -32,7 +32,7 @@
 
 def _table(products: int, tenants: int) -> LevelTable:
     settings = settings_of(products, tenants)
-    return parse_table(levels_text(products), request_classes_of(settings), tenants_of(settings))
+    return parse_table(levels_text(products), parse_request_classes(settings), parse_tenants(settings))
 
 
 def _levels_of(name: str, sizes: tuple[int, ...], target: int) -> list[Slope]:
@@ -41,7 +41,7 @@
     for n in sizes:
         products, tenants = (n, FEW) if name == "products" else (FEW, n)
         settings, text = settings_of(products, tenants), levels_text(products)
-        read = partial(parse_table, text, request_classes_of(settings), tenants_of(settings))
+        read = partial(parse_table, text, parse_request_classes(settings), parse_tenants(settings))
         seconds.append(cpu_s(read, 2))
         kept.append(memory_of(read).kept_mb)
     series = Series("levels", f"{name}, with {FEW} of the other", sizes, target)
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -37,20 +37,20 @@
     now: float, instance: int, seed: int, settings: Settings, **overrides: Any
 ) -> AdmissionController:
     """A started controller. `overrides` are fields of `ControllerSettings` that this start knows better."""
-    controller_settings = replace(controller_settings_of(settings), **overrides)
+    controller_settings = replace(parse_controller_settings(settings), **overrides)
     controller = AdmissionController(now, controller_settings, instance=instance, seed=seed)
     controller.start()
     return controller
 
 
-def controller_settings_of(settings: Settings) -> ControllerSettings:
+def parse_controller_settings(settings: Settings) -> ControllerSettings:
     """The controller's settings by the settings object."""
     family = _section(settings, "familyInfo")
     rules = _section(settings, "rules")
     return ControllerSettings(
-        request_classes=request_classes_of(settings),
-        tenants=tenants_of(settings),
-        limits=limits_of(settings),
+        request_classes=parse_request_classes(settings),
+        tenants=parse_tenants(settings),
+        limits=parse_limits(settings),
         cores=family.get("cores") or 1,
         memory_kb=family.get("memoryKb") or 0.0,
         run_memory_factor=family.get("runFactor") or 1.0,
@@ -66,13 +66,13 @@
         load_signal=_LOAD_SIGNALS.get(family.get("say", ""), LoadSignal.NONE),
         max_idle_timeout_ms=_ms(family, "callerIdleUs"),
         are_retries_marked=_section(settings, "clients").get("marksRetry") is not False,
-        downstream=downstream_kind_of(settings),
+        downstream=parse_downstream_kind(settings),
         downstream_quota_window_ms=_ms(family, "depWindowUs"),
         downstream_linger_ms=_ms(family, "lingerUs"),
     )
 
 
-def request_classes_of(settings: Settings) -> list[RequestClass]:
+def parse_request_classes(settings: Settings) -> list[RequestClass]:
     """The request classes; a request names its class by the index."""
     family = _section(settings, "familyInfo")
     may_call = family.get("classCalls") or []
@@ -95,7 +95,7 @@
     ]
 
 
-def tenants_of(settings: Settings) -> list[Tenant]:
+def parse_tenants(settings: Settings) -> list[Tenant]:
     """The tenants; a request names its tenant by the index. A quota is divided evenly among the servers."""
     servers = max(settings.get("servers") or 1, 1)
     return [
@@ -108,7 +108,7 @@
     ]
 
 
-def limits_of(settings: Settings) -> Limits:
+def parse_limits(settings: Settings) -> Limits:
     """The limits that a server starts with."""
     limits = _section(settings, "limits")
     return Limits(
@@ -118,7 +118,7 @@
     )
 
 
-def downstream_kind_of(settings: Settings) -> DownstreamKind:
+def parse_downstream_kind(settings: Settings) -> DownstreamKind:
     """What lies behind the server."""
     return _DOWNSTREAM_KINDS.get(_section(settings, "familyInfo").get("below", ""), DownstreamKind.NONE)
 
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -9,7 +9,7 @@
 
 import click
 
-from otterrudder.admission.factory import request_classes_of, tenants_of
+from otterrudder.admission.factory import parse_request_classes, parse_tenants
 from otterrudder.admission.interface import RequestClass, Restriction, RestrictionKind, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
@@ -157,7 +157,7 @@
         settings = read_configuration(path).settings
     except ConfigurationError as error:
         give_up(error)
-    return request_classes_of(settings), tenants_of(settings)
+    return parse_request_classes(settings), parse_tenants(settings)
 
 
 def _names_in_table(file: str) -> tuple[list[RequestClass], list[Tenant]]:
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -12,7 +12,7 @@
 
 import click
 
-from otterrudder.admission.factory import request_classes_of, tenants_of
+from otterrudder.admission.factory import parse_request_classes, parse_tenants
 from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.cli.common import give_up, named_in, tables_in
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
@@ -123,7 +123,7 @@
     """The request classes and tenants that the file is checked against."""
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
-        return request_classes_of(settings), tenants_of(settings)
+        return parse_request_classes(settings), parse_tenants(settings)
     return named_in(tables_in(values, "group"))
 
 
--- a/otterrudder/fleet/policy.py
+++ b/otterrudder/fleet/policy.py
@@ -11,7 +11,12 @@
 
 import msgspec
 
-from otterrudder.admission.factory import downstream_kind_of, limits_of, request_classes_of, tenants_of
+from otterrudder.admission.factory import (
+    parse_downstream_kind,
+    parse_limits,
+    parse_request_classes,
+    parse_tenants,
+)
 from otterrudder.admission.interface import DownstreamKind, Limits, RequestClass, Tenant
 from otterrudder.files import convert
 from otterrudder.levels import LevelTable, LevelTableError, build_table
@@ -55,11 +60,11 @@
 def local_configuration_of(settings: dict[str, Any]) -> LocalConfiguration:
     """Of the settings in a server's configuration."""
     return LocalConfiguration(
-        request_classes_of(settings),
-        tenants_of(settings),
+        parse_request_classes(settings),
+        parse_tenants(settings),
         max(settings.get("servers") or 1, 1),
-        limits_of(settings),
-        downstream_kind_of(settings) is DownstreamKind.SHARED,
+        parse_limits(settings),
+        parse_downstream_kind(settings) is DownstreamKind.SHARED,
     )
 
 
--- a/otterrudder/net/controller_setup.py
+++ b/otterrudder/net/controller_setup.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from otterrudder.admission.controller import AdmissionController
-from otterrudder.admission.factory import can_stop_requests, create_controller, request_classes_of
+from otterrudder.admission.factory import can_stop_requests, create_controller, parse_request_classes
 from otterrudder.admission.interface import Idempotency, RequestClass
 from otterrudder.configuration import Configuration
 
@@ -20,14 +20,16 @@
     found = []
     if can_stop_requests(settings):
         found.append(f"familyInfo.stopMode: work can't be stopped here: {why}")
-    if any(request_class.skip_weight_factor for request_class in request_classes_of(settings)):
+    if any(request_class.skip_weight_factor for request_class in parse_request_classes(settings)):
         found.append(f"familyInfo.classSkipWorth: no call is left out here: {why}")
     return found
 
 
 def served_classes(settings: dict[str, Any]) -> list[RequestClass]:
     """The request classes as they can be served here, see `unsupported_settings`."""
-    return [replace(request_class, skip_weight_factor=0.0) for request_class in request_classes_of(settings)]
+    return [
+        replace(request_class, skip_weight_factor=0.0) for request_class in parse_request_classes(settings)
+    ]
 
 
 def controller_factory(
--- a/otterrudder/net/server_files.py
+++ b/otterrudder/net/server_files.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from otterrudder.admission.factory import request_classes_of, tenants_of
+from otterrudder.admission.factory import parse_request_classes, parse_tenants
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
     FLEET_VARIABLE,
@@ -42,7 +42,7 @@
         from otterrudder import levels
 
         try:
-            return levels.read_table(self.levels, request_classes_of(settings), tenants_of(settings))
+            return levels.read_table(self.levels, parse_request_classes(settings), parse_tenants(settings))
         except levels.LevelTableError as error:
             raise ConfigurationError(str(error)) from None
 
@@ -73,6 +73,8 @@
         from otterrudder.vrrp.configuration_reader import read_configuration as read_vrrp_configuration
 
         try:
-            return read_vrrp_configuration(self.vrrp, request_classes_of(settings), tenants_of(settings))
+            return read_vrrp_configuration(
+                self.vrrp, parse_request_classes(settings), parse_tenants(settings)
+            )
         except VrrpConfigurationError as error:
             raise ConfigurationError(str(error)) from None
--- a/otterrudder/net/server_parts.py
+++ b/otterrudder/net/server_parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from otterrudder.admission.factory import gauge_names, tenants_of
+from otterrudder.admission.factory import gauge_names, parse_tenants
 from otterrudder.configuration import Configuration, parse_address
 from otterrudder.log import log
 from otterrudder.net import controller_setup
@@ -65,7 +65,7 @@
     runtime = RuntimeLink(dispatcher, parse_address(configuration.runtime))
     max_descriptors = _max_descriptors(configuration)
     records = RecordsPool(dispatcher, records_address(configuration), max_descriptors)
-    tenants = {tenant.name: index for index, tenant in enumerate(tenants_of(configuration.settings))}
+    tenants = {tenant.name: index for index, tenant in enumerate(parse_tenants(configuration.settings))}
     gateways = GatewayListener(
         dispatcher,
         parse_address(configuration.listen),
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -2,7 +2,7 @@
 
 from helpers import SETTINGS
 
-from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
+from otterrudder.admission.factory import create_controller, gauge_names, parse_request_classes
 from otterrudder.net.core import RequestCore
 from otterrudder.net.messages import (
     Message,
@@ -36,7 +36,7 @@
     def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
         self.core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, settings, **told),
-            request_classes_of(settings),
+            parse_request_classes(settings),
             gauge_names(settings),
         )
         self.now = 1000.0
--- a/tests/fleet/test_fleet_core.py
+++ b/tests/fleet/test_fleet_core.py
@@ -8,7 +8,7 @@
 from helpers import SETTINGS
 from server_process import ServerProcess
 
-from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of, tenants_of
+from otterrudder.admission.factory import create_controller, gauge_names, parse_request_classes, parse_tenants
 from otterrudder.admission.interface import Limits, Outcome
 from otterrudder.fleet.policy import LocalConfiguration, parse
 from otterrudder.levels import LevelController
@@ -22,7 +22,7 @@
 )
 from otterrudder.net.requests import RequestFields
 
-PRODUCTS, TENANTS = request_classes_of(SETTINGS), tenants_of(SETTINGS)
+PRODUCTS, TENANTS = parse_request_classes(SETTINGS), parse_tenants(SETTINGS)
 CUTS_LOOK = """version = 1
 [levels]
 version = 1
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -15,7 +15,7 @@
 from net_harness import InProcessServer, end, in_process, rest, until
 from server_process import MARK, A, B, C, ServerProcess
 
-from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
+from otterrudder.admission.factory import create_controller, gauge_names, parse_request_classes
 from otterrudder.net import gateway_listener, serve
 from otterrudder.net.core import RequestCore
 from otterrudder.net.server_parts import ServerParts
@@ -148,7 +148,7 @@
     async def play(inside: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            request_classes_of(SETTINGS),
+            parse_request_classes(SETTINGS),
             gauge_names(SETTINGS),
         )
         inside.dispatcher.core = inside.gateways.dispatcher.core = core
@@ -173,7 +173,7 @@
     async def play(inside: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            request_classes_of(SETTINGS),
+            parse_request_classes(SETTINGS),
             gauge_names(SETTINGS),
         )
         inside.dispatcher.core = inside.gateways.dispatcher.core = core
--- a/tests/net_harness.py
+++ b/tests/net_harness.py
@@ -9,7 +9,7 @@
 from fake_gateway import FakeGateway
 from helpers import SETTINGS
 
-from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
+from otterrudder.admission.factory import create_controller, gauge_names, parse_request_classes
 from otterrudder.admission.interface import Outcome
 from otterrudder.net.core import RequestCore
 from otterrudder.net.dispatcher import Dispatcher
@@ -41,7 +41,7 @@
         self.group, self.runtime = group, RuntimeRecorder()
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS, is_cold_start=False),
-            request_classes_of(SETTINGS),
+            parse_request_classes(SETTINGS),
             gauge_names(SETTINGS),
         )
         self.dispatcher = Dispatcher(core)
