--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -11,7 +11,7 @@
 
 from otterrudder.cli.common import give_up
 from otterrudder.configuration import ConfigurationError, check_configuration, decode_file
-from otterrudder.files import merged
+from otterrudder.files import merge_tables
 
 ABSENT = object()  # no value, not even null
 
@@ -79,7 +79,7 @@
         if _get(stated, setting.path, ABSENT) is ABSENT:
             migration.not_carried_over.append(f"{setting.path}: {setting.reason}")
     settings = _with_value(migration.settings, "familyInfo.callsOut", 0.0)
-    migration.settings = merged(settings, stated)
+    migration.settings = merge_tables(settings, stated)
     return migration
 
 
@@ -131,7 +131,7 @@
     change: Any = value
     for key in reversed(path.split(".")):
         change = {key: change}
-    return merged(settings, change)
+    return merge_tables(settings, change)
 
 
 @click.command()
--- a/otterrudder/files.py
+++ b/otterrudder/files.py
@@ -29,13 +29,13 @@
         raise error_class(f"{place}{path.rstrip('`')}: {message}") from None
 
 
-def merged(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
+def merge_tables(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
     """A copy of `base` with the values of `change`; tables in both are merged."""
     result = dict(base)
     for key, value in change.items():
         original = base.get(key)
         if isinstance(original, dict) and isinstance(value, dict):
-            result[key] = merged(original, value)
+            result[key] = merge_tables(original, value)
         else:
             result[key] = value
     return result
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from otterrudder.files import load_toml, merged
+from otterrudder.files import load_toml, merge_tables
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import InvalidInputError, Site, convert, site_of
@@ -186,7 +186,7 @@
     if not load:
         raise InvalidInputError(f"{place}.load: it is empty")
     for variant in variants:
-        changed = merged(merged(whole, _filled(case.site, values, f"{place}.site")), variant.site)
+        changed = merge_tables(merge_tables(whole, _filled(case.site, values, f"{place}.site")), variant.site)
         site = site_of(changed, f"{site_where} as {place} and {variant.name} change it")
         for k, fault in enumerate(faults, 1):
             if any(not 0 <= number < site.server.count for number in fault.servers):
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -11,7 +11,7 @@
 from otterrudder.net.requests import RequestFields
 
 
-def fields_of(
+def make_request_fields(
     request_id: str,
     received_at: float,
     ttl_ms: float | None = 9000.0,
@@ -30,7 +30,7 @@
     )
 
 
-class CoreBench:
+class CoreHarness:
     """A core with the messages it sent; answers are counted by their request."""
 
     def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
@@ -64,14 +64,14 @@
         age: float = 0.0,
         ttl: float | None = 9000.0,
     ) -> list[Outgoing]:
-        fields = fields_of(f"{rpc:016x}", self.now + 1e12 - age, ttl, mark)
+        fields = make_request_fields(f"{rpc:016x}", self.now + 1e12 - age, ttl, mark)
         return self.step(self.core.handle_arrival, "connection", rpc, product, fields)
 
     def wait(self, ms: float) -> None:
         """Time passes, and nothing happens."""
         self.now += ms
 
-    def sent_of(self, kind: type) -> list:
+    def sent_messages(self, kind: type) -> list:
         return [message for message in self.sent if isinstance(message, kind)]
 
     @property
--- a/tests/net/test_core_random.py
+++ b/tests/net/test_core_random.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from core_harness import CoreBench
+from core_harness import CoreHarness
 from helpers import SETTINGS
 
 from otterrudder.admission.commands import CloseConnections
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
-        self.bench = CoreBench(max_idempotency_entries=40)
+        self.bench = CoreHarness(max_idempotency_entries=40)
         self.core = self.bench.core
         self.running: dict[str, str] = {}  # methods by request id
         self.at_calls: set[str] = set()  # requests whose run waits at a call
@@ -119,7 +119,7 @@
         """A graceful shutdown, until all is over."""
         self.bench.step(self.core.begin_graceful_shutdown, 1500.0)
         self.bench.step(lambda: None, ms=1500.0)
-        assert self.bench.sent_of(CloseConnections) and not self.core.requests.unanswered_count()
+        assert self.bench.sent_messages(CloseConnections) and not self.core.requests.unanswered_count()
         for call in [request.request_id for request in self.core.requests.running()]:
             self.bench.step(self.core.handle_run_ended, call, Outcome.CANCELLED, b"")
         self.bench.step(lambda: None, ms=60_000.0)
@@ -169,7 +169,7 @@
         "hardLimitUs": expiry * 1e3,
         "promiseUs": expiry * 0.7e3,
     }
-    bench = CoreBench(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
+    bench = CoreHarness(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
     chance, marks, written, ran, running = random.Random(seed), {}, {}, {}, {}
     for n in range(1, 1500):
         mark, age = f"m{chance.randrange(25)}", chance.choice([0.0, 0.0, 5.0, 0.9 * expiry])
@@ -202,4 +202,4 @@
         assert not more
         if isinstance(answer, RequestCompleted):  # nobody else's response
             assert marks[answer.body.decode()] == marks[f"{n:016x}"]
-    assert len(bench.sent_of(StartRun)) > 50 and len(bench.core.idempotency.entries) <= 25
+    assert len(bench.sent_messages(StartRun)) > 50 and len(bench.core.idempotency.entries) <= 25
--- a/tests/net/test_request_core.py
+++ b/tests/net/test_request_core.py
@@ -3,7 +3,7 @@
 from unittest.mock import Mock
 
 import pytest
-from core_harness import CoreBench, fields_of
+from core_harness import CoreHarness, make_request_fields
 from net_harness import InProcessServer, in_process
 from server_process import A
 
@@ -20,13 +20,13 @@
 
 
 def test_two_attempts_in_one_batch_are_linked() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     for rpc in (1, 2):
         bench.core.handle_arrival(
-            "connection", rpc, 1, fields_of(f"{rpc:016x}", bench.now + 1e12, idempotency_key="m")
+            "connection", rpc, 1, make_request_fields(f"{rpc:016x}", bench.now + 1e12, idempotency_key="m")
         )
     bench.step(lambda: None)
-    assert len(bench.sent_of(StartRun)) == 1
+    assert len(bench.sent_messages(StartRun)) == 1
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r")
     assert bench.answers == {n: [RequestCompleted(n, b"r", bench.load)] for n in (1, 2)}
     assert all(isinstance(answer, RequestCompleted) for (answer,) in bench.answers.values())
@@ -34,24 +34,29 @@
 
 @pytest.mark.parametrize("age", [0.0, 10_000.0])
 def test_a_key_outlives_its_retention_by_what_may_still_be_unread(age: float) -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.arrive(1, 1, "m", age=age, ttl=16_000.0)
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r", ms=100.0)
     # Written just within the window (20 s from the first `recv`), read seconds later: never run.
     bench.wait(24_800.0 - age)
     bench.arrive(2, 1, "m", age=5000.0, ttl=8000.0)
-    assert bench.answers[2] == [RequestCompleted(2, b"r", bench.load)] and len(bench.sent_of(StartRun)) == 1
+    assert (
+        bench.answers[2] == [RequestCompleted(2, b"r", bench.load)]
+        and len(bench.sent_messages(StartRun)) == 1
+    )
     bench.step(lambda: None, ms=40_000.0)
     assert not bench.core.idempotency.entries and not bench.core.idempotency.expirations
     bench.arrive(3, 1, "m")
-    assert len(bench.sent_of(StartRun)) == 2
+    assert len(bench.sent_messages(StartRun)) == 2
 
 
 @pytest.mark.parametrize("product", [0, 1])
 def test_a_request_cancelled_in_its_batch_leaves_no_slot_taken(product: int) -> None:
     # Hundreds of them once filled the module's count of what is in hand for good.
-    bench = CoreBench()
-    bench.core.handle_arrival("connection", 1, product, fields_of("c", bench.now + 1e12, idempotency_key="m"))
+    bench = CoreHarness()
+    bench.core.handle_arrival(
+        "connection", 1, product, make_request_fields("c", bench.now + 1e12, idempotency_key="m")
+    )
     bench.step(bench.core.handle_disconnect, "c")
     limiter = bench.core.controller.limiter
     assert (limiter.in_flight, limiter.running, bench.core.controller.memory_budget.requests_kb) == (
@@ -59,22 +64,24 @@
         0,
         0.0,
     )
-    assert not bench.core.requests and not bench.core.controller.requests and not bench.sent_of(StartRun)
+    assert (
+        not bench.core.requests and not bench.core.controller.requests and not bench.sent_messages(StartRun)
+    )
 
 
 def test_none_left_is_not_unknown() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.arrive(1, age=300.0, ttl=300.0)
     bench.arrive(2, age=300.0, ttl=0.0)
-    assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestRejected] * 2 and not bench.sent_of(
+    assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestRejected] * 2 and not bench.sent_messages(
         StartRun
     )
     bench.arrive(3, age=300.0, ttl=None)
-    assert len(bench.sent_of(StartRun)) == 1
+    assert len(bench.sent_messages(StartRun)) == 1
 
 
 def test_gauges_that_are_no_numbers_are_missing() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.step(bench.core.query_gauges)
     bench.step(
         bench.core.handle_gauges, bench.core.delivery.last_query, [float("nan"), float("inf"), 0.0, 0.0]
@@ -85,7 +92,7 @@
 
 
 def test_a_tick_that_fails_is_not_the_last() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     dispatcher = Dispatcher(bench.core)
     dispatcher.recipients |= {Destination.GATEWAYS: Mock(), Destination.RUNTIME: Mock()}
     dispatcher.send(ScheduleTick(40.0))
@@ -96,7 +103,7 @@
 
 
 def test_a_runtime_that_restarted_has_lost_its_runs() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.arrive(1), bench.arrive(2, 1, "m")
     bench.step(bench.core.handle_link_lost)
     bench.step(bench.core.handle_runtime_restart)
@@ -105,24 +112,24 @@
 
 
 def test_an_uncertain_start_stays_so_over_further_links() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.arrive(1, 1, "m")
     for _ in range(2):  # gauges answered on the second link say nothing of a start sent on the first
         bench.step(bench.core.handle_link_lost)
         bench.step(bench.core.handle_link_established)
         bench.step(bench.core.query_gauges)
         bench.step(bench.core.handle_gauges, bench.core.delivery.last_query, [0.5, 1.0, 0.1, 5.0])
-    assert len(bench.sent_of(StartRun)) == 1
+    assert len(bench.sent_messages(StartRun)) == 1
     bench.step(bench.core.handle_link_lost)
     bench.step(bench.core.handle_disconnect, f"{1:016x}")
     bench.step(bench.core.handle_link_established)
-    assert len(bench.sent_of(StartRun)) == 2  # it is over, so this only asks how it stands
+    assert len(bench.sent_messages(StartRun)) == 2  # it is over, so this only asks how it stands
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
     assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
 def test_a_failing_event_fails_its_request_and_no_other() -> None:
-    bench = CoreBench()
+    bench = CoreHarness()
     bench.arrive(1), bench.arrive(2)
     bench.step(bench.core.fail_request, f"{1:016x}")
     bench.step(bench.core.handle_run_ended, f"{2:016x}", Outcome.OK, b"r")
