--- a/otterrudder/admission/admission_queues.py
+++ b/otterrudder/admission/admission_queues.py
@@ -18,7 +18,7 @@
 
 QUEUE_WAIT_SHARE = 0.4  # of the time left until late that may be spent queued; calls and errors need theirs
 MAX_QUEUE_WAIT_SHARE = 0.8  # the same for the requests of the greatest weight
-MIN_EXPECTED_SHARE = 0.45  # of the expected time that must be left, or the request is hopeless here
+MIN_EXPECTED_TIME_SHARE = 0.45  # of the expected time that must be left, or the request is hopeless here
 MIN_NEWCOMER_SHARE = 0.1  # of the starts, taken to go to newcomers
 MAX_KEY_SHARE = 0.25  # of the queued requests, for one key or for all without a key
 MIN_KEY_ALLOWANCE = 3  # requests that any key may have queued
@@ -76,18 +76,19 @@
         off_cores_ms = self._limiter.expected_off_cores_ms(request)
         request.cost_ms = self._limiter.expected_cores_ms(request)
         expected_ms = request.cost_ms + off_cores_ms
-        if self._is_hopeless(request, expected_ms):
+        if self._cannot_be_on_time(request, expected_ms):
             self._load_reporter.record_wait(request, off_cores_ms)
             return self._flow.reject(request, RejectionReason.LOCAL)
         if self.is_free_for(request):
             self._load_reporter.record_wait(request, 0.0)
             return True
-        if not self._fits(request, expected_ms):
+        if not self._may_be_queued(request, expected_ms):
             return self._flow.reject(request)
         self._enqueue(request)
         # Once it can't be on time any more it is given up: later it weighs little.
         self._context.timers.schedule(
-            request.on_time_until - expected_ms * MIN_EXPECTED_SHARE, lambda: self._give_up(request)
+            request.soft_deadline - expected_ms * MIN_EXPECTED_TIME_SHARE,
+            lambda: self._reject_if_queued(request),
         )
         return False
 
@@ -120,29 +121,29 @@
         )
         return not is_blocked and self._limiter.may_start(request)
 
-    def _is_hopeless(self, request: Request, expected_ms: float) -> bool:
+    def _cannot_be_on_time(self, request: Request, expected_ms: float) -> bool:
         """Whether it would be late even if it started now, while a quicker server may yet be on time.
 
         With nothing in flight it runs all the same, so that a server learns when it is slow no longer."""
-        left_ms = request.on_time_until - self._context.now
-        return left_ms < expected_ms * MIN_EXPECTED_SHARE and self._limiter.in_flight > 0
+        left_ms = request.soft_deadline - self._context.now
+        return left_ms < expected_ms * MIN_EXPECTED_TIME_SHARE and self._limiter.in_flight > 0
 
-    def _fits(self, request: Request, expected_ms: float) -> bool:
+    def _may_be_queued(self, request: Request, expected_ms: float) -> bool:
         """Whether the request may be queued. One of a key with too many queued counts as a newcomer."""
         weight_per_ms = self._quotas.priority_weight(request) / request.cost_ms
         if not request.is_established:
-            self._record_newcomer(weight_per_ms)
+            self._update_newcomer_weight(weight_per_ms)
         is_over_key_share = self._is_over_key_share(request)
-        is_crowding = is_over_key_share and not request.is_established
+        is_excess_newcomer = is_over_key_share and not request.is_established
         request.is_established = request.is_established and not is_over_key_share
         wait_ms = self._expected_wait_ms(request)
         self._load_reporter.record_wait(request, wait_ms)
         mean_weight_per_ms = self._newcomer_weight_per_ms or weight_per_ms or 1.0
         wait_share = min(QUEUE_WAIT_SHARE * weight_per_ms / mean_weight_per_ms, MAX_QUEUE_WAIT_SHARE)
-        max_wait_ms = (request.on_time_until - self._context.now - expected_ms) * wait_share
-        return not is_crowding and wait_ms <= max_wait_ms
+        max_wait_ms = (request.soft_deadline - self._context.now - expected_ms) * wait_share
+        return not is_excess_newcomer and wait_ms <= max_wait_ms
 
-    def _record_newcomer(self, weight_per_ms: float) -> None:
+    def _update_newcomer_weight(self, weight_per_ms: float) -> None:
         if self._newcomer_weight_per_ms:
             self._newcomer_weight_per_ms += RECENT_WEIGHT * (weight_per_ms - self._newcomer_weight_per_ms)
         else:
@@ -162,18 +163,18 @@
         newcomer_share = max(1 - self._established_share, MIN_NEWCOMER_SHARE)
         return work_ms / newcomer_share / self._limiter.limit
 
-    def _queue_of(self, request: Request) -> WorkQueue:
+    def _queue_for(self, request: Request) -> WorkQueue:
         return self._established if request.is_established else self._newcomers
 
     def _enqueue(self, request: Request) -> None:
         request.is_queued = True
-        self._queue_of(request).append(request)
+        self._queue_for(request).append(request)
         self.count += 1
         self._queued_by_key[request.session_key] = self._queued_by_key.get(request.session_key, 0) + 1
 
     def _dequeue(self, request: Request) -> None:
         request.is_queued = False
-        self._queue_of(request).remove(request)
+        self._queue_for(request).remove(request)
         self.count -= 1
         queued = self._queued_by_key[request.session_key] - 1
         if queued:
@@ -181,6 +182,6 @@
         else:
             del self._queued_by_key[request.session_key]
 
-    def _give_up(self, request: Request) -> None:
+    def _reject_if_queued(self, request: Request) -> None:
         if request.is_queued:
             self._flow.reject(request)
--- a/otterrudder/admission/circuit_breaker.py
+++ b/otterrudder/admission/circuit_breaker.py
@@ -42,6 +42,6 @@
         self._consecutive_failures += 1
         if self._consecutive_failures == FAILURES_TO_OPEN:
             # Spread by chance, so that no two servers try in step.
-            spread = 1 + self._flow.random_share(request.request_id) / 2
+            spread = 1 + self._flow.random_fraction(request.request_id) / 2
             self._interval_ms = OPEN_INTERVAL_MS * spread
             self._context.commands.append(LogMessage("calls below stop: too many failures in a row"))
--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -13,18 +13,18 @@
 BUSY_CORES_SHARE = 0.9  # share of the cores in use from which they count as busy
 
 # How the limit moves.
-MAX_UNCROWDED_STRETCH = 2.0  # times the lowest latency up to which the limit may rise
+MAX_RATIO_FOR_INCREASE = 2.0  # times the lowest latency up to which the limit may rise
 MIN_DECREASE_FACTOR = 0.9  # for one finished request
-LIMIT_STEP_PER_CORE = 0.04  # increase for one finished request
-EASY_RUNS_PER_CORE = 1.34  # up to which the limit rises by one a tick while cores have room
+LIMIT_INCREASE_PER_CORE = 0.04  # increase for one finished request
+FAST_RAMP_RUNS_PER_CORE = 1.34  # up to which the limit rises by one a tick while cores have room
 SLOW_RAMP_MS = 2000.0  # time in which it rises by one run a core beyond that
 
 # How latencies are learned.
 MIN_LATENCY_MS = 0.1  # a run is never taken for shorter, as latencies are divided by
 LOWEST_LATENCY_GROWTH = 1.01  # factor for each run, so that one lucky run is forgotten
 MIN_MEAN_WEIGHT = 1 / 64  # weight of a new run in the long-term mean
-PACE_WEIGHT = 1 / 8  # weight of a new run in the pace
-MAX_PACE_SAMPLE = 3.0  # one run counts for no more, as a costly request doesn't make a slow server
+MEAN_RATIO_WEIGHT = 1 / 8  # weight of a new run in `latency_to_mean`
+MAX_MEAN_RATIO_SAMPLE = 3.0  # one run counts for no more, as a costly request doesn't make a slow server
 
 
 class ClassLatencies:
@@ -68,8 +68,8 @@
         self.running = 0  # requests on the cores
         self.in_flight = 0  # those, and requests that are out on downstream calls
         self.busy_share = 0.0  # of the cores, as last measured
-        self.pace = 1.0  # recent latency by the mean, over all classes: shows a slowdown first
-        self.stretch = 1.0  # recent latency by the lowest
+        self.latency_to_mean = 1.0  # recent latency by the mean, over all classes: shows a slowdown first
+        self.latency_to_lowest = 1.0  # recent latency by the lowest
         self.wasted_share = 0.0  # of recent runs: they ended without completing on time
 
     def warm_share(self) -> float:
@@ -83,8 +83,8 @@
         """Be as after a cold start; what still runs still counts."""
         self._started_at = self._context.now
         self.limit = float(self._cores)
-        self.pace = 1.0
-        self.stretch = 1.0
+        self.latency_to_mean = 1.0
+        self.latency_to_lowest = 1.0
         self.latencies.restart()
 
     def ceiling(self) -> float:
@@ -102,7 +102,7 @@
 
     def expected_cores_ms(self, request: Request) -> float:
         """Expected time of the request on the cores."""
-        return self.latencies.mean_ms[request.class_index] * self.pace or 1.0
+        return self.latencies.mean_ms[request.class_index] * self.latency_to_mean or 1.0
 
     def expected_off_cores_ms(self, request: Request) -> float:
         """Expected time of the request at downstream calls."""
@@ -137,7 +137,7 @@
         if request.state is RequestState.CALLING:  # its time at the call is not time on the cores
             self.return_to_cores(request)
         self.running -= 1
-        is_wasted = not request.is_completed or self._context.now > request.on_time_until
+        is_wasted = not request.is_completed or self._context.now > request.soft_deadline
         self.wasted_share += RECENT_WEIGHT * (is_wasted - self.wasted_share)
         spent_ms = self._context.now - request.started_at - request.off_cores_ms
         # One that was cut short shows the least it takes; without it only quick runs would count.
@@ -148,18 +148,20 @@
         """Raise the limit while requests wait and cores are free."""
         self.busy_share = busy_share
         if queued_count > 0 and busy_share < BUSY_CORES_SHARE and self.running >= int(self.limit):
-            is_easy = self.limit + 1 <= EASY_RUNS_PER_CORE * self._cores or busy_cores < self._cores
-            self.limit += 1 if is_easy else self._cores * TICK_MS / SLOW_RAMP_MS
+            is_fast_ramp = self.limit + 1 <= FAST_RAMP_RUNS_PER_CORE * self._cores or busy_cores < self._cores
+            self.limit += 1 if is_fast_ramp else self._cores * TICK_MS / SLOW_RAMP_MS
         self.limit = min(self.limit, max(self.ceiling(), self._cores))
 
     def _learn(self, request: Request, latency_ms: float) -> None:
         mean_ms = self.latencies.mean_ms[request.class_index] or latency_ms
-        self.pace += PACE_WEIGHT * (min(latency_ms / mean_ms, MAX_PACE_SAMPLE) - self.pace)
+        self.latency_to_mean += MEAN_RATIO_WEIGHT * (
+            min(latency_ms / mean_ms, MAX_MEAN_RATIO_SAMPLE) - self.latency_to_mean
+        )
         self.latencies.add(request, latency_ms)
         lowest_ms = self.latencies.lowest_ms[request.class_index]
-        self.stretch += RECENT_WEIGHT * (latency_ms / lowest_ms - self.stretch)
-        if self.stretch <= MAX_UNCROWDED_STRETCH:
+        self.latency_to_lowest += RECENT_WEIGHT * (latency_ms / lowest_ms - self.latency_to_lowest)
+        if self.latency_to_lowest <= MAX_RATIO_FOR_INCREASE:
             if self.running + 1 >= int(self.limit):
-                self.limit += LIMIT_STEP_PER_CORE * self._cores
+                self.limit += LIMIT_INCREASE_PER_CORE * self._cores
         elif self.busy_share >= BUSY_CORES_SHARE:
-            self.limit = max(self.limit * max(1 / self.stretch, MIN_DECREASE_FACTOR), self._cores)
+            self.limit = max(self.limit * max(1 / self.latency_to_lowest, MIN_DECREASE_FACTOR), self._cores)
--- a/otterrudder/admission/context.py
+++ b/otterrudder/admission/context.py
@@ -56,7 +56,7 @@
     def replay(self, request: Request) -> None:
         """Answer with the response of the earlier attempt."""
 
-    def random_share(self, request_id: int) -> float:
+    def random_fraction(self, request_id: int) -> float:
         """A pseudo-random number from 0 to 1, the same for the same seed and order of events."""
 
 
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -55,7 +55,7 @@
         self._instance = instance
         self._random_count = seed
         self.context = AdmissionContext(now, settings, self)
-        self._make_stages()
+        self._create_stages()
         self._chain: tuple[Stage, ...] = (
             self.deadlines,
             self.draining,
@@ -71,7 +71,7 @@
         self._on_answered = (self.queues, self.sessions, self.deduplication)
         self._on_released = (self.downstream_calls, self.limiter, self.memory_budget)
 
-    def _make_stages(self) -> None:
+    def _create_stages(self) -> None:
         context = self.context
         active_level = ActiveServiceLevel()
         self.deadlines = Deadlines(context)
@@ -143,7 +143,7 @@
     def start(self) -> None:
         """Begin to serve. The first tick comes at random, so that no two servers tick in step."""
         self.load_reporter.on_tick()
-        delay_ms = TICK_MS * (0.5 + self.random_share(self._instance) / 2)
+        delay_ms = TICK_MS * (0.5 + self.random_fraction(self._instance) / 2)
         self.context.commands += [SetHealth(True), ScheduleTick(delay_ms)]
 
     def tick(self, busy: float = 1.0, on_cores: float = 0.0) -> None:
@@ -197,7 +197,7 @@
         """The request's caller is gone or waits no more."""
         request = self.context.requests.get(request_id)
         if request is not None:
-            self._end(request)
+            self._close(request)
 
     # The operator's side: drains, service levels, policy.
 
@@ -237,7 +237,7 @@
             "pressure": self.load_reporter.pressure,
             "waits": self.load_reporter.wait_share,
             "retries": self.load_reporter.retry_share,
-            "stretch": 1.0 if is_idle else self.limiter.stretch,
+            "stretch": 1.0 if is_idle else self.limiter.latency_to_lowest,
             "given_up": 0.0 if is_idle else self.limiter.wasted_share,
             "memory": self.memory_budget.used_share,
             "busy": self.limiter.busy_share,
@@ -266,14 +266,14 @@
             advice = self.load_reporter.rejection_advice(reason, request.is_retry, retry_after_ms)
             command = RejectRequest(request.request_id, advice.is_final, advice.retry_after_ms)
             self.context.commands.append(command)
-            self._end(request)
+            self._close(request)
         return False
 
     def fail(self, request: Request) -> bool:
         """Answer that the request failed and may have run."""
         if not request.is_answered:
             self.context.commands.append(FailRequest(request.request_id))
-            self._end(request)
+            self._close(request)
         return False
 
     def replay(self, request: Request) -> None:
@@ -282,7 +282,7 @@
         self.memory_budget.on_started(request)
         self.context.commands.append(ReplayResponse(request.request_id))
 
-    def random_share(self, request_id: int) -> float:
+    def random_fraction(self, request_id: int) -> float:
         """A pseudo-random number from 0 to 1, the same for the same seed and order of events."""
         self._random_count += 1
         return zlib.crc32(f"{self._instance}/{request_id}/{self._random_count}".encode()) / 2**32
@@ -294,7 +294,7 @@
             if not stage.admit(request):
                 return
 
-    def _end(self, request: Request) -> None:
+    def _close(self, request: Request) -> None:
         """Its answer is given or its caller is gone; a run still counts until it has finished."""
         if request.is_answered:
             return
--- a/otterrudder/admission/deadlines.py
+++ b/otterrudder/admission/deadlines.py
@@ -29,7 +29,7 @@
         if request.is_retry:
             spent_ms = RETRY_WAIT_FACTOR * wait_share * request_class.latency_objective_ms
         request.deadline = request.arrived_at + total_ms
-        request.on_time_until = min(
+        request.soft_deadline = min(
             request.arrived_at + request_class.latency_objective_ms - spent_ms, request.deadline
         )
 
--- a/otterrudder/admission/downstream_calls.py
+++ b/otterrudder/admission/downstream_calls.py
@@ -83,7 +83,7 @@
 
     def handle_ended(self, request: Request, outcome: Outcome) -> None:
         """The request's call has ended."""
-        self._close(request, 0.0 if outcome.is_over else self._linger_ms)
+        self._close_call(request, 0.0 if outcome.has_ended_downstream else self._linger_ms)
         if outcome is Outcome.OK:
             self._breaker.on_success()
             request.call_attempts = 0
@@ -95,7 +95,7 @@
 
     def on_released(self, request: Request) -> None:
         """The request ended before its call did: the downstream may still work on it."""
-        self._close(request, self._linger_ms)
+        self._close_call(request, self._linger_ms)
 
     def _may_call(self) -> bool:
         self.quota.add(0)
@@ -113,7 +113,7 @@
         self._context.commands.append(SkipCall(request.request_id))
         self._limiter.return_to_cores(request)
 
-    def _close(self, request: Request, linger_ms: float) -> None:
+    def _close_call(self, request: Request, linger_ms: float) -> None:
         if request.is_call_open:
             request.is_call_open = False
             self._context.timers.schedule(self._context.now + linger_ms, lambda: self.quota.add(-1))
@@ -122,6 +122,6 @@
         if request.has_side_effects and not outcome.never_ran:
             self._flow.fail(request)
         elif not request.is_answered:
-            jitter = 0.5 + self._flow.random_share(request.request_id)
+            jitter = 0.5 + self._flow.random_fraction(request.request_id)
             backoff_ms = RETRY_BACKOFF_MS * request.call_attempts * jitter
             self._context.timers.schedule(self._context.now + backoff_ms, lambda: self.request_call(request))
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -47,7 +47,7 @@
     NEVER_STARTED = "moot"
 
     @property
-    def is_over(self) -> bool:
+    def has_ended_downstream(self) -> bool:
         """Nothing of it can still be going on downstream."""
         return self.never_ran or self in (Outcome.OK, Outcome.ERROR)
 
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -21,7 +21,7 @@
 MAX_ADVERTISED_CRITICALITY = 0.3  # below which callers are asked to hold requests back
 
 # Rejections: whether the callers' other servers are likely to be full too.
-MIN_SLOW_PACE = 1.5  # pace from which this server is slow by itself, and not just full
+SLOW_SERVER_RATIO = 1.5  # `latency_to_mean` from which this server is slow by itself, and not just full
 MAX_RETRY_SHARE = 0.15  # of the arrivals, beyond which other servers are taken to be full
 RETRY_STORM_SHARE = 0.5  # of the arrivals, beyond which callers are asked to stay away for long
 
@@ -60,7 +60,7 @@
         self._advertised: float | None = None
         self._max_idle_timeout_ms = settings.max_idle_timeout_ms
         self._idle_timeout_ms = settings.max_idle_timeout_ms
-        if self._are_callers_rare():
+        if self._are_requests_rare():
             self._idle_timeout_ms = MIN_IDLE_TIMEOUT_MS
         self._sent_idle_timeout_ms = settings.max_idle_timeout_ms
         self._rejected_share = 0.0  # of recent arrivals
@@ -81,8 +81,8 @@
             return RejectionAdvice(False, max_retry_after_ms)
         if retry_after_ms is None:
             retry_after_ms = math.inf if self.retry_share > RETRY_STORM_SHARE else DEFAULT_RETRY_AFTER_MS
-        is_alone = self._limiter.warm_share() < 1.0 or self._limiter.pace > MIN_SLOW_PACE
-        are_others_full = reason is RejectionReason.OVERLOAD and not is_alone
+        is_slow_itself = self._limiter.warm_share() < 1.0 or self._limiter.latency_to_mean > SLOW_SERVER_RATIO
+        are_others_full = reason is RejectionReason.OVERLOAD and not is_slow_itself
         is_final = are_others_full or is_retry or self.retry_share > MAX_RETRY_SHARE
         return RejectionAdvice(is_final, min(retry_after_ms, max_retry_after_ms))
 
@@ -117,7 +117,7 @@
             self._advertised = value
             self._context.commands.append(AdvertiseLoad(value))
 
-    def _are_callers_rare(self) -> bool:
+    def _are_requests_rare(self) -> bool:
         """Whether a caller's next request is so far off that its connection would only fill the table."""
         return self._arrival_gap_ms * self._callers > MAX_CALLER_GAP_MS
 
@@ -132,7 +132,7 @@
         # While most arrivals are rejected, a full connection table is the cheapest rejection there is. It
         # changes by degrees, as callers that are all let go at once come back at once.
         factor = 1.0
-        if self._rejected_share > HIGH_REJECTION_SHARE or not self._are_callers_rare():
+        if self._rejected_share > HIGH_REJECTION_SHARE or not self._are_requests_rare():
             factor = IDLE_TIMEOUT_GROWTH
         elif self._rejected_share < LOW_REJECTION_SHARE:
             factor = IDLE_TIMEOUT_DECAY
--- a/otterrudder/admission/request_starter.py
+++ b/otterrudder/admission/request_starter.py
@@ -34,11 +34,11 @@
         self._context.commands.append(StartRequest(request.request_id))
         self._deduplication.on_started(request)
         self._quotas.on_started(request)
-        if self._is_worthless_late(request):
-            self._context.timers.schedule(request.on_time_until, lambda: self._abandon(request))
+        if self._is_late_run_worthless(request):
+            self._context.timers.schedule(request.soft_deadline, lambda: self._abandon(request))
         return True
 
-    def _is_worthless_late(self, request: Request) -> bool:
+    def _is_late_run_worthless(self, request: Request) -> bool:
         """Whether a late run earns nothing and can be stopped."""
         may_stop = self._can_stop_requests and not request.has_side_effects
         return may_stop and not request.request_class.late_weight_factor
--- a/otterrudder/admission/requests.py
+++ b/otterrudder/admission/requests.py
@@ -42,7 +42,7 @@
         "left_cores_at",
         "may_have_run",
         "off_cores_ms",
-        "on_time_until",
+        "soft_deadline",
         "request_class",
         "request_id",
         "session_key",
@@ -67,7 +67,7 @@
         self.has_side_effects = request_class.idempotency is not Idempotency.SAFE
 
         self.deadline = 0.0
-        self.on_time_until = 0.0  # an answer after this misses the latency objective
+        self.soft_deadline = 0.0  # an answer after this misses the latency objective
         self.state = RequestState.QUEUED
         self.is_queued = False
         self.is_established = False  # of a known session; those are served before newcomers
--- a/otterrudder/admission/service_level_stage.py
+++ b/otterrudder/admission/service_level_stage.py
@@ -32,13 +32,13 @@
         self._measured_at = context.now
         self.demand = 0.0  # recent work asked for by what the limit takes, rejected or not
         self._share_credit = 0.0  # admissions that shares of this level have earned so far
-        self._ends_at = 0.0  # the earliest end of the level
+        self._earliest_end_at = 0.0  # the earliest end of the level
 
     def apply(self, level: ServiceLevel | None) -> None:
         """Put a level in force; None ends the watch."""
         self._active.level = level
         self._share_credit = 0.0
-        self._ends_at = self._context.now + level.min_duration_ms if level else 0.0
+        self._earliest_end_at = self._context.now + level.min_duration_ms if level else 0.0
         if level and level.rejects_queued:
             self._reject_queued(level)
 
@@ -81,7 +81,7 @@
     def _rejects(self, request: Request, restriction: Restriction) -> bool:
         match restriction.kind:
             case RestrictionKind.SHARE:
-                return not self._takes_share(restriction.admitted_share)
+                return not self._take_share_credit(restriction.admitted_share)
             case RestrictionKind.SPARE:
                 return not self._queues.is_free_for(request)
             case RestrictionKind.ESTABLISHED:
@@ -91,7 +91,7 @@
             case RestrictionKind.OMIT:
                 return False
 
-    def _takes_share(self, admitted_share: float) -> bool:
+    def _take_share_credit(self, admitted_share: float) -> bool:
         # By count, not by chance: the share is exact, and no lucky burst gets in.
         self._share_credit += admitted_share
         if self._share_credit < 1.0:
@@ -102,6 +102,6 @@
     def _reject(self, request: Request, level: ServiceLevel) -> bool:
         retry_after_ms = 0.0
         if level.sends_retry_after:
-            retry_after_ms = max(self._ends_at - self._context.now, DEFAULT_RETRY_AFTER_MS)
+            retry_after_ms = max(self._earliest_end_at - self._context.now, DEFAULT_RETRY_AFTER_MS)
         reason = RejectionReason.SERVED_ELSEWHERE if level.served_elsewhere else RejectionReason.OVERLOAD
         return self._flow.reject(request, reason, retry_after_ms)
--- a/otterrudder/lab/tunables.py
+++ b/otterrudder/lab/tunables.py
@@ -28,11 +28,11 @@
 
 TUNABLES = {
     "CROWD": Tunable(concurrency_limiter, "CEILING_SHARE"),
-    "EASY_RUNS": Tunable(concurrency_limiter, "EASY_RUNS_PER_CORE"),
+    "EASY_RUNS": Tunable(concurrency_limiter, "FAST_RAMP_RUNS_PER_CORE"),
     "HOLD_WAIT": Tunable(admission_queues, "QUEUE_WAIT_SHARE"),
-    "HOPELESS": Tunable(admission_queues, "MIN_EXPECTED_SHARE"),
+    "HOPELESS": Tunable(admission_queues, "MIN_EXPECTED_TIME_SHARE"),
     "MEMORY_READ": Tunable(memory_budget, "MAX_QUEUED_MEMORY_SHARE"),
-    "RISE": Tunable(concurrency_limiter, "LIMIT_STEP_PER_CORE"),
+    "RISE": Tunable(concurrency_limiter, "LIMIT_INCREASE_PER_CORE"),
 }
 
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -108,7 +108,7 @@
 
 def test_a_server_that_takes_everything_falls_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ConcurrencyLimiter, "may_start", lambda *_: True)
-    monkeypatch.setattr(AdmissionQueues, "_is_hopeless", lambda *_: False)
+    monkeypatch.setattr(AdmissionQueues, "_cannot_be_on_time", lambda *_: False)
     monkeypatch.setattr(memory_budget, "MAX_QUEUED_MEMORY_SHARE", 9.0)
     assert any("rule 4" in what for what in day([], None, load=[Part(shape="constant", at=2.5)]).broken)
 
