--- a/otterrudder/admission/__init__.py
+++ b/otterrudder/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission control: which requests a server starts, queues, rejects or replays, and its downstream calls.
+"""Admission control: decides which requests a server starts, queues, rejects or replays, and their calls.
 
-An adapter (`otterrudder.net`, `otterrudder.drill`, the lab) makes one controller for each server process by
-`factory`, passes it events with the time in them, and carries out the commands that it returns. There is no
-clock, no chance and no I/O inside.
+An adapter (`otterrudder.net`, `otterrudder.drill`, the lab) creates one controller for each server process by
+`factory`, passes it events and their times, and executes the commands that it returns. The package reads no
+clock, does no I/O, and draws pseudo-random numbers from a seed.
 """
--- a/otterrudder/admission/admission_queues.py
+++ b/otterrudder/admission/admission_queues.py
@@ -1,6 +1,7 @@
-"""The admission queues: established requests first, newcomers once theirs is empty.
+"""The admission queues: established requests are served first, newcomers once no established one is queued.
 
-Their bound is time, not count: a request is queued if the work ahead of it lets it be on time."""
+The queues are bounded by waiting time, not by length: a request is queued if it can still be on time after
+the work ahead of it."""
 
 from collections import deque
 
@@ -16,34 +17,35 @@
 from otterrudder.admission.requests import Request
 from otterrudder.admission.tenant_quotas import TenantQuotas
 
-QUEUE_WAIT_SHARE = 0.4  # of the time left until late that may be spent queued; calls and errors need theirs
-MAX_QUEUE_WAIT_SHARE = 0.8  # the same for the requests of the greatest weight
-MIN_EXPECTED_TIME_SHARE = 0.45  # of the expected time that must be left, or the request is hopeless here
-MIN_NEWCOMER_SHARE = 0.1  # of the starts, taken to go to newcomers
-MAX_KEY_SHARE = 0.25  # of the queued requests, for one key or for all without a key
-MIN_KEY_ALLOWANCE = 3  # requests that any key may have queued
+# Share of the time until the soft deadline that may be spent queued; the rest is for calls and errors.
+QUEUE_WAIT_SHARE = 0.4
+MAX_QUEUE_WAIT_SHARE = 0.8  # upper bound of that share, for requests of the greatest weight
+MIN_EXPECTED_TIME_SHARE = 0.45  # with less of its expected time left, a request cannot be on time
+MIN_NEWCOMER_SHARE = 0.1  # minimum share of the starts that is assumed to go to newcomers
+MAX_KEY_SHARE = 0.25  # of the queued requests, for one session key or for all requests without a key
+MIN_KEY_ALLOWANCE = 3  # queued requests that every session key may have
 
 
 class WorkQueue:
-    """A queue of requests and the work that they bring."""
+    """A queue of requests and the sum of their expected work."""
 
     def __init__(self) -> None:
         self.requests: deque[Request] = deque()
         self.work_ms = 0.0  # expected time on the cores
 
     def append(self, request: Request) -> None:
-        """Queue the request behind the others."""
+        """Appends a request to the queue."""
         self.requests.append(request)
         self.work_ms += request.cost_ms
 
     def remove(self, request: Request) -> None:
-        """Take the request out, wherever it stands."""
+        """Removes a request from any position in the queue."""
         self.requests.remove(request)
         self.work_ms -= request.cost_ms
 
 
 class AdmissionQueues(Stage):
-    """The two FIFO queues in front of the concurrency limit."""
+    """The two FIFO queues of requests that wait for the concurrency limit."""
 
     def __init__(
         self,
@@ -62,16 +64,17 @@
         self._established = WorkQueue()
         self._newcomers = WorkQueue()
         self._queued_by_key: dict[int, int] = {}
-        self.count = 0  # queued requests
-        self._newcomer_weight_per_ms = 0.0  # recent mean priority weight by time on the cores
-        self._established_share = 0.0  # of recent starts from the queues
+        self.count = 0  # number of queued requests
+        # Recent mean priority weight of newcomers, divided by their expected time on the cores.
+        self._newcomer_weight_per_ms = 0.0
+        self._established_share = 0.0  # established share of recent starts from the queues
 
     def requests(self) -> list[Request]:
-        """All queued requests, newcomers first."""
+        """Returns all queued requests, newcomers first."""
         return [*self._newcomers.requests, *self._established.requests]
 
     def admit(self, request: Request) -> bool:
-        """Pass on what may start at once; queue what can still be on time; reject the rest."""
+        """Passes on a request that may start at once, queues one that can be on time, and rejects others."""
         self.refill()
         off_cores_ms = self._limiter.expected_off_cores_ms(request)
         request.cost_ms = self._limiter.expected_cores_ms(request)
@@ -85,7 +88,7 @@
         if not self._may_be_queued(request, expected_ms):
             return self._flow.reject(request)
         self._enqueue(request)
-        # Once it can't be on time any more it is given up: later it weighs little.
+        # A late answer has little weight, so the request is rejected once it can no longer be on time.
         self._context.timers.schedule(
             request.soft_deadline - expected_ms * MIN_EXPECTED_TIME_SHARE,
             lambda: self._reject_if_queued(request),
@@ -93,13 +96,13 @@
         return False
 
     def is_free_for(self, request: Request) -> bool:
-        """Whether the request may start at once."""
+        """Returns whether the request may start at once."""
         if self._established.requests or self._newcomers.requests:
             return False
         return self._may_start(request)
 
     def refill(self) -> None:
-        """Start queued requests while there is room."""
+        """Starts queued requests while there is room."""
         while queue := self._established.requests or self._newcomers.requests:
             request = queue[0]
             if not self._may_start(request):
@@ -109,12 +112,12 @@
             self._flow.forward(request, after=self)
 
     def on_answered(self, request: Request) -> None:
-        """A queued request that is answered leaves its queue."""
+        """Removes a queued request that is answered from its queue."""
         if request.is_queued:
             self._dequeue(request)
 
     def _may_start(self, request: Request) -> bool:
-        # One that needs a call while others wait for permission to call would run for nothing.
+        # A request that needs a call would only wait if others already wait for permission to call.
         request_class = request.request_class
         is_blocked = (
             request_class.may_call and self._downstream_calls.waiting and not request_class.skip_weight_factor
@@ -122,14 +125,14 @@
         return not is_blocked and self._limiter.may_start(request)
 
     def _cannot_be_on_time(self, request: Request, expected_ms: float) -> bool:
-        """Whether it would be late even if it started now, while a quicker server may yet be on time.
+        """Returns whether the request would be late even if it started now; a faster server may be on time.
 
-        With nothing in flight it runs all the same, so that a server learns when it is slow no longer."""
+        Returns False if no request is in flight, so that a slow server notices when it is fast again."""
         left_ms = request.soft_deadline - self._context.now
         return left_ms < expected_ms * MIN_EXPECTED_TIME_SHARE and self._limiter.in_flight > 0
 
     def _may_be_queued(self, request: Request, expected_ms: float) -> bool:
-        """Whether the request may be queued. One of a key with too many queued counts as a newcomer."""
+        """Returns whether the request may be queued. A request beyond its key's share becomes a newcomer."""
         weight_per_ms = self._quotas.priority_weight(request) / request.cost_ms
         if not request.is_established:
             self._update_newcomer_weight(weight_per_ms)
@@ -158,7 +161,7 @@
     def _expected_wait_ms(self, request: Request) -> float:
         if request.is_established:
             return self._established.work_ms / self._limiter.limit
-        # Established requests yet to come go first: their share of the starts stretches a newcomer's wait.
+        # Established requests that arrive later go first: a newcomer's wait grows with their share of starts.
         work_ms = self._newcomers.work_ms + self._established.work_ms
         newcomer_share = max(1 - self._established_share, MIN_NEWCOMER_SHARE)
         return work_ms / newcomer_share / self._limiter.limit
--- a/otterrudder/admission/commands.py
+++ b/otterrudder/admission/commands.py
@@ -1,6 +1,6 @@
-"""The commands that the admission controller returns, to be carried out in order by its adapter.
+"""The commands that the admission controller returns. Its adapter executes them in order.
 
-Each is a small immutable record. Durations are milliseconds. Request ids are handed back exactly as given.
+Commands are small immutable records. Durations are milliseconds. Request ids are returned as received.
 """
 
 from typing import NamedTuple, TypeGuard, get_args
@@ -13,13 +13,13 @@
 
 
 class ReplayResponse(NamedTuple):
-    """Answer the request with the response of its earlier attempt, once there is one."""
+    """Answer the request with the response of its earlier attempt, once that is available."""
 
     request_id: int
 
 
 class StopRequest(NamedTuple):
-    """Stop the running request: nobody waits for its response any more."""
+    """Stop the running request, because no caller waits for its response."""
 
     request_id: int
 
@@ -27,7 +27,7 @@
 class RejectRequest(NamedTuple):
     """Answer that the request was rejected and never ran.
 
-    `is_final` asks the caller not to retry elsewhere; `retry_after_ms` is 0 where it may come back at once.
+    `is_final` asks the caller not to retry on other servers. `retry_after_ms` is 0 if it may retry at once.
     """
 
     request_id: int
@@ -42,14 +42,14 @@
 
 
 class RetainKey(NamedTuple):
-    """Keep the entry of the request's idempotency key for so long."""
+    """Keep the entry of the request's idempotency key for `retention_ms`."""
 
     request_id: int
     retention_ms: float
 
 
 class EvictKey(NamedTuple):
-    """Drop the entry of the request's idempotency key: the request never ran."""
+    """Delete the entry of the request's idempotency key, because the request never ran."""
 
     request_id: int
 
@@ -62,13 +62,13 @@
 
 
 class SkipCall(NamedTuple):
-    """Let the request go on without the downstream call that it waits for."""
+    """Continue the request without the downstream call that it waits for."""
 
     request_id: int
 
 
 class ScheduleTick(NamedTuple):
-    """Call `tick` once after this delay."""
+    """Call `AdmissionController.tick` once after `delay_ms`."""
 
     delay_ms: float
 
@@ -80,13 +80,13 @@
 
 
 class SetHealth(NamedTuple):
-    """Answer health checks so from now on."""
+    """Set the answer to health checks."""
 
     is_healthy: bool
 
 
 class SetIdleTimeout(NamedTuple):
-    """Close callers' connections that have been idle for so long."""
+    """Close callers' connections that have been idle for `timeout_ms`."""
 
     timeout_ms: float
 
@@ -98,7 +98,7 @@
 
 
 class CloseConnections(NamedTuple):
-    """The graceful shutdown is over: all requests are answered, so close what is left."""
+    """Close all connections: the graceful shutdown is over and all requests are answered."""
 
 
 RequestCommand = (
@@ -119,5 +119,5 @@
 
 
 def is_request_command(command: Command) -> TypeGuard[RequestCommand]:
-    """Whether the command is about one request, which it names by its `request_id`."""
+    """Returns whether the command concerns a single request and so has a `request_id`."""
     return type(command) in _REQUEST_COMMANDS
--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -1,7 +1,7 @@
-"""The concurrency limiter: how many requests run at once, from the latencies that they show.
+"""The concurrency limiter, which adapts the number of running requests to their latencies.
 
-The limit counts requests on the cores. The ceiling counts all that are in flight, as those out on downstream
-calls come back unasked."""
+The limit applies to requests on the cores. The ceiling applies to all requests in flight, because requests at
+downstream calls return to the cores at any time."""
 
 import math
 
@@ -9,26 +9,26 @@
 from otterrudder.admission.memory_budget import MemoryBudget
 from otterrudder.admission.requests import IN_FLIGHT_STATES, Request, RequestState
 
-CEILING_SHARE = 0.5  # of the concurrency that the server survives
+CEILING_SHARE = 0.5  # share of the concurrency that the server survives
 BUSY_CORES_SHARE = 0.9  # share of the cores in use from which they count as busy
 
-# How the limit moves.
-MAX_RATIO_FOR_INCREASE = 2.0  # times the lowest latency up to which the limit may rise
-MIN_DECREASE_FACTOR = 0.9  # for one finished request
-LIMIT_INCREASE_PER_CORE = 0.04  # increase for one finished request
-FAST_RAMP_RUNS_PER_CORE = 1.34  # up to which the limit rises by one a tick while cores have room
-SLOW_RAMP_MS = 2000.0  # time in which it rises by one run a core beyond that
+# Adaptation of the limit.
+MAX_RATIO_FOR_INCREASE = 2.0  # `latency_to_lowest` up to which the limit may rise
+MIN_DECREASE_FACTOR = 0.9  # minimum factor on the limit per finished request
+LIMIT_INCREASE_PER_CORE = 0.04  # increase of the limit per finished request
+FAST_RAMP_RUNS_PER_CORE = 1.34  # limit up to which it rises by 1 per tick while cores are free
+SLOW_RAMP_MS = 2000.0  # time in which the limit rises by 1 per core above that
 
-# How latencies are learned.
-MIN_LATENCY_MS = 0.1  # a run is never taken for shorter, as latencies are divided by
-LOWEST_LATENCY_GROWTH = 1.01  # factor for each run, so that one lucky run is forgotten
+# Estimates of latencies.
+MIN_LATENCY_MS = 0.1  # lower bound of a measured latency, which is used as a divisor
+LOWEST_LATENCY_GROWTH = 1.01  # factor per run, so that a single unusually fast run is forgotten
 MIN_MEAN_WEIGHT = 1 / 64  # weight of a new run in the long-term mean
 MEAN_RATIO_WEIGHT = 1 / 8  # weight of a new run in `latency_to_mean`
-MAX_MEAN_RATIO_SAMPLE = 3.0  # one run counts for no more, as a costly request doesn't make a slow server
+MAX_MEAN_RATIO_SAMPLE = 3.0  # so that a single costly request does not make the server look slow
 
 
 class ClassLatencies:
-    """Latencies by request class: a column each, for a server may have hundreds of thousands of classes."""
+    """Latencies by request class, in a list per value: there may be hundreds of thousands of classes."""
 
     def __init__(self, class_count: int) -> None:
         self.run_counts = [0] * class_count
@@ -37,11 +37,11 @@
         self.mean_off_cores_ms = [0.0] * class_count
 
     def restart(self) -> None:
-        """Take what was learned for a first guess."""
+        """Keeps the estimates with the weight of a single run, so that new runs replace them quickly."""
         self.run_counts = [min(count, 1) for count in self.run_counts]
 
     def add(self, request: Request, latency_ms: float) -> None:
-        """Learn from a run."""
+        """Adds the latency of a run."""
         n = request.class_index
         self.run_counts[n] += 1
         weight = max(MIN_MEAN_WEIGHT, 1 / self.run_counts[n])
@@ -52,7 +52,7 @@
 
 
 class ConcurrencyLimiter(Stage):
-    """Limits the requests that run. Guards against crowding, whatever is out on calls or runs for nobody."""
+    """Limits the requests that run, including those at downstream calls or without a waiting caller."""
 
     def __init__(self, context: AdmissionContext, memory_budget: MemoryBudget) -> None:
         settings = context.settings
@@ -66,21 +66,22 @@
         self.latencies = ClassLatencies(len(context.request_classes))
         self.limit = float(settings.cores)
         self.running = 0  # requests on the cores
-        self.in_flight = 0  # those, and requests that are out on downstream calls
-        self.busy_share = 0.0  # of the cores, as last measured
-        self.latency_to_mean = 1.0  # recent latency by the mean, over all classes: shows a slowdown first
-        self.latency_to_lowest = 1.0  # recent latency by the lowest
-        self.wasted_share = 0.0  # of recent runs: they ended without completing on time
+        self.in_flight = 0  # requests on the cores or at downstream calls
+        self.busy_share = 0.0  # share of the cores in use, as last measured
+        # Recent ratio of latency to the mean of the request's class. It is the first sign of a slowdown.
+        self.latency_to_mean = 1.0
+        self.latency_to_lowest = 1.0  # recent ratio of latency to the lowest of the class
+        self.wasted_share = 0.0  # share of recent runs that did not complete on time
 
     def warm_share(self) -> float:
-        """How far the slow start has come: 1 for a warm server."""
+        """Returns the share of its capacity that a server uses during its slow start; 1 once it is warm."""
         elapsed = 1.0
         if self._slow_start_ms:
             elapsed = min((self._context.now - self._started_at) / self._slow_start_ms, 1.0)
         return self._slow_start_from + (1 - self._slow_start_from) * elapsed
 
     def restart_cold(self) -> None:
-        """Be as after a cold start; what still runs still counts."""
+        """Resets the limit and the slow start as after a cold start. Requests in flight still count."""
         self._started_at = self._context.now
         self.limit = float(self._cores)
         self.latency_to_mean = 1.0
@@ -88,12 +89,12 @@
         self.latencies.restart()
 
     def ceiling(self) -> float:
-        """The most requests that may be in flight, as all of them may be on the cores together."""
+        """Returns the maximum number of requests in flight, all of which may be on the cores together."""
         per_core = 1 + (self._max_concurrency_per_core - 1) * self.warm_share()
         return max(self._cores * per_core * CEILING_SHARE, 1.0)
 
     def may_start(self, request: Request) -> bool:
-        """Whether there is room for the request to run."""
+        """Returns whether there is room for the request to run."""
         return (
             self.running < int(self.limit)
             and self.in_flight + 1 <= self.ceiling()
@@ -101,15 +102,15 @@
         )
 
     def expected_cores_ms(self, request: Request) -> float:
-        """Expected time of the request on the cores."""
+        """Returns the expected time of the request on the cores, in ms."""
         return self.latencies.mean_ms[request.class_index] * self.latency_to_mean or 1.0
 
     def expected_off_cores_ms(self, request: Request) -> float:
-        """Expected time of the request at downstream calls."""
+        """Returns the expected time of the request at downstream calls, in ms."""
         return self.latencies.mean_off_cores_ms[request.class_index]
 
     def admit(self, request: Request) -> bool:
-        """Count a request that starts."""
+        """Counts a request that starts."""
         request.state = RequestState.RUNNING
         request.may_have_run = True
         request.started_at = self._context.now
@@ -118,19 +119,19 @@
         return True
 
     def leave_cores(self, request: Request) -> None:
-        """The request stands at a downstream call."""
+        """Takes a request that has reached a downstream call off the cores."""
         request.state = RequestState.CALLING
         request.left_cores_at = self._context.now
         self.running -= 1
 
     def return_to_cores(self, request: Request) -> None:
-        """The request's downstream call is over."""
+        """Puts a request back on the cores after its downstream call."""
         request.state = RequestState.RUNNING
         request.off_cores_ms += self._context.now - request.left_cores_at
         self.running += 1
 
     def on_released(self, request: Request) -> None:
-        """Learn from the end of a run."""
+        """Updates the counts and the estimates at the end of a run."""
         if request.state not in IN_FLIGHT_STATES:
             return
         self.in_flight -= 1
@@ -140,12 +141,12 @@
         is_wasted = not request.is_completed or self._context.now > request.soft_deadline
         self.wasted_share += RECENT_WEIGHT * (is_wasted - self.wasted_share)
         spent_ms = self._context.now - request.started_at - request.off_cores_ms
-        # One that was cut short shows the least it takes; without it only quick runs would count.
+        # A run that was cut short gives a lower bound of its latency; without it only fast runs would count.
         if request.is_completed or spent_ms > self.latencies.mean_ms[request.class_index]:
             self._learn(request, max(spent_ms, MIN_LATENCY_MS))
 
     def on_tick(self, busy_share: float, busy_cores: float, queued_count: int) -> None:
-        """Raise the limit while requests wait and cores are free."""
+        """Raises the limit while requests wait and cores are free."""
         self.busy_share = busy_share
         if queued_count > 0 and busy_share < BUSY_CORES_SHARE and self.running >= int(self.limit):
             is_fast_ramp = self.limit + 1 <= FAST_RAMP_RUNS_PER_CORE * self._cores or busy_cores < self._cores
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -1,11 +1,12 @@
-"""The admission controller: the way of a request through the chain of stages, and back.
+"""The admission controller, which passes each request through a chain of stages.
 
-An adapter (`otterrudder.drill`, `otterrudder.net`) makes one controller for each server process. It sets the
-time by `advance_to`, calls the method for each event, and carries out, in order, the commands that
-`take_commands` returns.
+An adapter (`otterrudder.drill`, `otterrudder.net`) creates one controller for each server process. For each
+event it sets the time by `advance_to`, calls the event's method, and executes the commands that
+`take_commands` returns, in order.
 
-A request passes the chain from its first stage to its last. A stage may pass it on, keep it or answer it.
-What becomes of it runs back through the chain in reverse. docs/design.md says why.
+A request passes through the chain from the first stage to the last. Each stage passes it on, holds it or
+answers it. When the request is answered or released, the hooks of the stages run in reverse order.
+docs/design.md explains this design.
 """
 
 import zlib
@@ -48,7 +49,7 @@
 
 
 class AdmissionController:
-    """One server's decisions."""
+    """Makes the admission decisions of one server."""
 
     def __init__(self, now: float, settings: ControllerSettings, *, instance: int, seed: int) -> None:
         self.settings = settings
@@ -67,7 +68,7 @@
             self.limiter,
             self.starter,
         )
-        # The stages that have something to do on the way back, the last of the chain first.
+        # Stages that implement a hook, in the reverse order of the chain.
         self._on_answered = (self.queues, self.sessions, self.deduplication)
         self._on_released = (self.downstream_calls, self.limiter, self.memory_budget)
 
@@ -98,12 +99,12 @@
 
     @property
     def requests(self) -> dict[int, Request]:
-        """The requests in hand, by id."""
+        """The open requests, by id."""
         return self.context.requests
 
     @property
     def request_classes(self) -> list[RequestClass]:
-        """The request classes, as the policy in force states them."""
+        """The request classes of the policy in force."""
         return self.context.request_classes
 
     @property
@@ -113,41 +114,41 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Requests that run or are out on downstream calls."""
+        """The number of requests that run or make downstream calls."""
         return self.limiter.in_flight
 
     @property
     def running_count(self) -> int:
-        """Requests on the cores."""
+        """The number of requests on the cores."""
         return self.limiter.running
 
     @property
     def queued_count(self) -> int:
-        """Requests that wait for admission."""
+        """The number of requests that wait for admission."""
         return self.queues.count
 
-    # The adapter's side: time, commands, events.
+    # Called by the adapter: time, commands, events.
 
     def advance_to(self, now: float) -> None:
-        """Set the time and run the timers that are due."""
+        """Sets the time and runs the timers that are due."""
         context = self.context
         context.now = now
         context.timers.run_due(now)
 
     def take_commands(self) -> list[Command]:
-        """The commands since the last call, in order."""
+        """Returns the commands since the last call, in order."""
         commands = self.context.commands
         self.context.commands = []
         return commands
 
     def start(self) -> None:
-        """Begin to serve. The first tick comes at random, so that no two servers tick in step."""
+        """Starts serving. The first tick has a random delay, so that servers do not tick at the same time."""
         self.load_reporter.on_tick()
         delay_ms = TICK_MS * (0.5 + self.random_fraction(self._instance) / 2)
         self.context.commands += [SetHealth(True), ScheduleTick(delay_ms)]
 
     def tick(self, busy: float = 1.0, on_cores: float = 0.0) -> None:
-        """The periodic tick, with the share of the cores in use and the number of cores in use if known."""
+        """Handles the tick. `busy` is the share of the cores in use, `on_cores` their number if known."""
         self.limiter.on_tick(busy, on_cores, self.queues.count)
         self.service_level_stage.on_tick()
         self.queues.refill()
@@ -157,7 +158,7 @@
         self.context.commands.append(ScheduleTick(TICK_MS))
 
     def handle_arrival(self, arrival: Arrival) -> None:
-        """A request was read."""
+        """Handles a request that was read."""
         request_class = self.context.request_classes[arrival.class_index]
         request = Request(arrival, request_class, self.context.now - arrival.age_ms)
         self.context.requests[request.request_id] = request
@@ -167,20 +168,20 @@
         self._admit(request, self._chain)
 
     def handle_finished(self, request_id: int, outcome: Outcome) -> None:
-        """A run has ended."""
+        """Handles the end of a run."""
         request = self.context.requests.get(request_id)
         if request is None:
             return
         request.is_completed = outcome is Outcome.OK
-        if outcome is Outcome.NEVER_STARTED:  # a repeat may still run
+        if outcome is Outcome.NEVER_STARTED:  # so a retry may run
             request.may_have_run = False
-        if outcome not in (Outcome.OK, Outcome.ERROR):  # no answer came of it, so one may still be owed
+        if outcome not in (Outcome.OK, Outcome.ERROR):  # the run produced no answer
             self.fail(request)
         self._mark_answered(request)
         self._release(request)
 
     def handle_call_needed(self, request_id: int) -> None:
-        """A running request stands at a downstream call."""
+        """Handles a running request that has reached a downstream call."""
         request = self.context.requests.get(request_id)
         if request is not None and request.state is RequestState.RUNNING:
             self.limiter.leave_cores(request)
@@ -188,50 +189,52 @@
             self.queues.refill()
 
     def handle_call_ended(self, request_id: int, outcome: Outcome) -> None:
-        """A request's downstream call has ended."""
+        """Handles the end of a request's downstream call."""
         request = self.context.requests.get(request_id)
         if request is not None and request.state is RequestState.CALLING:
             self.downstream_calls.handle_ended(request, outcome)
 
     def handle_disconnect(self, request_id: int) -> None:
-        """The request's caller is gone or waits no more."""
+        """Handles a caller that disconnected or no longer waits for its request."""
         request = self.context.requests.get(request_id)
         if request is not None:
             self._close(request)
 
-    # The operator's side: drains, service levels, policy.
+    # Called for the operator: drains, service levels, policy.
 
     def begin_graceful_shutdown(self, time_left_ms: float) -> None:
-        """Answer everything within `time_left_ms` and close."""
+        """Answers all requests within `time_left_ms`, then closes the connections."""
         text = f"draining: {len(self.context.requests)} in hand, {time_left_ms:.0f} ms to the stop"
         self.context.commands += [SetHealth(False), LogMessage(text)]
         self.draining.begin_shutdown(time_left_ms)
 
     def drain(self, scope: RequestScope, time_left_ms: float) -> None:
-        """Another server serves this scope from now on; answer what was read of it within `time_left_ms`."""
+        """Drains a scope that other servers now serve: answers its open requests within `time_left_ms`."""
         self.draining.begin(scope, time_left_ms)
         self._set_health()
 
     def resume(self, scope: RequestScope) -> None:
-        """Serve the scope again, from cold."""
+        """Serves the scope again, with the limits of a cold start."""
         if self.draining.end(scope):
             self.limiter.restart_cold()
             self._set_health()
 
     def set_service_level(self, level: ServiceLevel | None) -> None:
-        """Put a level of reduced service in force; None: there are no levels."""
+        """Puts a service level in force. None turns service levels off."""
         self.service_level_stage.apply(level)
 
     def update_policy(
         self, request_classes: list[RequestClass], tenants: list[Tenant], limits: Limits
     ) -> None:
-        """Put a policy in force for requests that come from now on; those in hand keep their class."""
+        """Puts a policy in force for new requests. Open requests keep their class."""
         self.context.request_classes = request_classes
         self.context.limits = limits
         self.tenant_quotas.tenants = tenants
 
     def load_report(self) -> dict[str, float]:
-        """The facts that a level controller goes by. With nothing in flight no run is slow or wasted."""
+        """Returns the measurements by which service levels are selected.
+
+        While no request is in flight, no run counts as slow or wasted."""
         is_idle = not self.limiter.in_flight
         report = {
             "pressure": self.load_reporter.pressure,
@@ -246,10 +249,10 @@
             report["demand"] = self.service_level_stage.demand
         return report
 
-    # The stages' side: see `RequestFlow`.
+    # Called by the stages: see `RequestFlow`.
 
     def forward(self, request: Request, after: Stage) -> None:
-        """Pass a request that a stage kept to the stages after it."""
+        """Passes a request that a stage held to the stages after it."""
         self._admit(request, self._chain[self._chain.index(after) + 1 :])
 
     def reject(
@@ -258,7 +261,7 @@
         reason: RejectionReason = RejectionReason.OVERLOAD,
         retry_after_ms: float | None = None,
     ) -> bool:
-        """Answer that the request never ran; one that may have run fails instead."""
+        """Rejects a request that never ran; fails it instead if it may have run."""
         if request.may_have_run:
             return self.fail(request)
         if not request.is_answered:
@@ -270,24 +273,24 @@
         return False
 
     def fail(self, request: Request) -> bool:
-        """Answer that the request failed and may have run."""
+        """Answers that the request failed and may have run."""
         if not request.is_answered:
             self.context.commands.append(FailRequest(request.request_id))
             self._close(request)
         return False
 
     def replay(self, request: Request) -> None:
-        """Answer with the response of the earlier attempt."""
+        """Answers the request with the response of its earlier attempt."""
         request.state = RequestState.REPLAYING
         self.memory_budget.on_started(request)
         self.context.commands.append(ReplayResponse(request.request_id))
 
     def random_fraction(self, request_id: int) -> float:
-        """A pseudo-random number from 0 to 1, the same for the same seed and order of events."""
+        """Returns a pseudo-random number from 0 to 1, reproducible for the same seed and order of events."""
         self._random_count += 1
         return zlib.crc32(f"{self._instance}/{request_id}/{self._random_count}".encode()) / 2**32
 
-    # The way of a request.
+    # Steps of a request.
 
     def _admit(self, request: Request, stages: tuple[Stage, ...]) -> None:
         for stage in stages:
@@ -295,7 +298,7 @@
                 return
 
     def _close(self, request: Request) -> None:
-        """Its answer is given or its caller is gone; a run still counts until it has finished."""
+        """Closes a request that is answered or whose caller is gone; its run counts until it has ended."""
         if request.is_answered:
             return
         self._mark_answered(request)
--- a/otterrudder/admission/deadlines.py
+++ b/otterrudder/admission/deadlines.py
@@ -1,25 +1,26 @@
-"""Deadlines: every request is answered by its deadline at the latest."""
+"""Deadlines: every request is answered by its deadline."""
 
 from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.requests import Request
 
-RETRY_WAIT_FACTOR = 2.0  # mean waits here that a retry is taken to have spent at other servers
-MIN_TIME_LEFT_MS = 0.1  # a request with less left is rejected at once
+RETRY_WAIT_FACTOR = 2.0  # mean waits on this server that a retry is assumed to have spent on other servers
+MIN_TIME_LEFT_MS = 0.1  # a request with less time left is rejected at once
 
 
 class Deadlines(Stage):
-    """Sets each request's deadlines and answers the request when its deadline comes."""
+    """Sets the deadlines of each request and answers it when its deadline expires."""
 
     def __init__(self, context: AdmissionContext) -> None:
         self._context = context
         self._flow = context.flow
 
     def assign(self, request: Request, time_left_ms: float, wait_share: float) -> None:
-        """Set the deadlines of a request that just arrived.
+        """Sets the deadlines of a request that has just arrived.
 
-        `time_left_ms` is what its caller states, 0 for nothing. `wait_share` is the part of the latency
-        objective that requests wait here: a retry is taken to have waited likewise elsewhere, so it has less
-        left to be on time. Its deadline is not moved, as many runs end in the last moments."""
+        `time_left_ms` is the time that its caller states, or 0. `wait_share` is the share of the latency
+        objective that requests spend waiting on this server. A retry is assumed to have waited as long on
+        other servers, so its soft deadline is earlier. Its deadline does not change, because many runs end
+        shortly before it."""
         request_class = request.request_class
         if time_left_ms:
             total_ms = time_left_ms + self._context.now - request.arrived_at
@@ -34,8 +35,8 @@
         )
 
     def admit(self, request: Request) -> bool:
-        """Reject what is too late already; otherwise answer it when its deadline comes."""
-        # Until deduplication knows better, an earlier attempt may have had its side effects.
+        """Rejects a request that is already too late; schedules the answer of others at their deadline."""
+        # An earlier attempt may have had side effects, until deduplication finds that it never ran.
         request.may_have_run = request.earlier_attempt_id != 0 and request.has_side_effects
         if request.deadline <= self._context.now + MIN_TIME_LEFT_MS:
             return self._flow.reject(request)
--- a/otterrudder/admission/deduplication.py
+++ b/otterrudder/admission/deduplication.py
@@ -1,4 +1,4 @@
-"""Deduplication: no request with side effects runs twice, however often its caller sends it."""
+"""Deduplication: no request with side effects runs twice, however often its caller retries it."""
 
 from otterrudder.admission.commands import EvictKey, RetainKey
 from otterrudder.admission.context import TICK_MS, AdmissionContext, Stage
@@ -8,22 +8,22 @@
 
 
 class Deduplication(Stage):
-    """The table of idempotency keys. A key is retained from the first attempt's arrival on.
+    """The table of idempotency keys. A key is retained when its first attempt arrives.
 
-    A later attempt waits behind an earlier one that is queued, and is answered with the response of one that
-    runs or ran."""
+    A later attempt waits while the earlier one is queued. If the earlier attempt is running or has run, the
+    later one is answered with its response."""
 
     def __init__(self, context: AdmissionContext) -> None:
         self._context = context
         self._flow = context.flow
         self._clock_tick_ms = context.settings.clock_tick_ms
-        self.entries: dict[int, Request] = {}  # by the id of the attempt that holds the key
-        # Attempts that were answered before they ran, in this tick's period and in the one before.
+        self.entries: dict[int, Request] = {}  # by the id of the attempt that retained the key
+        # Ids of attempts that were answered before they ran, in the current and the previous tick period.
         self._never_ran: set[int] = set()
         self._never_ran_before: set[int] = set()
 
     def admit(self, request: Request) -> bool:
-        """Pass on what is new; replay, queue up or fail what repeats an earlier attempt."""
+        """Passes on a new request. A repeat of an earlier attempt is replayed, held or failed."""
         earlier = self.entries.get(request.earlier_attempt_id)
         if earlier is None:
             request.may_have_run &= not self._is_known_not_to_have_run(request.earlier_attempt_id)
@@ -42,7 +42,7 @@
         return False
 
     def retain(self, request: Request) -> None:
-        """Retain the key of a first attempt for as long as later ones may come."""
+        """Retains the key of a first attempt for as long as retries may arrive."""
         now = self._context.now
         left_ms = request.arrived_at + request.request_class.retention_ms - now
         retention_ms = max(left_ms + self._clock_tick_ms, self._clock_tick_ms)
@@ -51,7 +51,7 @@
         self._context.timers.schedule(now + retention_ms + self._clock_tick_ms, lambda: self._expire(request))
 
     def on_started(self, request: Request) -> None:
-        """The attempt runs: those that wait behind it get its response."""
+        """Replays the response of a started attempt to the later attempts that wait for it."""
         for follower in request.followers:
             if not follower.is_answered:
                 follower.may_have_run = True
@@ -59,7 +59,7 @@
         request.followers = []
 
     def on_answered(self, request: Request) -> None:
-        """An attempt that never ran leaves its place to the next one, or its key is evicted."""
+        """Replaces an attempt that never ran by the next one that waits for it, or evicts its key."""
         if request.may_have_run or not request.has_idempotency_key:
             return
         self._never_ran.add(request.request_id)
@@ -75,7 +75,7 @@
             self._context.commands.append(EvictKey(request.request_id))
 
     def on_tick(self) -> None:
-        """Forget which attempts never ran, after one to two ticks."""
+        """Forgets which attempts never ran after one to two tick periods."""
         self._never_ran_before = self._never_ran
         self._never_ran = set()
 
@@ -83,7 +83,7 @@
         return request_id in self._never_ran or request_id in self._never_ran_before
 
     def _expire(self, request: Request) -> None:
-        if request.state in _UNFINISHED_STATES:  # the entry may not go before the request
+        if request.state in _UNFINISHED_STATES:  # the entry must outlive the request
             self._context.timers.schedule(self._context.now + TICK_MS, lambda: self._expire(request))
         else:
             self.entries.pop(request.request_id, None)
--- a/otterrudder/admission/downstream_calls.py
+++ b/otterrudder/admission/downstream_calls.py
@@ -1,4 +1,4 @@
-"""Downstream calls: when a request may call, how long it waits, and whether a failed call is repeated."""
+"""Downstream calls: when a request may make a call, its timeout, and retries of failed calls."""
 
 from collections import deque
 
@@ -10,28 +10,28 @@
 from otterrudder.admission.requests import Request, RequestState
 from otterrudder.admission.service_level import ActiveServiceLevel
 
-MAX_QUOTA_DEBT_SHARE = 0.5  # of a window's quota, by which calls may be ahead of it
-RETRY_BACKOFF_MS = 60.0  # before a call is repeated, times the attempts made
+MAX_QUOTA_DEBT_SHARE = 0.5  # share of a window's quota by which calls may exceed the quota
+RETRY_BACKOFF_MS = 60.0  # backoff before a call is retried, times the number of attempts
 MIN_TIMEOUT_MS = 1.0
 
 
 class DownstreamQuota:
-    """This server's part of the mean calls outstanding at a downstream that all servers share."""
+    """This server's part of the mean number of outstanding calls to a downstream shared by all servers."""
 
     def __init__(self, context: AdmissionContext) -> None:
         self._context = context
         self._max_debt_factor = context.settings.downstream_quota_window_ms * MAX_QUOTA_DEBT_SHARE
-        self._debt = 0.0  # calls outstanding beyond the quota, times ms
+        self._debt = 0.0  # integral over time of the outstanding calls beyond the quota, in calls * ms
         self._updated_at = context.now
-        self.outstanding = 0  # calls
+        self.outstanding = 0  # number of outstanding calls
 
     def allows_call(self) -> bool:
-        """Whether one more call is within the quota."""
+        """Returns whether one more call is within the quota."""
         quota = self._context.limits.downstream_call_quota
         return self.outstanding + 1 <= max(quota, 1) and self._debt <= quota * self._max_debt_factor
 
     def add(self, calls: int) -> None:
-        """Count calls that begin, or end if negative."""
+        """Adds to the number of outstanding calls; `calls` is negative for calls that ended."""
         elapsed_ms = self._context.now - self._updated_at
         excess = self.outstanding - self._context.limits.downstream_call_quota
         self._debt = max(self._debt + excess * elapsed_ms, 0.0)
@@ -40,9 +40,9 @@
 
 
 class DownstreamCalls(Stage):
-    """The calls that requests wait for.
+    """Sends, skips and retries the downstream calls of requests.
 
-    A call of a request with side effects is repeated only if the one before is known not to have run."""
+    A call of a request with side effects is retried only if its last attempt is known not to have run."""
 
     def __init__(
         self,
@@ -62,12 +62,12 @@
         self.waiting: deque[Request] = deque()
 
     def request_call(self, request: Request) -> None:
-        """A request stands at a call."""
+        """Handles a request that has reached a downstream call."""
         self.waiting.append(request)
         self.send_waiting()
 
     def send_waiting(self) -> None:
-        """Send the calls that are allowed now; a request whose call may be skipped goes on without it."""
+        """Sends the calls that are allowed now. A request whose call may be skipped continues without it."""
         waiting = self.waiting
         self.waiting = deque()
         for request in waiting:
@@ -82,7 +82,7 @@
                 self.waiting.append(request)
 
     def handle_ended(self, request: Request, outcome: Outcome) -> None:
-        """The request's call has ended."""
+        """Handles the end of a request's call."""
         self._close_call(request, 0.0 if outcome.has_ended_downstream else self._linger_ms)
         if outcome is Outcome.OK:
             self._breaker.on_success()
@@ -94,7 +94,7 @@
         self.send_waiting()
 
     def on_released(self, request: Request) -> None:
-        """The request ended before its call did: the downstream may still work on it."""
+        """Closes the call of a request that ended earlier; the downstream may still be working on it."""
         self._close_call(request, self._linger_ms)
 
     def _may_call(self) -> bool:
--- a/otterrudder/admission/draining.py
+++ b/otterrudder/admission/draining.py
@@ -1,4 +1,4 @@
-"""Draining: requests that another server serves from now on are finished here, and no new ones are taken."""
+"""Draining: this server finishes the requests of a scope and accepts no new ones; other servers do."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 from otterrudder.admission.interface import RequestScope
 from otterrudder.admission.requests import Request
 
-DRAIN_MARGIN_MS = 250.0  # all is answered so long before the stop, so that a short freeze does no harm
+DRAIN_MARGIN_MS = 250.0  # time between the last answers and the stop, so that a short freeze loses no answer
 
 _EVERYTHING = RequestScope()
-_SHUTDOWN = None  # the key of the drain that can't be taken back
+_SHUTDOWN = None  # key of the drain for the shutdown, which cannot be resumed
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,18 +18,18 @@
     """The drain of one scope."""
 
     scope: RequestScope
-    admits_until: float  # requests that arrived later are rejected
-    stops_at: float  # everything is answered by then
+    admits_until: float  # requests that arrive later are rejected
+    stops_at: float  # all requests of the scope are answered by then
 
     def rejects(self, request: Request, now: float) -> bool:
-        """Whether the request came too late to be served in this drain."""
+        """Returns whether the request arrived too late to be served during this drain."""
         if not self.scope.includes(request.class_index, request.tenant):
             return False
         return now >= self.stops_at or request.arrived_at > self.admits_until - TICK_MS
 
 
 class Draining(Stage):
-    """The drains in progress and the scopes that are drained, each until it is resumed."""
+    """The drains that are in progress or complete. Each lasts until its scope is resumed."""
 
     def __init__(self, context: AdmissionContext) -> None:
         self._context = context
@@ -39,23 +39,23 @@
 
     @property
     def covers_everything(self) -> bool:
-        """Whether a drain covers all requests."""
+        """Whether one drain covers all requests."""
         return any(drain.scope.is_all for drain in self.drains.values())
 
     def begin(self, scope: RequestScope, time_left_ms: float) -> None:
-        """Drain a scope, which may be resumed."""
+        """Drains a scope, which may be resumed."""
         self._begin(scope, scope, time_left_ms)
 
     def begin_shutdown(self, time_left_ms: float) -> None:
-        """Drain everything for good."""
+        """Drains all requests for a shutdown, which cannot be resumed."""
         self._begin(_SHUTDOWN, _EVERYTHING, time_left_ms)
 
     def end(self, scope: RequestScope) -> bool:
-        """Serve the scope again; False if it was not drained."""
+        """Ends the drain of a scope. Returns False if the scope was not drained."""
         return self.drains.pop(scope, None) is not None
 
     def admit(self, request: Request) -> bool:
-        """Reject what came after a drain's grace time."""
+        """Rejects a request that arrived after the grace time of a drain."""
         for drain in self.drains.values():
             if drain.rejects(request, self._context.now):
                 return self._flow.reject(request, RejectionReason.SERVED_ELSEWHERE)
@@ -69,7 +69,7 @@
 
     def _stop(self, key: RequestScope | None) -> None:
         drain = self.drains.get(key)
-        if drain is None or self._context.now < drain.stops_at:  # it was resumed, or begun anew
+        if drain is None or self._context.now < drain.stops_at:  # resumed or restarted
             return
         for request in list(self._context.requests.values()):
             if drain.scope.includes(request.class_index, request.tenant):
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -1,6 +1,6 @@
-"""From the settings object that a server is given at its start to an admission controller.
+"""Creates an admission controller from the settings object that a server is given at its start.
 
-The settings' durations are microseconds; a key that is absent or null has its default."""
+Durations in the settings are microseconds. A key that is absent or null has its default."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -29,14 +29,17 @@
 }
 _LOAD_SIGNALS = {"min_rank": LoadSignal.CRITICALITY, "tokens": LoadSignal.CREDIT}
 _DOWNSTREAM_KINDS = {"common": DownstreamKind.SHARED, "next_hop": DownstreamKind.TIER}
-_GAUGES = {"core_use": "busy", "on_cores": "on_cores"}  # the parameters of `AdmissionController.tick`
-_STOP_MODES = ("drop", "pause")  # in which a running request can be stopped
+_GAUGES = {
+    "core_use": "busy",
+    "on_cores": "on_cores",
+}  # names of gauges, and the parameters of `AdmissionController.tick`
+_STOP_MODES = ("drop", "pause")  # modes in which a running request can be stopped
 
 
 def create_controller(
     now: float, instance: int, seed: int, settings: Settings, **overrides: Any
 ) -> AdmissionController:
-    """A started controller. `overrides` are fields of `ControllerSettings` that this start knows better."""
+    """Creates and starts a controller. `overrides` replaces fields of its `ControllerSettings`."""
     controller_settings = replace(parse_controller_settings(settings), **overrides)
     controller = AdmissionController(now, controller_settings, instance=instance, seed=seed)
     controller.start()
@@ -44,7 +47,7 @@
 
 
 def parse_controller_settings(settings: Settings) -> ControllerSettings:
-    """The controller's settings by the settings object."""
+    """Returns the controller's settings from the settings object."""
     family = _section(settings, "familyInfo")
     rules = _section(settings, "rules")
     return ControllerSettings(
@@ -73,7 +76,7 @@
 
 
 def parse_request_classes(settings: Settings) -> list[RequestClass]:
-    """The request classes; a request names its class by the index."""
+    """Returns the request classes. A request refers to its class by the index in this list."""
     family = _section(settings, "familyInfo")
     may_call = family.get("classCalls") or []
     skip_weight_factors = family.get("classSkipWorth") or []
@@ -96,7 +99,9 @@
 
 
 def parse_tenants(settings: Settings) -> list[Tenant]:
-    """The tenants; a request names its tenant by the index. A quota is divided evenly among the servers."""
+    """Returns the tenants. A request refers to its tenant by the index in this list.
+
+    Each quota is divided evenly among the servers."""
     servers = max(settings.get("servers") or 1, 1)
     return [
         Tenant(
@@ -109,7 +114,7 @@
 
 
 def parse_limits(settings: Settings) -> Limits:
-    """The limits that a server starts with."""
+    """Returns the limits that a server starts with."""
     limits = _section(settings, "limits")
     return Limits(
         max_retry_after_ms=_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
@@ -119,17 +124,17 @@
 
 
 def parse_downstream_kind(settings: Settings) -> DownstreamKind:
-    """What lies behind the server."""
+    """Returns the kind of downstream of the server."""
     return _DOWNSTREAM_KINDS.get(_section(settings, "familyInfo").get("below", ""), DownstreamKind.NONE)
 
 
 def can_stop_requests(settings: Settings) -> bool:
-    """Whether a running request can be stopped."""
+    """Returns whether a running request can be stopped."""
     return _section(settings, "familyInfo").get("stopMode") in _STOP_MODES
 
 
 def gauge_names(settings: Settings) -> list[str]:
-    """The parameters of `tick` in the order in which gauges come; empty for one that is not used."""
+    """Returns the parameter of `tick` for each gauge, in order. The name of an unused gauge is empty."""
     return [_GAUGES.get(name, "") for name in _section(settings, "familyInfo").get("gauges") or []]
 
 
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -1,7 +1,7 @@
 """Plain types shared by the admission controller and its callers.
 
-All times are milliseconds with fractions on the caller's clock. Ids are handed back exactly as given.
-What the controller wants done after an event is a list of commands: `commands`.
+All times are fractional milliseconds on the caller's clock. The controller returns request ids exactly as it
+received them. It answers an event with a list of commands, see `commands`.
 """
 
 import math
@@ -11,31 +11,31 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may run again. The values are words of the lab's and the scenarios' files."""
+    """Whether a request may run more than once. The values are written in the files of the lab."""
 
-    SAFE = "inquiry-like"  # may run again
-    IDEMPOTENT = "referenced"  # has an idempotency key, so that a repeat is known; runs once
+    SAFE = "inquiry-like"  # may run any number of times
+    IDEMPOTENT = "referenced"  # runs once; a repeat is recognized by its idempotency key
     NON_IDEMPOTENT = "once-only"  # must never run twice
 
 
 class LoadSignal(Enum):
-    """What is advertised to callers. The values are words of the lab's and the scenarios' files."""
+    """The load value that is advertised to callers. The values are written in the files of the lab."""
 
     NONE = ""
-    CRITICALITY = "rank"  # hold back requests of a lower criticality
-    CREDIT = "credit"  # have no more requests outstanding than this
+    CRITICALITY = "rank"  # callers hold back requests of a lower criticality
+    CREDIT = "credit"  # maximum number of outstanding requests of a caller
 
 
 class DownstreamKind(Enum):
-    """What lies behind a server. The values are words of the scenarios' files."""
+    """The kind of service that a server calls."""
 
     NONE = ""
-    TIER = "tier"  # the next tier, with an admission control of its own
-    SHARED = "shared"  # one service for all servers, each with its part of it
+    TIER = "tier"  # the next tier, which has its own admission control
+    SHARED = "shared"  # one service for all servers; each server has a part of its quota
 
 
 class Outcome(Enum):
-    """How a run or a call ended. The values are words of the runtime's protocol."""
+    """How a run or a downstream call ended. The values are part of the runtime's protocol."""
 
     OK = "ok"
     ERROR = "error"
@@ -48,28 +48,28 @@
 
     @property
     def has_ended_downstream(self) -> bool:
-        """Nothing of it can still be going on downstream."""
+        """Whether the downstream is known not to be working on the call any more."""
         return self.never_ran or self in (Outcome.OK, Outcome.ERROR)
 
     @property
     def never_ran(self) -> bool:
-        """It is known not to have run."""
+        """Whether the run or call is known never to have started."""
         return self in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_STARTED)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request, as the operator states it."""
+    """A request class, as the operator configures it."""
 
     name: str
     idempotency: Idempotency
     priority_weight: float
     latency_objective_ms: float
     deadline_ms: float
-    retention_ms: float = 0.0  # for how long an idempotency key may come again
-    late_weight_factor: float = 0.0  # on the weight, for an answer that misses the latency objective
-    may_call: bool = False  # may call the downstream
-    skip_weight_factor: float = 0.0  # on the weight, without the downstream call; 0: never skipped
+    retention_ms: float = 0.0  # how long a retry with the same idempotency key may arrive
+    late_weight_factor: float = 0.0  # factor on the weight of an answer after the latency objective
+    may_call: bool = False  # its requests may make downstream calls
+    skip_weight_factor: float = 0.0  # factor on the weight without its call; 0: calls are not skipped
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,43 +78,43 @@
 
     name: str
     quota: float  # share of the fleet's requests
-    quota_per_ms: float = 0.0  # requests that are this server's part of the quota; 0: unknown
+    quota_per_ms: float = 0.0  # this server's part of the quota, in requests; 0: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What an operator may change while a server runs."""
+    """Limits that an operator may change while a server runs."""
 
-    max_retry_after_ms: float = 0.0  # that callers heed; 0: they don't know of it
-    downstream_call_quota: float = 0.0  # mean calls outstanding at a shared downstream
-    over_quota_weight_factor: float = 0.0  # on the weight of a request beyond its tenant's quota
+    max_retry_after_ms: float = 0.0  # longest delay that callers honor; 0: they honor none
+    downstream_call_quota: float = 0.0  # mean number of calls outstanding at a shared downstream
+    over_quota_weight_factor: float = 0.0  # factor on the weight of a request beyond its tenant's quota
 
 
 class Arrival(NamedTuple):
-    """A request that was read. Zeros stand for what its caller does not state."""
+    """A request that was read. A field is 0 if the caller does not state it."""
 
     request_id: int
     class_index: int
     tenant: int = 0
     session_key: int = 0
-    size_kb: float = 0.0  # memory while queued
-    age_ms: float = 0.0  # from its arrival to its reading
-    time_left_ms: float = 0.0  # until its deadline
-    earlier_attempt_id: int = 0  # the attempt that came with the same idempotency key
+    size_kb: float = 0.0  # memory that it takes while queued
+    age_ms: float = 0.0  # time from its arrival until it was read
+    time_left_ms: float = 0.0  # time until its deadline
+    earlier_attempt_id: int = 0  # id of the earlier attempt with the same idempotency key
     is_retry: bool = False
     criticality: float = 1.0  # 0 to 1
 
 
 class RestrictionKind(Enum):
-    """What a level of reduced service does with the requests that it restricts, the mildest first.
+    """How a service level treats the requests that it restricts, from the mildest to the strongest kind.
 
-    The values are words of the level tables."""
+    The values are written in the level tables."""
 
-    OMIT = "omit"  # they run without their downstream call
-    SPARE = "spare"  # they run where there is room, and are never queued
-    SHARE = "share"  # a share of them is admitted
-    ESTABLISHED = "established"  # newcomers are rejected
-    REJECT = "decline"  # all are rejected
+    OMIT = "omit"  # requests run without their downstream call
+    SPARE = "spare"  # requests run if there is room and are never queued
+    SHARE = "share"  # a share of the requests is admitted
+    ESTABLISHED = "established"  # requests of newcomers are rejected
+    REJECT = "decline"  # all requests are rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,42 +123,41 @@
 
     kind: RestrictionKind
     admitted_share: float = 0.0  # for `RestrictionKind.SHARE`
-    criticality_below: float = math.inf  # only requests below this
-    tenants: frozenset[int] | None = None  # only requests of these; None: of all
+    criticality_below: float = math.inf  # only requests of a lower criticality are restricted
+    tenants: frozenset[int] | None = None  # only requests of these tenants are restricted; None: of all
 
     def applies_to(self, criticality: float, tenant: int) -> bool:
-        """Whether it restricts such a request of its class."""
+        """Returns whether this restriction applies to a request of its class."""
         return criticality < self.criticality_below and (self.tenants is None or tenant in self.tenants)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """A level of reduced service; one without restrictions is full service."""
+    """A level of reduced service. A level without restrictions is full service."""
 
     name: str
-    restrictions: tuple[
-        tuple[Restriction, ...], ...
-    ] = ()  # by class, the strongest first; empty: none at all
-    rejects_queued: bool = False  # queued requests that it restricts are rejected when it starts
-    sends_retry_after: bool = False  # callers are asked to stay away until it may end
+    # For each request class its restrictions, the strongest first; empty: no class is restricted.
+    restrictions: tuple[tuple[Restriction, ...], ...] = ()
+    rejects_queued: bool = False  # restricted requests that are queued when the level starts are rejected
+    sends_retry_after: bool = False  # rejected callers are asked to wait until the level may end
     min_duration_ms: float = 0.0
-    served_elsewhere: bool = False  # other servers serve what is restricted here, so no rejection is final
+    served_elsewhere: bool = False  # other servers accept the restricted requests, so no rejection is final
 
 
 @dataclass(frozen=True, slots=True)
 class RequestScope:
-    """Requests that are drained or restricted together: of these classes and tenants; None: of all."""
+    """A set of request classes and tenants that are drained or restricted together. None means all."""
 
     request_classes: frozenset[int] | None = None
     tenants: frozenset[int] | None = None
 
     def includes(self, class_index: int, tenant: int) -> bool:
-        """Whether a request of this class and tenant belongs to it."""
+        """Returns whether a request of this class and tenant is in the scope."""
         return (self.request_classes is None or class_index in self.request_classes) and (
             self.tenants is None or tenant in self.tenants
         )
 
     @property
     def is_all(self) -> bool:
-        """Whether every request belongs to it."""
+        """Whether every request is in the scope."""
         return self.request_classes is None and self.tenants is None
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -1,4 +1,4 @@
-"""What callers are told of the load: an advertised value, when to retry, and how long to stay connected."""
+"""Reports the load to callers by an advertised load value, retry delays and the idle timeout."""
 
 import math
 from typing import NamedTuple
@@ -10,42 +10,42 @@
 from otterrudder.admission.interface import LoadSignal
 from otterrudder.admission.requests import Request
 
-DEFAULT_RETRY_AFTER_MS = 200.0  # about a run
+DEFAULT_RETRY_AFTER_MS = 200.0  # about the duration of a run
 
-# Backpressure: 0 to 1, driven by the part of the latency objective that requests spend waiting.
-TARGET_WAIT_SHARE = 0.12  # above it callers are asked for less
-PRESSURE_STEP = 0.01  # a tick, for each TARGET_WAIT_SHARE above the target
-MAX_PRESSURE_EXCESS = 2.0  # such steps a tick, so that a burst doesn't fill the pressure at once
-PRESSURE_DECAY_FACTOR = 0.5  # of a step, below the target; slow, as all callers let go at once
-MAX_CREDIT_FACTOR = 8.0  # even shares of the limit that a caller may have outstanding at rest
-MAX_ADVERTISED_CRITICALITY = 0.3  # below which callers are asked to hold requests back
+# Backpressure, from 0 to 1. It follows the share of the latency objective that requests spend waiting.
+TARGET_WAIT_SHARE = 0.12  # share above which the pressure rises
+PRESSURE_STEP = 0.01  # change per tick for each TARGET_WAIT_SHARE above the target
+MAX_PRESSURE_EXCESS = 2.0  # maximum steps per tick, so that a burst does not raise the pressure to 1 at once
+PRESSURE_DECAY_FACTOR = 0.5  # factor on a step below the target; slow, because all callers react at once
+MAX_CREDIT_FACTOR = 8.0  # credit of a caller without pressure, in even shares of the limit
+MAX_ADVERTISED_CRITICALITY = 0.3  # criticality below which callers hold requests back at full pressure
 
-# Rejections: whether the callers' other servers are likely to be full too.
-SLOW_SERVER_RATIO = 1.5  # `latency_to_mean` from which this server is slow by itself, and not just full
-MAX_RETRY_SHARE = 0.15  # of the arrivals, beyond which other servers are taken to be full
-RETRY_STORM_SHARE = 0.5  # of the arrivals, beyond which callers are asked to stay away for long
+# Rejections: estimate whether other servers are full too.
+SLOW_SERVER_RATIO = 1.5  # `latency_to_mean` above which this server is slow, not only full
+MAX_RETRY_SHARE = 0.15  # retry share of arrivals above which other servers are assumed to be full
+RETRY_STORM_SHARE = 0.5  # retry share of arrivals above which callers get the longest delay
 
-# Connections of callers.
+# Idle timeout of callers' connections.
 INITIAL_ARRIVAL_GAP_MS = 100.0
-MAX_CALLER_GAP_MS = 15_000.0  # between a caller's requests, up to which its connection is worth keeping
-HIGH_REJECTION_SHARE = 0.7  # of the arrivals, beyond which idle connections are kept longer
-LOW_REJECTION_SHARE = 0.4  # of the arrivals, below which they are closed earlier
-REJECTION_WEIGHT = 1 / 40  # weight of an arrival in the rejected share
-IDLE_TIMEOUT_GROWTH = 1.2  # factor a tick
-IDLE_TIMEOUT_DECAY = 0.95  # factor a tick
+MAX_CALLER_GAP_MS = 15_000.0  # interval between a caller's requests above which its connection may be closed
+HIGH_REJECTION_SHARE = 0.7  # rejected share of arrivals above which idle connections are kept longer
+LOW_REJECTION_SHARE = 0.4  # rejected share of arrivals below which they are closed earlier
+REJECTION_WEIGHT = 1 / 40  # weight of an arrival in the rejected share of arrivals
+IDLE_TIMEOUT_GROWTH = 1.2  # factor per tick
+IDLE_TIMEOUT_DECAY = 0.95  # factor per tick
 MIN_IDLE_TIMEOUT_MS = 100.0
-MIN_IDLE_TIMEOUT_CHANGE = 1 / 8  # of the timeout in force, for a command
+MIN_IDLE_TIMEOUT_CHANGE = 1 / 8  # relative change of the timeout from which a command is sent
 
 
 class RejectionAdvice(NamedTuple):
-    """What a rejected caller is told."""
+    """The advice that is sent with a rejection."""
 
     is_final: bool
     retry_after_ms: float
 
 
 class LoadReporter:
-    """Measures how long requests wait and how many are rejected, and tells callers what to make of it."""
+    """Measures waiting times and rejections, and derives the load values that are sent to callers."""
 
     def __init__(self, context: AdmissionContext, limiter: ConcurrencyLimiter, draining: Draining) -> None:
         settings = context.settings
@@ -63,19 +63,19 @@
         if self._are_requests_rare():
             self._idle_timeout_ms = MIN_IDLE_TIMEOUT_MS
         self._sent_idle_timeout_ms = settings.max_idle_timeout_ms
-        self._rejected_share = 0.0  # of recent arrivals
-        self.retry_share = 0.0  # of recent arrivals
-        self.wait_share = 0.0  # recent mean part of the latency objective that requests wait here
+        self._rejected_share = 0.0  # rejected share of recent arrivals
+        self.retry_share = 0.0  # share of retries in recent arrivals
+        self.wait_share = 0.0  # recent mean share of the latency objective that requests spend waiting
         self.pressure = 0.0
 
     def rejection_advice(
         self, reason: RejectionReason, is_retry: bool, retry_after_ms: float | None
     ) -> RejectionAdvice:
-        """Whether a rejected caller should not try elsewhere, and when it may come back.
+        """Returns whether a rejection is final, and the delay after which the caller may retry.
 
-        A server that is slow, cold or draining by itself sends callers on. One that is full at its usual
-        speed takes the others to be full too, as callers spread their load: a retry would only cost a read.
-        `retry_after_ms` is given while a service level is in force, which knows how long it lasts."""
+        A slow, cold or draining server lets callers try other servers. A server that is full at its usual
+        speed assumes that the others are full too, because callers spread their load: a retry would only
+        cost a read. While a service level is in force, it sets `retry_after_ms` from its duration."""
         max_retry_after_ms = self._context.limits.max_retry_after_ms
         if reason is RejectionReason.SERVED_ELSEWHERE or self._draining.covers_everything:
             return RejectionAdvice(False, max_retry_after_ms)
@@ -87,8 +87,8 @@
         return RejectionAdvice(is_final, min(retry_after_ms, max_retry_after_ms))
 
     def record_arrival(self, is_retry: bool) -> None:
-        """Count an arrival."""
-        # Where retries are not marked, rejections stand in for them: most come back somewhere.
+        """Counts an arrival."""
+        # If retries are not marked, the rejected share is used: most rejected requests are retried somewhere.
         sample = is_retry if self.are_retries_marked else self._rejected_share
         self.retry_share += RECENT_WEIGHT * (sample - self.retry_share)
         self._rejected_share -= REJECTION_WEIGHT * self._rejected_share
@@ -97,19 +97,19 @@
         self._last_arrival_at = self._context.now
 
     def record_rejection(self) -> None:
-        """Count a rejection."""
+        """Counts a rejection."""
         self._rejected_share += REJECTION_WEIGHT
 
     def record_wait(self, request: Request, wait_ms: float) -> None:
-        """Count a request that waits here for so long.
+        """Counts a request that waits for `wait_ms` in the queue.
 
-        Time before it was read counts as well: a server that reads late is short of cores."""
+        The time before it was read counts too: a server that reads late is short of cores."""
         unread_ms = self._context.now - request.arrived_at
         share = min((unread_ms + wait_ms) / request.request_class.latency_objective_ms, 1.0)
         self.wait_share += RECENT_WEIGHT * (share - self.wait_share)
 
     def on_tick(self) -> None:
-        """Update what callers are told."""
+        """Updates the pressure, the idle timeout and the advertised load."""
         self._update_pressure()
         self._update_idle_timeout()
         value = self._advertised_value()
@@ -118,19 +118,19 @@
             self._context.commands.append(AdvertiseLoad(value))
 
     def _are_requests_rare(self) -> bool:
-        """Whether a caller's next request is so far off that its connection would only fill the table."""
+        """Returns whether callers send so rarely that idle connections only fill the connection table."""
         return self._arrival_gap_ms * self._callers > MAX_CALLER_GAP_MS
 
     def _update_pressure(self) -> None:
         excess = min(self.wait_share / TARGET_WAIT_SHARE - 1, MAX_PRESSURE_EXCESS)
         change = PRESSURE_STEP * excess * (1.0 if excess > 0 else PRESSURE_DECAY_FACTOR)
         self.pressure = min(max(self.pressure + change, 0.0), 1.0)
-        if not self._limiter.in_flight:  # with nothing in flight there are no waits to learn from
+        if not self._limiter.in_flight:  # with nothing in flight no wait is measured
             self.wait_share *= 1 - RECENT_WEIGHT
 
     def _update_idle_timeout(self) -> None:
-        # While most arrivals are rejected, a full connection table is the cheapest rejection there is. It
-        # changes by degrees, as callers that are all let go at once come back at once.
+        # While most arrivals are rejected, a full connection table is the cheapest way to reject. The timeout
+        # changes gradually, because callers that are disconnected together reconnect together.
         factor = 1.0
         if self._rejected_share > HIGH_REJECTION_SHARE or not self._are_requests_rare():
             factor = IDLE_TIMEOUT_GROWTH
--- a/otterrudder/admission/memory_budget.py
+++ b/otterrudder/admission/memory_budget.py
@@ -1,11 +1,11 @@
-"""The memory budget: the server never dies for want of memory."""
+"""The memory budget, which keeps the server from running out of memory."""
 
 from otterrudder.admission.context import AdmissionContext, RejectionReason, Stage
 from otterrudder.admission.deduplication import Deduplication
 from otterrudder.admission.requests import Request, RequestState
 
-MAX_QUEUED_MEMORY_SHARE = 0.85  # of the memory; the rest is for requests that are still being read
-MAX_RUN_MEMORY_SHARE = 0.92  # of the memory, up to which runs start
+MAX_QUEUED_MEMORY_SHARE = 0.85  # share of the memory; the rest is for requests that are still being read
+MAX_RUN_MEMORY_SHARE = 0.92  # share of the memory up to which runs start
 
 _UNSTARTED_STATES = (RequestState.QUEUED, RequestState.FOLLOWING)
 
@@ -19,7 +19,7 @@
         self._flow = context.flow
         self._deduplication = deduplication
         self._capacity_kb = settings.memory_kb
-        self._run_factor = settings.run_memory_factor  # memory of a running request by that of a queued one
+        self._run_factor = settings.run_memory_factor  # memory of a running request relative to a queued one
         self._entry_kb = settings.idempotency_entry_kb
         self._max_entries = settings.max_idempotency_entries
         self._queue_limit_kb = settings.memory_kb * MAX_QUEUED_MEMORY_SHARE
@@ -28,20 +28,20 @@
 
     @property
     def used_kb(self) -> float:
-        """Memory in use, by this count."""
+        """The memory in use, by this count."""
         return self.requests_kb + len(self._deduplication.entries) * self._entry_kb
 
     @property
     def used_share(self) -> float:
-        """Share of the memory in use."""
+        """The share of the memory in use."""
         return self.used_kb / max(self._capacity_kb, 1.0)
 
     def add(self, request: Request) -> None:
-        """Count a request that was read."""
+        """Counts a request that was read."""
         self.requests_kb += request.size_kb
 
     def admit(self, request: Request) -> bool:
-        """Reject what has no room; retain the idempotency key of what has."""
+        """Rejects a request that does not fit into the memory; retains the idempotency key of others."""
         needed_kb = 0.0
         if request.has_idempotency_key:
             if len(self._deduplication.entries) >= self._max_entries:
@@ -54,14 +54,14 @@
         return True
 
     def may_start(self, request: Request) -> bool:
-        """Whether there is room for the request to run."""
+        """Returns whether there is enough memory to run the request."""
         return self.used_kb + request.size_kb * (self._run_factor - 1) <= self._run_limit_kb
 
     def on_started(self, request: Request) -> None:
-        """Count what a started request takes beyond a queued one."""
+        """Counts the additional memory of a request that starts."""
         self.requests_kb += request.size_kb * (self._run_factor - 1)
 
     def on_released(self, request: Request) -> None:
-        """The request's memory is free."""
+        """Releases the memory of a request."""
         factor = 1 if request.state in _UNSTARTED_STATES else self._run_factor
         self.requests_kb -= request.size_kb * factor
--- a/otterrudder/admission/request_starter.py
+++ b/otterrudder/admission/request_starter.py
@@ -1,4 +1,4 @@
-"""The end of the admission chain: an admitted request starts."""
+"""The last stage of the admission chain, which starts admitted requests."""
 
 from otterrudder.admission.admission_queues import AdmissionQueues
 from otterrudder.admission.commands import StartRequest
@@ -10,7 +10,7 @@
 
 
 class RequestStarter(Stage):
-    """Starts requests, and abandons those that became worthless while they ran."""
+    """Starts requests, and abandons running requests whose answer has become worthless."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._can_stop_requests = context.settings.can_stop_requests
 
     def admit(self, request: Request) -> bool:
-        """Start the request."""
+        """Starts the request."""
         self._memory_budget.on_started(request)
         self._context.commands.append(StartRequest(request.request_id))
         self._deduplication.on_started(request)
@@ -39,11 +39,11 @@
         return True
 
     def _is_late_run_worthless(self, request: Request) -> bool:
-        """Whether a late run earns nothing and can be stopped."""
+        """Returns whether a late answer has no weight and the run can be stopped."""
         may_stop = self._can_stop_requests and not request.has_side_effects
         return may_stop and not request.request_class.late_weight_factor
 
     def _abandon(self, request: Request) -> None:
-        """Give the place of a late run to a queued request."""
+        """Fails a request that runs late if other requests are queued."""
         if self._queues.count and request.state in IN_FLIGHT_STATES:
             self._flow.fail(request)
--- a/otterrudder/admission/requests.py
+++ b/otterrudder/admission/requests.py
@@ -6,13 +6,13 @@
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """The state of a request."""
 
     QUEUED = "queued"
-    FOLLOWING = "following"  # waits behind an earlier attempt that is queued itself
+    FOLLOWING = "following"  # waits for an earlier attempt that is queued
     RUNNING = "running"
-    CALLING = "calling"  # off the cores, at or before a downstream call
-    REPLAYING = "replaying"  # to be answered with the response of an earlier attempt
+    CALLING = "calling"  # makes a downstream call, or waits to make one, and uses no core
+    REPLAYING = "replaying"  # will be answered with the response of an earlier attempt
     FINISHED = "finished"
 
 
@@ -20,7 +20,7 @@
 
 
 class Request:
-    """One request with what this server knows of it. Times are milliseconds on the adapter's clock."""
+    """A request and its state on this server. Times are milliseconds on the adapter's clock."""
 
     __slots__ = (
         "arrived_at",
@@ -67,18 +67,18 @@
         self.has_side_effects = request_class.idempotency is not Idempotency.SAFE
 
         self.deadline = 0.0
-        self.soft_deadline = 0.0  # an answer after this misses the latency objective
+        self.soft_deadline = 0.0  # a later answer misses the latency objective
         self.state = RequestState.QUEUED
         self.is_queued = False
-        self.is_established = False  # of a known session; those are served before newcomers
-        self.may_have_run = False  # it, or an earlier attempt: it must not be rejected
+        self.is_established = False  # belongs to an established session, which is served before newcomers
+        self.may_have_run = False  # this or an earlier attempt may have run, so it must not be rejected
         self.is_answered = False
-        self.is_completed = False  # its run ended well
-        self.followers: list[Request] = []  # later attempts that wait for this one
+        self.is_completed = False  # its run ended successfully
+        self.followers: list[Request] = []  # later attempts that wait for this attempt
 
-        self.cost_ms = 0.0  # expected time on the cores, fixed when queued
+        self.cost_ms = 0.0  # expected time on the cores, set when the request is queued
         self.started_at = 0.0
         self.left_cores_at = 0.0  # when it last left the cores for a call
-        self.off_cores_ms = 0.0
+        self.off_cores_ms = 0.0  # time spent at downstream calls
         self.is_call_open = False
-        self.call_attempts = 0  # of the call that it waits for
+        self.call_attempts = 0  # attempts of the current downstream call
--- a/otterrudder/admission/service_level.py
+++ b/otterrudder/admission/service_level.py
@@ -1,17 +1,19 @@
-"""The service level in force: what a level of reduced service restricts, and how much work is asked for."""
+"""The service level in force and the restrictions that it applies to requests."""
 
 from otterrudder.admission.interface import Restriction, RestrictionKind, ServiceLevel
 from otterrudder.admission.requests import Request
 
 
 class ActiveServiceLevel:
-    """The level in force; None where nobody watches the load, so that nothing needs counting."""
+    """Holds the level in force. It is None if service levels are off, and then the load is not measured."""
 
     def __init__(self) -> None:
         self.level: ServiceLevel | None = None
 
     def restriction_for(self, request: Request) -> Restriction | None:
-        """The strongest restriction that applies; a level lists the strongest first."""
+        """Returns the strongest restriction that applies to the request, or None.
+
+        A level lists the strongest restriction first."""
         if not self.level or not self.level.restrictions:
             return None
         for restriction in self.level.restrictions[request.class_index]:
@@ -20,7 +22,7 @@
         return None
 
     def omits_call(self, request: Request) -> bool:
-        """Whether the request goes on without its downstream call."""
+        """Returns whether the request continues without its downstream call."""
         if not self.level or not request.request_class.skip_weight_factor:
             return False
         restriction = self.restriction_for(request)
--- a/otterrudder/admission/service_level_stage.py
+++ b/otterrudder/admission/service_level_stage.py
@@ -1,6 +1,6 @@
-"""Reduced service: while a level is in force, what it restricts is rejected ahead of the queues.
+"""Reduced service: requests that the level in force restricts are rejected before they reach the queues.
 
-What has run, or whose earlier attempt has, never gets here (see deduplication)."""
+Requests of which an earlier attempt has run never reach this stage, see `deduplication`."""
 
 from otterrudder.admission.admission_queues import AdmissionQueues
 from otterrudder.admission.concurrency_limiter import ConcurrencyLimiter
@@ -10,11 +10,11 @@
 from otterrudder.admission.requests import Request
 from otterrudder.admission.service_level import ActiveServiceLevel
 
-DEMAND_WINDOW_MS = 2000.0  # over which the demand is averaged
+DEMAND_WINDOW_MS = 2000.0  # period over which the demand is averaged
 
 
 class ServiceLevelStage(Stage):
-    """Applies the level in force and measures the demand that it goes by."""
+    """Applies the level in force, and measures the demand by which levels are selected."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self._limiter = limiter
         self._requested_ms = 0.0  # expected time on the cores of first attempts since `_measured_at`
         self._measured_at = context.now
-        self.demand = 0.0  # recent work asked for by what the limit takes, rejected or not
-        self._share_credit = 0.0  # admissions that shares of this level have earned so far
-        self._earliest_end_at = 0.0  # the earliest end of the level
+        self.demand = 0.0  # recently requested work, rejected or not, relative to the concurrency limit
+        self._share_credit = 0.0  # admissions accrued by restrictions of kind SHARE
+        self._earliest_end_at = 0.0  # earliest time at which the level may end
 
     def apply(self, level: ServiceLevel | None) -> None:
-        """Put a level in force; None ends the watch."""
+        """Puts a level in force. None turns service levels off."""
         self._active.level = level
         self._share_credit = 0.0
         self._earliest_end_at = self._context.now + level.min_duration_ms if level else 0.0
@@ -43,11 +43,11 @@
             self._reject_queued(level)
 
     def admit(self, request: Request) -> bool:
-        """Reject what the level restricts. It counts as demand all the same: load is shed, not gone."""
+        """Rejects a request that the level restricts. The request counts as demand in any case."""
         level = self._active.level
         if not level:
             return True
-        if not request.is_retry:  # retries ask for no new work
+        if not request.is_retry:  # a retry adds no new demand
             self._requested_ms += self._limiter.expected_cores_ms(request)
         restriction = self._active.restriction_for(request)
         if restriction and self._rejects(request, restriction):
@@ -55,14 +55,14 @@
         return True
 
     def is_demand_known(self) -> bool:
-        """Whether it is; of a restricted class that never ran the work is not known."""
+        """Returns whether the demand is known: a restricted class that never ran has no estimated cost."""
         level = self._active.level
         restrictions = level.restrictions if level else ()
         run_counts = self._limiter.latencies.run_counts
-        return all(run_counts[n] for n, of_class in enumerate(restrictions) if of_class)
+        return all(run_counts[n] for n, class_restrictions in enumerate(restrictions) if class_restrictions)
 
     def on_tick(self) -> None:
-        """Update the demand."""
+        """Updates the demand."""
         elapsed_ms = self._context.now - self._measured_at
         if self._active.level and elapsed_ms > 0:
             demand = self._requested_ms / elapsed_ms / self._limiter.limit
@@ -92,7 +92,7 @@
                 return False
 
     def _take_share_credit(self, admitted_share: float) -> bool:
-        # By count, not by chance: the share is exact, and no lucky burst gets in.
+        # Counts instead of drawing at random: the share is exact, and a burst cannot pass by chance.
         self._share_credit += admitted_share
         if self._share_credit < 1.0:
             return False
--- a/otterrudder/admission/session_table.py
+++ b/otterrudder/admission/session_table.py
@@ -5,12 +5,12 @@
 from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.requests import Request
 
-SESSION_LIFETIME_FACTOR = 10.0  # latency objectives, from the last completed request
-MAX_SESSIONS = 50_000  # entries of about 100 bytes, so 5 MB; the oldest is evicted
+SESSION_LIFETIME_FACTOR = 10.0  # session lifetime after the last completed request, in latency objectives
+MAX_SESSIONS = 50_000  # about 100 bytes each, so 5 MB; beyond it the oldest is evicted
 
 
 class SessionTable(Stage):
-    """Sessions by key. One is entered when a request of it completes."""
+    """Sessions by key. A session is added when one of its requests completes."""
 
     def __init__(self, context: AdmissionContext) -> None:
         self._context = context
@@ -20,16 +20,17 @@
         return len(self._expires_at)
 
     def admit(self, request: Request) -> bool:
-        """Tell established requests from newcomers.
+        """Distinguishes established requests from newcomers.
 
-        One with side effects counts as established whether or not it names its session, up to a share of the
-        queue: it stands for the step of a session that earns. Any other without a key is a newcomer."""
+        A request with side effects counts as established with or without a session key, up to a share of the
+        queue, because it stands for the step of a session that earns its value. Any other request without a
+        key is a newcomer."""
         expires_at = self._expires_at.get(request.session_key, 0.0)
         request.is_established = request.has_side_effects or expires_at > self._context.now
         return True
 
     def on_answered(self, request: Request) -> None:
-        """Enter or renew the session of a completed request; evict expired ones."""
+        """Adds or renews the session of a completed request, and evicts expired sessions."""
         now = self._context.now
         if request.is_completed and request.session_key:
             lifetime_ms = SESSION_LIFETIME_FACTOR * request.request_class.latency_objective_ms
--- a/otterrudder/admission/settings.py
+++ b/otterrudder/admission/settings.py
@@ -1,4 +1,4 @@
-"""What an admission controller is told when it is made."""
+"""The settings with which an admission controller is created."""
 
 import math
 from dataclasses import dataclass
@@ -8,34 +8,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControllerSettings:
-    """One server and its surroundings; all durations are milliseconds."""
+    """Settings of one server, its callers and its downstream. Durations are milliseconds."""
 
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     limits: Limits
 
-    # The server.
+    # Server.
     cores: int
     memory_kb: float
-    run_memory_factor: float  # memory of a running request by that of a queued one
+    run_memory_factor: float  # memory of a running request relative to a queued one
     idempotency_entry_kb: float  # memory of a retained idempotency key
     max_idempotency_entries: float = math.inf
     can_stop_requests: bool  # running requests can be stopped
-    max_concurrency_per_core: float  # running requests that a core survives
+    max_concurrency_per_core: float  # maximum number of running requests that a core survives
     is_cold_start: bool
-    slow_start_from: float  # share of its capacity that a cold server starts with
-    slow_start_ms: float  # until a cold server is warm
-    uptime_ms: float = 0.0  # since the server itself started
+    slow_start_from: float  # share of the capacity that a cold server starts with
+    slow_start_ms: float  # time until a cold server is warm
+    uptime_ms: float = 0.0  # time since the server itself started
     clock_tick_ms: float  # resolution of the adapter's clock
-    drain_grace_ms: float  # requests that arrive so long after the start of a drain are still served
+    drain_grace_ms: float  # time after the start of a drain in which new requests are still served
 
-    # Its callers.
+    # Callers.
     callers: int
     load_signal: LoadSignal
-    max_idle_timeout_ms: float  # callers' connections are kept for so long at most
+    max_idle_timeout_ms: float  # maximum idle timeout of callers' connections
     are_retries_marked: bool = True
 
-    # What lies behind it.
+    # Downstream.
     downstream: DownstreamKind
     downstream_quota_window_ms: float
-    downstream_linger_ms: float  # a downstream may work on for so long after a call was given up
+    downstream_linger_ms: float  # time for which a downstream may work on an abandoned call
