--- a/otterrudder/__main__.py
+++ b/otterrudder/__main__.py
@@ -1,4 +1,4 @@
-"""python -m otterrudder: the command line, see otterrudder/cli."""
+"""`python -m otterrudder`: runs the command line, see otterrudder/cli."""
 
 import sys
 
--- a/otterrudder/admission/service_level.py
+++ b/otterrudder/admission/service_level.py
@@ -5,7 +5,7 @@
 
 
 class ActiveServiceLevel:
-    """Holds the level in force. It is None if service levels are off, and then the load is not measured."""
+    """Holds the level in force. `level` is None if service levels are off; demand is then not measured."""
 
     def __init__(self) -> None:
         self.level: ServiceLevel | None = None
--- a/otterrudder/clock.py
+++ b/otterrudder/clock.py
@@ -1,13 +1,13 @@
-"""Two clocks in ms with fractions: Unix time for time stamps, monotonic time for deadlines."""
+"""Two clocks in fractional milliseconds: Unix time for time stamps, monotonic time for deadlines."""
 
 import time
 
 
 def unix() -> float:
-    """Unix time in ms; it jumps when the machine's clock is set."""
+    """Returns the Unix time in ms, which jumps when the machine's clock is set."""
     return time.time_ns() / 1e6
 
 
 def monotonic() -> float:
-    """Ms since an arbitrary start; it never goes back."""
+    """Returns the time in ms since an arbitrary start, which never decreases."""
     return time.monotonic_ns() / 1e6
--- a/otterrudder/configuration.py
+++ b/otterrudder/configuration.py
@@ -1,7 +1,7 @@
-"""The platform's configuration file: read, checked as far as a start needs it, and handed on as it came.
+"""Reads the platform's configuration file and checks the keys that a server needs to start.
 
-Its form is the platform's own, with keys in camel case: keys beyond those checked here are passed over, and
-admission/factory.py reads the settings."""
+The platform defines the file's format, whose settings have keys in camel case. Unknown keys are ignored, and
+the whole document is kept unchanged. admission/factory.py reads the settings."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
@@ -10,31 +10,31 @@
 
 from otterrudder.admission.factory import create_controller
 
-# Variables of the environment: each names a file, those of the options where the command line does not.
+# Environment variables with the path of a file. Options on the command line take precedence.
 CONFIGURATION_VARIABLE = "NODE_CONFIG"
 LEVELS_VARIABLE = "OTTERRUDDER_LEVELS"
 VRRP_VARIABLE = "OTTERRUDDER_VRRP"
 FLEET_VARIABLE = "OTTERRUDDER_FLEET"
-RELOADABLE_KEYS = ("runtime", "records", "registry")  # addresses that may change without a restart
+RELOADABLE_KEYS = ("runtime", "records", "registry")  # keys of addresses that may change without a restart
 MAX_PORT = 65535
 _Positive = Annotated[float, msgspec.Meta(gt=0)]
 _NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class ConfigurationError(Exception):
-    """What is wrong, in one line that names the file and the field by its key."""
+    """An error in the configuration. Its message is one line that names the file and the key of the field."""
 
 
 class ProcessLimits(msgspec.Struct, frozen=True):
-    """What the platform leaves to this process."""
+    """Resource limits that the platform sets for this process."""
 
-    sockets: _Positive  # open descriptors
+    sockets: _Positive  # maximum number of open file descriptors
     memory_mb: _Positive
 
 
 class _RequestClass(msgspec.Struct, rename="camel"):
     name: str | None = None
-    effect: str | None = None  # an unknown word is taken for the one that forbids most
+    effect: str | None = None  # an unknown value is treated as the most restrictive one
     window_us: _NonNegative | None = None
     promise_us: _Positive | None = None
     hard_limit_us: _Positive | None = None
@@ -84,7 +84,7 @@
 
 
 class _Settings(msgspec.Struct, rename="camel"):
-    """The factory has defaults for what is absent; the rest has to be of its type."""
+    """The settings object. Keys that are present are checked; admission/factory.py has the defaults."""
 
     classes: Annotated[list[_RequestClass], msgspec.Meta(min_length=1)]
     realms: list[_Tenant] | None = None
@@ -99,7 +99,7 @@
 
 
 class _Document(msgspec.Struct):
-    """The whole file; its own keys are in snake case."""
+    """The whole file. Its top-level keys are in snake case."""
 
     name: str
     listen: str
@@ -113,7 +113,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked configuration. Addresses are `host:port`; the settings are as the file has them."""
+    """A checked configuration. Addresses have the form `host:port`; the settings are unchanged."""
 
     name: str
     listen: str
@@ -121,21 +121,21 @@
     records: str | None
     registry: str
     seed: int
-    stop_ms: float  # from SIGTERM to the end of the process
+    stop_ms: float  # time from SIGTERM to the end of the process, in ms
     limits: ProcessLimits
     settings: dict[str, Any]
-    document: dict[str, Any]  # the whole file, with keys that this server does not know
+    document: dict[str, Any]  # the whole file, including keys that this server does not know
 
 
 def read_configuration(path: str | None) -> Configuration:
-    """The whole configuration; ConfigurationError names the file and the field."""
+    """Reads and checks a configuration file. Raises ConfigurationError with the file and the field."""
     if not path:
-        raise ConfigurationError(f"{CONFIGURATION_VARIABLE} is not set: it names the configuration file")
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE} is not set; it must name the configuration file")
     return check_configuration(decode_file(path), path)
 
 
 def decode_file(path: str) -> Any:
-    """What a JSON file holds; ConfigurationError names it."""
+    """Returns the value in a JSON file. Raises ConfigurationError with its path if it cannot be read."""
     try:
         return msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
@@ -145,15 +145,15 @@
 
 
 def check_configuration(document: Any, path: str) -> Configuration:
-    """The configuration that a file's document holds, if a server could start with it."""
+    """Returns the configuration in a document. Raises ConfigurationError if no server could start with it."""
     try:
         checked = msgspec.convert(document, _Document)
         for key in ("listen", *RELOADABLE_KEYS):
             if (value := getattr(checked, key)) is not None:
                 parse_address(value, key)
-        create_controller(0.0, 0, 1, document["settings"])  # valid by its types, and yet no server may start
+        create_controller(0.0, 0, 1, document["settings"])  # finds errors that the types do not show
     except msgspec.ValidationError as error:
-        raise ConfigurationError(f"the configuration {path}: {_field_first(str(error))}") from None
+        raise ConfigurationError(f"the configuration {path}: {_put_field_first(str(error))}") from None
     except (TypeError, ValueError, AttributeError, LookupError, ArithmeticError) as error:
         raise ConfigurationError(f"the configuration {path}: settings: {error}") from None
     except ConfigurationError as error:
@@ -172,16 +172,16 @@
     )
 
 
-def _field_first(message: str) -> str:
-    """msgspec's message with the field ahead of what is wrong with it."""
+def _put_field_first(message: str) -> str:
+    """Returns a message of msgspec with the field in front of the problem."""
     problem, _, location = message.partition(" - at `$.")
     field = location.rstrip("`")
     return f"{field}: {problem}" if field else problem
 
 
 def parse_address(text: str, field: str = "address") -> tuple[str, int]:
-    """Host and port of `host:port`; `field`: the key that it stands under."""
+    """Splits an address of the form `host:port`. An error names the key `field`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise ConfigurationError(f"{field}: {text!r} is no address and port")
+        raise ConfigurationError(f"{field}: {text!r} is not an address of the form host:port")
     return host, int(port)
--- a/otterrudder/drill/__init__.py
+++ b/otterrudder/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The admission controller on the simulator's wire: frames on standard input, replies on standard output."""
+"""Runs the admission controller for a simulator: frames on standard input, replies on standard output."""
--- a/otterrudder/drill/__main__.py
+++ b/otterrudder/drill/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m otterrudder.drill`: one flushed reply for each batch of events until the input ends."""
+"""`python -m otterrudder.drill`: writes and flushes one reply per batch of events until the input ends."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Answer frames until the input ends; the exit code."""
+    """Answers frames until the input ends, and returns the exit code."""
     host = Host()
     try:
         for body in read_frames(sys.stdin.buffer):
--- a/otterrudder/drill/events.py
+++ b/otterrudder/drill/events.py
@@ -1,4 +1,4 @@
-"""The events in a frame of the simulator's wire: big-endian records without padding."""
+"""Decodes the events in a frame of the simulator's protocol: big-endian records without padding."""
 
 import struct
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 US_PER_MS = 1000
 
-FLAG_RETRY = 2  # of `RequestArrived.flags`
+FLAG_RETRY = 2  # bit of `RequestArrived.flags` that marks a retry
 
 
 class RequestArrived(NamedTuple):
@@ -29,14 +29,14 @@
 
 
 class CallerLeft(NamedTuple):
-    """The request's caller waits no more."""
+    """The request's caller no longer waits for an answer."""
 
     instance: int
     request_id: int
 
 
 class RunFinished(NamedTuple):
-    """A run has ended, with an outcome of the wire."""
+    """A run has ended with an outcome code of the protocol."""
 
     instance: int
     request_id: int
@@ -45,14 +45,14 @@
 
 
 class CallNeeded(NamedTuple):
-    """A running request stands at a downstream call."""
+    """A running request has reached a downstream call."""
 
     instance: int
     request_id: int
 
 
 class CallEnded(NamedTuple):
-    """A request's downstream call has ended, with an outcome of the wire."""
+    """A request's downstream call has ended with an outcome code of the protocol."""
 
     instance: int
     request_id: int
@@ -61,7 +61,7 @@
 
 
 class InstanceStarted(NamedTuple):
-    """A server starts; `settings` is JSON."""
+    """A server starts with the given settings, encoded as JSON."""
 
     instance: int
     seed: int
@@ -69,20 +69,20 @@
 
 
 class ShutdownAnnounced(NamedTuple):
-    """A server stops after so long."""
+    """A server will stop after `time_left_us`."""
 
     instance: int
     time_left_us: int
 
 
 class InstanceKilled(NamedTuple):
-    """A server is gone."""
+    """A server was killed."""
 
     instance: int
 
 
 class Ticked(NamedTuple):
-    """The timer that was asked for, with the gauges of the settings."""
+    """A scheduled tick is due. It carries the values of the gauges that the settings name."""
 
     instance: int
     token: int
@@ -103,7 +103,7 @@
 
 
 class Batch(NamedTuple):
-    """The events of a frame, all at one time."""
+    """The events of a frame, which have the same time."""
 
     now_ms: float
     events: list[Event]
@@ -114,22 +114,25 @@
 _INSTANCE_STARTED_CODE = 6
 _TICKED_CODE = 9
 _GAUGE_SIZE = 4  # bytes
-# The type of an event and its fields behind the code.
+# By event code: the type of the event and the layout of the fields after the code.
 _RECORDS: dict[int, tuple[Any, struct.Struct]] = {
     1: (RequestArrived, struct.Struct(">HQIQfQIfHIHIH")),
     2: (CallerLeft, struct.Struct(">HQ")),
     3: (RunFinished, struct.Struct(">HQBI")),
     4: (CallNeeded, struct.Struct(">HQ")),
     5: (CallEnded, struct.Struct(">HQBI")),
-    _INSTANCE_STARTED_CODE: (InstanceStarted, struct.Struct(">HQI")),  # then the settings, of that size
+    _INSTANCE_STARTED_CODE: (
+        InstanceStarted,
+        struct.Struct(">HQI"),
+    ),  # followed by the settings, whose size is the last field
     7: (ShutdownAnnounced, struct.Struct(">HI")),
     8: (InstanceKilled, struct.Struct(">H")),
-    _TICKED_CODE: (Ticked, struct.Struct(">HIB")),  # then so many gauges
+    _TICKED_CODE: (Ticked, struct.Struct(">HIB")),  # followed by the gauges, whose number is the last field
 }
 
 
 def decode(body: bytes) -> Batch:
-    """The events of a frame's body; raises FrameError."""
+    """Returns the events in the body of a frame. Raises FrameError if it is malformed."""
     if len(body) < _HEADER.size:
         raise FrameError(f"a frame of {len(body)} bytes has no header")
     now_us, count = _HEADER.unpack_from(body)
--- a/otterrudder/drill/frames.py
+++ b/otterrudder/drill/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire: a big-endian length of four bytes, then the body."""
+"""Frames of the simulator's protocol: a big-endian length of four bytes, then the body."""
 
 import struct
 from collections.abc import Iterator
@@ -8,11 +8,11 @@
 
 
 class FrameError(Exception):
-    """The input is not a frame of this wire."""
+    """The input is not a valid frame of the protocol."""
 
 
 def read_frames(stream: BinaryIO) -> Iterator[bytes]:
-    """The body of each frame until the input ends; raises FrameError where it ends within one."""
+    """Yields the body of each frame until the input ends. Raises FrameError if it ends within a frame."""
     while header := stream.read(_U32.size):
         if len(header) < _U32.size:
             header += _read_exactly(stream, _U32.size - len(header))
@@ -20,7 +20,7 @@
 
 
 def encode_frame(records: list[bytes]) -> bytes:
-    """The frame of a reply."""
+    """Returns the frame of a reply with these records."""
     body = b"".join(records)
     return _U32.pack(len(body) + _U32.size) + _U32.pack(len(records)) + body
 
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -1,4 +1,4 @@
-"""Hosts the controllers of many servers, each of which gets its own events only."""
+"""Hosts the controllers of several simulated servers and passes each controller its events."""
 
 import json
 from collections.abc import Callable
@@ -28,32 +28,34 @@
 
 @dataclass(frozen=True, slots=True)
 class _Server:
-    """A server of the simulation; `gauges` are the names of its gauges, empty for one without a use."""
+    """A simulated server. `gauges` has the `tick` parameter of each of its gauges; empty for unused ones."""
 
     controller: AdmissionController
     gauges: list[str]
 
 
 class Host:
-    """Plays batches of events."""
+    """Plays batches of events on the controllers of all servers."""
 
     def __init__(self) -> None:
         self._servers: dict[int, _Server] = {}
 
     def play(self, body: bytes) -> bytes:
-        """The reply to a frame's body; raises FrameError. A failure of a controller is part of the reply."""
+        """Returns the reply to the body of a frame. Raises FrameError if the body is malformed.
+
+        An exception in a controller is reported as a record of the reply."""
         batch = events.decode(body)
         records: list[bytes] = []
         for event in batch.events:
             try:
                 records += self._handle(batch.now_ms, event)
-            except Exception as error:  # the wire wants it in words
+            except Exception as error:  # the protocol has a record for failures
                 records.append(encode_fatal(event.instance, f"{type(error).__name__}: {error}"))
                 break
         return encode_frame(records)
 
     def _handle(self, now: float, event: Event) -> list[bytes]:
-        """The records of the commands that an event leads to."""
+        """Handles an event and returns the records of the resulting commands."""
         handler = _HANDLERS.get(type(event))
         if handler is None:
             return self._handle_lifecycle(now, event)
@@ -65,7 +67,7 @@
         return _encode_commands(event.instance, server.controller)
 
     def _handle_lifecycle(self, now: float, event: Event) -> list[bytes]:
-        """A server starts or is gone."""
+        """Creates a controller for a server that starts, or drops the controller of a killed server."""
         if not isinstance(event, events.InstanceStarted):
             self._servers.pop(event.instance, None)
             return []
@@ -76,7 +78,7 @@
 
 
 def _encode_commands(instance: int, controller: AdmissionController) -> list[bytes]:
-    """The records of the commands but one: the simulator closes connections itself."""
+    """Returns the records of the commands. The simulator closes connections itself, without a record."""
     return [
         encode_command(instance, command)
         for command in controller.take_commands()
--- a/otterrudder/drill/replies.py
+++ b/otterrudder/drill/replies.py
@@ -1,4 +1,4 @@
-"""The records of a reply on the simulator's wire, one for each command."""
+"""Encodes the records of a reply in the simulator's protocol, one record per command."""
 
 import struct
 from collections.abc import Callable
@@ -22,16 +22,16 @@
 _REJECT = struct.Struct(">HHQBI")
 _TEXT = struct.Struct(">HHH")
 
-Encoder = Callable[[int, Any], bytes]  # the instance and the command
+Encoder = Callable[[int, Any], bytes]  # parameters: the instance and the command
 
 
 def encode_command(instance: int, command: Command) -> bytes:
-    """The record of a command; there is none for `CloseConnections`."""
+    """Returns the record of a command. `CloseConnections` has no record."""
     return _ENCODERS[type(command)](instance, command)
 
 
 def encode_fatal(instance: int, text: str) -> bytes:
-    """The record of a failure of the controller itself."""
+    """Returns the record of an exception in the controller."""
     return _encode_text(_FATAL_CODE, instance, text)
 
 
@@ -57,7 +57,9 @@
 
 
 def _encode_health(instance: int, command: commands.SetHealth) -> bytes:
-    return _HEALTH.pack(67, instance, command.is_healthy, True)  # True: answered without a run
+    return _HEALTH.pack(
+        67, instance, command.is_healthy, True
+    )  # True: health checks are answered without a run
 
 
 def _encode_call(instance: int, command: commands.CallDownstream) -> bytes:
--- a/otterrudder/files.py
+++ b/otterrudder/files.py
@@ -1,4 +1,6 @@
-"""Reading operators' files: TOML, conversion of nested tables, and merging. Callers pass an error class."""
+"""Reads TOML files, converts their tables to types, and merges tables.
+
+Errors are raised as the class that the caller passes."""
 
 import tomllib
 from collections.abc import Mapping
@@ -11,7 +13,7 @@
 
 
 def load_toml(path: Path, error_class: type[Exception]) -> dict[str, Any]:
-    """The table in a TOML file; `error_class` names the file and the reason."""
+    """Returns the table in a TOML file. Raises `error_class` with the file and the reason."""
     try:
         return tomllib.loads(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -21,7 +23,7 @@
 
 
 def convert(values: Any, type_: type[Value], place: str, error_class: type[Exception]) -> Value:
-    """`values` as a `type_`; `error_class` names the key below `place`, never a value."""
+    """Converts `values` to `type_`. Raises `error_class` with the key below `place`, never with a value."""
     try:
         return msgspec.convert(values, type_)
     except msgspec.ValidationError as error:
@@ -30,7 +32,7 @@
 
 
 def merge_tables(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    """A copy of `base` with the values of `change`; tables in both are merged."""
+    """Returns a copy of `base` with the values of `change`. Tables that are in both are merged."""
     result = dict(base)
     for key, value in change.items():
         original = base.get(key)
--- a/otterrudder/log.py
+++ b/otterrudder/log.py
@@ -1,4 +1,4 @@
-"""Logging by structlog to standard error, in logfmt; writing a line never blocks."""
+"""Logging by structlog to standard error in logfmt. Writing a line never blocks."""
 
 import os
 import select
@@ -6,23 +6,23 @@
 
 import structlog
 
-MAX_LINE_BYTES = 2000  # below PIPE_BUF: a pipe that polls writable takes the line whole
-MAX_LINES_PER_SECOND = 50  # the rest is dropped and counted
+MAX_LINE_BYTES = 2000  # below PIPE_BUF, so that a pipe that polls as writable accepts the whole line
+MAX_LINES_PER_SECOND = 50  # further lines are dropped and counted
 
 
 class _NonBlockingSink:
-    """Writes lines to a file descriptor; what it would block on is dropped, and counted in the next line."""
+    """Writes lines to a file descriptor. Lines that would block are dropped and counted in the next line."""
 
     def __init__(self, fd: int = 2) -> None:
         self.fd = fd
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
         self.second = 0
-        self.lines = 0  # in this second
-        self.lost = 0
+        self.lines = 0  # lines in the current second
+        self.lost = 0  # lines dropped since the last one written
 
     def msg(self, line: str) -> None:
-        """Writes one line, or counts it as lost."""
+        """Writes a line, or counts it as lost."""
         second = int(time.monotonic())
         if second != self.second:
             self.second = second
@@ -46,7 +46,7 @@
 
 
 def configure_logging(server_name: str) -> None:
-    """Configures structlog for this process; every line carries the server's name."""
+    """Configures structlog for this process. Every line has the server's name."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -42,7 +42,7 @@
         (("folder", "other = 1\nfolder"), "fleet.toml: : Object contains unknown field `other`"),
         (("version = 1", "version = 2"), "fleet.toml: version: this program reads 1, not 2"),
         (('"f"', '"a/b"'), "fleet.toml: fleet: a name without a slash is wanted, not 'a/b'"),
-        (("2379", "x"), "fleet.toml: store: '127.0.0.1:x' is no address and port"),
+        (("2379", "x"), "fleet.toml: store: '127.0.0.1:x' is not an address of the form host:port"),
         (('["127.0.0.1:2379"]', "[]"), "fleet.toml: store: from 1 to 9 addresses are wanted, not 0"),
         (('folder = "state"\n', ""), 'fleet.toml: folder: absent = "wait" needs one'),
         (
