--- a/tests/admission/test_scenarios.py
+++ b/tests/admission/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The admission controller in scenarios, each a file of `scenarios/`."""
+"""Plays the scenario files of `scenarios/` on the admission controller."""
 
 from pathlib import Path
 
--- a/tests/admission/test_timer_queue.py
+++ b/tests/admission/test_timer_queue.py
@@ -1,9 +1,9 @@
-"""Timers run in the order in which they are due."""
+"""Tests of the order in which timers run."""
 
 from otterrudder.admission.timer_queue import TimerQueue
 
 
-def test_due_timers_run_in_order_and_later_ones_wait() -> None:
+def test_only_due_timers_run_in_order_of_due_time() -> None:
     timers = TimerQueue()
     ran: list[str] = []
     for name, due_at in (("late", 30.0), ("second", 20.0), ("first", 10.0), ("third", 20.0)):
@@ -16,7 +16,7 @@
     assert ran == ["first", "second", "third", "late"]
 
 
-def test_a_timer_that_is_scheduled_as_due_runs_at_once() -> None:
+def test_a_due_timer_scheduled_by_another_timer_runs_at_once() -> None:
     timers = TimerQueue()
     ran: list[str] = []
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What pytest does here beyond its usual: it passes over known red tests, and prints them."""
+"""Configures pytest to tolerate and report the known failing tests of KNOWN-RED.txt."""
 
 from known_red import *  # noqa: F403
 
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""A request core that a test drives, with what it sent."""
+"""A request core that a test drives, with the messages that it sent."""
 
 from helpers import SETTINGS
 
@@ -31,11 +31,11 @@
 
 
 class CoreHarness:
-    """A core with the messages it sent; answers are counted by their request."""
+    """Drives a core and records its messages, and its answers by the RPC id of the request."""
 
-    def __init__(self, settings: dict = SETTINGS, **told: object) -> None:
+    def __init__(self, settings: dict = SETTINGS, **overrides: object) -> None:
         self.core = RequestCore(
-            lambda now, warm, up: create_controller(now, 1, 1, settings, **told),
+            lambda now, warm, up: create_controller(now, 1, 1, settings, **overrides),
             parse_request_classes(settings),
             gauge_names(settings),
         )
@@ -45,30 +45,30 @@
         self.step(self.core.handle_runtime_ready, True, 1.0)
         self.step(self.core.handle_link_established)
 
-    def step(self, act, *args: object, ms: float = 0.0) -> list[Outgoing]:
+    def step(self, action, *args: object, ms: float = 0.0) -> list[Outgoing]:
         self.now += ms
         self.core.advance_to(self.now + 1e12, self.now)
-        act(*args)
-        out = self.core.take_messages()
-        for destination, message in out:
+        action(*args)
+        outgoing = self.core.take_messages()
+        for destination, message in outgoing:
             if destination == "connection":
                 self.answers.setdefault(message.rpc_id, []).append(message)
-        self.sent += [message for _, message in out]
-        return out
+        self.sent += [message for _, message in outgoing]
+        return outgoing
 
     def arrive(
         self,
-        rpc: int,
-        product: int = 0,
-        mark: str = "",
+        rpc_id: int,
+        class_index: int = 0,
+        idempotency_key: str = "",
         age: float = 0.0,
         ttl: float | None = 9000.0,
     ) -> list[Outgoing]:
-        fields = make_request_fields(f"{rpc:016x}", self.now + 1e12 - age, ttl, mark)
-        return self.step(self.core.handle_arrival, "connection", rpc, product, fields)
+        fields = make_request_fields(f"{rpc_id:016x}", self.now + 1e12 - age, ttl, idempotency_key)
+        return self.step(self.core.handle_arrival, "connection", rpc_id, class_index, fields)
 
     def wait(self, ms: float) -> None:
-        """Time passes, and nothing happens."""
+        """Advances the time without an event."""
         self.now += ms
 
     def sent_messages(self, kind: type) -> list:
--- a/tests/drill/test_drill.py
+++ b/tests/drill/test_drill.py
@@ -1,4 +1,4 @@
-"""The admission controller on the simulator's wire."""
+"""Tests of the simulator's protocol and of the program that speaks it."""
 
 import json
 import struct
@@ -14,7 +14,7 @@
 from otterrudder.drill.frames import encode_frame
 from otterrudder.drill.replies import encode_command
 
-# The frames printed in the wire's description.
+# The example frames of the protocol's description.
 EMPTY = bytes.fromhex("0000000c0000000000805c5a00000000")
 BATCH = bytes.fromhex(
     "0000006b0000000000805c5a00000003"
@@ -30,7 +30,7 @@
 )
 
 
-def test_batch_decodes() -> None:
+def test_example_batch_is_decoded() -> None:
     now_ms, events = decode(BATCH[4:])
     assert now_ms == 8412.25
     request, tick, left = events
@@ -43,7 +43,7 @@
     assert left == (5, 0x2964F0E6F2B19)
 
 
-def test_reply_encodes() -> None:
+def test_example_reply_is_encoded() -> None:
     run = encode_command(3, StartRequest(0xC5DF65D3A91C4))
     log = encode_command(5, LogMessage("two servers known"))
     tick = struct.pack(">HHII", 65, 3, 500000, 77)
@@ -51,49 +51,49 @@
     assert encode_frame([run, tick, log]) == REPLY
 
 
-def drill(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_drill(data: bytes) -> subprocess.CompletedProcess[bytes]:
     command = [sys.executable, "-m", "otterrudder.drill"]
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
 
 def test_empty_batch_is_answered() -> None:
-    done = drill(EMPTY + EMPTY)
-    assert (done.returncode, done.stdout) == (0, bytes.fromhex("0000000400000000") * 2)
+    result = run_drill(EMPTY + EMPTY)
+    assert (result.returncode, result.stdout) == (0, bytes.fromhex("0000000400000000") * 2)
 
 
-def test_an_instance_boots_and_starts_a_request_by_the_deploy_files_own_words() -> None:
+def test_the_sim_command_of_the_deploy_file_starts_a_request() -> None:
     sim = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
-    looks = {"effect": "safe", "hardLimitUs": 2900000, "promiseUs": 1200000, "worth": 1}
-    env = json.dumps(
+    request_class = {"effect": "safe", "hardLimitUs": 2900000, "promiseUs": 1200000, "worth": 1}
+    settings = json.dumps(
         {
-            "classes": [looks],
+            "classes": [request_class],
             "familyInfo": {"cores": 2, "memoryKb": 9000.0, "runFactor": 4.0},
             "rules": {"fallMultiple": 4.0, "fallUs": 2000000},
             "tickUs": 4000,
         }
     ).encode()
-    create_controller = struct.pack(">HHQI", 6, 3, 99, len(env)) + env
+    start = struct.pack(">HHQI", 6, 3, 99, len(settings)) + settings
     request = struct.pack(">HHQIQfQIfHIHIH", 1, 3, 0x2964F0E6F2B19, 0, 0, 24.5, 0, 0, 0.6, 0, 0, 0, 17, 0)
-    body = struct.pack(">QI", 8412250, 2) + create_controller + request
+    body = struct.pack(">QI", 8412250, 2) + start + request
     batch = struct.pack(">I", len(body)) + body
-    done = subprocess.run(["/bin/sh", "-c", sim], input=batch, capture_output=True, timeout=60, cwd=ROOT)
-    assert done.returncode == 0, done.stderr.decode()
-    size, count = struct.unpack_from(">II", done.stdout)
-    assert size + 4 == len(done.stdout) and count, done.stdout.hex()
-    assert struct.pack(">HHQ", 76, 3, 0x2964F0E6F2B19) in done.stdout, done.stdout.hex()
+    result = subprocess.run(["/bin/sh", "-c", sim], input=batch, capture_output=True, timeout=60, cwd=ROOT)
+    assert result.returncode == 0, result.stderr.decode()
+    size, count = struct.unpack_from(">II", result.stdout)
+    assert size + 4 == len(result.stdout) and count, result.stdout.hex()
+    assert struct.pack(">HHQ", 76, 3, 0x2964F0E6F2B19) in result.stdout, result.stdout.hex()
 
 
 @pytest.mark.parametrize(
     "data", [EMPTY[:9], EMPTY[:4], BATCH[:40], b"\0\0\0\x0d" + EMPTY[4:] + b"\0",
              EMPTY[:12] + b"\0\0\0\1" , b"\0\0\0\x0e" + EMPTY[4:15] + b"\x01\0\x63"]
 )  # fmt: skip
-def test_malformed_input_is_named(data: bytes) -> None:
-    done = drill(data)
-    assert done.returncode != 0 and done.stderr.startswith(b"drill: malformed input: ")
-    assert done.stderr.count(b"\n") == 1
+def test_malformed_input_ends_the_program_with_one_error_line(data: bytes) -> None:
+    result = run_drill(data)
+    assert result.returncode != 0 and result.stderr.startswith(b"drill: malformed input: ")
+    assert result.stderr.count(b"\n") == 1
 
 
-def test_failure_of_the_module_is_fatal_in_words() -> None:
+def test_an_exception_in_the_controller_is_reported_in_the_reply() -> None:
     body = struct.pack(">QI", 0, 1) + struct.pack(">HHQI", 6, 2, 1, 2) + b"[]"
-    done = drill(struct.pack(">I", len(body)) + body)
-    assert done.stdout[8:10] == b"\x00\x4d" and b"AttributeError" in done.stdout
+    result = run_drill(struct.pack(">I", len(body)) + body)
+    assert result.stdout[8:10] == b"\x00\x4d" and b"AttributeError" in result.stdout
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,10 +1,12 @@
-"""What tests of the server share: where the project lies, how the operators start it, and its settings."""
+"""Values shared by the tests of the server: the project's root, the start command and settings."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]  # how the operators start it
+RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())[
+    "run"
+]  # the command that starts a server in production
 SETTINGS = {
     "classes": [
         {"name": "look", "effect": "safe", "worth": 1, "promiseUs": 12e6, "hardLimitUs": 16e6},
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""KNOWN-RED.txt: tests of real faults that are not fixed yet.
+"""A pytest plugin for KNOWN-RED.txt, the list of tests that fail because of faults that are not fixed yet.
 
-They run like all others, and how each ended is printed; a run passes over just these. An entry whose test
-passes is to be removed. More than MAX_ENTRIES, an entry that is not of the form, or the name of no test ends
-the run. Works under pytest-xdist as well: outcomes are collected from the reports that reach the main
-process.
+The listed tests run like all others. Their outcomes are printed, and their failures do not fail the run. An
+entry whose test passes should be removed. The run ends with an error if the list has more than MAX_ENTRIES, a
+malformed entry, or a name that is not a test. The plugin also works under pytest-xdist, because it collects
+the outcomes from the reports that reach the main process.
 """
 
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 class Entry(NamedTuple):
-    """One test that is known to fail, and how to see it fail."""
+    """A test that is known to fail, with the command that reproduces the failure."""
 
     test: str
     command: str
@@ -27,28 +27,28 @@
 
 
 def read_entries(path: Path) -> dict[str, Entry]:
-    """The entries by test; ValueError names the line at fault."""
+    """Returns the entries by test. Raises ValueError with the line of a malformed entry."""
     entries: dict[str, Entry] = {}
     for number, text in enumerate(path.read_text().splitlines() if path.exists() else [], 1):
         if not text.strip() or text.startswith("#"):
             continue
         fields = [field.strip() for field in text.split("|")]
         if len(fields) != len(Entry._fields) or not all(fields):
-            raise ValueError(f"{FILE}:{number}: wanted: {FORM}")
+            raise ValueError(f"{FILE}:{number}: expected the form: {FORM}")
         entry = Entry(*fields)
         entries[entry.test] = entry
     if len(entries) > MAX_ENTRIES:
-        raise ValueError(f"{FILE}: {len(entries)} tests, {MAX_ENTRIES} at most")
+        raise ValueError(f"{FILE}: {len(entries)} tests, but the maximum is {MAX_ENTRIES}")
     return entries
 
 
-def _test_of(nodeid: str) -> str:
-    """A test's name without its parameters."""
+def _test_name(nodeid: str) -> str:
+    """Returns the name of a test without its parameters."""
     return nodeid.partition("[")[0]
 
 
 class KnownRed:
-    """Passes over the listed tests and tells how each ended."""
+    """Tolerates failures of the listed tests and reports their outcomes."""
 
     def __init__(self, entries: dict[str, Entry], root: Path) -> None:
         self.entries = entries
@@ -57,18 +57,18 @@
 
     @pytest.hookimpl(trylast=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        tests = {_test_of(item.nodeid) for item in items}
+        tests = {_test_name(item.nodeid) for item in items}
         files = {test.partition("::")[0] for test in tests}
         for test in self.entries:
             file = test.partition("::")[0]
             if test not in tests and (file in files or not (self.root / file).exists()):
-                raise pytest.UsageError(f"{FILE}: {test} is no test")
+                raise pytest.UsageError(f"{FILE}: {test} is not a test")
         for item in items:
-            if entry := self.entries.get(_test_of(item.nodeid)):
+            if entry := self.entries.get(_test_name(item.nodeid)):
                 item.add_marker(pytest.mark.xfail(reason=f"{entry.seen}, {entry.issue}", strict=False))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        test = _test_of(report.nodeid)
+        test = _test_name(report.nodeid)
         if test not in self.entries:
             return
         if report.failed or (report.skipped and hasattr(report, "wasxfail")):
@@ -78,12 +78,12 @@
 
     def pytest_terminal_summary(self, terminalreporter: TerminalReporter) -> None:
         for test, entry in self.entries.items():
-            ended = self._ended(self.outcomes[test])
-            why = f"{entry.command}: {entry.seen}, {entry.issue}"
-            terminalreporter.write_line(f"known red: {test}: {ended} ({why})")
+            outcome = self._summary(self.outcomes[test])
+            details = f"{entry.command}: {entry.seen}, {entry.issue}"
+            terminalreporter.write_line(f"known red: {test}: {outcome} ({details})")
 
     @staticmethod
-    def _ended(outcomes: set[str]) -> str:
+    def _summary(outcomes: set[str]) -> str:
         if not outcomes:
             return "not run"
         if "failed" in outcomes:
@@ -92,7 +92,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the list; a list that is not of the form ends the run."""
+    """Reads the list and registers the plugin. A malformed list ends the run with a usage error."""
     try:
         entries = read_entries(config.rootpath / FILE)
     except ValueError as error:
--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -1,17 +1,17 @@
-"""Plays a scenario: a text file of our own notation against one server's admission controller.
+"""Plays scenarios, which are text files in a notation of their own, on an admission controller.
 
-Names and values are those of `ControllerSettings`, `Limits`, `RequestClass` and `Arrival`.
+Names and values are those of `ControllerSettings`, `Limits`, `RequestClass` and `Arrival`. The lines are:
 
-server cores=2 callers=4            what the server is told at its start; busy and on_cores go into each tick
+server cores=2 callers=4            settings of the server; busy and on_cores are passed to each tick
 class pay idempotent latency_objective_ms=1000 deadline_ms=3000 retention_ms=9000 may_call=1
-tenant north 0.5 1.2                its quota, and how many requests/s of it are one server's part, if known
+tenant north 0.5 1.2                its quota, and this server's part of it in requests/s, if known
 at 10 arrive a pay session_key=7    an event at 10 ms, after due ticks; a1..a9: nine requests; *: all running
 at 50 finished a ok                 also call_needed a, call_ended a full, disconnect a, shutdown 5000
-at 55 drain pay 2000                a class (-: all) is drained with so long to answer; resume pay
-at 60 level - look=decline          a level in force; also =share:0.5, =omit, and fields of `ServiceLevel`
-  sees start a                      a command since the last `at`, by its first words; also `sees 2 start`, <3
-  lacks reject a                    no such command
-memory_kb 100                       the memory in use, by the controller's own count, is no more than this
+at 55 drain pay 2000                drains a class (-: all) within 2000 ms; also resume pay
+at 60 level - look=decline          sets a level; also =share:0.5, =omit, and fields of `ServiceLevel`
+  sees start a                      expects a command since the last `at`; also `sees 2 start` for a count, <3
+  lacks reject a                    expects no such command
+memory_kb 100                       expects that the controller counts at most this much memory in use
 """
 
 import re
@@ -106,20 +106,20 @@
 
 
 def read_value(name: str, word: str) -> Any:
-    """The value of a `name=word`."""
+    """Returns the value of `name=word`."""
     if name in VALUE_READERS:
         return VALUE_READERS[name](word)
     return bool(int(word)) if name.startswith(FLAG_PREFIXES) else float(word)
 
 
 def read_values(words: list[str]) -> dict[str, Any]:
-    """The values of words of the form `name=word`."""
+    """Returns the values of words of the form `name=word`, by name."""
     pairs = (word.split("=") for word in words)
     return {name: read_value(name, word) for name, word in pairs}
 
 
 class ScenarioPlayer:
-    """One scenario in progress."""
+    """Plays the lines of one scenario."""
 
     def __init__(self) -> None:
         self.settings = dict(DEFAULT_SETTINGS)
@@ -133,40 +133,40 @@
         self.next_tick_at = 0.0
 
     def play_line(self, text: str) -> None:
-        """Play a line without its comment; AssertionError if the line expects something else."""
+        """Plays a line without its comment. Raises AssertionError if an expectation fails."""
         word, *words = text.split()
         lines = {
-            "server": self._server,
-            "class": self._request_class,
-            "tenant": self._tenant,
-            "at": self._at,
-            "memory_kb": self._memory,
-            "sees": self._sees,
-            "lacks": self._lacks,
+            "server": self._set_settings,
+            "class": self._add_request_class,
+            "tenant": self._add_tenant,
+            "at": self._advance,
+            "memory_kb": self._expect_memory,
+            "sees": self._expect_command,
+            "lacks": self._expect_no_command,
         }
         lines[word](words)
 
-    # What the server is told at its start.
+    # Settings.
 
-    def _server(self, words: list[str]) -> None:
+    def _set_settings(self, words: list[str]) -> None:
         for name, value in read_values(words).items():
             tables = (self.settings, self.limits, self.tick_values)
             table = next((table for table in tables if name in table), None)
-            assert table is not None, f"{name}: no such setting"
+            assert table is not None, f"{name}: unknown setting"
             table[name] = value
 
-    def _request_class(self, words: list[str]) -> None:
+    def _add_request_class(self, words: list[str]) -> None:
         name, idempotency, *values = words
         fields = {"priority_weight": 1.0} | read_values(values)
         self.request_classes.append(RequestClass(name, IDEMPOTENCY_WORDS[idempotency], **fields))
 
-    def _tenant(self, words: list[str]) -> None:
+    def _add_tenant(self, words: list[str]) -> None:
         name, quota, *per_s = words
         self.tenants.append(Tenant(name, float(quota), float(per_s[0]) / 1000 if per_s else 0.0))
 
     # Events.
 
-    def _at(self, words: list[str]) -> None:
+    def _advance(self, words: list[str]) -> None:
         now = float(words[0])
         self.commands = []
         self.controller = self.controller or self._start(now)
@@ -200,13 +200,13 @@
                 self.running.append(command.request_id)
 
     def _play_event(self, now: float, verb: str, target: str, *words: str) -> None:
-        for name in list(self.running) if target == "*" else names(target):
+        for name in list(self.running) if target == "*" else expand_names(target):
             self.controller.advance_to(now)
             self._send_event(verb, name, list(words))
             self._take_commands(now)
 
     def _send_event(self, verb: str, target: str, words: list[str]) -> None:
-        """`target` is a request's name; a class's, if the event is about one; or its time."""
+        """Sends an event. `target` is the name of a request or of a class, or the time left in ms."""
         controller = self.controller
         match verb:
             case "arrive":
@@ -228,7 +228,7 @@
             case "level":
                 controller.set_service_level(self._service_level(words))
             case _:
-                raise AssertionError(f"{verb}: no such event")
+                raise AssertionError(f"{verb}: unknown event")
 
     def _finish(self, name: str, outcome: Outcome) -> None:
         if name in self.running:
@@ -252,23 +252,23 @@
         values = dict(word.split("=") for word in words)
         fields = {name: read_value(name, values.pop(name)) for name in DEFAULT_LEVEL if name in values}
         restrictions = tuple(read_restrictions(values.pop(name, "")) for name in self._class_names())
-        assert not values, f"{', '.join(values)}: neither a class nor a field of a level"
+        assert not values, f"{', '.join(values)}: not a class or a field of a level"
         return ServiceLevel("level", restrictions, **(DEFAULT_LEVEL | fields))
 
-    # What is expected.
+    # Expectations.
 
-    def _memory(self, words: list[str]) -> None:
+    def _expect_memory(self, words: list[str]) -> None:
         used_kb = self.controller.memory_budget.used_kb
         assert used_kb <= float(words[0]), used_kb
 
-    def _sees(self, words: list[str]) -> None:
+    def _expect_command(self, words: list[str]) -> None:
         if words[0].isdigit():
-            found = self._count(words[1:])
-            assert found == int(words[0]), f"sees {' '.join(words)}: got {self.commands}"
+            count = self._count(words[1:])
+            assert count == int(words[0]), f"sees {' '.join(words)}: got {self.commands}"
         else:
             assert self._count(words) > 0, f"sees {' '.join(words)}: got {self.commands}"
 
-    def _lacks(self, words: list[str]) -> None:
+    def _expect_no_command(self, words: list[str]) -> None:
         assert self._count(words) == 0, f"lacks {' '.join(words)}: got {self.commands}"
 
     def _count(self, words: list[str]) -> int:
@@ -276,19 +276,19 @@
 
 
 def read_restrictions(word: str) -> tuple[Restriction, ...]:
-    """The restrictions of a class by the word of a scenario, for example `share:0.5`."""
+    """Returns the restrictions of a class from a word such as `share:0.5`."""
     kind, _, admitted_share = word.partition(":")
     return (Restriction(RestrictionKind(kind), float(admitted_share or 0)),) if kind else ()
 
 
 def matches(command: Command, words: list[str]) -> bool:
-    """Whether a command begins with these words."""
+    """Returns whether the command's name and fields match these words."""
     values = (COMMAND_WORDS[type(command)], *command)
-    return len(values) >= len(words) and all(map(fits, values, words))
+    return len(values) >= len(words) and all(map(matches_value, values, words))
 
 
-def fits(value: object, word: str) -> bool:
-    """Whether a value is the word's, or below or above it."""
+def matches_value(value: object, word: str) -> bool:
+    """Returns whether a value equals the word, or is below `<word` or above `>word`."""
     if word[0] == "<":
         return value < float(word[1:])
     if word[0] == ">":
@@ -298,15 +298,15 @@
     return str(value) == word
 
 
-def names(word: str) -> list[str]:
-    """The names that a word stands for: `a1..a3` are three."""
+def expand_names(word: str) -> list[str]:
+    """Returns the names that a word stands for: `a1..a3` stands for three."""
     if span := re.fullmatch(r"([a-z]+)(\d+)\.\.[a-z]*(\d+)", word):
         return [f"{span[1]}{n}" for n in range(int(span[2]), int(span[3]) + 1)]
     return [word]
 
 
 def play(path: Path) -> None:
-    """Play a scenario's file; AssertionError names the line that expects something else."""
+    """Plays the scenario in a file. Raises AssertionError with the line whose expectation fails."""
     player = ScenarioPlayer()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         if text := line.split("#")[0].strip():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The run passes over the tests of KNOWN-RED.txt alone, and says how each ended."""
+"""Tests that only the tests in KNOWN-RED.txt may fail without failing the run, and that each is reported."""
 
 from pathlib import Path
 
@@ -15,40 +15,45 @@
 RED, GREEN, HALF = (
     f"test_it.py::test_{name} | pytest, seed 3 | a cause | issue 7\n" for name in ("red", "green", "half")
 )
-SHOWN = "(pytest, seed 3: a cause, issue 7)"
+DETAILS = "(pytest, seed 3: a cause, issue 7)"
 
 
 def run(pytester: pytest.Pytester, listed: str, *args: str) -> tuple[int, str]:
     pytester.makeconftest((Path(__file__).parent / "known_red.py").read_text())
     pytester.makepyfile(test_it=TESTS)
     (pytester.path / "KNOWN-RED.txt").write_text(listed)
-    done = pytester.runpytest_subprocess(*args)
-    return int(done.ret), done.stdout.str() + done.stderr.str()
+    result = pytester.runpytest_subprocess(*args)
+    return int(result.ret), result.stdout.str() + result.stderr.str()
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")], ids=["one process", "two workers"])
-def test_listed_ones_run_and_are_shown_and_no_other_failure_is_passed_over(
+def test_listed_tests_are_reported_and_other_failures_fail_the_run(
     pytester: pytest.Pytester, workers: tuple[str, ...]
 ) -> None:
-    code, told = run(pytester, "# a remark\n" + RED + GREEN + HALF, *workers)
-    assert code == 1 and "1 failed" in told  # test_other alone
-    assert f"known red: test_it.py::test_red: failed {SHOWN}" in told
-    assert "known red: test_it.py::test_half: failed" in told
-    assert "known red: test_it.py::test_green: PASSED: remove its entry" in told
-    code, told = run(pytester, RED + HALF, "--deselect", "test_it.py::test_other", *workers)
-    assert code == 0 and f"failed {SHOWN}" in told
+    code, output = run(pytester, "# a remark\n" + RED + GREEN + HALF, *workers)
+    assert code == 1 and "1 failed" in output  # test_other alone
+    assert f"known red: test_it.py::test_red: failed {DETAILS}" in output
+    assert "known red: test_it.py::test_half: failed" in output
+    assert "known red: test_it.py::test_green: PASSED: remove its entry" in output
+    code, output = run(pytester, RED + HALF, "--deselect", "test_it.py::test_other", *workers)
+    assert code == 0 and f"failed {DETAILS}" in output
     assert run(pytester, "", "-k", "red", *workers)[0] == 1
 
 
 @pytest.mark.parametrize(
-    ("listed", "why"),
+    ("listed", "message"),
     [
-        (RED + GREEN + HALF + "test_it.py::test_other | a | b | c\n", "4 tests, 3 at most"),
-        ("test_it.py::test_red | a cause | issue 7\n", "KNOWN-RED.txt:1: wanted: test | command and seed"),
-        ("test_it.py::test_gone | a | b | c\n", "test_gone is no test"),
-        ("test_no.py::test | a | b | c\n", "is no test"),
+        (RED + GREEN + HALF + "test_it.py::test_other | a | b | c\n", "4 tests, but the maximum is 3"),
+        (
+            "test_it.py::test_red | a cause | issue 7\n",
+            "KNOWN-RED.txt:1: expected the form: test | command and seed",
+        ),
+        ("test_it.py::test_gone | a | b | c\n", "test_gone is not a test"),
+        ("test_no.py::test | a | b | c\n", "is not a test"),
     ],
 )
-def test_a_list_that_is_no_good_fails_the_run(pytester: pytest.Pytester, listed: str, why: str) -> None:
-    code, told = run(pytester, listed)
-    assert code not in (0, 1) and why in told
+def test_malformed_list_ends_the_run_with_an_error(
+    pytester: pytest.Pytester, listed: str, message: str
+) -> None:
+    code, output = run(pytester, listed)
+    assert code not in (0, 1) and message in output
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
-"""Imports run downwards and form no circle: read from the source by `ast`, wherever in a file they stand.
+"""Checks that imports only go to lower layers and form no cycle.
 
-What is imported for types alone (`if TYPE_CHECKING:`) is never run; it is counted apart, by the same rules.
-That a module's import runs the `__init__` of the packages above it is not counted."""
+Imports are read from the source by `ast`, wherever they are in a file. Imports under `if TYPE_CHECKING:` are
+checked separately, by the same rules. The `__init__` modules that an import runs implicitly are ignored."""
 
 import ast
 from collections.abc import Iterator
@@ -13,10 +13,10 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = "otterrudder"
 
-# The lowest first: packages and modules right below the root; what lies deeper is of its package. Each may
-# import from itself and from lower layers: not from another name of its layer, nor from a higher one.
+# The layers, the lowest first, with the packages and modules directly below the root. A submodule belongs to
+# its package. A package may import from itself and from lower layers, but not from others of its own layer.
 LAYERS = (
-    ("otterrudder",),  # the version alone
+    ("otterrudder",),  # only the version
     ("otterrudder.clock", "otterrudder.files", "otterrudder.log"),
     ("otterrudder.admission",),
     ("otterrudder.durable", "otterrudder.levels", "otterrudder.vrrp"),
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, order=True)
 class Import:
-    """One module's import of another; `for_types`: it stands under `if TYPE_CHECKING:`."""
+    """An import of one module by another. `for_types` is set under `if TYPE_CHECKING:`."""
 
     importer: str
     imported: str
@@ -53,11 +53,11 @@
 
 
 def nodes(tree: ast.AST, for_types: bool = False) -> Iterator[tuple[ast.AST, bool]]:
-    """Every node, and whether it is of a block that is for types alone."""
+    """Yields every node, and whether it is under `if TYPE_CHECKING:`."""
     yield tree, for_types
-    alone = set(map(id, tree.body)) if is_for_types(tree) else set()
+    guarded = set(map(id, tree.body)) if is_for_types(tree) else set()
     for child in ast.iter_child_nodes(tree):
-        yield from nodes(child, for_types or id(child) in alone)
+        yield from nodes(child, for_types or id(child) in guarded)
 
 
 def names_imported(node: ast.AST, importer: str) -> list[str]:
@@ -70,35 +70,37 @@
 
 
 def imports_of(texts: dict[str, str]) -> set[Import]:
-    """All imports among these modules. `from a import b` is of `a.b` where that is a module, else of `a`."""
-    found = set()
+    """Returns all imports among these modules.
+
+    `from a import b` imports `a.b` if that is a module, and otherwise `a`."""
+    imports = set()
     for importer, text in texts.items():
         for node, for_types in nodes(ast.parse(text)):
             for name in names_imported(node, importer):
                 imported = name if name in texts else name.rpartition(".")[0]
                 if imported in texts and imported != importer:
-                    found.add(Import(importer, imported, for_types))
-    return found
+                    imports.add(Import(importer, imported, for_types))
+    return imports
 
 
 def layer_name(module: str) -> str:
-    """The name in LAYERS that a module is of; KeyError if there is none."""
+    """Returns the name in LAYERS that a module belongs to. Raises KeyError if there is none."""
     name = ".".join(module.split(".")[:2])
     if name not in HEIGHTS:
         raise KeyError(f"{module} is in no layer")
     return name
 
 
-def is_upward(one: Import) -> bool:
-    importer, imported = layer_name(one.importer), layer_name(one.imported)
+def is_upward(import_: Import) -> bool:
+    importer, imported = layer_name(import_.importer), layer_name(import_.imported)
     return importer != imported and HEIGHTS[imported] >= HEIGHTS[importer]
 
 
-def circle(imports: set[Import]) -> list[str]:
-    """The modules of one circle in order, the first again at the end; empty if there is none."""
+def find_cycle(imports: set[Import]) -> list[str]:
+    """Returns the modules of a cycle in order, with the first repeated at the end, or an empty list."""
     targets: dict[str, list[str]] = {}
-    for one in sorted(imports):
-        targets.setdefault(one.importer, []).append(one.imported)
+    for import_ in sorted(imports):
+        targets.setdefault(import_.importer, []).append(import_.imported)
     done: set[str] = set()
 
     def walk(module: str, path: list[str]) -> list[str]:
@@ -118,28 +120,32 @@
     return []
 
 
-def test_every_module_is_in_a_layer_and_every_layer_is_in_use() -> None:
+def test_layers_list_exactly_the_modules_of_the_package() -> None:
     used = {layer_name(module) for module in sources()}
     assert used == HEIGHTS.keys()
 
 
-def test_no_import_that_is_run_goes_upward() -> None:
-    assert not sorted(one for one in imports_of(sources()) if not one.for_types and is_upward(one))
+def test_no_runtime_import_goes_upward() -> None:
+    assert not sorted(
+        import_ for import_ in imports_of(sources()) if not import_.for_types and is_upward(import_)
+    )
 
 
-def test_no_import_for_types_goes_upward() -> None:
-    assert not sorted(one for one in imports_of(sources()) if one.for_types and is_upward(one))
+def test_no_type_checking_import_goes_upward() -> None:
+    assert not sorted(
+        import_ for import_ in imports_of(sources()) if import_.for_types and is_upward(import_)
+    )
 
 
-def test_imports_that_are_run_form_no_circle() -> None:
-    assert not circle({one for one in imports_of(sources()) if not one.for_types})
+def test_runtime_imports_form_no_cycle() -> None:
+    assert not find_cycle({import_ for import_ in imports_of(sources()) if not import_.for_types})
 
 
-def test_no_circle_with_the_imports_for_types() -> None:
-    assert not circle(imports_of(sources()))
+def test_all_imports_form_no_cycle() -> None:
+    assert not find_cycle(imports_of(sources()))
 
 
-# What the checks find, on sources made for them.
+# Tests of the checks themselves, on constructed sources.
 
 TYPED = """
 from typing import TYPE_CHECKING
@@ -163,7 +169,7 @@
         (TYPED.replace("pass", "import otterrudder.net"), "otterrudder.net", False),
     ],
 )
-def test_an_import_is_found_in_each_form(text: str, imported: str, for_types: bool) -> None:
+def test_every_form_of_import_is_found(text: str, imported: str, for_types: bool) -> None:
     texts = {"otterrudder.vrrp.admission_gate": text, "otterrudder.net": "", "otterrudder.net.core": ""}
     assert Import("otterrudder.vrrp.admission_gate", imported, for_types) in imports_of(texts)
 
@@ -172,22 +178,22 @@
     ("importer", "imported", "upward"),
     [
         ("otterrudder.vrrp.admission_gate", "otterrudder.net.core", True),
-        ("otterrudder.vrrp.admission_gate", "otterrudder.levels.table", True),  # beside it
+        ("otterrudder.vrrp.admission_gate", "otterrudder.levels.table", True),  # same layer
         ("otterrudder.net.core", "otterrudder.vrrp.admission_gate", False),
-        ("otterrudder.net.core", "otterrudder.net.serve", False),  # of one package: the circles are looked at
+        ("otterrudder.net.core", "otterrudder.net.serve", False),  # same package: only cycles are forbidden
         ("otterrudder.lab.processes.mutants", "otterrudder.cli.serve", True),
     ],
 )
-def test_what_counts_as_upward(importer: str, imported: str, upward: bool) -> None:
+def test_upward_imports_are_recognized(importer: str, imported: str, upward: bool) -> None:
     assert is_upward(Import(importer, imported, False)) is upward
 
 
-def test_a_module_of_no_layer_is_told() -> None:
+def test_a_module_outside_the_layers_is_an_error() -> None:
     with pytest.raises(KeyError):
-        layer_name("otterrudder.unheard_of")
+        layer_name("otterrudder.unknown")
 
 
-def test_a_circle_is_found() -> None:
+def test_a_cycle_is_found() -> None:
     pairs = [("a", "b"), ("b", "c"), ("c", "b"), ("a", "d")]
-    assert circle({Import(*pair, False) for pair in pairs}) == ["b", "c", "b"]
-    assert circle({Import(*pair, False) for pair in pairs if pair != ("c", "b")}) == []
+    assert find_cycle({Import(*pair, False) for pair in pairs}) == ["b", "c", "b"]
+    assert find_cycle({Import(*pair, False) for pair in pairs if pair != ("c", "b")}) == []
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -1,4 +1,4 @@
-"""The move to another shape: the settings for the admission controller, the checks, and the command."""
+"""Tests of `otterrudder migrate`, and of the settings that the admission controller reads."""
 
 import copy
 import json
@@ -34,17 +34,17 @@
 }  # fmt: skip
 
 
-def settings_with(place: str, value: object) -> dict:
+def settings_with(path: str, value: object) -> dict:
     settings = copy.deepcopy(OLD)
-    *path, name = place.split(".")
+    *parents, name = path.split(".")
     table = settings
-    for step in path:
-        table = table[int(step) if step.isdigit() else step]
+    for parent in parents:
+        table = table[int(parent) if parent.isdigit() else parent]
     table[name] = value
     return settings
 
 
-def migrated(*options: str) -> subprocess.CompletedProcess[str]:
+def run_migrate(*options: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "otterrudder", "migrate", *options],
         cwd=ROOT,
@@ -55,20 +55,21 @@
 
 
 @pytest.fixture
-def old(tmp_path: Path) -> Path:
+def old_file(tmp_path: Path) -> Path:
     path = tmp_path / "old.json"
     path.write_text(json.dumps(CONFIGURATION))
     return path
 
 
-def test_the_admission_controller_gets_what_the_settings_say() -> None:
+def test_the_controller_is_created_with_the_values_of_the_settings() -> None:
     controller = create_controller(0.0, 1, 7, OLD)
     assert (
         controller.settings.can_stop_requests,
         controller.load_reporter.are_retries_marked,
         controller.limits.over_quota_weight_factor,
     ) == (False, True, 0.1)
-    assert controller.tenant_quotas.tenants[0].quota_per_ms == pytest.approx(0.0034)  # a tenth of 34 a second
+    # 34 requests/s are divided among 10 servers.
+    assert controller.tenant_quotas.tenants[0].quota_per_ms == pytest.approx(0.0034)
     assert create_controller(
         0.0, 1, 7, settings_with("familyInfo.stopMode", "pause")
     ).settings.can_stop_requests
@@ -77,20 +78,19 @@
     ).load_reporter.are_retries_marked
 
 
-def test_what_is_absent_leaves_the_admission_controller_as_it_was() -> None:
+def test_absent_settings_have_defaults() -> None:
     settings = {"classes": OLD["classes"], "realms": [{"name": "hill-country", "share": 0.6}]}
     controller = create_controller(0.0, 1, 7, settings)
     assert (controller.settings.can_stop_requests, controller.load_reporter.are_retries_marked) == (
         False,
         True,
     )
-    assert (
-        controller.tenant_quotas.tenants[0].quota_per_ms == 0.0
-    )  # no share is known, so nobody is beyond it
+    # The quota is unknown, so it is not enforced.
+    assert controller.tenant_quotas.tenants[0].quota_per_ms == 0.0
 
 
 @pytest.mark.parametrize(
-    ("place", "value", "named"),
+    ("path", "value", "field"),
     [
         ("familyInfo.stopMode", "halt", "settings.familyInfo.stopMode"),
         ("familyInfo.callsOut", -1, "settings.familyInfo.callsOut"),
@@ -101,19 +101,21 @@
         ("classes.0.lateWorth", -0.5, "settings.classes[0].lateWorth"),
     ],
 )
-def test_a_bad_setting_is_named_with_its_file(tmp_path: Path, place: str, value: object, named: str) -> None:
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(CONFIGURATION | {"settings": settings_with(place, value)}))
+def test_an_invalid_setting_is_reported_with_file_and_field(
+    tmp_path: Path, path: str, value: object, field: str
+) -> None:
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(CONFIGURATION | {"settings": settings_with(path, value)}))
     with pytest.raises(ConfigurationError) as raised:
-        read_configuration(str(path))
-    assert str(path) in str(raised.value) and named in str(raised.value)
+        read_configuration(str(file))
+    assert str(file) in str(raised.value) and field in str(raised.value)
 
 
-def test_the_new_file_starts_a_server_of_the_new_shape(tmp_path: Path, old: Path) -> None:
+def test_the_migrated_file_is_valid_and_has_the_new_settings(tmp_path: Path, old_file: Path) -> None:
     new = tmp_path / "new.json"
-    before = old.read_bytes()
-    done = migrated(str(old), "--out", str(new))
-    assert done.returncode == 0, done.stderr
+    before = old_file.read_bytes()
+    result = run_migrate(str(old_file), "--out", str(new))
+    assert result.returncode == 0, result.stderr
     document = read_configuration(str(new)).document
     controller = create_controller(0.0, 1, 7, document["settings"])
     assert (
@@ -123,58 +125,62 @@
         and controller.load_reporter.signal is LoadSignal.NONE
     )
     assert document["settings"]["classes"][1]["effect"] == "unsafe"
-    assert document | {"settings": 0} == CONFIGURATION | {"settings": 0}  # all else is carried over
-    assert "classes[1].windowUs" in done.stdout and "familyInfo.callsOut" in done.stdout
-    assert old.read_bytes() == before
+    assert document | {"settings": 0} == CONFIGURATION | {"settings": 0}  # the rest of the file is unchanged
+    assert "classes[1].windowUs" in result.stdout and "familyInfo.callsOut" in result.stdout
+    assert old_file.read_bytes() == before
 
 
-def test_a_dry_run_changes_nothing_and_says_the_same(tmp_path: Path, old: Path) -> None:
+def test_a_dry_run_writes_no_file_and_prints_the_same_changes(tmp_path: Path, old_file: Path) -> None:
     new = tmp_path / "new.json"
-    dry = migrated(str(old), "--out", str(new), "--dry-run")
-    assert dry.returncode == 0 and sorted(tmp_path.iterdir()) == [old]
-    done = migrated(str(old), "--out", str(new))
-    assert done.stdout.splitlines()[:-1] == dry.stdout.splitlines()[:-1]
+    dry_run = run_migrate(str(old_file), "--out", str(new), "--dry-run")
+    assert dry_run.returncode == 0 and sorted(tmp_path.iterdir()) == [old_file]
+    result = run_migrate(str(old_file), "--out", str(new))
+    assert result.stdout.splitlines()[:-1] == dry_run.stdout.splitlines()[:-1]
 
 
-def test_a_file_that_is_there_is_not_overwritten(tmp_path: Path, old: Path) -> None:
+def test_an_existing_output_file_is_not_overwritten(tmp_path: Path, old_file: Path) -> None:
     new = tmp_path / "new.json"
     new.write_text("mine")
-    done = migrated(str(old), "--out", str(new))
-    assert done.returncode == 2 and str(new) in done.stderr
-    assert new.read_text() == "mine" and sorted(tmp_path.iterdir()) == [new, old]
+    result = run_migrate(str(old_file), "--out", str(new))
+    assert result.returncode == 2 and str(new) in result.stderr
+    assert new.read_text() == "mine" and sorted(tmp_path.iterdir()) == [new, old_file]
 
 
-def test_what_the_operator_states_goes_first(tmp_path: Path, old: Path) -> None:
+def test_settings_in_the_shape_file_take_precedence(tmp_path: Path, old_file: Path) -> None:
     shape = tmp_path / "shape.json"
     shape.write_text(json.dumps({"servers": 300, "familyInfo": {"callsOut": 0.4, "say": "min_rank"}}))
-    done = migrated(str(old), "--out", str(tmp_path / "new.json"), "--shape", str(shape))
-    assert done.returncode == 0 and "familyInfo.callsOut" not in done.stdout
+    result = run_migrate(str(old_file), "--out", str(tmp_path / "new.json"), "--shape", str(shape))
+    assert result.returncode == 0 and "familyInfo.callsOut" not in result.stdout
     settings = read_configuration(str(tmp_path / "new.json")).settings
     info = settings["familyInfo"]
     assert (settings["servers"], info["callsOut"], info["say"]) == (300, 0.4, "min_rank")
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"name": "n"}'])
-def test_a_bad_old_file_is_named(tmp_path: Path, text: str) -> None:
+def test_a_malformed_old_file_is_reported_by_name(tmp_path: Path, text: str) -> None:
     path = tmp_path / "old.json"
     path.write_text(text)
-    done = migrated(str(path), "--dry-run")
-    assert done.returncode == 2 and str(path) in done.stderr and done.stderr.count("\n") == 1
+    result = run_migrate(str(path), "--dry-run")
+    assert result.returncode == 2 and str(path) in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_a_shape_that_makes_a_bad_file_writes_none(tmp_path: Path, old: Path) -> None:
+def test_no_file_is_written_if_the_shape_file_is_invalid(tmp_path: Path, old_file: Path) -> None:
     shape = tmp_path / "shape.json"
     shape.write_text(json.dumps({"servers": "many"}))
-    done = migrated(str(old), "--out", str(tmp_path / "new.json"), "--shape", str(shape))
-    assert done.returncode == 2 and "settings.servers" in done.stderr and not (tmp_path / "new.json").exists()
+    result = run_migrate(str(old_file), "--out", str(tmp_path / "new.json"), "--shape", str(shape))
+    assert (
+        result.returncode == 2
+        and "settings.servers" in result.stderr
+        and not (tmp_path / "new.json").exists()
+    )
 
 
-def test_migrating_twice_restates_nothing_more() -> None:
+def test_a_second_migration_changes_nothing() -> None:
     once = migrate_settings(OLD, {})
     twice = migrate_settings(once.settings, {})
     assert once.restated and not twice.restated and twice.settings == once.settings
 
 
-def test_a_table_that_is_null_is_one_that_is_absent() -> None:
+def test_a_null_table_is_treated_as_absent() -> None:
     settings = migrate_settings(OLD | {"report": None, "clients": None}, {}).settings
     assert settings["report"] == {"source": "pull"} and settings["clients"] == {"marksRetry": False}
