--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -16,7 +16,7 @@
     """What a validation has come to: the connections of the servers that are to be asked now, and how it
     ended if it did. `result`: the first rejection, "" if all accept, None if nothing is known."""
 
-    questions: tuple[int, ...] = ()
+    connections: tuple[int, ...] = ()
     is_finished: bool = False
     result: str | None = None
 
@@ -49,7 +49,7 @@
         """The member asks for the validation of a text."""
         change = undecided_change(member)
         revision = change.created if change and change.digest == task.digest else 0
-        if not revision or not self._is_about(revision):
+        if not revision or not self._polls_change(revision):
             self.poll = ValidationPoll(task.digest, self.cache)
             self._change_revision = revision
         self.task = task
@@ -64,12 +64,12 @@
             is_in_force = member.policies.head > member.known.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
-        questions = tuple(self.poll.next_questions(now, candidates))
+        connections = tuple(self.poll.next_requests(now, candidates))
         self._awaits_servers = now < member.voting.abstains_until
         if self._awaits_servers:
-            return ValidationStep(questions)
+            return ValidationStep(connections)
         result = self.poll.result(candidates)
-        return ValidationStep(questions, is_finished=result is not None, result=result)
+        return ValidationStep(connections, is_finished=result is not None, result=result)
 
     def finish(self) -> tuple[ValidatePolicy, float]:
         """The request that waited for the result, and when it was made."""
@@ -102,7 +102,7 @@
         result = member.validation_result(change.digest)
         if result is None:
             return False
-        if not self.poll or not self._is_about(change.created):
+        if not self.poll or not self._polls_change(change.created):
             return True
         return result == "" and self.poll.result(sessions.candidates(now)) != ""
 
@@ -113,7 +113,7 @@
         due = self.poll.due()
         return min(due, member.voting.abstains_until) if self._awaits_servers else due
 
-    def _is_about(self, change_revision: int) -> bool:
+    def _polls_change(self, change_revision: int) -> bool:
         """Whether the poll is about the change that this revision created."""
         return self.poll is not None and self._change_revision == change_revision
 
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -45,7 +45,7 @@
 TRUSTED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
 RENEWAL_SHARE = 0.25  # of the span, between renewals
 RENEWAL_JITTER = 0.2  # of that, over which renewals are spread
-SILENCE_SHARE = 0.25  # of the span without an answer, after which the next relay is tried
+ANSWER_TIMEOUT_SHARE = 0.25  # of the span without an answer, after which the next relay is tried
 
 
 class Participant:
@@ -59,7 +59,7 @@
         "_is_open",
         "_relay_mistrust",
         "_renew_at",
-        "_silent_at",
+        "_answer_deadline",
         "_rejection",
         "connection",
         "has_held_lease",
@@ -92,7 +92,7 @@
         self._relay_mistrust = ""  # why a relay is not trusted
         self._is_open = False
         self._renew_at = math.inf
-        self._silent_at = math.inf
+        self._answer_deadline = math.inf
         self._rejection = ""  # why the server rejects the policy that it would go by
         self._effects: list[ParticipantEffect] = []
 
@@ -128,15 +128,15 @@
             return -math.inf
         if not self.connection:
             return self.selector.connect_at
-        return min(self._renew_at, self._silent_at, self.selector.return_at)
+        return min(self._renew_at, self._answer_deadline, self.selector.return_at)
 
     def effects(self, now: float) -> list[ParticipantEffect]:
         """What is to be begun now."""
-        if self.connection and now >= self._silent_at:
+        if self.connection and now >= self._answer_deadline:
             self.refusal = f"{self.relay} does not answer"
             self._leave_relay(now)
         if self.connection and now >= self.selector.return_at:
-            self._return_home(now)
+            self._return_to_preferred(now)
         if not self.connection and now >= self.selector.connect_at:
             self._connect(now)
         if self._is_open and now >= self._renew_at:
@@ -201,7 +201,7 @@
         sent_at = self.requests.pop(grant.sequence)
         if sent_at is None:
             return
-        if mistrust := self._mistrust_of(grant.version, grant.change):
+        if mistrust := self._mistrust_reason(grant.version, grant.change):
             self._mistrust_relay(now, mistrust)
             return
         self._relay_mistrust = ""
@@ -213,14 +213,14 @@
         span = min(grant.span_ms, self.span_ms)  # one that was cut short is renewed the sooner
         spread = 1.0 - RENEWAL_JITTER / 2 + RENEWAL_JITTER * self._jitter("renew")
         self._renew_at = sent_at + span * RENEWAL_SHARE * spread
-        self._silent_at = math.inf
+        self._answer_deadline = math.inf
         self.requests.drop_until(grant.sequence)
-        self.selector.schedule_return(now, self._jitter("home"))
+        self.selector.schedule_return_to_preferred(now, self._jitter("home"))
 
     def _extend_lease(self, version: int, until: float) -> None:
         self.lease.extend(self.known.version, version, until)
 
-    def _mistrust_of(self, version: int, change: str) -> str:
+    def _mistrust_reason(self, version: int, change: str) -> str:
         """Why a relay that announces this version is not trusted, "" if it is."""
         if version < self.head:
             return f"{self.relay} tells of version {version}, older than {self.head}"
@@ -240,7 +240,7 @@
             return
         # The relay's question about the open change is on its way, so the stream stays.
         self.requests.pop(refusal.sequence)
-        self._silent_at = math.inf
+        self._answer_deadline = math.inf
         self._renew_at = now + RETRY_MS
 
     # Texts.
@@ -286,7 +286,7 @@
         self.connection = self.selector.begin_connection()
         self._is_open = False
         self.requests.clear()
-        self._silent_at = now + self.span_ms * SILENCE_SHARE
+        self._answer_deadline = now + self.span_ms * ANSWER_TIMEOUT_SHARE
         self._renew_at = math.inf
         self._effects.append(Connect(self.connection, self.relay))
 
@@ -299,10 +299,10 @@
         self._disconnect()
         self._try_next_relay(now)
 
-    def _return_home(self, now: float) -> None:
+    def _return_to_preferred(self, now: float) -> None:
         """Tries the first address again; the lease goes on meanwhile."""
         self._disconnect()
-        self.selector.return_home(now)
+        self.selector.return_to_preferred(now)
 
     def _try_next_relay(self, now: float) -> None:
         self.selector.advance()
@@ -315,7 +315,7 @@
     def _begin_request(self, now: float) -> int:
         """The sequence number of a request that is sent now."""
         self._renew_at = math.inf
-        self._silent_at = now + self.span_ms * SILENCE_SHARE
+        self._answer_deadline = now + self.span_ms * ANSWER_TIMEOUT_SHARE
         return self.requests.add(now)
 
     def _send(self, message: ServerMessage) -> None:
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -53,8 +53,8 @@
 SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
 SILENT_SPANS = 2.0  # spans of a lease without a message, after which a session is ended
 TAKEOVER_VOTE_DELAY_MS = 1500.0  # without a vote after a takeover: a server is on its next relay by then
-STORE_ANSWER_SHARE = 0.35  # of the store's lease: the store answers if it did within that
-ENDORSEMENT_SHARE = 0.6  # of the store's lease left, below which endorsements are asked for
+STORE_RESPONSIVE_SHARE = 0.35  # of the store's lease: the store answers if it did within that
+ENDORSEMENT_REQUEST_SHARE = 0.6  # of the store's lease left, below which endorsements are asked for
 
 
 class Relay:
@@ -62,18 +62,18 @@
 
     __slots__ = (
         "_effects",
-        "_has_news",
+        "_has_new_events",
         "_idle_until",
         "_is_shutting_down",
         "_pushed_policy",
         "_sweep_at",
         "_was_leading",
-        "endorsements",
-        "given_endorsement",
+        "endorsement_collector",
+        "endorsement_giver",
         "identity",
         "limits",
         "member",
-        "refused",
+        "refusal_counts",
         "sessions",
         "coordinator",
         "validation",
@@ -109,9 +109,9 @@
         self.coordinator = ChangeCoordinator(keys, identity.cell, retains_leadership=True)
         self.sessions = SessionTable(limits.max_sessions)
         self.validation = CellValidation(now)
-        self.endorsements = EndorsementCollector(now, identity)
-        self.given_endorsement = EndorsementGiver(now, identity)
-        self.refused: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
+        self.endorsement_collector = EndorsementCollector(now, identity)
+        self.endorsement_giver = EndorsementGiver(now, identity)
+        self.refusal_counts: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
         self._was_leading = False
         self._pushed_policy = Policy()
         self._is_shutting_down = False
@@ -119,7 +119,7 @@
         self._effects: list[RelayEffect] = []
         # A renewal asks nothing of the store, and there are hundreds a second: without other events its
         # answer is all that `effects` looks for.
-        self._has_news = True
+        self._has_new_events = True
         self._idle_until = -math.inf
         self._abstain()
 
@@ -131,7 +131,7 @@
 
     def authority_until(self, now: float) -> float:
         """Until when leases may be granted that were asked for now; -inf: none may."""
-        if now < self.given_endorsement.until or self._is_shutting_down:
+        if now < self.endorsement_giver.until or self._is_shutting_down:
             return -math.inf
         return self.member.authority_until(now)
 
@@ -144,7 +144,7 @@
         """When `effects` may next have some without an event; -inf: now."""
         if self._effects:
             return -math.inf
-        return self._next_due() if self._has_news else self._idle_until
+        return self._next_due() if self._has_new_events else self._idle_until
 
     def _next_due(self) -> float:
         times = [
@@ -154,14 +154,14 @@
             self.validation.due(self.member),
         ]
         if self._may_need_endorsements():
-            times.append(max(self.endorsements.due(), self._endorsements_needed_at()))
+            times.append(max(self.endorsement_collector.due(), self._endorsements_needed_at()))
         return min(times)
 
     # Events.
 
     def handle_watch_event(self, now: float, prefix: str) -> None:
         """Something under a watched prefix was written, or its watch was begun."""
-        self._has_news = True
+        self._has_new_events = True
         if prefix == self.member.keys.head:
             self.member.handle_watch_event()
         self.coordinator.handle_watch_event(now)
@@ -169,12 +169,12 @@
     def handle_stream_closed(self, connection: int) -> None:
         """A server's stream has ended. Its lease goes on, and it is waited for until the lease has lapsed."""
         if self.sessions.close(connection):
-            self._has_news = True
+            self._has_new_events = True
 
     def handle_message(self, now: float, connection: int, message: ServerMessage) -> None:
         """A server has sent a message."""
         if not isinstance(message, LeaseRenewal) or undecided_change(self.member):
-            self._has_news = True
+            self._has_new_events = True
         if isinstance(message, Registration):
             self._handle_registration(now, connection, message)
             return
@@ -193,10 +193,10 @@
 
     def handle_endorsement_request(self, now: float, request: EndorsementRequest) -> Endorsement:
         """The answer to another relay of the cell."""
-        self._has_news = True
+        self._has_new_events = True
         silence_ms = now - self.member.answered_at
-        store_answers = silence_ms < self.member.rules.lease_ms * STORE_ANSWER_SHARE
-        endorsement = self.given_endorsement.answer(
+        store_answers = silence_ms < self.member.rules.lease_ms * STORE_RESPONSIVE_SHARE
+        endorsement = self.endorsement_giver.answer(
             now, request, leads=self.leads(), store_answers=store_answers
         )
         self._abstain()
@@ -204,13 +204,13 @@
 
     def handle_endorsement(self, endorsement: Endorsement) -> None:
         """Another relay of the cell has answered."""
-        self._has_news = True
-        self.endorsements.handle_endorsement(endorsement)
-        self.member.registration.endorsed_until = self.endorsements.until()
+        self._has_new_events = True
+        self.endorsement_collector.handle_endorsement(endorsement)
+        self.member.registration.endorsed_until = self.endorsement_collector.until()
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
         """How an effect of the store or the disk ended; `sent`: when it was begun."""
-        self._has_news = True
+        self._has_new_events = True
         if effect.lane is Lane.COORDINATE:
             if isinstance(effect, Commit):
                 self.member.handle_watch_event()
@@ -220,11 +220,11 @@
             self.member.handle_result(now, effect, sent, outcome)
             if effect.lane is Lane.STORE and outcome is not None:
                 self.coordinator.latency_ms = now - sent
-        self._after_store(now)
+        self._handle_store_outcome(now)
 
     def begin_shutdown(self) -> None:
         """Sends the servers to the other relays. To give the store's lease back is up to the caller."""
-        self._has_news = True
+        self._has_new_events = True
         self._is_shutting_down = True
         for connection in self.sessions.connections():
             self._refuse(connection, 0, RefusalReason.SHUTTING_DOWN)
@@ -233,22 +233,22 @@
 
     def effects(self, now: float) -> list[RelayEffect]:
         """What is to be begun now. The outcome of those of the store and the disk is owed to `completed`."""
-        if self._has_news or now >= self._idle_until:
+        if self._has_new_events or now >= self._idle_until:
             self._decide(now)
         begun, self._effects = self._effects, []
         return begun
 
     def _decide(self, now: float) -> None:
-        self._take_store_effects(now)
+        self._collect_store_effects(now)
         self._advance_validation(now)
         if self._may_need_endorsements() and now >= self._endorsements_needed_at():
-            self._effects += self.endorsements.requests(now)
+            self._effects += self.endorsement_collector.requests(now)
         if now >= self._sweep_at:
             self._sweep(now)
-        self._has_news = False
+        self._has_new_events = False
         self._idle_until = self._next_due()
 
-    def _take_store_effects(self, now: float) -> None:
+    def _collect_store_effects(self, now: float) -> None:
         self._review_validation(now)
         for effect in self.member.effects(now):
             if isinstance(effect, ValidatePolicy):
@@ -298,14 +298,14 @@
             reason = RefusalReason.SHUTTING_DOWN if self._is_shutting_down else RefusalReason.NO_AUTHORITY
             self._refuse(session.connection, sequence, reason, self._authority_detail(now))
             return
-        if self._owes_validation_result(now, session):
+        if self._has_overdue_validation(now, session):
             detail = "this kind of server was asked about a change and has not answered"
             self._refuse(session.connection, sequence, RefusalReason.UNANSWERED, detail)
             return
         if self._may_have_missed_commit(session):
             session.deferred_request = sequence
             self.member.handle_watch_event()
-            self._has_news = True
+            self._has_new_events = True
             return
         self._grant(now, session, sequence, span)
 
@@ -324,7 +324,7 @@
             return False
         return now < self.member.registration.endorsed_until
 
-    def _owes_validation_result(self, now: float, session: Session) -> bool:
+    def _has_overdue_validation(self, now: float, session: Session) -> bool:
         poll = self.validation.poll
         if not poll or not undecided_change(self.member):
             return False
@@ -341,7 +341,7 @@
         return voting.vote_sent and voting.fresh_at < session.registered_at
 
     def _authority_detail(self, now: float) -> str:
-        if now < self.given_endorsement.until:
+        if now < self.endorsement_giver.until:
             return "it has consented to another relay of its cell"
         return self.member.status_detail or self.member.admission_status(now).description
 
@@ -356,7 +356,7 @@
         self._send(session.connection, update)
 
     def _refuse(self, connection: int, sequence: int, reason: RefusalReason, detail: str = "") -> None:
-        self.refused[reason] += 1
+        self.refusal_counts[reason] += 1
         self._send(connection, LeaseRefusal(sequence, reason, detail))
         if reason is not RefusalReason.UNANSWERED:
             self._end_session(connection)
@@ -387,23 +387,23 @@
 
     def _advance_validation(self, now: float) -> None:
         step = self.validation.advance(now, self.member, self.sessions)
-        for connection in step.questions:
+        for connection in step.connections:
             self._send(connection, self.validation.request())
         if step.is_finished:
             task, started_at = self.validation.finish()
             self.member.handle_result(now, task, started_at, step.result)
-            self._take_store_effects(now)
+            self._collect_store_effects(now)
 
     def _handle_validation_result(self, now: float, session: Session, result: ValidationResult) -> None:
-        is_of_poll = self.validation.handle_result(
+        belongs_to_poll = self.validation.handle_result(
             session.fingerprint, session.name, result.digest, result.rejection
         )
-        if is_of_poll:
+        if belongs_to_poll:
             self._advance_validation(now)
 
     # What an answer of the store leads to.
 
-    def _after_store(self, now: float) -> None:
+    def _handle_store_outcome(self, now: float) -> None:
         leads = self.leads()
         if leads and not self._was_leading:
             self._abstain_until(now + TAKEOVER_VOTE_DELAY_MS)
@@ -424,8 +424,8 @@
 
         Nor does it take the cell over, so that the leader finds its place free once the store answers it
         again."""
-        self._abstain_until(self.given_endorsement.until)
-        self.member.registration.registers_from = self.given_endorsement.until
+        self._abstain_until(self.endorsement_giver.until)
+        self.member.registration.registers_from = self.endorsement_giver.until
 
     def _abstain_until(self, until: float) -> None:
         voting = self.member.voting
@@ -437,4 +437,4 @@
 
     def _endorsements_needed_at(self) -> float:
         """When the store's lease has so little left that the other relays are asked."""
-        return self.member.registration.lease_until - self.member.rules.lease_ms * ENDORSEMENT_SHARE
+        return self.member.registration.lease_until - self.member.rules.lease_ms * ENDORSEMENT_REQUEST_SHARE
--- a/otterrudder/fleet/cell/relay_selector.py
+++ b/otterrudder/fleet/cell/relay_selector.py
@@ -5,8 +5,8 @@
 RETRY_MS = 200.0  # to the first retry after every relay has refused; doubled with each round
 MAX_RETRY_MS = 2000.0
 MAX_RETRY_DOUBLINGS = 10
-HOME_RETRY_MS = 30_000.0  # on another relay, after which the first address is tried again
-MAX_HOME_DOUBLINGS = 4  # of that, one for each failed return: a standby may lead for days
+PREFERRED_RETRY_MS = 30_000.0  # on another relay, after which the first address is tried again
+MAX_PREFERRED_DOUBLINGS = 4  # of that, one for each failed return: a standby may lead for days
 
 
 class RelaySelector:
@@ -14,7 +14,15 @@
 
     A `jitter` argument is a number from 0 to 1."""
 
-    __slots__ = ("_connections", "_index", "_returns", "addresses", "connect_at", "failures", "return_at")
+    __slots__ = (
+        "_connections",
+        "_index",
+        "_failed_returns",
+        "addresses",
+        "connect_at",
+        "failures",
+        "return_at",
+    )
 
     def __init__(self, now: float, addresses: tuple[str, ...]) -> None:
         self.addresses = addresses
@@ -23,7 +31,7 @@
         self.failures = 0  # in a row
         self._connections = 0  # so far
         self._index = 0
-        self._returns = 0  # to the first address that failed, in a row
+        self._failed_returns = 0  # to the first address that failed, in a row
 
     @property
     def address(self) -> str:
@@ -31,7 +39,7 @@
         return self.addresses[self._index]
 
     @property
-    def is_at_home(self) -> bool:
+    def is_preferred(self) -> bool:
         """Whether this is the first address."""
         return self._index == 0
 
@@ -52,19 +60,19 @@
     def confirm(self) -> None:
         """The current relay has granted a lease."""
         self.failures = 0
-        if self.is_at_home:
-            self._returns = 0
+        if self.is_preferred:
+            self._failed_returns = 0
 
-    def schedule_return(self, now: float, jitter: float) -> None:
+    def schedule_return_to_preferred(self, now: float, jitter: float) -> None:
         """After `confirm`: when the first address is tried again, unless this is it."""
-        if self.is_at_home or self.return_at < math.inf:
+        if self.is_preferred or self.return_at < math.inf:
             return
-        wait = HOME_RETRY_MS * 2.0**self._returns
+        wait = PREFERRED_RETRY_MS * 2.0**self._failed_returns
         self.return_at = now + wait * (0.5 + jitter)
 
-    def return_home(self, now: float) -> None:
+    def return_to_preferred(self, now: float) -> None:
         """The first address is tried again; if it grants nothing, the others follow."""
-        self._returns = min(self._returns + 1, MAX_HOME_DOUBLINGS)
+        self._failed_returns = min(self._failed_returns + 1, MAX_PREFERRED_DOUBLINGS)
         self._index = 0
         self.connect_at = now
 
--- a/otterrudder/fleet/cell/relay_status.py
+++ b/otterrudder/fleet/cell/relay_status.py
@@ -6,7 +6,7 @@
 
 from otterrudder.fleet.cell.relay import Relay
 
-ENDLESS = -1.0  # in place of a time that has no end
+UNLIMITED_MS = -1.0  # in place of a time that has no end
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         store_lease_left_ms=_left_ms(member.registration.lease_until - now),
         authority_left_ms=_left_ms(relay.authority_until(now) - now),
         consent_left_ms=_left_ms(member.registration.endorsed_until - now),
-        consented_left_ms=_left_ms(relay.given_endorsement.until - now),
+        consented_left_ms=_left_ms(relay.endorsement_giver.until - now),
         sessions=len(relay.sessions),
         sessions_most=relay.sessions.max_sessions,
         streams=transport.streams,
@@ -45,7 +45,7 @@
         kinds=Counter(session.fingerprint for session in relay.sessions),
         versions=Counter(session.version for session in relay.sessions),
         standings=Counter(session.status for session in relay.sessions),
-        refused={reason.value: count for reason, count in relay.refused.items() if count},
+        refused={reason.value: count for reason, count in relay.refusal_counts.items() if count},
         streams_failed=transport.streams_failed,
         worst_answer_ms=transport.worst_answer_ms,
         counts=transport.store,
@@ -53,4 +53,4 @@
 
 
 def _left_ms(span_ms: float) -> float:
-    return round(max(span_ms, 0.0), 1) if span_ms < float("inf") else ENDLESS
+    return round(max(span_ms, 0.0), 1) if span_ms < float("inf") else UNLIMITED_MS
--- a/otterrudder/fleet/cell/sessions.py
+++ b/otterrudder/fleet/cell/sessions.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DepartedLease:
+class ClosedStreamLease:
     """The lease of a server whose stream has ended."""
 
     until: float
@@ -47,12 +47,12 @@
 class SessionTable:
     """Sessions by connection, and for each fingerprint the last lease of a server whose stream has ended."""
 
-    __slots__ = ("_departed", "_sessions", "max_sessions")
+    __slots__ = ("_closed_stream_leases", "_sessions", "max_sessions")
 
     def __init__(self, max_sessions: int) -> None:
         self.max_sessions = max_sessions
         self._sessions: dict[int, Session] = {}
-        self._departed: dict[str, DepartedLease] = {}  # by fingerprint
+        self._closed_stream_leases: dict[str, ClosedStreamLease] = {}  # by fingerprint
 
     def __len__(self) -> int:
         return len(self._sessions)
@@ -100,9 +100,11 @@
         session = self._sessions.pop(connection, None)
         if session is None:
             return False
-        departed = self._departed.get(session.fingerprint)
+        departed = self._closed_stream_leases.get(session.fingerprint)
         if session.granted_until > (departed.until if departed else -math.inf):
-            self._departed[session.fingerprint] = DepartedLease(session.granted_until, session.name)
+            self._closed_stream_leases[session.fingerprint] = ClosedStreamLease(
+                session.granted_until, session.name
+            )
         return True
 
     def silent_since(self, oldest: float) -> list[int]:
@@ -111,13 +113,15 @@
 
     def drop_lapsed(self, now: float) -> None:
         """Forget leases of ended streams that have lapsed."""
-        self._departed = {one: lease for one, lease in self._departed.items() if lease.until > now}
+        self._closed_stream_leases = {
+            one: lease for one, lease in self._closed_stream_leases.items() if lease.until > now
+        }
 
     def candidates(self, now: float) -> Iterator[Candidate]:
         """The servers whose lease has not lapsed."""
         for session in self:
             if session.granted_until > now:
                 yield Candidate(session.connection, session.fingerprint, session.name)
-        for fingerprint, lease in self._departed.items():
+        for fingerprint, lease in self._closed_stream_leases.items():
             if lease.until > now:
                 yield Candidate(NO_CONNECTION, fingerprint, lease.server)
--- a/otterrudder/fleet/cell/validation_poll.py
+++ b/otterrudder/fleet/cell/validation_poll.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 MAX_CACHED_RESULTS = 4096  # the least recently used one is evicted, and asked for again if it is needed
-NEXT_SERVER_MS = 500.0  # after which another server with the same fingerprint is asked
+REQUEST_RETRY_MS = 500.0  # after which another server with the same fingerprint is asked
 MIN_RECHECK_MS = 100.0  # between looks for a server with a fingerprint that nobody here can be asked for
 OVERDUE_MS = 1500.0  # after which servers with a fingerprint that has no result get no leases
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class PendingQuestion:
+class PendingRequest:
     """Which servers with one fingerprint were asked, and when."""
 
     first_at: float
@@ -61,25 +61,29 @@
 
     digest: str
     cache: ValidationCache
-    _questions: dict[str, PendingQuestion] = field(default_factory=dict)  # by fingerprint
-    _missing: set[str] = field(default_factory=set)  # fingerprints of servers here that have no result
+    _pending: dict[str, PendingRequest] = field(default_factory=dict)  # by fingerprint
+    _unanswered: set[str] = field(default_factory=set)  # fingerprints of servers here that have no result
     _checked_at: float = -math.inf
     _rejection: str = ""  # the first one
 
-    def next_questions(self, now: float, candidates: Iterable[Candidate]) -> list[int]:
+    def next_requests(self, now: float, candidates: Iterable[Candidate]) -> list[int]:
         """The connections of the servers that are to be asked now."""
         self._checked_at = now
         groups: dict[str, list[Candidate]] = {}
         for candidate in candidates:
             groups.setdefault(candidate.fingerprint, []).append(candidate)
-        self._missing = {one for one in groups if self.cache.get(one, self.digest) is None}
-        found = [self._ask_one(now, one, group) for one, group in groups.items() if one in self._missing]
+        self._unanswered = {one for one in groups if self.cache.get(one, self.digest) is None}
+        found = [
+            self._request_from_group(now, one, group)
+            for one, group in groups.items()
+            if one in self._unanswered
+        ]
         return [connection for connection in found if connection is not None]
 
-    def _ask_one(self, now: float, fingerprint: str, group: list[Candidate]) -> int | None:
+    def _request_from_group(self, now: float, fingerprint: str, group: list[Candidate]) -> int | None:
         """The connection of the next server of a group, which is asked now; None: none is."""
-        question = self._questions.get(fingerprint)
-        if question and now - question.last_at < NEXT_SERVER_MS:
+        question = self._pending.get(fingerprint)
+        if question and now - question.last_at < REQUEST_RETRY_MS:
             return None
         connections = [candidate.connection for candidate in group if candidate.connection]
         if not connections:
@@ -90,19 +94,19 @@
             question.last_at = now
             question.connections.add(chosen)
         else:
-            self._questions[fingerprint] = PendingQuestion(now, now, {chosen})
+            self._pending[fingerprint] = PendingRequest(now, now, {chosen})
         return chosen
 
     def handle_result(self, fingerprint: str, name: str, rejection: str) -> None:
         """The server `name` has answered for all with its fingerprint."""
         self.cache.put(fingerprint, self.digest, rejection)
-        self._missing.discard(fingerprint)
+        self._unanswered.discard(fingerprint)
         if rejection and not self._rejection:
-            self._rejection = _with_name(name, rejection)
+            self._rejection = _with_server_name(name, rejection)
 
     def is_overdue(self, now: float, fingerprint: str) -> bool:
         """Whether a question was asked long ago and has no answer: such servers get no lease until then."""
-        question = self._questions.get(fingerprint)
+        question = self._pending.get(fingerprint)
         if not question or self.cache.get(fingerprint, self.digest) is not None:
             return False
         return now - question.first_at >= OVERDUE_MS
@@ -116,18 +120,16 @@
             if rejection is None:
                 return None
             if rejection:
-                return _with_name(candidate.name, rejection)
+                return _with_server_name(candidate.name, rejection)
         return ""
 
     def due(self) -> float:
         """When a server may have to be asked; inf: no result is missing."""
-        last = (
-            self._questions[one].last_at if one in self._questions else -math.inf for one in self._missing
-        )
-        times = (max(at + NEXT_SERVER_MS, self._checked_at + MIN_RECHECK_MS) for at in last)
+        last = (self._pending[one].last_at if one in self._pending else -math.inf for one in self._unanswered)
+        times = (max(at + REQUEST_RETRY_MS, self._checked_at + MIN_RECHECK_MS) for at in last)
         return min(times, default=math.inf)
 
 
-def _with_name(name: str, rejection: str) -> str:
+def _with_server_name(name: str, rejection: str) -> str:
     """A rejection names the server that gave it, once."""
     return rejection if rejection.startswith(f"{name}:") else f"{name}: {rejection}"
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -60,7 +60,7 @@
 class GoesBackAVersion(Participant):
     """Trusts the last relay that sent a message."""
 
-    def _mistrust_of(self, version: int, change: str) -> str:
+    def _mistrust_reason(self, version: int, change: str) -> str:
         self.head = version
         return ""
 
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -34,8 +34,8 @@
         self.member.registration = mutated(self.member.registration, self.registration_type)
         self.member.trust = mutated(self.member.trust, self.trust_type)
         self.coordinator = mutated(self.coordinator, self.coordinator_type)
-        self.endorsements = mutated(self.endorsements, self.collector_type)
-        self.given_endorsement = mutated(self.given_endorsement, self.giver_type)
+        self.endorsement_collector = mutated(self.endorsement_collector, self.collector_type)
+        self.endorsement_giver = mutated(self.endorsement_giver, self.giver_type)
 
 
 # Leases.
@@ -101,7 +101,7 @@
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
-        self.given_endorsement.until = -math.inf
+        self.endorsement_giver.until = -math.inf
         self.member.voting.abstains_until = -math.inf
         self.member.registration.registers_from = -math.inf
 
@@ -117,7 +117,7 @@
     """Its endorsement binds its votes alone."""
 
     def _abstain(self) -> None:
-        self._abstain_until(self.given_endorsement.until)
+        self._abstain_until(self.endorsement_giver.until)
 
     def authority_until(self, now: float) -> float:
         """That of the member, whatever was endorsed."""
@@ -171,7 +171,7 @@
 
     def _start_validation(self, now: float, task: ValidatePolicy) -> None:
         self.member.handle_result(now, task, now, "")
-        self._take_store_effects(now)
+        self._collect_store_effects(now)
 
     def _review_validation(self, now: float) -> None:
         return
@@ -220,6 +220,6 @@
 class VotesAtTakeover(MutantRelay):
     """Votes as soon as it leads."""
 
-    def _after_store(self, now: float) -> None:
+    def _handle_store_outcome(self, now: float) -> None:
         self._was_leading = self.leads()
-        super()._after_store(now)
+        super()._handle_store_outcome(now)
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -12,7 +12,7 @@
 from otterrudder.fleet.cell.server_lease import PendingRequests, ServerLease
 from otterrudder.fleet.cell.sessions import Session, SessionTable
 from otterrudder.fleet.cell.text_validation import TextValidation
-from otterrudder.fleet.cell.validation_poll import PendingQuestion, ValidationCache, ValidationPoll
+from otterrudder.fleet.cell.validation_poll import PendingRequest, ValidationCache, ValidationPoll
 from otterrudder.fleet.change import ChangeCoordinator
 from otterrudder.fleet.member import Member
 from otterrudder.fleet.member.local_state import LocalState
@@ -51,7 +51,7 @@
     EndorsementGiver,
     ValidationCache,
     ValidationPoll,
-    PendingQuestion,
+    PendingRequest,
 )
 
 _PLAIN = frozenset({str, int, float, bool, type(None), tuple, frozenset})
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -67,13 +67,13 @@
 def _votes_without_asking() -> None:
     """Votes yes for its servers."""
 
-    def next_questions(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
+    def next_requests(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
 
     def result(_self: ValidationPoll, _candidates: Iterable[Candidate]) -> str:
         return ""
 
-    setattr(ValidationPoll, "next_questions", next_questions)  # noqa: B010
+    setattr(ValidationPoll, "next_requests", next_requests)  # noqa: B010
     setattr(ValidationPoll, "result", result)  # noqa: B010
 
 
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -256,7 +256,7 @@
         return {name: server.admits(self.now) for name, server in self.servers.items()}
 
 
-def at_work(
+def serving_fleet(
     *,
     rules: Rules = RULES,
     limits: RelayLimits = RelayLimits(),  # noqa: B008 (frozen)
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from cell_harness import FLEET, RULES, Harness, at_work, messages_to_servers, registration
+from cell_harness import FLEET, RULES, Harness, messages_to_servers, registration, serving_fleet
 
 from otterrudder.fleet.cell.effects import (
     PeerRequest,
@@ -90,7 +90,7 @@
 
 
 def test_a_cell_serves_on_while_the_store_is_unreachable() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.is_store_unreachable = True
     for _ in range(600):
         harness.run(100.0)
@@ -99,7 +99,7 @@
 
 def test_servers_wait_for_a_leader_that_registers_again() -> None:
     """The store is back, and the lease has lapsed in it: they were refused, and tried all relays in turn."""
-    harness = at_work()
+    harness = serving_fleet()
     harness.is_store_unreachable = True
     harness.run(10_000.0)
     relay = harness.leader("east")
@@ -163,7 +163,7 @@
     """The leader's lease has lapsed in the store meanwhile. A relay that had consented took the cell first,
     and could grant nothing before its consent had ended."""
     for outage_ms in range(8000, 12_000, 400):
-        harness = at_work()
+        harness = serving_fleet()
         harness.is_store_unreachable = True
         harness.run(float(outage_ms))
         leaders = {cell: harness.leader(cell) for cell in ("east", "west")}
@@ -175,21 +175,21 @@
 
 
 def test_who_has_endorsed_takes_the_cell_once_that_is_over() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.is_store_unreachable = True
     harness.run(10_000.0)
     leader = harness.leader("east").identity.address
     (other,) = (relay for a, relay in harness.relays.items() if a.startswith("east") and a != leader)
     harness.remove_relay(leader)
     harness.is_store_unreachable = False
-    harness.run(other.given_endorsement.until - harness.now - 1.0)
+    harness.run(other.endorsement_giver.until - harness.now - 1.0)
     assert not other.leads()
     harness.run(500.0)
     assert other.leads() and other.authority_until(harness.now) > harness.now
 
 
 def test_a_cell_whose_relays_are_not_all_there_ends_with_the_lease() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.is_store_unreachable = True
     leader = harness.leader("east").identity.address
     harness.remove_relay(next(a for a in harness.relays if a.startswith("east") and a != leader))
@@ -198,7 +198,7 @@
 
 
 def test_no_endorsement_counts_under_leave_out() -> None:
-    harness = at_work(rules=replace(RULES, absent="leave-out"))
+    harness = serving_fleet(rules=replace(RULES, absent="leave-out"))
     harness.is_store_unreachable = True
     harness.run(10_000.0)
     assert set(harness.admitted_versions().values()) == {None}
@@ -217,7 +217,7 @@
 def test_the_leader_comes_back_with_the_store() -> None:
     """A relay that has consented does not take the cell over, for it could grant nothing with it. While the
     leader registers again a server may be between two tries."""
-    harness = at_work()
+    harness = serving_fleet()
     leaders = [harness.leader(cell) for cell in ("east", "west")]
     for _ in range(5):
         harness.is_store_unreachable = True
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -23,7 +23,12 @@
     encode,
 )
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay_selector import HOME_RETRY_MS, MAX_HOME_DOUBLINGS, MAX_RETRY_MS, RETRY_MS
+from otterrudder.fleet.cell.relay_selector import (
+    MAX_PREFERRED_DOUBLINGS,
+    MAX_RETRY_MS,
+    PREFERRED_RETRY_MS,
+    RETRY_MS,
+)
 from otterrudder.fleet.cell.server_lease import MAX_PENDING_REQUESTS
 from otterrudder.fleet.cell.text_validation import MAX_TEXTS
 from otterrudder.fleet.records import digest_of
@@ -216,17 +221,19 @@
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
     grant(server, 0.0, connect(server).sequence)
     now = 0.0
-    while server.relay == "b" and now < 2 * HOME_RETRY_MS:
+    while server.relay == "b" and now < 2 * PREFERRED_RETRY_MS:
         now = server.due()
         for message in messages_to_relay(server.effects(now)):
             grant(server, now, message.sequence)
-    assert HOME_RETRY_MS / 2 <= now <= 1.5 * HOME_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
+    assert (
+        PREFERRED_RETRY_MS / 2 <= now <= 1.5 * PREFERRED_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
+    )
     assert server.admits(now) == 0  # the lease goes on
 
 
 def test_the_first_address_is_tried_the_more_rarely_the_more_often_it_was_in_vain() -> None:
     server, now, homeward = participant(), 0.0, [0.0]
-    while now < 64 * HOME_RETRY_MS:
+    while now < 64 * PREFERRED_RETRY_MS:
         effects = server.effects(now)
         for effect in effects:
             if isinstance(effect, Connect):
@@ -244,7 +251,7 @@
     waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
     assert len(waits) >= 5
     for tries, wait in enumerate(waits):
-        expected = HOME_RETRY_MS * 2 ** min(tries, MAX_HOME_DOUBLINGS)
+        expected = PREFERRED_RETRY_MS * 2 ** min(tries, MAX_PREFERRED_DOUBLINGS)
         assert expected * 0.5 <= wait <= expected * 1.5 + DEFAULT_LEASE_MS
 
 
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -1,7 +1,7 @@
 """QueuedChange changes, and their coordination by relays."""
 
 import pytest
-from cell_harness import FLEET, KEYS, Harness, Stream, at_work
+from cell_harness import FLEET, KEYS, Harness, Stream, serving_fleet
 
 from otterrudder.fleet.cell.effects import (
     RelayEffect,
@@ -55,7 +55,7 @@
 
 
 def test_a_change_made_from_an_outdated_policy_ends_with_a_reason() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     base = digest_of("policy A")
     harness.propose("A")
     harness.run(2000.0)
@@ -70,7 +70,7 @@
 
 
 def test_the_text_of_a_queued_change_is_retained() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     for number in range(40):  # more ends than are kept
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
     harness.run(120_000.0)
@@ -79,7 +79,7 @@
 
 
 def test_the_next_change_is_opened_at_once() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     for ident in "ABC":
         harness.enqueue(ident)
     start, opened = harness.now, {}
@@ -92,7 +92,7 @@
 
 
 def test_what_follows_an_end_is_opened_by_what_was_read_before_it() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.enqueue("A")
     harness.enqueue("B")
     first = open_next(harness.view())
@@ -105,7 +105,7 @@
 
 
 def test_a_coordinator_of_relays_retains_the_leadership_and_follows_watch_events() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     leaders = [relay for relay in harness.relays.values() if relay.member.is_leader]
     assert len(leaders) == 1
     (leader,) = leaders
@@ -125,7 +125,7 @@
 
 
 def test_a_policy_is_sent_to_all_sessions_once() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     pushed: list[PolicyUpdate] = []
     deliver = harness._deliver_to_server
@@ -142,7 +142,7 @@
 
 
 def test_a_change_that_the_member_has_not_seen_is_not_read_in_a_row() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     (leader,) = [relay for relay in harness.relays.values() if relay.member.is_leader]
     reads: list[float] = []
     begin = harness._relay_effect
@@ -179,7 +179,7 @@
 
 
 def test_a_text_that_is_queued_again_while_its_end_is_evicted_is_retained() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     run_changes(harness, MAX_FINISHED_CHANGES)
     harness.propose("last")
     counted = finish_change(harness.view(), True)  # what somebody has counted, and has not messages_to_relay
@@ -194,7 +194,7 @@
 
 
 def test_documents_of_dropped_changes_are_evicted_with_their_ends() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     for number in range(MAX_FINISHED_CHANGES + 8):
         harness.enqueue(f"c{number}", f"text {number}", base="another")
     harness.run(60_000.0)
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from cell_harness import FLEET, KEYS, RULES, Harness, Stream, at_work, messages_to_servers, registration
+from cell_harness import FLEET, KEYS, RULES, Harness, Stream, messages_to_servers, registration, serving_fleet
 
 from otterrudder.fleet.cell.effects import (
     EndSession,
@@ -34,14 +34,14 @@
 
 
 def test_cells_agree_and_their_servers_switch() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.propose("A")
     harness.run(2000.0)
     assert set(harness.admitted_versions().values()) == {1} and harness.view().change is None
 
 
 def test_one_server_of_a_fingerprint_is_asked() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     asked: list[str] = []
     deliver = harness._deliver_to_server
 
@@ -57,7 +57,7 @@
 
 
 def test_a_grant_ends_with_the_authority_of_the_relay() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     until = relay.member.registration.lease_until
     relay.member.registration.endorsed_until = -math.inf
@@ -74,7 +74,7 @@
 
 
 def test_a_grant_ends_by_the_bound_after_a_vote() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.propose("A")
     relay = harness.leader("east")
     harness.is_store_unreachable = False
@@ -91,7 +91,7 @@
 
 
 def test_a_full_relay_names_itself() -> None:
-    harness = at_work(limits=RelayLimits(max_sessions=2))
+    harness = serving_fleet(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     relay.handle_message(harness.now, 999, registration())
     (refuse,) = [
@@ -103,7 +103,7 @@
         RefusalReason.FULL,
         f"{relay.identity.address} has its 2 sessions",
     )
-    assert relay.refused[RefusalReason.FULL] == 1 and len(relay.sessions) == 2
+    assert relay.refusal_counts[RefusalReason.FULL] == 1 and len(relay.sessions) == 2
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
 
 
 def test_a_relay_that_shuts_down_dismisses_its_servers() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     relay.begin_shutdown()
     assert not relay.sessions and relay.authority_until(harness.now) == -math.inf
@@ -142,14 +142,14 @@
 
 
 def test_sessions_of_silent_servers_are_ended() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     effects = relay.effects(harness.now + 2 * DEFAULT_LEASE_MS + 2000.0)
     assert sum(isinstance(effect, EndSession) for effect in effects) == 2 and not relay.sessions
 
 
 def test_a_rejection_is_in_the_vote_with_the_server_and_the_key() -> None:
-    harness = at_work(rejections={"kind of east": "values.look: no product"})
+    harness = serving_fleet(rejections={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
     (end,) = harness.view().finished
@@ -160,7 +160,7 @@
 
 
 def test_silent_servers_get_no_lease_and_do_not_block() -> None:
-    harness = at_work(silent={"east-s0", "east-s1"})
+    harness = serving_fleet(silent={"east-s0", "east-s1"})
     harness.propose("A")
     harness.run(OVERDUE_MS + 1500.0)
     assert RefusalReason.UNANSWERED in {refuse.reason for refuse in harness.refusals}
@@ -171,7 +171,7 @@
 
 
 def test_a_text_in_force_is_not_polled() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.propose("A", "policy A")
     harness.run(2000.0)
     harness.validations.clear()
@@ -185,7 +185,7 @@
 
 
 def test_a_relay_of_a_cell_takes_over() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     harness.propose("A")
     harness.run(2000.0)
     harness.remove_relay(harness.leader("east").identity.address)
@@ -197,7 +197,7 @@
 
 
 def test_who_takes_over_does_not_vote_for_a_moment() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     old = harness.leader("east").identity.address
     harness.remove_relay(old)
     harness.propose("A")
@@ -213,7 +213,7 @@
 
 
 def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     relay.member.voting.abstains_until = harness.now + 500.0
     harness.propose("A")
@@ -226,7 +226,7 @@
 
 def test_who_takes_over_asks_the_servers_that_come_to_it() -> None:
     """It polls no earlier than it may vote: until then servers are still on their way to it."""
-    harness = at_work(rejections={"kind of east": "no"})
+    harness = serving_fleet(rejections={"kind of east": "no"})
     old = harness.leader("east").identity.address
     new = next(a for a in harness.relays if a.startswith("east") and a != old)
     harness.remove_relay(old)
@@ -243,7 +243,7 @@
 
 
 def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
-    harness = at_work(rejections={"kind of west": "no", "kind of north": "no"})
+    harness = serving_fleet(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
     assert [end.committed for end in harness.view().finished] == [
@@ -260,7 +260,7 @@
 
 
 def test_a_fingerprint_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
-    harness = at_work(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
+    harness = serving_fleet(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
     relay = harness.leader("east")
     delayed: list[Read] = []
     begin = harness._relay_effect
@@ -293,7 +293,7 @@
 
 
 def test_a_server_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
-    harness = at_work(rejections={"kind of east": "no"})
+    harness = serving_fleet(rejections={"kind of east": "no"})
     for name in ("east-s0", "east-s1"):
         server = harness.servers[name]
         number = harness._stream_number(name, server.connection)
@@ -308,7 +308,7 @@
 
 def test_a_server_that_has_just_started_waits_for_a_read() -> None:
     """The change may have been committed before it started, and the relay not know yet."""
-    harness = at_work()
+    harness = serving_fleet()
     relay = harness.leader("east")
     harness.propose("A")
     while "east" not in harness.view().votes:
@@ -365,11 +365,11 @@
 
 def test_a_server_that_connects_anew_takes_its_own_place() -> None:
     """The relay does not know yet that the stream before has ended."""
-    harness = at_work(limits=RelayLimits(max_sessions=2))
+    harness = serving_fleet(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
     for name in ("east-s0", "east-s1"):
         harness.servers[name].handle_disconnected(harness.now, harness.servers[name].connection)
     harness.run(1000.0)
-    assert relay.refused[RefusalReason.FULL] == 0 and len(relay.sessions) == 2
+    assert relay.refusal_counts[RefusalReason.FULL] == 0 and len(relay.sessions) == 2
     assert set(harness.admitted_versions().values()) == {0}
--- a/tests/fleet/test_cell_validation_poll.py
+++ b/tests/fleet/test_cell_validation_poll.py
@@ -4,8 +4,8 @@
 
 from otterrudder.fleet.cell.validation_poll import (
     MAX_CACHED_RESULTS,
-    NEXT_SERVER_MS,
     OVERDUE_MS,
+    REQUEST_RETRY_MS,
     Candidate,
     ValidationCache,
     ValidationPoll,
@@ -15,9 +15,9 @@
 def test_a_second_server_is_asked_where_the_first_is_silent() -> None:
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2")]
     poll = ValidationPoll("d", ValidationCache())
-    assert poll.next_questions(0.0, servers) == [1] and poll.due() == NEXT_SERVER_MS
-    assert poll.next_questions(NEXT_SERVER_MS, servers) == [2]
-    assert poll.next_questions(2 * NEXT_SERVER_MS, servers) == [1]
+    assert poll.next_requests(0.0, servers) == [1] and poll.due() == REQUEST_RETRY_MS
+    assert poll.next_requests(REQUEST_RETRY_MS, servers) == [2]
+    assert poll.next_requests(2 * REQUEST_RETRY_MS, servers) == [1]
     assert not poll.is_overdue(OVERDUE_MS - 1, "old") and poll.is_overdue(OVERDUE_MS, "old")
     poll.handle_result("old", "s2", "")
     assert not poll.is_overdue(OVERDUE_MS, "old")
@@ -43,19 +43,19 @@
     verdicts = ValidationCache()
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2"), Candidate(3, "new", "s3")]
     poll = ValidationPoll("d", verdicts)
-    assert poll.next_questions(0.0, servers) == [1, 3] and poll.next_questions(1.0, servers) == []
+    assert poll.next_requests(0.0, servers) == [1, 3] and poll.next_requests(1.0, servers) == []
     poll.handle_result("old", "s1", "")
     assert poll.result(servers) is None
     poll.handle_result("new", "s3", "")
     assert poll.result(servers) == "" and poll.due() == math.inf
     again = ValidationPoll("d", verdicts)
-    assert again.next_questions(9.0, servers) == [] and again.result(servers) == ""
+    assert again.next_requests(9.0, servers) == [] and again.result(servers) == ""
 
 
 def test_nothing_is_due_for_a_fingerprint_that_has_answered_or_was_removed() -> None:
     poll = ValidationPoll("d", ValidationCache())
     answered, gone, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
-    poll.next_questions(0.0, [answered, gone, asked])
+    poll.next_requests(0.0, [answered, gone, asked])
     poll.handle_result("x", "s1", "")
-    poll.next_questions(NEXT_SERVER_MS, [answered, asked])
-    assert poll.due() == 2 * NEXT_SERVER_MS
+    poll.next_requests(REQUEST_RETRY_MS, [answered, asked])
+    assert poll.due() == 2 * REQUEST_RETRY_MS
