--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -1,10 +1,10 @@
-"""The fleet's actor in a server of a cell: carries out what the participant wants done, and hands what
-follows to the dispatcher.
+"""The actor of a server in a cell: performs the effects of the participant, and passes the resulting policy
+and admission status to the dispatcher.
 
-The interface is that of the plain member's agent (`fleet/agent.py`). The dispatcher asks it at the start of
-each batch (`pulse`), so a process that was frozen finds out before its first admission after it runs again
-that its lease has ended. No request waits for a relay: streams have tasks of their own, and texts are
-validated in a thread."""
+It has the same interface as the plain member's agent (`fleet/agent.py`). The dispatcher calls `pulse` at the
+start of each batch, so a process that was frozen notices the end of its lease before its first admission
+after it resumes. No request waits for a relay: streams run in their own tasks, and texts are validated in a
+thread."""
 
 import functools
 import secrets
@@ -25,9 +25,9 @@
 from otterrudder.fleet.validation import validate_text
 from otterrudder.log import log
 
-ERROR_RETRY_MS = 200.0  # after a failure of this code, so that it does not spin
+ERROR_RETRY_MS = 200.0  # delay after an unexpected exception, so that the loop does not spin
 MIN_SLEEP_MS = 1.0
-MAX_SLEEP_MS = 1000.0  # where nothing is due
+MAX_SLEEP_MS = 1000.0  # maximum sleep when nothing is due
 
 
 class CellAgent:
@@ -36,7 +36,7 @@
     def __init__(
         self, fleet: Fleet, name: str, fingerprint: str, validate: Callable[[str], str], orders: ServerControl
     ) -> None:
-        """`validate`: why this server rejects a text, "" if it accepts it."""
+        """`validate` returns why this server rejects a policy text, "" if it accepts it."""
         self.fleet = fleet
         self.name = name
         self.validate = validate
@@ -48,15 +48,16 @@
         self._scopes: dict[int, anyio.CancelScope] = {}
         self._wakeup = anyio.Event()
 
-    # In the dispatcher's batch.
+    # Called in the dispatcher's batch.
 
     def pulse(self, now: float) -> None:
-        """Ahead of what arrives: which policy is in force, and whether this server admits."""
+        """Passes the policy in force and the admission status to the server, before the batch's events are
+        handled."""
         participant = self.participant
         admission_status = participant.admission_status(now)
         self.control_sender.send(participant.known, admission_status, participant.status_detail)
 
-    # Its own tasks.
+    # The agent's own tasks.
 
     async def run(self) -> None:
         """Runs until it is cancelled."""
@@ -68,7 +69,7 @@
                     await self._wakeup.wait()
 
     def shown(self) -> dict[str, object]:
-        """For the control socket."""
+        """Returns the status that the control socket shows."""
         now = clock.monotonic()
         participant = self.participant
         identity = participant.identity
@@ -91,13 +92,13 @@
         )
 
     def _begin_effects(self, group: anyio.abc.TaskGroup) -> float:
-        """How long until something is due without an event, in ms."""
+        """Starts the effects that are due; returns the time in ms until the next ones are due."""
         try:
             for effect in self.participant.effects(clock.monotonic()):
                 self._begin(group, effect)
             return self.participant.due() - clock.monotonic()
-        except Exception:  # a failure here must not end the server: it is decided anew
-            log.exception("the fleet's part failed", of="effects")
+        except Exception:  # an error here must not end the server; the next call decides again
+            log.exception("fleet agent: unexpected error", of="effects")
             return ERROR_RETRY_MS
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: ParticipantEffect) -> None:
@@ -121,19 +122,19 @@
             stream.send(effect.message)
             self.counts["sent"] += 1
         except StreamClosedError as error:
-            log.warning("a relay is left", relay=stream.relay, why=str(error))
+            log.warning("closing the stream to the relay", relay=stream.relay, why=str(error))
             self._scopes[effect.connection].cancel()
 
     async def _run_stream(self, effect: Connect, scope: anyio.CancelScope) -> None:
-        """From the opening of a stream to its end, of which the participant is notified."""
+        """Runs a stream from its opening to its end, and notifies the participant of the end."""
         connection = effect.connection
         try:
             with scope:
                 await self._exchange_messages(connection, RelayStream(self.fleet, effect.relay))
         except* (StreamClosedError, InvalidMessageError) as errors:
-            log.info("a relay's stream ended", relay=effect.relay, why=str(errors.exceptions[0]))
+            log.info("stream to the relay ended", relay=effect.relay, why=str(errors.exceptions[0]))
         except* Exception:
-            log.exception("the fleet's part failed", of="stream")
+            log.exception("fleet agent: unexpected error", of="stream")
         finally:
             self._streams.pop(connection, None)
             self._scopes.pop(connection, None)
@@ -156,9 +157,8 @@
                     self._wakeup.set()
 
     async def _validate(self, effect: ValidateText) -> None:
-        """In a thread: a policy of hundreds of names would hold up the loop for tens of ms.
-
-        A drain does not wait for it."""
+        """Validates a text in a thread: a policy with hundreds of names would block the event loop for tens
+        of ms. A drain does not wait for the thread."""
         self.counts["checks_begun"] += 1
         validate = functools.partial(validate_text, self.validate, self.name, effect.text)
         rejection = await anyio.to_thread.run_sync(validate, abandon_on_cancel=True)
--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -1,4 +1,6 @@
-"""The validation of a change by the servers of a cell, from the member's request to the result. Pure."""
+"""The validation of a change by the servers of a cell, from the member's request to the result.
+
+Pure: no I/O and no clock."""
 
 import math
 from dataclasses import dataclass
@@ -13,8 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidationStep:
-    """What a validation has come to: the connections of the servers that are to be asked now, and how it
-    ended if it did. `result`: the first rejection, "" if all accept, None if nothing is known."""
+    """The next step of a validation: the connections of the servers to ask now, and the result if it has
+    finished.
+
+    `result`: the first rejection, "" if all servers accept the text, None if the result is unknown."""
 
     connections: tuple[int, ...] = ()
     is_finished: bool = False
@@ -25,7 +29,7 @@
 
 
 def undecided_change(member: Member) -> OpenChange | None:
-    """The open change, while the cell has not voted on it as far as it knows."""
+    """Returns the open change if the cell has not voted on it, according to the member's last read."""
     seen = member.observed
     if not seen or seen.voted is not None:
         return None
@@ -33,20 +37,20 @@
 
 
 class CellValidation:
-    """One poll of the servers for each change, and the member's request that waits for its result."""
+    """Polls the servers once for each change, and keeps the member's request until the result is known."""
 
     __slots__ = ("_awaits_servers", "_change_revision", "cache", "poll", "started_at", "task")
 
     def __init__(self, now: float) -> None:
         self.cache = ValidationCache()
         self.poll: ValidationPoll | None = None
-        self.task: ValidatePolicy | None = None  # the member's request
+        self.task: ValidatePolicy | None = None  # the member's request, until it is answered
         self.started_at = now
-        self._awaits_servers = False  # all that are here were asked, and others may come
-        self._change_revision = 0  # that created the change of the poll
+        self._awaits_servers = False  # whether more servers may still connect after a takeover
+        self._change_revision = 0  # store revision that created the change of the poll
 
     def start(self, now: float, task: ValidatePolicy, member: Member) -> None:
-        """The member asks for the validation of a text."""
+        """Starts the validation of a text that the member has requested."""
         change = undecided_change(member)
         revision = change.created if change and change.digest == task.digest else 0
         if not revision or not self._polls_change(revision):
@@ -56,11 +60,14 @@
         self.started_at = now
 
     def advance(self, now: float, member: Member, sessions: SessionTable) -> ValidationStep:
-        """Something has happened, or is due: whom to ask, and whether there is a result."""
+        """Returns which servers to ask now, and the result if there is one.
+
+        It is called after each event and at the time that `due` returns."""
         if not self.poll or not self.task:
             return NO_STEP
         if not _is_open(member, self.poll.digest):
-            # A policy in force is not for this relay's servers to reject; of any other nothing is known.
+            # The change is no longer open. If it was committed, the servers can't reject it any more;
+            # otherwise its outcome is unknown here.
             is_in_force = member.policies.head > member.known.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
@@ -72,19 +79,19 @@
         return ValidationStep(connections, is_finished=result is not None, result=result)
 
     def finish(self) -> tuple[ValidatePolicy, float]:
-        """The request that waited for the result, and when it was made."""
+        """Ends the validation; returns the member's request and the time at which it was made."""
         assert self.task
         task = self.task
         self.task = None
         return task, self.started_at
 
     def request(self) -> ValidationRequest:
-        """What a server is asked."""
+        """Returns the message that asks a server to validate the text."""
         assert self.poll and self.task
         return ValidationRequest(self.poll.digest, self.task.text)
 
     def handle_result(self, fingerprint: str, name: str, digest: str, rejection: str) -> bool:
-        """A server has answered. Whether the answer is about the text of the poll."""
+        """Records a server's result; returns whether it is about the text of the current poll."""
         if self.poll and digest == self.poll.digest:
             self.poll.handle_result(fingerprint, name, rejection)
             return True
@@ -92,10 +99,10 @@
         return False
 
     def is_outdated(self, now: float, member: Member, sessions: SessionTable) -> bool:
-        """Whether the member has a result for the open change that may no longer hold.
+        """Whether the member's result for the open change may no longer be valid.
 
-        A result is of one change, and of the servers that were here: until the vote is sent a new change, a
-        new fingerprint or a late rejection has the poll go on."""
+        A result applies to one change and to the servers that were connected when it was obtained. Until the
+        vote is sent, a new change, a new fingerprint or a late rejection makes the poll continue."""
         change = undecided_change(member)
         if not change or self.task:
             return False
@@ -107,14 +114,14 @@
         return result == "" and self.poll.result(sessions.candidates(now)) != ""
 
     def due(self, member: Member) -> float:
-        """When `advance` is to be called without an event."""
+        """Returns when `advance` has to be called if no event arrives."""
         if not self.poll or not self.task:
             return math.inf
         due = self.poll.due()
         return min(due, member.voting.abstains_until) if self._awaits_servers else due
 
     def _polls_change(self, change_revision: int) -> bool:
-        """Whether the poll is about the change that this revision created."""
+        """Whether the poll is about the change that was created at this store revision."""
         return self.poll is not None and self._change_revision == change_revision
 
 
--- a/otterrudder/fleet/cell/client.py
+++ b/otterrudder/fleet/cell/client.py
@@ -1,4 +1,5 @@
-"""A server's stream to its relay. Nothing here decides; `agent.py` carries messages to the participant."""
+"""A server's stream to its relay. `agent.py` passes the messages to the participant, which makes all
+decisions."""
 
 import asyncio
 import contextlib
@@ -13,12 +14,12 @@
 from otterrudder.fleet.cell.wire import SESSION_METHOD, open_channel
 from otterrudder.fleet.configuration import Fleet
 
-MAX_QUEUED_MESSAGES = 16  # until the relay reads them
+MAX_QUEUED_MESSAGES = 16  # maximum number of messages that the relay has not read
 CLOSE_TIMEOUT_S = 0.5
 
 
 class StreamClosedError(Exception):
-    """The stream is over, and why."""
+    """The stream has ended; the message gives the reason."""
 
 
 class RelayStream:
@@ -32,8 +33,9 @@
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator[None]:
-        """The stream is open inside, and its channel closed after. StreamClosedError: the relay can't be
-        reached."""
+        """Opens the stream for the duration of the context, and closes its channel afterwards.
+
+        Raises StreamClosedError if the relay can't be reached."""
         channel = open_channel(self._fleet, self.relay)
         try:
             self._call = channel.stream_stream(SESSION_METHOD)()
@@ -47,20 +49,23 @@
                 await channel.close(None)
 
     def send(self, message: ServerMessage) -> None:
-        """Queues a message and never waits. StreamClosedError: the relay reads too slowly."""
+        """Queues a message without waiting. Raises StreamClosedError if the relay reads too slowly."""
         if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
-            raise StreamClosedError(f"{MAX_QUEUED_MESSAGES} messages wait to be read")
+            raise StreamClosedError(f"the relay has not read {MAX_QUEUED_MESSAGES} queued messages")
         self._outgoing.put_nowait(encode(message))
 
     async def write_queued(self) -> None:
-        """Writes the queued messages; ends by StreamClosedError."""
+        """Writes queued messages until the stream ends; then raises StreamClosedError."""
         while True:
             data = await self._outgoing.get()
             async with _closed_with_reason():
                 await self._call.write(data)
 
     async def receive(self) -> RelayMessage:
-        """The next message. StreamClosedError; InvalidMessageError: the relay is to be left."""
+        """Returns the next message.
+
+        Raises StreamClosedError if the stream has ended, and InvalidMessageError if the relay has sent an
+        invalid message; the stream has to be closed in both cases."""
         async with _closed_with_reason():
             data = await self._call.read()
             if data is grpc.aio.EOF:
@@ -70,7 +75,9 @@
 
 @contextlib.asynccontextmanager
 async def _closed_with_reason() -> AsyncIterator[None]:
-    """What ends a call inside is StreamClosedError with its reason, and a cancelled caller is cancelled."""
+    """Turns the end of the gRPC call into a StreamClosedError with its reason.
+
+    If the calling task itself is cancelled, the cancellation is raised instead."""
     try:
         yield
     except (grpc.RpcError, asyncio.InvalidStateError) as error:
--- a/otterrudder/fleet/cell/configuration.py
+++ b/otterrudder/fleet/cell/configuration.py
@@ -1,6 +1,6 @@
-"""The keys of a fleet's file that are a cell's: `relays` of a server, and a relay's own table `[relay]`.
+"""The keys of a fleet's file that configure cells: `relays` of a server, and the `[relay]` table of a relay.
 
-Each check names the key; `fleet/configuration.py` reads the file and adds its name."""
+Each error message names the key; `fleet/configuration.py` reads the file and adds the file's name."""
 
 from dataclasses import dataclass
 
@@ -11,17 +11,17 @@
 from otterrudder.fleet.records import MAX_NAME_LENGTH, Absent
 
 SERVER_LEASE_MS = 3000.0
-MIN_SERVER_LEASE_MS = 1000.0  # below it a lost renewal or two would end a lease
-MAX_RELAYS = 16  # addresses in a list
-MAX_SESSIONS_LIMIT = 10_000  # servers of one relay
+MIN_SERVER_LEASE_MS = 1000.0  # with a shorter lease, one or two lost renewals would end it
+MAX_RELAYS = 16  # maximum number of addresses in a list
+MAX_SESSIONS_LIMIT = 10_000  # maximum number of servers of one relay
 
 
 class RelayConfigurationError(Exception):
-    """What is wrong with a cell's key, in one line that names it."""
+    """A key of a cell's configuration is invalid; the message is one line that names the key."""
 
 
 class RelayTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """`[relay]` as the file has it."""
+    """The `[relay]` table, as written in the file."""
 
     cell: str
     address: str
@@ -33,53 +33,58 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRole:
-    """Which relay of which cell a process is."""
+    """The checked `[relay]` table: the cell of a relay process, its addresses and its limits."""
 
     cell: str
-    address: str  # as the other relays and the servers know it
-    listen: str  # the address, unless the file has another one (behind a forwarded port, say)
-    candidates: tuple[str, ...]  # all relays of the cell, this one among them, sorted
+    address: str  # address at which the other relays and the servers reach this relay
+    listen: str  # listening address; equals `address` unless the file sets it (for a forwarded port)
+    candidates: tuple[str, ...]  # addresses of all relays of the cell, including this one, sorted
     max_sessions: int
 
     @property
     def is_shared(self) -> bool:
-        """Whether several processes take the cell's name in turn."""
+        """Whether several relay processes share the cell's name."""
         return len(self.candidates) > 1
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """The host and port that it listens on."""
+        """The host and port that the relay listens on."""
         return parse_address(self.listen, "relay.listen")
 
 
 def check_server_lease(server_lease_ms: float, bound_ms: float) -> None:
-    """A lease that outlasts the bound would let a server go by a policy that is past its bound."""
+    """Raises RelayConfigurationError if the span of a server's lease is out of range.
+
+    With a lease longer than the bound, a server could use a policy that is past its bound."""
     if not MIN_SERVER_LEASE_MS <= server_lease_ms <= bound_ms:
         raise RelayConfigurationError(
-            f"server_lease_ms: {server_lease_ms:g} is not from {MIN_SERVER_LEASE_MS:g} to bound_ms, "
-            f"which is {bound_ms:g}"
+            f"server_lease_ms: {server_lease_ms:g} is not between {MIN_SERVER_LEASE_MS:g} and bound_ms "
+            f"({bound_ms:g})"
         )
 
 
 def check_relays(key: str, relays: list[str]) -> None:
-    """Addresses with a port, each once."""
+    """Raises RelayConfigurationError unless all entries are different addresses with a port."""
     if len(relays) > MAX_RELAYS:
-        raise RelayConfigurationError(f"{key}: at most {MAX_RELAYS} addresses are wanted, not {len(relays)}")
+        raise RelayConfigurationError(f"{key}: at most {MAX_RELAYS} addresses are allowed, not {len(relays)}")
     if len(set(relays)) < len(relays):
-        raise RelayConfigurationError(f"{key}: an address is there twice")
+        raise RelayConfigurationError(f"{key}: an address is listed twice")
     for relay in relays:
         try:
             _, port = parse_address(relay, key)
         except ConfigurationError as error:
             raise RelayConfigurationError(str(error)) from None
         if not port:
-            raise RelayConfigurationError(f"{key}: {relay!r}: the others need a port to find it by")
+            raise RelayConfigurationError(f"{key}: {relay!r}: the port must not be 0")
 
 
 def role_of(table: RelayTable, absent: Absent) -> RelayRole:
-    """The checked table."""
+    """Checks the table and returns the relay's role; raises RelayConfigurationError if a key is invalid."""
     if not table.cell or "/" in table.cell or len(table.cell) > MAX_NAME_LENGTH:
-        raise RelayConfigurationError(f"relay.cell: a name without a slash is wanted, not {table.cell!r}")
+        raise RelayConfigurationError(
+            f"relay.cell: expected a name of 1 to {MAX_NAME_LENGTH} characters without a slash, "
+            f"not {table.cell!r}"
+        )
     check_relays("relay.address", [table.address])
     listen = table.listen or table.address
     check_relays("relay.listen", [listen])
@@ -87,7 +92,7 @@
     _check_candidates(table, candidates)
     if not 1 <= table.max_sessions <= MAX_SESSIONS_LIMIT:
         raise RelayConfigurationError(
-            f"relay.sessions_most: {table.max_sessions} is not from 1 to {MAX_SESSIONS_LIMIT}"
+            f"relay.sessions_most: {table.max_sessions} is not between 1 and {MAX_SESSIONS_LIMIT}"
         )
     _check_state_directory(table, len(candidates), absent)
     return RelayRole(table.cell, table.address, listen, tuple(sorted(candidates)), table.max_sessions)
@@ -97,17 +102,18 @@
     check_relays("relay.candidates", candidates)
     if table.address not in candidates:
         raise RelayConfigurationError(
-            f"relay.candidates: this relay's own address {table.address} is not among them"
+            f"relay.candidates: the list does not contain this relay's own address {table.address}"
         )
 
 
 def _check_state_directory(table: RelayTable, relays: int, absent: Absent) -> None:
     if relays == 1 and absent == "wait" and not table.state_directory:
         raise RelayConfigurationError(
-            'relay.folder: absent = "wait" with one relay needs one: a restart that has forgotten its vote '
-            "could grant leases for a policy that is no longer in force"
+            'relay.folder: the folder is required with absent = "wait" and one relay: without it a restarted '
+            "relay would not know its vote, and could grant leases for a policy that is no longer in force"
         )
     if relays > 1 and table.state_directory:
         raise RelayConfigurationError(
-            "relay.folder: the relays of a cell share its name, and none keeps state for it"
+            "relay.folder: not allowed with several relays, which share the cell's name: none of them keeps "
+            "state for the cell"
         )
--- a/otterrudder/fleet/cell/descriptors.py
+++ b/otterrudder/fleet/cell/descriptors.py
@@ -1,26 +1,27 @@
-"""How many file descriptors a relay needs, checked before it starts."""
+"""Checks before a relay starts that the process may open enough file descriptors."""
 
 import resource
 
-SPARE_STREAMS = 64  # beyond the sessions: of servers that are refused as it is full, and of relays
-SPARE_DESCRIPTORS = 64  # beyond one a stream: the store, the other relays, logs
+# Streams in addition to the sessions: servers that are refused because the relay is full, and other relays.
+SPARE_STREAMS = 64
+SPARE_DESCRIPTORS = 64  # descriptors in addition to one per stream: the store, the other relays, log files
 
 
 class DescriptorLimitError(Exception):
-    """The process may not open as many files as its sessions need."""
+    """The limit on open files is too low for the configured number of sessions."""
 
 
 def max_streams(max_sessions: int) -> int:
-    """The streams that a relay with so many sessions accepts."""
+    """Returns the maximum number of streams that a relay with `max_sessions` accepts."""
     return max_sessions + SPARE_STREAMS
 
 
 def check_descriptors(max_sessions: int) -> None:
-    """DescriptorLimitError: the limit is too low. To raise it is up to the operators."""
+    """Raises DescriptorLimitError if the limit on open files is too low; operators have to raise it."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = max_streams(max_sessions) + SPARE_DESCRIPTORS
     if allowed != resource.RLIM_INFINITY and allowed < needed:
         raise DescriptorLimitError(
-            f"relay.sessions_most: {max_sessions} sessions need {needed} descriptors, and RLIMIT_NOFILE "
+            f"relay.sessions_most: {max_sessions} sessions need {needed} file descriptors, but RLIMIT_NOFILE "
             f"allows {allowed}"
         )
--- a/otterrudder/fleet/cell/effects.py
+++ b/otterrudder/fleet/cell/effects.py
@@ -1,6 +1,6 @@
-"""What the pure parts of a cell want done: effects that a `Participant` or a `Relay` hands to its actor.
+"""Effects: the actions that a `Participant` or a `Relay` asks its actor to perform.
 
-A relay's requests to the store and the disk are effects as well; they are in `fleet/effects.py`."""
+A relay's requests to the store and the disk are effects as well; `fleet/effects.py` defines them."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a stream to a relay. The participant is to be notified of its opening or of its end."""
+    """Open a stream to a relay, and notify the participant when the stream opens and when it ends."""
 
     connection: int
     relay: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """End a stream, without a notification."""
+    """End a stream. The participant ignores the notification of its end."""
 
     connection: int
 
@@ -33,9 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidateText:
-    """Validate a policy's text against the server's own configuration, off the event loop.
-
-    The participant is to be notified of the result."""
+    """Validate a policy's text against the server's own configuration, outside the event loop, and notify
+    the participant of the result."""
 
     digest: str
     text: str
@@ -54,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndSession:
-    """End a stream, after the messages that were sent on it."""
+    """End a stream after writing the messages that are queued on it."""
 
     connection: int
 
--- a/otterrudder/fleet/cell/endorsement.py
+++ b/otterrudder/fleet/cell/endorsement.py
@@ -1,15 +1,16 @@
-"""Endorsement of a leader's lease by the other relays of its cell, so that the cell serves on while the store
-is unreachable. Pure.
+"""Endorsement of a leader's lease by the other relays of its cell, so that the cell keeps serving while the
+store is unreachable. Pure: no I/O and no clock.
 
-The relay that leads a cell holds a lease of the store, and its authority ends with it: another relay of the
-cell could have taken the cell over. While the store does not answer, the leader asks every other relay of
-the cell. One that gets no answers of the store either, and does not lead, endorses the lease: for a span it
-neither votes for the cell nor grants leases. While all have endorsed nobody can have voted in the leader's
-place, so under the rule `wait` no change can have been committed, and its authority goes on. Compare quorum
-leases (Moraru, Andersen, Kaminsky 2014); here all relays of the cell are the quorum, so no order among them
-has to be agreed on.
+The relay that leads a cell holds a lease in the store, and its authority ends with that lease, because
+another relay of the cell could have taken the cell over. While the store does not answer, the leader sends a
+request to every other relay of the cell. A relay that gets no answers from the store either, and does not
+lead, endorses the lease: for ENDORSEMENT_MS it neither votes for the cell nor grants leases. While all other
+relays endorse the lease, none of them can have voted for the cell, so under the rule `wait` no change can
+have been committed, and the leader keeps its authority. Compare quorum leases (Moraru, Andersen, Kaminsky
+2014); here the quorum is all relays of the cell, so they do not have to agree on an order among them.
 
-A relay that has just started may have endorsed before its restart: it takes part in nothing for one span."""
+A relay that has just started may have given an endorsement before its restart, so it neither votes nor
+grants leases for ENDORSEMENT_MS."""
 
 import math
 
@@ -17,16 +18,21 @@
 from otterrudder.fleet.cell.identity import CellIdentity
 from otterrudder.fleet.cell.messages import Endorsement, EndorsementRequest
 
-ENDORSEMENT_MS = 3000.0  # for which an endorsement binds its giver, by the giver's clock
-TRUSTED_SHARE = 0.9  # of the span, by the leader's clock from the sending: clocks may run apart by a tenth
-RENEWAL_SHARE = 0.25  # of the span, between requests while all have endorsed: three may be lost
-# of the span, between requests until then: the others may have had an answer of the store until just now, or
-# a request was lost, and the lease of the store is running out
+ENDORSEMENT_MS = 3000.0  # how long an endorsement binds the relay that gives it, by that relay's clock
+# The leader trusts an endorsement for this share of its span, counted from the sending of the request by the
+# leader's clock: the rates of two clocks may differ by a tenth.
+TRUSTED_SHARE = 0.9
+# Interval between requests while all relays endorse the lease, as a share of the span: three requests may be
+# lost before the endorsement ends.
+RENEWAL_SHARE = 0.25
+# Interval between requests until all relays endorse the lease, as a share of the span. It is short because
+# the store lease is running out, and a relay refuses while the store has answered it recently, or a request
+# may be lost.
 FIRST_REQUEST_SHARE = 1 / 12
 
 
 class EndorsementCollector:
-    """The leader's side: asks the other relays, and counts until when all of them have endorsed."""
+    """The leader's side: creates the requests to the other relays, and records until when all endorse."""
 
     __slots__ = ("_endorsed_until", "_request_at", "_requests", "_sequence", "identity", "peers")
 
@@ -39,11 +45,11 @@
         self._request_at = now
 
     def until(self) -> float:
-        """Until when all others have endorsed, by this relay's clock."""
+        """Returns until when all other relays endorse this relay's lease, by this relay's clock."""
         return min(self._endorsed_until.values(), default=-math.inf)
 
     def requests(self, now: float) -> list[PeerRequest]:
-        """The requests that are due; to be called while endorsements are needed."""
+        """Returns the requests that are due. It is called only while endorsements are needed."""
         if now < self._request_at:
             return []
         share = RENEWAL_SHARE if self.until() > now else FIRST_REQUEST_SHARE
@@ -53,7 +59,7 @@
         return [self._request(now, peer) for peer in self.peers]
 
     def handle_endorsement(self, endorsement: Endorsement) -> None:
-        """Another relay has answered; a span of 0 is a refusal."""
+        """Handles the answer of another relay; a span of 0 is a refusal."""
         peer, sent_at = self._requests.pop(endorsement.sequence, ("", 0.0))
         if peer != endorsement.sender or endorsement.span_ms <= 0:
             return
@@ -61,7 +67,7 @@
         self._endorsed_until[peer] = max(self._endorsed_until[peer], until)
 
     def due(self) -> float:
-        """When the next requests are due."""
+        """Returns when the next requests are due."""
         return self._request_at
 
     def _request(self, now: float, peer: str) -> PeerRequest:
@@ -79,7 +85,8 @@
 
 
 class EndorsementGiver:
-    """The other side: endorses a leader's lease, and remembers until when that binds this relay."""
+    """The side of the other relays: endorses a leader's lease, and records until when that binds this
+    relay."""
 
     __slots__ = ("identity", "until")
 
@@ -90,7 +97,10 @@
     def answer(
         self, now: float, request: EndorsementRequest, *, leads: bool, store_answers: bool
     ) -> Endorsement:
-        """`leads`: this relay is registered for the cell, as far as it knows."""
+        """Returns an endorsement, or a refusal with its reason.
+
+        `leads`: whether this relay is registered for the cell. `store_answers`: whether the store has
+        answered this relay recently."""
         reason = self._refusal_reason(request, leads, store_answers)
         if reason:
             return Endorsement(request.sequence, self.identity.address, 0.0, reason)
--- a/otterrudder/fleet/cell/fingerprint.py
+++ b/otterrudder/fleet/cell/fingerprint.py
@@ -1,6 +1,6 @@
-"""The fingerprint of a server: a digest of all that its validation of a policy depends on.
+"""The fingerprint of a server: a digest of everything that its validation of a policy depends on.
 
-Servers with equal fingerprints come to the same result, so a relay asks one of them for all."""
+Servers with equal fingerprints have the same validation results, so a relay asks only one of them."""
 
 from hashlib import blake2b
 from typing import Any
@@ -15,13 +15,13 @@
 
 
 def server_fingerprint(own: LocalConfiguration, program: str = __version__) -> str:
-    """Of a server's own configuration and its program's version."""
+    """Returns the fingerprint of a server with this configuration and program version."""
     canonical = msgspec.msgpack.encode((program, _configuration_fields(own)))
     return blake2b(canonical, digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
-# The keys and their order are part of the digest, so they stay as they are when attributes are renamed: a
-# release that writes others would have each of its servers asked anew.
+# The keys and their order are part of the digest, so they must not change when attributes are renamed: a
+# release that changed them would change every fingerprint, and its servers would be asked again.
 
 
 def _configuration_fields(own: LocalConfiguration) -> dict[str, Any]:
--- a/otterrudder/fleet/cell/identity.py
+++ b/otterrudder/fleet/cell/identity.py
@@ -1,4 +1,4 @@
-"""Who a server or a relay is, as others know it."""
+"""The identity of a server or a relay towards the other processes of a fleet."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """What a server registers with at a relay."""
+    """The identity with which a server registers at a relay."""
 
     fleet: str
     name: str
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CellIdentity:
-    """Which relay of which cell a process is.
+    """The identity of a relay.
 
-    `candidates`: the addresses of all relays of the cell, this one among them, as the others know them."""
+    `candidates`: the addresses at which all relays of the cell, including this one, reach each other."""
 
     fleet: str
     cell: str
@@ -31,9 +31,9 @@
 
     @property
     def holder(self) -> str:
-        """The name under which the roster knows the relays of the cell.
+        """The name that identifies the relays of the cell in the roster.
 
-        A relay with another list is another holder: it would not ask all of them for an endorsement, so it
-        must not lead."""
+        A relay with a different list of candidates is a different holder: it would not ask all relays of the
+        cell for an endorsement, so it must not lead."""
         digest = digest_of(" ".join(sorted(self.candidates)))
         return f"relays {digest[:HOLDER_DIGEST_LENGTH]}"
--- a/otterrudder/fleet/cell/messages.py
+++ b/otterrudder/fleet/cell/messages.py
@@ -1,11 +1,11 @@
-"""Messages between a server and a relay, and between the relays of one cell; their binary form (msgpack).
+"""Messages between a server and a relay, and between the relays of one cell, and their encoding (msgpack).
 
-A server opens one stream to a relay and sends a `Registration` first, then a `LeaseRenewal` from time to
-time. The relay answers each with a `LeaseGrant` or a `LeaseRefusal`, and sends a `PolicyUpdate` or a
-`ValidationRequest` on its own. Streams keep the order of messages.
+A server opens one stream to a relay. It first sends a `Registration`, then a `LeaseRenewal` several times
+per lease span. The relay answers each of them with a `LeaseGrant` or a `LeaseRefusal`, and sends a
+`PolicyUpdate` or a `ValidationRequest` without being asked. Streams preserve the order of messages.
 
-On the wire each message is an array that begins with its tag: fields that a later version appends are
-ignored by an earlier one."""
+On the wire each message is an array that begins with the message's tag. An earlier version ignores the
+fields that a later version appends."""
 
 from enum import Enum
 from typing import TypeVar
@@ -13,23 +13,23 @@
 import msgspec
 
 PROTOCOL_VERSION = 1
-MAX_NAME_LENGTH = 128  # characters of a name, an epoch or a fingerprint
-MAX_DETAIL_LENGTH = 500  # characters of an explanation
+MAX_NAME_LENGTH = 128  # maximum characters in a name, an incarnation or a fingerprint
+MAX_DETAIL_LENGTH = 500  # maximum characters in an explanation
 
 
 class InvalidMessageError(Exception):
-    """Bytes that are no message of this protocol, or a message with a field out of its bounds."""
+    """The bytes are not a message of this protocol, or a field is longer than allowed."""
 
 
 class RefusalReason(Enum):
-    """Why a relay grants no lease."""
+    """The reasons for which a relay refuses a lease."""
 
     NOT_LEADER = "not-leader"  # another relay leads the cell, or none does
-    NO_AUTHORITY = "no-authority"  # it leads, and may grant nothing at the moment
-    FULL = "full"  # it has as many sessions as it may have
-    UNANSWERED = "unanswered"  # such a server was asked about an open change and has not answered
-    WRONG_FLEET = "wrong-fleet"  # the relay is of another fleet
-    PROTOCOL = "protocol"  # the message or its version is not known
+    NO_AUTHORITY = "no-authority"  # the relay leads the cell, but may not grant leases at present
+    FULL = "full"  # the relay has reached its maximum number of sessions
+    UNANSWERED = "unanswered"  # servers with this fingerprint have not answered a validation request
+    WRONG_FLEET = "wrong-fleet"  # the relay belongs to another fleet
+    PROTOCOL = "protocol"  # unsupported protocol version, or a message before the registration
     SHUTTING_DOWN = "leaving"  # the relay is shutting down
 
 
@@ -37,53 +37,54 @@
     pass
 
 
-# From a server to its relay.
+# Messages from a server to its relay.
 
 
 class Registration(_Message, frozen=True, tag="Register"):
-    """The first message of a server: who it is, and which version it goes by."""
+    """The first message on a server's stream: the server's identity and the policy version that it uses."""
 
     sequence: int
     fleet: str
     name: str
-    incarnation: str  # new with each process
-    fingerprint: str  # digest of its configuration and program version
+    incarnation: str  # identifies the server's process
+    fingerprint: str  # digest of the server's configuration and program version
     zone: str = ""
-    version: int = 0  # of the policy that it goes by
+    version: int = 0  # policy version that the server uses
     protocol: int = PROTOCOL_VERSION
 
 
 class LeaseRenewal(_Message, frozen=True, tag="Renew"):
-    """Asks for the lease's span again."""
+    """Asks the relay to extend the server's lease."""
 
     sequence: int
-    version: int
-    admission_status: str = ""  # for operators
+    version: int  # policy version that the server uses
+    admission_status: str = ""  # admission status of the server, for operators
 
 
 class ValidationResult(_Message, frozen=True, tag="Verdict"):
-    """The answer to a ValidationRequest: why servers with this fingerprint reject the text, "" if they
-    accept it."""
+    """The answer to a ValidationRequest.
+
+    `rejection`: why servers with this fingerprint reject the text, "" if they accept it."""
 
     digest: str
     rejection: str = ""
 
 
-# From a relay to a server.
+# Messages from a relay to a server.
 
 
 class LeaseGrant(_Message, frozen=True, tag="Grant"):
-    """A lease: until `span_ms` from the sending of the request, no version but `version` binds the server,
-    unless a newer one was announced to it."""
+    """Grants a lease: for `span_ms`, counted from the sending of the request, no version other than `version`
+    is binding for the server, unless a newer version has been announced to it."""
 
-    sequence: int  # of the request that it answers
+    sequence: int  # sequence number of the request that this message answers
     version: int
-    change: str  # that brought the version
+    change: str  # ID of the change that created the version
     span_ms: float
 
 
 class LeaseRefusal(_Message, frozen=True, tag="Refuse"):
-    """No lease, and why; the server tries another relay."""
+    """Refuses a lease. The server tries another relay, unless the reason is `UNANSWERED`."""
 
     sequence: int
     reason: RefusalReason
@@ -91,7 +92,7 @@
 
 
 class PolicyUpdate(_Message, frozen=True, tag="InForce"):
-    """A policy that is in force."""
+    """Announces the policy that is in force."""
 
     version: int
     change: str
@@ -100,17 +101,17 @@
 
 
 class ValidationRequest(_Message, frozen=True, tag="AskVerdict"):
-    """Asks one server of those with one fingerprint about the text of an open change."""
+    """Asks a server, on behalf of all servers with its fingerprint, to validate an open change's text."""
 
     digest: str
     text: str
 
 
-# Between the relays of one cell.
+# Messages between the relays of one cell.
 
 
 class EndorsementRequest(_Message, frozen=True, tag="AskConsent"):
-    """From the leading relay of a cell to another one of the cell, while the store does not answer."""
+    """Asks another relay of the cell to endorse the leader's lease while the store does not answer."""
 
     sequence: int
     fleet: str
@@ -120,15 +121,17 @@
 
 
 class Endorsement(_Message, frozen=True, tag="Consent"):
-    """The sender neither grants leases nor votes for the cell for `span_ms` from now; 0: it refuses."""
+    """The answer to an EndorsementRequest: the sender neither grants leases nor votes for the cell for
+    `span_ms` after it sends the message. A span of 0 is a refusal."""
 
     sequence: int
     sender: str
     span_ms: float
-    reason: str = ""  # of a refusal
+    reason: str = ""  # reason of a refusal
 
 
-# Characters of what a server sends, since a relay keeps it or hands it on to the store.
+# Maximum characters of the fields that a server sends. They are limited because a relay keeps the values in
+# memory or writes them to the store.
 _MAX_LENGTHS: dict[type[_Message], dict[str, int]] = {
     Registration: dict.fromkeys(("fleet", "name", "incarnation", "fingerprint", "zone"), MAX_NAME_LENGTH),
     LeaseRenewal: {"admission_status": MAX_NAME_LENGTH},
@@ -148,26 +151,26 @@
 
 
 def encode(message: ServerMessage | RelayMessage | PeerMessage) -> bytes:
-    """A message as it stands on the wire."""
+    """Encodes a message for the wire."""
     return _ENCODER.encode(message)
 
 
 def decode_from_server(data: bytes) -> ServerMessage:
-    """A message of a server, within its bounds; InvalidMessageError."""
+    """Decodes a message from a server; raises InvalidMessageError if it is invalid or a field too long."""
     message = _decode(_SERVER_DECODER, data)
     for field, max_length in _MAX_LENGTHS[type(message)].items():
         if len(getattr(message, field)) > max_length:
-            raise InvalidMessageError(f"{field}: more than {max_length} characters")
+            raise InvalidMessageError(f"{field}: longer than {max_length} characters")
     return message
 
 
 def decode_from_relay(data: bytes) -> RelayMessage:
-    """A message of a relay to a server; InvalidMessageError."""
+    """Decodes a message from a relay to a server; raises InvalidMessageError if it is invalid."""
     return _decode(_RELAY_DECODER, data)
 
 
 def decode_from_peer(data: bytes) -> PeerMessage:
-    """A message between relays of a cell; InvalidMessageError."""
+    """Decodes a message between relays of a cell; raises InvalidMessageError if it is invalid."""
     return _decode(_PEER_DECODER, data)
 
 
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -1,21 +1,22 @@
-"""A server's part in its cell: it holds a short lease from a relay and admits under one only. Pure.
+"""The participant makes a server's decisions in its cell: the server holds a short lease from a relay and
+admits requests only while it holds one. Pure: no I/O and no clock.
 
-Rules, and why they suffice (docs/design/cells.md has the argument):
+These rules are sufficient for a server's safety (docs/design/cells.md has the argument):
 
 - A lease counts from the *sending* of the request that it answers, by the server's own monotonic clock, and
-  is trusted for nine tenths of its span. So it ends here before it ends by the relay's clock.
+  is trusted for nine tenths of its span. So it ends at the server before it ends by the relay's clock.
 - A relay grants no lease that outlives its own authority, and a version is past its bound only after the
-  authority of every relay that did not vote for the change has ended. So under any lease that has not ended,
-  the version that the server goes by is in force, or was until less than the bound ago.
-- A server that learns of a newer version goes by the one before for as long as a lease for that one lasts,
-  and no longer, until it has the newer text and has validated it against its own configuration. A server
-  without a version admits nothing until then.
-- A version never goes back: a relay that announces an older one, or another change under the same number, is
-  not trusted, and its grants count for nothing.
-
-`admission_status(now)` is asked at the moment of an admission, so a server that was frozen or cut off finds
-out first. A lease is renewed after a quarter of its span; a relay that does not answer by the next quarter is
-left for the next address, while the lease goes on."""
+  authority of every relay that did not vote for the change has ended. So while a lease is valid, the
+  version that the server uses is in force, or was in force until less than the bound ago.
+- A server that learns of a newer version uses the previous version until it has received the newer text and
+  has validated it against its own configuration, but only while a lease for the previous version is valid.
+  A server that has no version yet admits nothing until then.
+- A server's version never decreases: a relay that announces an older version, or another change with the
+  same version number, is not trusted, and its grants are ignored.
+
+`admission_status(now)` is called immediately before an admission, so a server that was frozen or cut off
+notices the end of its lease first. A lease is renewed after a quarter of its span. If the relay does not
+answer within another quarter, the server connects to the next relay, and the lease stays valid."""
 
 import math
 import zlib
@@ -42,17 +43,17 @@
 from otterrudder.fleet.records import digest_of
 from otterrudder.fleet.state import AdmissionStatus, Policy
 
-TRUSTED_SHARE = 0.9  # of the span: two clocks may run apart by a tenth
-RENEWAL_SHARE = 0.25  # of the span, between renewals
-RENEWAL_JITTER = 0.2  # of that, over which renewals are spread
-ANSWER_TIMEOUT_SHARE = 0.25  # of the span without an answer, after which the next relay is tried
+TRUSTED_SHARE = 0.9  # share of a lease's span that is trusted: the rates of two clocks may differ by a tenth
+RENEWAL_SHARE = 0.25  # interval between renewals, as a share of the span
+RENEWAL_JITTER = 0.2  # width of the random spread of renewals, as a share of the interval
+ANSWER_TIMEOUT_SHARE = 0.25  # timeout of a request, as a share of the span; then the next relay is tried
 
 
 class Participant:
-    """Decides for a server which relay it asks for a lease, and whether it may admit.
+    """Decides which relay a server asks for a lease, and whether the server may admit.
 
-    Events with the time in them go in; `effects` hands out what is to be done. `status_detail` is for
-    operators."""
+    Event methods take the current time; `effects` returns the actions that the caller has to perform.
+    `status_detail` is for operators."""
 
     __slots__ = (
         "_effects",
@@ -77,29 +78,29 @@
     def __init__(
         self, now: float, identity: ServerIdentity, relays: tuple[str, ...], span_ms: float = DEFAULT_LEASE_MS
     ) -> None:
-        """`relays`: addresses in the order in which they are tried."""
+        """`relays`: addresses in the order in which they are tried. `span_ms`: span of a full lease."""
         self.identity = identity
         self.span_ms = span_ms
-        self.known = Policy()  # that the server goes by
-        self.head = 0  # the newest version that a relay has announced
+        self.known = Policy()  # policy that the server uses
+        self.head = 0  # newest version that a relay has announced
         self.has_held_lease = False  # since the process started
         self.lease = ServerLease()
         self.requests = PendingRequests()
         self.selector = RelaySelector(now, relays)
         self.validation = TextValidation()
-        self.connection = 0  # 0: none
-        self.refusal = ""  # why the last relay granted nothing
-        self._relay_mistrust = ""  # why a relay is not trusted
+        self.connection = 0  # number of the current connection; 0: none
+        self.refusal = ""  # why the last relay granted no lease
+        self._relay_mistrust = ""  # why the last relay was not trusted
         self._is_open = False
         self._renew_at = math.inf
         self._answer_deadline = math.inf
-        self._rejection = ""  # why the server rejects the policy that it would go by
+        self._rejection = ""  # why the server rejects the policy in `known`
         self._effects: list[ParticipantEffect] = []
 
-    # Its state.
+    # State.
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """At the moment of an admission, by the time of that moment."""
+        """Returns whether the server may admit at `now`, and why not."""
         if not self.has_held_lease:
             return AdmissionStatus.STARTING
         if self._rejection:
@@ -109,21 +110,21 @@
         return AdmissionStatus.OUTDATED if self.head > self.known.version else AdmissionStatus.LEASE_EXPIRED
 
     def admits(self, now: float) -> int | None:
-        """The version that the server admits under; None: it admits nothing."""
+        """Returns the version under which the server admits; None if it may not admit."""
         return self.known.version if self.admission_status(now).admits else None
 
     @property
     def status_detail(self) -> str:
-        """More on its status, for operators."""
+        """Details of the admission status, for operators."""
         return self._rejection or self._relay_mistrust or self.refusal
 
     @property
     def relay(self) -> str:
-        """The address that it is connected to, or tries next."""
+        """The address of the relay that the server is connected to, or tries next."""
         return self.selector.address
 
     def due(self) -> float:
-        """When `effects` may next have some without an event; -inf: now."""
+        """Returns when `effects` has to be called next if no event arrives; -inf means now."""
         if self._effects:
             return -math.inf
         if not self.connection:
@@ -131,9 +132,9 @@
         return min(self._renew_at, self._answer_deadline, self.selector.return_at)
 
     def effects(self, now: float) -> list[ParticipantEffect]:
-        """What is to be begun now."""
+        """Returns the effects to start now."""
         if self.connection and now >= self._answer_deadline:
-            self.refusal = f"{self.relay} does not answer"
+            self.refusal = f"{self.relay} did not answer in time"
             self._leave_relay(now)
         if self.connection and now >= self.selector.return_at:
             self._return_to_preferred(now)
@@ -147,7 +148,7 @@
     # Events.
 
     def handle_connected(self, now: float, connection: int) -> None:
-        """The stream is open."""
+        """Handles the opening of the stream to the relay; the server registers on it."""
         if connection != self.connection:
             return
         self._is_open = True
@@ -164,7 +165,7 @@
         self._send(registration)
 
     def handle_disconnected(self, now: float, connection: int) -> None:
-        """The stream has ended, or could not be opened."""
+        """Handles the end of the stream, or a failure to open it."""
         if connection != self.connection:
             return
         self.connection = 0
@@ -173,7 +174,7 @@
         self._try_next_relay(now)
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
-        """A relay has sent a message. One of a stream that was given up is ignored."""
+        """Handles a message from a relay. Messages on earlier streams are ignored."""
         if connection != self.connection:
             return
         match message:
@@ -187,7 +188,9 @@
                 self._handle_refusal(now, message)
 
     def handle_validated(self, now: float, digest: str, rejection: str) -> None:
-        """A ValidateText has ended. `rejection`: why the server rejects the text, "" if it does not."""
+        """Handles the result of a `ValidateText` effect.
+
+        `rejection`: why the server rejects the text, "" if it accepts it."""
         rejection = rejection[:MAX_DETAIL_LENGTH]
         is_requested = self.validation.complete(digest, rejection)
         if is_requested and self._is_open:
@@ -210,7 +213,7 @@
         self.head = max(self.head, grant.version)
         self._extend_lease(grant.version, sent_at + grant.span_ms * TRUSTED_SHARE)
         self.selector.confirm()
-        span = min(grant.span_ms, self.span_ms)  # one that was cut short is renewed the sooner
+        span = min(grant.span_ms, self.span_ms)  # a lease with a shorter span is renewed earlier
         spread = 1.0 - RENEWAL_JITTER / 2 + RENEWAL_JITTER * self._jitter("renew")
         self._renew_at = sent_at + span * RENEWAL_SHARE * spread
         self._answer_deadline = math.inf
@@ -221,11 +224,11 @@
         self.lease.extend(self.known.version, version, until)
 
     def _mistrust_reason(self, version: int, change: str) -> str:
-        """Why a relay that announces this version is not trusted, "" if it is."""
+        """Returns why a relay that announces this version is not trusted, "" if it is."""
         if version < self.head:
-            return f"{self.relay} tells of version {version}, older than {self.head}"
+            return f"{self.relay} announced version {version}, which is older than version {self.head}"
         if version == self.known.version and change != self.known.change:
-            return f"{self.relay} tells of another version {version}"
+            return f"{self.relay} announced a different change as version {version}"
         return ""
 
     def _mistrust_relay(self, now: float, reason: str) -> None:
@@ -238,18 +241,19 @@
         if refusal.reason is not RefusalReason.UNANSWERED:
             self._leave_relay(now)
             return
-        # The relay's question about the open change is on its way, so the stream stays.
+        # The relay has sent, or will send, a validation request on this stream, so the stream stays open.
         self.requests.pop(refusal.sequence)
         self._answer_deadline = math.inf
         self._renew_at = now + RETRY_MS
 
-    # Texts.
+    # Policy texts.
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
         if update.version <= self.known.version:
             return
         if digest_of(update.text) != update.digest:
-            self._mistrust_relay(now, f"{self.relay}: the text of version {update.version} is damaged")
+            detail = f"{self.relay}: the text of version {update.version} does not match its digest"
+            self._mistrust_relay(now, detail)
             return
         self.head = max(self.head, update.version)
         self.validation.add_update(update)
@@ -258,7 +262,8 @@
 
     def _handle_validation_request(self, now: float, request: ValidationRequest) -> None:
         if digest_of(request.text) != request.digest:
-            self._mistrust_relay(now, f"{self.relay}: the text that it asks about is damaged")
+            detail = f"{self.relay}: the text of a validation request does not match its digest"
+            self._mistrust_relay(now, detail)
             return
         rejection = self.validation.result(request.digest)
         if rejection is not None:
@@ -272,7 +277,7 @@
             self._effects.append(task)
 
     def _switch_version(self) -> None:
-        """Switches to the newest version whose text is here and validated."""
+        """Switches to the newest version whose text has been received and validated."""
         for update in self.validation.validated_updates():
             if update.version > self.known.version:
                 self.known = Policy(update.version, update.change, update.digest, update.text)
@@ -280,7 +285,7 @@
                 self.lease.adopt(update.version)
         self.validation.drop_updates(self.known.version)
 
-    # Its relay.
+    # The connection to a relay.
 
     def _connect(self, now: float) -> None:
         self.connection = self.selector.begin_connection()
@@ -300,7 +305,7 @@
         self._try_next_relay(now)
 
     def _return_to_preferred(self, now: float) -> None:
-        """Tries the first address again; the lease goes on meanwhile."""
+        """Connects to the first address again; the current lease stays valid meanwhile."""
         self._disconnect()
         self.selector.return_to_preferred(now)
 
@@ -313,7 +318,7 @@
         self._send(LeaseRenewal(self._begin_request(now), self.known.version, admission_status))
 
     def _begin_request(self, now: float) -> int:
-        """The sequence number of a request that is sent now."""
+        """Records a request that is sent now and returns its sequence number."""
         self._renew_at = math.inf
         self._answer_deadline = now + self.span_ms * ANSWER_TIMEOUT_SHARE
         return self.requests.add(now)
@@ -322,7 +327,9 @@
         self._effects.append(SendToRelay(self.connection, message))
 
     def _jitter(self, purpose: str) -> float:
-        """From 0 to 1, spread over servers and moments, the same in every replay."""
+        """Returns a number from 0 to 1 that differs between servers and requests.
+
+        It is computed from a hash, so a replay gives the same numbers."""
         identity = self.identity
         moment = f"{self.selector.failures}/{self.requests.sequence}"
         seed = f"{identity.name}/{identity.incarnation}/{purpose}/{moment}"
--- a/otterrudder/fleet/cell/peers.py
+++ b/otterrudder/fleet/cell/peers.py
@@ -1,4 +1,4 @@
-"""Requests for endorsements to the other relays of a cell, each with a deadline."""
+"""Sends endorsement requests to the other relays of a cell, each with a deadline."""
 
 import asyncio
 from typing import Any
@@ -12,18 +12,18 @@
 from otterrudder.fleet.cell.wire import ENDORSE_METHOD, open_channel
 from otterrudder.fleet.configuration import Fleet
 
-PEER_TIMEOUT_MS = ENDORSEMENT_MS * RENEWAL_SHARE  # by then another request is under way
+PEER_TIMEOUT_MS = ENDORSEMENT_MS * RENEWAL_SHARE  # the next request is sent after this time
 
 
 class Peers:
-    """A channel to each relay that was asked; `close` ends them."""
+    """The channels to the other relays; each is opened at the first request, and `close` closes them all."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._channels: dict[str, Any] = {}
 
     async def request(self, request: PeerRequest) -> Endorsement | None:
-        """The answer of a relay; None: there was no valid one in time."""
+        """Sends a request and returns the answer, None if no valid answer arrives within the deadline."""
         call = self._channel(request.peer).unary_unary(ENDORSE_METHOD)(
             encode(request.message), timeout=PEER_TIMEOUT_MS / 1000
         )
@@ -39,7 +39,7 @@
         return answer if isinstance(answer, Endorsement) else None
 
     async def close(self) -> None:
-        """Ends the channels."""
+        """Closes all channels."""
         for channel in self._channels.values():
             await channel.close(None)
         self._channels.clear()
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -1,24 +1,26 @@
-"""A relay: it leads a cell under a lease of the store, votes on changes for it, and grants its servers
-leases. Pure.
+"""A relay leads a cell under a lease from the store, votes on policy changes for the cell, and grants leases
+to the cell's servers. Pure: no I/O and no clock.
 
 The cell is a member of the fleet (`fleet/member/`) whose process is a relay. Several relays of a cell
-share the member's name; the one whose registration stands in the store leads. What the relay adds:
-
-- A grant never outlives the relay's own authority (`Member.authority_until`), and never lasts longer than
-  the bound. So whatever was granted before a vote has ended by the bound after any commit that the vote
-  allows, and nothing has to be remembered of grants: a relay that dies, freezes or is cut off leaves leases
-  behind that end by themselves.
-- A vote follows the results of the servers: one of each fingerprint is asked about the text. A server whose
-  lease has lapsed is not asked, and one whose stream has ended is waited for until its lease has lapsed.
-  Servers that do not answer get no leases, and are not waited for once those that they had have ended.
-- While a change is open that the cell has voted for, a server that has just registered gets its first lease
-  after a read of the store that was sent since: what starts after a commit does not admit under the version
-  before.
-- A relay that takes a cell over does not vote for a moment: until then servers of the former leader may not
-  have found it, and would not be asked. So no poll is decided before.
-- While the store is unreachable, the leader goes on with the endorsement of all other relays of its cell
-  (`endorsement.py`). A relay that has endorsed does not take the cell over while that binds it: it could
-  grant nothing, and the leader is to have its place again once the store is back."""
+share the member's name; the relay whose registration is in the store leads. The relay adds these rules:
+
+- A server's lease never outlives the relay's own authority (`Member.authority_until`), and never lasts
+  longer than the bound. So every lease granted before a vote has ended by the bound after any commit that
+  the vote allows, and a relay does not have to store its grants: the leases of a relay that crashes, freezes
+  or is cut off end by themselves.
+- A vote depends on the validation results of the servers: one server of each fingerprint is asked about the
+  text. A server whose lease has lapsed is not asked, and a server whose stream has ended is waited for until
+  its lease has lapsed. Servers that do not answer get no leases, and are not waited for once the leases that
+  they hold have ended.
+- While a change that the cell has voted for is open, a server that has just registered gets its first lease
+  only after a read of the store that was sent after the registration. So a server that starts after a commit
+  does not admit under the previous version.
+- A relay that takes a cell over does not vote for TAKEOVER_VOTE_DELAY_MS: until then some servers of the
+  former leader may not have connected to it, and would not be asked. No poll is decided earlier.
+- While the store is unreachable, the leader keeps its authority if all other relays of its cell endorse it
+  (`endorsement.py`). A relay that has given an endorsement does not take the cell over while the endorsement
+  binds it: it could grant no leases, and the leader has to find its registration free once the store is
+  reachable again."""
 
 import math
 
@@ -49,16 +51,19 @@
 from otterrudder.fleet.records import Keys
 from otterrudder.fleet.state import Policy, Rules
 
-MIN_GRANT_MS = 200.0  # a shorter lease would be over before its answer is used
-SWEEP_INTERVAL_MS = 1000.0  # between looks for sessions whose server is gone
-SILENT_SPANS = 2.0  # spans of a lease without a message, after which a session is ended
-TAKEOVER_VOTE_DELAY_MS = 1500.0  # without a vote after a takeover: a server is on its next relay by then
-STORE_RESPONSIVE_SHARE = 0.35  # of the store's lease: the store answers if it did within that
-ENDORSEMENT_REQUEST_SHARE = 0.6  # of the store's lease left, below which endorsements are asked for
+MIN_GRANT_MS = 200.0  # a shorter lease could end before the server receives it
+SWEEP_INTERVAL_MS = 1000.0  # interval between checks for sessions whose server sends nothing any more
+SILENT_SPANS = 2.0  # a session is ended after this many lease spans without a message
+TAKEOVER_VOTE_DELAY_MS = 1500.0  # no vote for this long after a takeover: servers reconnect within it
+# The store counts as reachable if it answered within this share of the relay's store lease.
+STORE_RESPONSIVE_SHARE = 0.35
+# Endorsements are requested once less than this share of the relay's store lease is left.
+ENDORSEMENT_REQUEST_SHARE = 0.6
 
 
 class Relay:
-    """Decides for a relay: events with the time in them go in, `effects` hands out what is to be done."""
+    """Makes a relay's decisions. Event methods take the current time; `effects` returns the actions that
+    the caller has to perform."""
 
     __slots__ = (
         "_effects",
@@ -87,9 +92,11 @@
         rules: Rules,
         limits: RelayLimits = RelayLimits(),  # noqa: B008 (frozen)
     ) -> None:
-        """`rules.is_shared` where the cell has more than one relay."""
+        """`rules.is_shared` has to be True if the cell has more than one relay."""
         if limits.span_ms > rules.bound_ms:
-            raise ValueError(f"a lease of {limits.span_ms:g} ms outlasts the bound of {rules.bound_ms:g} ms")
+            raise ValueError(
+                f"a server lease of {limits.span_ms:g} ms is longer than the bound of {rules.bound_ms:g} ms"
+            )
         keys = Keys(identity.fleet)
         self.identity = identity
         self.limits = limits
@@ -117,31 +124,31 @@
         self._is_shutting_down = False
         self._sweep_at = now + SWEEP_INTERVAL_MS
         self._effects: list[RelayEffect] = []
-        # A renewal asks nothing of the store, and there are hundreds a second: without other events its
-        # answer is all that `effects` looks for.
+        # A lease renewal needs no request to the store, and there are hundreds a second. Without other
+        # events, `effects` only returns the answers to renewals and skips all other decisions.
         self._has_new_events = True
         self._idle_until = -math.inf
         self._abstain()
 
-    # Its state.
+    # State.
 
     def leads(self) -> bool:
-        """Whether this relay is registered for its cell, as far as it knows."""
+        """Whether this relay is registered for its cell, according to its last answer from the store."""
         return self.member.registered > 0
 
     def authority_until(self, now: float) -> float:
-        """Until when leases may be granted that were asked for now; -inf: none may."""
+        """Returns the latest time at which a lease requested now may end; -inf if none may be granted."""
         if now < self.endorsement_giver.until or self._is_shutting_down:
             return -math.inf
         return self.member.authority_until(now)
 
     def watched(self) -> tuple[str, ...]:
-        """The prefixes of the store whose watch events this relay needs now."""
+        """Returns the key prefixes of the store that this relay needs watches on now."""
         keys = self.member.keys
         return (keys.head, keys.votes, keys.queue) if self.member.is_leader else (keys.head,)
 
     def due(self) -> float:
-        """When `effects` may next have some without an event; -inf: now."""
+        """Returns when `effects` has to be called next if no event arrives; -inf means now."""
         if self._effects:
             return -math.inf
         return self._next_due() if self._has_new_events else self._idle_until
@@ -160,19 +167,20 @@
     # Events.
 
     def handle_watch_event(self, now: float, prefix: str) -> None:
-        """Something under a watched prefix was written, or its watch was begun."""
+        """Handles a write under a watched prefix, or the start of a watch on it."""
         self._has_new_events = True
         if prefix == self.member.keys.head:
             self.member.handle_watch_event()
         self.coordinator.handle_watch_event(now)
 
     def handle_stream_closed(self, connection: int) -> None:
-        """A server's stream has ended. Its lease goes on, and it is waited for until the lease has lapsed."""
+        """Handles the end of a server's stream. Its lease stays valid, and validation waits for the server
+        until the lease has lapsed."""
         if self.sessions.close(connection):
             self._has_new_events = True
 
     def handle_message(self, now: float, connection: int, message: ServerMessage) -> None:
-        """A server has sent a message."""
+        """Handles a message from a server."""
         if not isinstance(message, LeaseRenewal) or undecided_change(self.member):
             self._has_new_events = True
         if isinstance(message, Registration):
@@ -192,7 +200,7 @@
             self._handle_validation_result(now, session, message)
 
     def handle_endorsement_request(self, now: float, request: EndorsementRequest) -> Endorsement:
-        """The answer to another relay of the cell."""
+        """Returns the answer to a request from another relay of the cell."""
         self._has_new_events = True
         silence_ms = now - self.member.answered_at
         store_answers = silence_ms < self.member.rules.lease_ms * STORE_RESPONSIVE_SHARE
@@ -203,13 +211,13 @@
         return endorsement
 
     def handle_endorsement(self, endorsement: Endorsement) -> None:
-        """Another relay of the cell has answered."""
+        """Handles the answer of another relay of the cell."""
         self._has_new_events = True
         self.endorsement_collector.handle_endorsement(endorsement)
         self.member.registration.endorsed_until = self.endorsement_collector.until()
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
-        """How an effect of the store or the disk ended; `sent`: when it was begun."""
+        """Handles the outcome of a store or disk effect; `sent` is the time at which it was started."""
         self._has_new_events = True
         if effect.lane is Lane.COORDINATE:
             if isinstance(effect, Commit):
@@ -223,7 +231,9 @@
         self._handle_store_outcome(now)
 
     def begin_shutdown(self) -> None:
-        """Sends the servers to the other relays. To give the store's lease back is up to the caller."""
+        """Ends all sessions, so that the servers connect to other relays.
+
+        The caller has to revoke the relay's store lease."""
         self._has_new_events = True
         self._is_shutting_down = True
         for connection in self.sessions.connections():
@@ -232,7 +242,9 @@
     # Effects.
 
     def effects(self, now: float) -> list[RelayEffect]:
-        """What is to be begun now. The outcome of those of the store and the disk is owed to `completed`."""
+        """Returns the effects to start now.
+
+        The outcome of each store or disk effect has to be passed to `handle_result`."""
         if self._has_new_events or now >= self._idle_until:
             self._decide(now)
         begun, self._effects = self._effects, []
@@ -256,7 +268,7 @@
                 continue
             self._effects.append(effect)
             if isinstance(effect, Commit) and effect.purpose == "vote" and not self.member.prepared_vote:
-                # A rejection is of this change alone, and stops nobody once it has ended.
+                # A rejection applies to this change only; it must not affect a later change.
                 self.member.discard_validation()
         if coordination := self.coordinator.effects_for(now, self.member):
             self._effects.append(coordination)
@@ -279,7 +291,8 @@
             self._answer_request(now, session, sequence)
 
     def _make_room(self, connection: int, message: Registration) -> bool:
-        """Whether there is room; an earlier stream of the same process gives up its place."""
+        """Returns whether there is room for a session, after ending an earlier session of the same process
+        if the table is full."""
         if self.sessions.has_room(connection):
             return True
         stale = self.sessions.stale_session(message)
@@ -289,7 +302,8 @@
         return True
 
     def _answer_request(self, now: float, session: Session, sequence: int) -> None:
-        """Grants a lease, refuses it, or defers the answer until a read has shown whether it may."""
+        """Grants or refuses a lease, or defers the answer until a read of the store has shown whether a
+        lease may be granted."""
         if self._is_reregistering(now):
             session.deferred_request = sequence
             return
@@ -317,9 +331,10 @@
         self._send(session.connection, LeaseGrant(sequence, known.version, known.change, span))
 
     def _is_reregistering(self, now: float) -> bool:
-        """Whether it has led until now, has lost its lease of the store, and nobody else may take the cell.
+        """Whether this relay has lost its store lease, but the endorsements still keep other relays from
+        taking the cell over.
 
-        Its servers wait until it is registered again, and do not try all relays in turn."""
+        Its servers wait until it is registered again, so they do not have to try all relays in turn."""
         if self.leads() or self._is_shutting_down:
             return False
         return now < self.member.registration.endorsed_until
@@ -333,8 +348,8 @@
     def _may_have_missed_commit(self, session: Session) -> bool:
         """Whether the open change may have been committed before that server registered.
 
-        A server that runs may go by the version before for the bound; one that starts after a commit may
-        not."""
+        After a commit, a running server may use the previous version until the bound has passed; a server
+        that starts after the commit may not use it."""
         if not self.member.prepared_vote:
             return False
         voting = self.member.voting
@@ -346,7 +361,7 @@
         return self.member.status_detail or self.member.admission_status(now).description
 
     def _push_policy(self, now: float, session: Session) -> None:
-        """Sends the text in force to a server that does not go by it."""
+        """Sends the policy in force to a server that uses an older version."""
         known = self.member.known
         if not session.needs_policy(now, known.version):
             return
@@ -369,7 +384,7 @@
         self._effects.append(SendToServer(connection, message))
 
     def _sweep(self, now: float) -> None:
-        """Ends sessions of servers that send nothing any more."""
+        """Ends the sessions of servers that have stopped sending messages."""
         self._sweep_at = now + SWEEP_INTERVAL_MS
         for connection in self.sessions.silent_since(now - SILENT_SPANS * self.limits.span_ms):
             self._end_session(connection)
@@ -401,7 +416,7 @@
         if belongs_to_poll:
             self._advance_validation(now)
 
-    # What an answer of the store leads to.
+    # Outcomes of store effects.
 
     def _handle_store_outcome(self, now: float) -> None:
         leads = self.leads()
@@ -420,10 +435,9 @@
                 self._answer_request(now, session, session.deferred_request)
 
     def _abstain(self) -> None:
-        """While its endorsement binds it, this relay neither votes nor grants.
+        """Keeps this relay from voting and from registering while its endorsement of the leader binds it.
 
-        Nor does it take the cell over, so that the leader finds its place free once the store answers it
-        again."""
+        It does not register, so that the leader can register again once the store answers."""
         self._abstain_until(self.endorsement_giver.until)
         self.member.registration.registers_from = self.endorsement_giver.until
 
@@ -436,5 +450,5 @@
         return rules.is_shared and rules.absent == "wait" and self.leads()
 
     def _endorsements_needed_at(self) -> float:
-        """When the store's lease has so little left that the other relays are asked."""
+        """Returns when so little of the store lease is left that endorsements have to be requested."""
         return self.member.registration.lease_until - self.member.rules.lease_ms * ENDORSEMENT_REQUEST_SHARE
--- a/otterrudder/fleet/cell/relay_start.py
+++ b/otterrudder/fleet/cell/relay_start.py
@@ -1,4 +1,4 @@
-"""What a process of a relay starts with."""
+"""The state with which a relay process starts."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayStart:
-    """Of one process, where the cell's identity is the same for all.
+    """The start values of one relay process; `CellIdentity` has the values that its restarts share.
 
-    `state`, `has_disk`, `status` and `cluster` are those of a Member. `directory_id`: of the state directory,
-    which is the holder of a cell of one relay."""
+    `state`, `has_disk`, `status` and `cluster` are passed to the relay's `Member`. `directory_id` identifies
+    the state directory; it is the holder of a cell that has one relay."""
 
     incarnation: str
     state: MemberState | None = None
--- a/otterrudder/fleet/cell/relay_status.py
+++ b/otterrudder/fleet/cell/relay_status.py
@@ -1,4 +1,4 @@
-"""What a relay shows of itself on the control socket."""
+"""The status of a relay that its control socket returns."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,22 +6,22 @@
 
 from otterrudder.fleet.cell.relay import Relay
 
-UNLIMITED_MS = -1.0  # in place of a time that has no end
+UNLIMITED_MS = -1.0  # stands for an infinite time
 
 
 @dataclass(frozen=True, slots=True)
 class TransportCounts:
-    """What the relay's actor has counted."""
+    """Counters of the relay's actor."""
 
-    streams: int  # that are open
-    received: int  # messages of servers
-    streams_failed: Mapping[str, int]  # by status
-    worst_answer_ms: float  # of the store
-    store: Mapping[str, int]  # requests to the store
+    streams: int  # open streams
+    received: int  # messages received from servers
+    streams_failed: Mapping[str, int]  # streams that the relay ended with an error, by gRPC status
+    worst_answer_ms: float  # longest time that the store took to answer
+    store: Mapping[str, int]  # store requests by kind
 
 
 def relay_status(relay: Relay, transport: TransportCounts, now: float) -> dict[str, object]:
-    """The keys are those that `fleet relay status` shows."""
+    """Returns the status; its keys are those of the output of `fleet relay status`."""
     member = relay.member
     admission_status = member.admission_status(now)
     return dict(
--- a/otterrudder/fleet/cell/server_lease.py
+++ b/otterrudder/fleet/cell/server_lease.py
@@ -1,4 +1,6 @@
-"""A server's lease from its relay: until when it holds, and the requests that may extend it. Pure."""
+"""A server's lease from its relay: when it ends, and the pending requests that may extend it.
+
+Pure: no I/O and no clock."""
 
 import math
 
@@ -6,17 +8,17 @@
 
 
 class ServerLease:
-    """Until when a server may admit, under the version that it has and under a newer one."""
+    """When a server's leases end: for the policy version that the server uses, and for a newer version."""
 
     __slots__ = ("newer_until", "newer_version", "until")
 
     def __init__(self) -> None:
-        self.until = -math.inf  # under the version that the server has
+        self.until = -math.inf  # end of the lease for the version that the server uses
         self.newer_version = 0
-        self.newer_until = -math.inf
+        self.newer_until = -math.inf  # end of the lease for `newer_version`
 
     def extend(self, known_version: int, version: int, until: float) -> None:
-        """A lease for `version` was granted to a server that has `known_version`."""
+        """Records a lease for `version` until `until`, granted to a server that uses `known_version`."""
         if version == known_version:
             self.until = max(self.until, until)
         elif version > self.newer_version:
@@ -26,20 +28,21 @@
             self.newer_until = max(self.newer_until, until)
 
     def adopt(self, version: int) -> None:
-        """The server has switched to `version`.
+        """Records that the server has switched to `version`.
 
-        A lease for an earlier version holds for a later one as well: what could end it comes later."""
+        A lease for an earlier version is valid for a later version as well: only a change after the later
+        version could make it invalid."""
         if version >= self.newer_version:
             self.until = max(self.until, self.newer_until)
 
 
 class PendingRequests:
-    """When the requests that have no answer yet were sent, by their sequence numbers."""
+    """The sending times of the requests that have no answer yet, by sequence number."""
 
     __slots__ = ("_sent_at", "sequence")
 
     def __init__(self) -> None:
-        self.sequence = 0  # of the last request
+        self.sequence = 0  # sequence number of the last request
         self._sent_at: dict[int, float] = {}
 
     def __contains__(self, sequence: int) -> bool:
@@ -49,7 +52,7 @@
         return len(self._sent_at)
 
     def add(self, now: float) -> int:
-        """The sequence number of a request that is sent now."""
+        """Adds a request that is sent at `now` and returns its sequence number."""
         self.sequence += 1
         self._sent_at[self.sequence] = now
         while len(self._sent_at) > MAX_PENDING_REQUESTS:
@@ -57,13 +60,13 @@
         return self.sequence
 
     def pop(self, sequence: int) -> float | None:
-        """When the request was sent; None: it is not pending."""
+        """Removes a request and returns when it was sent; None if it is not pending."""
         return self._sent_at.pop(sequence, None)
 
     def drop_until(self, sequence: int) -> None:
-        """The answers to this request and to earlier ones count no more."""
+        """Removes this request and all earlier requests; their answers will be ignored."""
         self._sent_at = {number: at for number, at in self._sent_at.items() if number > sequence}
 
     def clear(self) -> None:
-        """The stream on which the requests were sent has ended."""
+        """Removes all requests, because the stream on which they were sent has ended."""
         self._sent_at.clear()
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -1,8 +1,9 @@
-"""A relay's actor: carries out what the pure `Relay` wants done.
+"""The relay's actor: performs the effects of the pure `Relay`, and passes events to it.
 
-Every decision takes the monotonic clock at the moment it is made, so a process that was frozen grants
-nothing on an authority that has ended meanwhile. A failure in one stream, request or effect ends that one
-alone. `run` releases the streams, the store's lease and the state directory on every way out."""
+Each decision uses the monotonic clock at the moment when it is made, so a process that was frozen grants no
+leases if its authority has ended in the meantime. A failure in a stream, a request or an effect ends only
+that stream, request or effect. `run` always releases the streams, the store lease and the state directory
+when it ends."""
 
 import itertools
 import secrets
@@ -44,11 +45,11 @@
 from otterrudder.fleet.store import Store
 from otterrudder.log import log
 
-ERROR_RETRY_MS = 200.0  # after a failure of this code, so that it does not spin
+ERROR_RETRY_MS = 200.0  # delay after an unexpected exception, so that the loop does not spin
 MIN_SLEEP_MS = 1.0
-MAX_SLEEP_MS = 1000.0  # where nothing is due
-CLOSE_TIMEOUT_S = 0.2  # that connections have to close by themselves
-FLUSH_MS = 500.0  # that servers have at the end to read their refusal
+MAX_SLEEP_MS = 1000.0  # maximum sleep when nothing is due
+CLOSE_TIMEOUT_S = 0.2  # time that connections have to close by themselves
+FLUSH_MS = 500.0  # time that servers have to read their refusal during shutdown
 
 
 class RelayService:
@@ -62,7 +63,7 @@
         directory: StateDirectory | None,
         state: MemberState | None,
     ) -> None:
-        """`state`: what the state directory holds."""
+        """`state`: the member state read from the state directory, None if the directory has none."""
         self.fleet = fleet
         self.role = role
         incarnation = secrets.token_hex(8)
@@ -91,16 +92,18 @@
         self._wakeup = anyio.Event()
         self._is_stopping = False
         self._was_leading = False
-        self._received = 0  # messages of servers
-        self._stream_errors: Counter[str] = Counter()  # streams that this side ended, by status
+        self._received = 0  # messages received from servers
+        self._stream_errors: Counter[str] = Counter()  # streams that the relay ended with an error, by status
 
     def listen(self) -> None:
-        """To be called in the event loop, before `run`. OSError: the address can't be listened on."""
+        """Binds the listening address; raises OSError if that fails.
+
+        It has to be called in the event loop, before `run`."""
         handler = RelayHandler(self._handle_session, self._handle_endorsement_request)
         self._server = make_server(self.fleet, self.role, handler, max_streams(self.role.max_sessions))
 
     async def run(self) -> None:
-        """Serves until `stop`."""
+        """Serves until `stop` is called."""
         try:
             await self._server.start()
             log.info("relay listening", address=self.role.address, at=self.role.listen, cell=self.role.cell)
@@ -116,12 +119,12 @@
                 await self._server.stop(CLOSE_TIMEOUT_S)
 
     def stop(self) -> None:
-        """The servers are sent to other relays, and the cell is free for one of them."""
+        """Makes `run` end the sessions, so that servers connect to other relays, and release the cell."""
         self._is_stopping = True
         self._wakeup.set()
 
     def shown(self) -> dict[str, object]:
-        """For the control socket."""
+        """Returns the status that the control socket shows."""
         counts = TransportCounts(
             streams=len(self._streams),
             received=self._received,
@@ -134,14 +137,14 @@
     # Effects.
 
     async def _run_batch(self, group: anyio.abc.TaskGroup) -> None:
-        """Begins what is due, and waits for the next event or time."""
+        """Starts the effects that are due, and waits for the next event or due time."""
         self._wakeup = anyio.Event()
         try:
             self._begin_effects(group)
             self._update_watches(group)
             wait_ms = self.relay.due() - clock.monotonic()
-        except Exception:  # it is decided anew
-            log.exception("the relay failed", of="effects")
+        except Exception:  # the next batch decides again
+            log.exception("relay: unexpected error", of="effects")
             wait_ms = ERROR_RETRY_MS
         with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
             await self._wakeup.wait()
@@ -152,7 +155,10 @@
             self._begin(group, effect, now)
         if self.relay.leads() is not self._was_leading:
             self._was_leading = self.relay.leads()
-            log.info("relay leads" if self._was_leading else "relay leads no more", cell=self.role.cell)
+            log.info(
+                "relay leads the cell" if self._was_leading else "relay no longer leads the cell",
+                cell=self.role.cell,
+            )
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: RelayEffect, now: float) -> None:
         match effect:
@@ -175,7 +181,7 @@
             stream.send(self._encoder.encode(effect.message))
 
     async def _carry_out(self, effect: Effect, sent: float) -> None:
-        """An effect of the store or the disk. A failure in one of them is not the relay's."""
+        """Performs a store or disk effect. An exception in it is logged and does not end the relay."""
         try:
             reach_failpoint(f"before {effect_name(effect)}")
             outcome = await self.executor.perform(effect)
@@ -186,7 +192,7 @@
             if self.relay.member.mistrust:
                 await self.executor.mistrust(now, self.relay.member.mistrust)
         except Exception:
-            log.exception("the relay failed", of=effect_name(effect))
+            log.exception("relay: unexpected error", of=effect_name(effect))
             await anyio.sleep(ERROR_RETRY_MS / 1000)
         self._wakeup.set()
 
@@ -194,14 +200,14 @@
         try:
             endorsement = await self.peers.request(request)
         except Exception:
-            log.exception("the relay failed", of="consent")
+            log.exception("relay: unexpected error", of="consent")
             return
         if endorsement:
             self.relay.handle_endorsement(endorsement)
             self._wakeup.set()
 
     def _update_watches(self, group: anyio.abc.TaskGroup) -> None:
-        """One watch on each prefix that the relay needs now."""
+        """Starts and cancels watches, so that there is one watch on each prefix that the relay needs."""
         prefixes = self.relay.watched()
         for prefix in [prefix for prefix in self._watches if prefix not in prefixes]:
             self._watches.pop(prefix).cancel()
@@ -225,12 +231,12 @@
             while self._streams:
                 self._wakeup = anyio.Event()
                 await self._wakeup.wait()
-        log.info("relay left", cell=self.role.cell, streams_left=len(self._streams))
+        log.info("relay ended its sessions", cell=self.role.cell, streams_left=len(self._streams))
 
-    # What gRPC calls.
+    # gRPC handlers.
 
     async def _handle_session(self, _requests: Any, context: Any) -> None:
-        """A server's stream, from its opening to its end."""
+        """Runs a server's stream from its opening to its end."""
         connection = next(self._connections)
 
         def handle_message(message: ServerMessage) -> None:
@@ -243,27 +249,28 @@
             await stream.run()
         except StreamError as error:
             self._stream_errors[error.code.name.lower()] += 1
-            log.warning("a stream is ended", peer=context.peer(), why=error.reason)
-            self._remove_stream(connection)  # a server that does not read may hold up its status for long
+            log.warning("relay ended a server's stream", peer=context.peer(), why=error.reason)
+            # The stream is removed first: sending the status may take long if the server does not read.
+            self._remove_stream(connection)
             await context.abort(error.code, error.reason)
         finally:
             self._remove_stream(connection)
 
     def _remove_stream(self, connection: int) -> None:
-        """The stream is over, as far as the relay goes."""
+        """Removes a stream and notifies the relay of its end, unless that has been done."""
         if self._streams.pop(connection, None):
             self.relay.handle_stream_closed(connection)
             self._wakeup.set()
 
     async def _handle_endorsement_request(self, data: bytes, context: Any) -> bytes:
-        """Another relay of the cell asks for an endorsement."""
+        """Answers an endorsement request from another relay of the cell."""
         try:
             request = decode_from_peer(data)
             if not isinstance(request, EndorsementRequest):
-                raise InvalidMessageError("an AskConsent is wanted")
+                raise InvalidMessageError("expected an AskConsent message")
         except InvalidMessageError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-            raise  # never reached: abort raises
+            raise  # not reached: abort raises
         reach_failpoint("before consent")
         endorsement = self.relay.handle_endorsement_request(clock.monotonic(), request)
         reach_failpoint("after consent")
@@ -272,7 +279,9 @@
 
 
 def _directory_id(directory: StateDirectory | None, state: MemberState | None) -> str:
-    """The name under which the roster knows the directory: a new one for an empty one, "" without one."""
+    """Returns the ID that identifies the state directory in the roster.
+
+    An empty directory gets a new ID; the ID is "" without a directory."""
     if directory is None:
         return ""
     return state.directory_id if state else secrets.token_hex(8)
--- a/otterrudder/fleet/cell/sessions.py
+++ b/otterrudder/fleet/cell/sessions.py
@@ -1,4 +1,6 @@
-"""The servers of a relay: those with a stream, and leases of those whose stream has ended. Pure."""
+"""The sessions of a relay's servers, and the leases of servers whose stream has ended.
+
+Pure: no I/O and no clock."""
 
 import math
 from collections.abc import Iterator
@@ -8,29 +10,29 @@
 from otterrudder.fleet.cell.validation_poll import Candidate
 
 NO_CONNECTION = 0
-RESEND_INTERVAL_MS = 2000.0  # after which a text is sent again to a server that does not go by it
+RESEND_INTERVAL_MS = 2000.0  # interval after which a policy is sent again to a server that does not use it
 
 
 @dataclass(slots=True)
 class Session:
-    """A server's stream, from its registration on. Times are by the relay's clock."""
+    """The state of a server's stream after its registration. Times are by the relay's clock."""
 
     connection: int
     name: str
     incarnation: str
     fingerprint: str
     zone: str
-    version: int  # that the server goes by
+    version: int  # policy version that the server uses
     last_message_at: float
     registered_at: float
-    status: str = ""  # of the server, for operators
+    status: str = ""  # admission status that the server last reported, for operators
     granted_until: float = -math.inf
-    pushed_version: int = 0  # of the text that was last sent
+    pushed_version: int = 0  # version of the policy that was last sent
     pushed_at: float = -math.inf
-    deferred_request: int = 0  # the sequence number of one that is answered after the next read; 0: none
+    deferred_request: int = 0  # sequence number of the request to answer after the next store read; 0: none
 
     def needs_policy(self, now: float, version: int) -> bool:
-        """Whether the text of `version`, which is in force, is to be sent."""
+        """Whether the policy in force, which has this version, has to be sent to the server now."""
         if self.version >= version:
             return False
         return self.pushed_version != version or now - self.pushed_at >= RESEND_INTERVAL_MS
@@ -64,15 +66,15 @@
         return iter(self._sessions.values())
 
     def get(self, connection: int) -> Session | None:
-        """The session on this connection."""
+        """Returns the session on this connection, None if there is none."""
         return self._sessions.get(connection)
 
     def connections(self) -> list[int]:
-        """Of all sessions, the oldest first."""
+        """Returns the connections of all sessions, the oldest first."""
         return list(self._sessions)
 
     def register(self, now: float, connection: int, registration: Registration) -> Session:
-        """A new session, in place of an earlier one on the same connection."""
+        """Adds and returns a new session; it replaces an earlier session on the same connection."""
         session = Session(
             connection,
             registration.name,
@@ -87,16 +89,16 @@
         return session
 
     def has_room(self, connection: int) -> bool:
-        """Whether a registration on this connection needs no other session to end."""
+        """Whether a registration on this connection fits without ending another session."""
         return connection in self._sessions or len(self._sessions) < self.max_sessions
 
     def stale_session(self, registration: Registration) -> Session | None:
-        """A session of the same process on an earlier stream, whose end is not known yet."""
+        """Returns a session of the same process on an earlier stream whose end has not been noticed yet."""
         process = (registration.name, registration.incarnation)
         return next((session for session in self if (session.name, session.incarnation) == process), None)
 
     def close(self, connection: int) -> bool:
-        """The stream has ended; the lease goes on to its end. Whether there was such a session."""
+        """Removes the session whose stream has ended, keeping its lease; returns whether there was one."""
         session = self._sessions.pop(connection, None)
         if session is None:
             return False
@@ -108,17 +110,19 @@
         return True
 
     def silent_since(self, oldest: float) -> list[int]:
-        """The connections on which no message has come since that time."""
+        """Returns the connections on which no message has arrived since `oldest`."""
         return [session.connection for session in self if session.last_message_at < oldest]
 
     def drop_lapsed(self, now: float) -> None:
-        """Forget leases of ended streams that have lapsed."""
+        """Removes the lapsed leases of servers whose stream has ended."""
         self._closed_stream_leases = {
-            one: lease for one, lease in self._closed_stream_leases.items() if lease.until > now
+            fingerprint: lease
+            for fingerprint, lease in self._closed_stream_leases.items()
+            if lease.until > now
         }
 
     def candidates(self, now: float) -> Iterator[Candidate]:
-        """The servers whose lease has not lapsed."""
+        """Yields the servers whose lease has not lapsed."""
         for session in self:
             if session.granted_until > now:
                 yield Candidate(session.connection, session.fingerprint, session.name)
--- a/otterrudder/fleet/cell/streams.py
+++ b/otterrudder/fleet/cell/streams.py
@@ -1,7 +1,8 @@
-"""The relay's end of the streams: bounded queues to servers, and the handlers that gRPC calls.
+"""The relay's side of the streams: bounded queues to servers, and the handlers that gRPC calls.
 
-A server that reads too slowly, sends what is no message, or floods is disconnected alone, with a reason in
-the stream's status. Nothing here decides; `service.py` does."""
+A server that reads too slowly, sends an invalid message or sends too many messages is disconnected, with the
+reason in the stream's status; other servers are not affected. `service.py` passes the messages to the relay,
+which makes all decisions."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,14 +22,15 @@
 )
 from otterrudder.fleet.cell.wire import ENDORSE_METHOD, SESSION_METHOD
 
-MAX_QUEUED_MESSAGES = 16  # until a server reads them
-MAX_MESSAGES_PER_S = 50  # of a server, which sends one or two
-REGISTRATION_TIMEOUT_S = 2.0  # until a stream's first message
-MAX_ENCODED_MESSAGES = 4  # with a text, whose bytes are kept: they go to many servers
+MAX_QUEUED_MESSAGES = 16  # maximum number of messages that a server has not read
+MAX_MESSAGES_PER_S = 50  # maximum rate of a server; a normal server sends one or two messages per second
+REGISTRATION_TIMEOUT_S = 2.0  # timeout for the first message on a stream
+# Encoded messages with a policy text that are kept in memory, because they are sent to many servers.
+MAX_ENCODED_MESSAGES = 4
 
 
 class StreamError(Exception):
-    """Why a stream is ended, for its status."""
+    """The relay ends a stream; `code` and `reason` go into the stream's status."""
 
     def __init__(self, code: grpc.StatusCode, reason: str) -> None:
         super().__init__(reason)
@@ -37,13 +39,13 @@
 
 
 class MessageEncoder:
-    """Encodes a message with a text once for all the sessions that it goes to."""
+    """Encodes each message with a policy text only once for all sessions to which it is sent."""
 
     def __init__(self) -> None:
         self._encoded: dict[RelayMessage, bytes] = {}
 
     def encode(self, message: RelayMessage) -> bytes:
-        """The bytes of a message."""
+        """Returns the encoded message."""
         if not isinstance(message, PolicyUpdate | ValidationRequest):
             return encode(message)
         data = self._encoded.get(message)
@@ -55,14 +57,14 @@
 
 
 class MessageRate:
-    """Counts the messages of a server in each second."""
+    """Limits the number of messages that a server may send in each second."""
 
     def __init__(self) -> None:
         self._second = 0
         self._count = 0
 
     def count(self) -> None:
-        """A message has come. StreamError: there are too many in this second."""
+        """Counts a message; raises StreamError if the server has sent too many in this second."""
         second = int(clock.monotonic() / 1000)
         if second != self._second:
             self._second = second
@@ -70,7 +72,7 @@
         self._count += 1
         if self._count > MAX_MESSAGES_PER_S:
             raise StreamError(
-                grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MAX_MESSAGES_PER_S} messages a second"
+                grpc.StatusCode.RESOURCE_EXHAUSTED, f"more than {MAX_MESSAGES_PER_S} messages per second"
             )
 
 
@@ -80,27 +82,27 @@
     def __init__(
         self, connection: int, context: Any, handle_message: Callable[[ServerMessage], None]
     ) -> None:
-        """`context`: gRPC's, of the call."""
+        """`context`: the gRPC context of the call."""
         self.connection = connection
         self._context = context
         self._handle_message = handle_message
-        self._outgoing: asyncio.Queue[bytes | None] = asyncio.Queue()  # None: the end
+        self._outgoing: asyncio.Queue[bytes | None] = asyncio.Queue()  # None ends the stream
         self._overflow = asyncio.Event()
         self._rate = MessageRate()
 
     def send(self, data: bytes) -> None:
-        """Queues bytes and never waits: a queue that is full ends the stream."""
+        """Queues an encoded message without waiting; the stream is ended if the queue is full."""
         if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
             self._overflow.set()
         else:
             self._outgoing.put_nowait(data)
 
     def end(self) -> None:
-        """Ends the stream after what is queued."""
+        """Ends the stream after the queued messages."""
         self._outgoing.put_nowait(None)
 
     async def run(self) -> None:
-        """Runs until either side ends the stream; StreamError: why this side does."""
+        """Runs until either side ends the stream; raises StreamError if this side ends it."""
         await self._context.send_initial_metadata(())
         tasks = [asyncio.create_task(run()) for run in (self._read, self._write, self._wait_for_overflow)]
         try:
@@ -116,7 +118,10 @@
         try:
             data = await asyncio.wait_for(self._context.read(), REGISTRATION_TIMEOUT_S)
         except TimeoutError:
-            raise StreamError(grpc.StatusCode.DEADLINE_EXCEEDED, "no Register came") from None
+            raise StreamError(
+                grpc.StatusCode.DEADLINE_EXCEEDED,
+                f"no Register message arrived within {REGISTRATION_TIMEOUT_S:g} s",
+            ) from None
         while data is not grpc.aio.EOF:
             self._rate.count()
             try:
@@ -133,12 +138,13 @@
     async def _wait_for_overflow(self) -> None:
         await self._overflow.wait()
         raise StreamError(
-            grpc.StatusCode.RESOURCE_EXHAUSTED, f"{MAX_QUEUED_MESSAGES} messages wait to be read"
+            grpc.StatusCode.RESOURCE_EXHAUSTED,
+            f"the server has not read {MAX_QUEUED_MESSAGES} queued messages",
         )
 
 
 class RelayHandler(grpc.GenericRpcHandler):  # type: ignore[misc]  # grpc ships no types
-    """Finds the handler of a method by its name."""
+    """Maps the names of the gRPC methods to their handlers."""
 
     def __init__(
         self,
@@ -151,5 +157,5 @@
         }
 
     def service(self, details: Any) -> Any:
-        """gRPC's: the handler of a call, None if there is no such method."""
+        """Returns the handler of a call, None if the method is unknown. gRPC calls this method."""
         return self._handlers.get(details.method)
--- a/otterrudder/fleet/cell/wire.py
+++ b/otterrudder/fleet/cell/wire.py
@@ -1,6 +1,6 @@
-"""How the messages of cells travel: methods, sizes and options of gRPC, with TLS where the file has it.
+"""The gRPC transport of a cell's messages: methods, size limits, options, and TLS if it is configured.
 
-The methods are registered by name and carry bytes of `messages.py`; there is no generated code."""
+The methods are registered by name and carry messages encoded by `messages.py`; no code is generated."""
 
 from typing import Any
 
@@ -12,16 +12,16 @@
 from otterrudder.fleet.tls import channel_credentials
 
 SERVICE = "otterrudder.fleet.Relay"
-SESSION_METHOD = f"/{SERVICE}/Session"  # a stream both ways between a server and a relay
-ENDORSE_METHOD = f"/{SERVICE}/Consent"  # one request and its answer between two relays of a cell
-MESSAGE_OVERHEAD_BYTES = 16 * 1024  # of a message, beside the policy's text
+SESSION_METHOD = f"/{SERVICE}/Session"  # bidirectional stream between a server and a relay
+ENDORSE_METHOD = f"/{SERVICE}/Consent"  # unary call between two relays of a cell
+MESSAGE_OVERHEAD_BYTES = 16 * 1024  # maximum size of a message without the policy's text
 MAX_RELAY_MESSAGE_BYTES = MAX_TEXT_BYTES + MESSAGE_OVERHEAD_BYTES
-MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # none carries a text
-IDLE_CONNECTION_MS = 5000  # for which a connection without a stream is kept
+MAX_SERVER_MESSAGE_BYTES = 16 * 1024  # messages from servers carry no policy text
+IDLE_CONNECTION_MS = 5000  # how long a connection without a stream is kept open
 KEEPALIVE_MS = 10_000
 KEEPALIVE_TIMEOUT_MS = 2000
-# An attempt to connect, the handshakes of TLS over some distance included, may take as long. gRPC knows it as
-# the least time between attempts, and waits less after a refusal.
+# A connection attempt may take this long, including the TLS handshake over a long distance. In gRPC the
+# setting is the minimum time between attempts; gRPC waits less after a refused connection.
 CONNECT_TIMEOUT_MS = 5000
 MIN_RECONNECT_BACKOFF_MS = 100
 MAX_RECONNECT_BACKOFF_MS = 1000
@@ -35,7 +35,7 @@
     ("grpc.max_receive_message_length", MAX_SERVER_MESSAGE_BYTES),
     ("grpc.max_connection_idle_ms", IDLE_CONNECTION_MS),
     ("grpc.http2.min_ping_interval_without_data_ms", KEEPALIVE_MS // 2),
-    ("grpc.so_reuseport", 0),  # an address that is taken is an error, not a share of its connections
+    ("grpc.so_reuseport", 0),  # binding an address in use has to fail instead of sharing its connections
 ]
 CHANNEL_OPTIONS = [
     *_COMMON_OPTIONS,
@@ -48,7 +48,7 @@
 
 
 def open_channel(fleet: Fleet, relay: str) -> Any:
-    """A channel to a relay. Both sides show a certificate where the file has one."""
+    """Opens a channel to a relay. Both sides present a certificate if the configuration has one."""
     credentials = channel_credentials(fleet.ca, fleet.cert, fleet.key)
     if credentials is None:
         return grpc.aio.insecure_channel(relay, options=CHANNEL_OPTIONS)
@@ -56,19 +56,19 @@
 
 
 def make_server(fleet: Fleet, role: RelayRole, handler: Any, max_streams: int) -> Any:
-    """A server of gRPC, bound to the address where the relay listens; OSError if it can't be."""
+    """Returns a gRPC server bound to the relay's listening address; raises OSError if binding fails."""
     server = grpc.aio.server(handlers=(handler,), options=SERVER_OPTIONS, maximum_concurrent_rpcs=max_streams)
     try:
         port = _bind(server, fleet, role)
     except RuntimeError as error:
         raise OSError(f"{role.listen}: {error}") from None
     if not port:
-        raise OSError(f"{role.listen}: it can't be listened on")
+        raise OSError(f"{role.listen}: cannot listen on this address")
     return server
 
 
 def _bind(server: Any, fleet: Fleet, role: RelayRole) -> int:
-    """The port; 0 if it can't be listened on."""
+    """Binds the server to its address and returns the port, 0 if binding fails."""
     if fleet.ca and fleet.cert and fleet.key:
         credentials = grpc.ssl_server_credentials(
             [(fleet.key.read_bytes(), fleet.cert.read_bytes())],
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -96,7 +96,7 @@
     assert server.due() == 0.25 * DEFAULT_LEASE_MS
     effects = server.effects(server.due())
     assert [type(effect) for effect in effects] == [Disconnect, Connect] and server.relay == "b"
-    assert server.refusal == "a does not answer"
+    assert server.refusal == "a did not answer in time"
     late = LeaseGrant(1, 0, "", 3000.0)
     server.handle_message(800.0, 1, late)  # of the stream that was given up
     assert server.admits(800.0) is None
@@ -147,7 +147,8 @@
     assert server.admits(0.0) == 1
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
-    assert server.relay == "b" and server._relay_mistrust == "a tells of version 0, older than 1"
+    assert server.relay == "b"
+    assert server._relay_mistrust == "a announced version 0, which is older than version 1"
     assert server.lease.until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
@@ -157,7 +158,7 @@
     takes(server, 0.0, 1, "one")
     server.effects(server.due())
     server.handle_message(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
-    assert server.relay == "b" and server._relay_mistrust == "a tells of another version 1"
+    assert server.relay == "b" and server._relay_mistrust == "a announced a different change as version 1"
 
 
 def test_the_old_version_lasts_for_its_lease_and_no_longer() -> None:
@@ -183,7 +184,7 @@
     connect(server)
     server.handle_message(0.0, 1, in_force(1, "damaged", digest_of("one")))
     assert server.relay == "b" and server.head == 0
-    assert server._relay_mistrust == "a: the text of version 1 is damaged"
+    assert server._relay_mistrust == "a: the text of version 1 does not match its digest"
 
 
 def test_a_text_that_is_no_good_here_stops_the_server() -> None:
@@ -275,7 +276,7 @@
     connect(server)
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
     assert not [effect for effect in server.effects(0.0) if isinstance(effect, ValidateText)]
-    assert server.relay == "b" and "damaged" in server._relay_mistrust
+    assert server.relay == "b" and "does not match its digest" in server._relay_mistrust
 
 
 def test_a_long_reason_is_cut_to_what_a_relay_takes() -> None:
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -86,7 +86,7 @@
 
 def test_no_lease_may_outlast_the_bound() -> None:
     identity = CellIdentity(FLEET, "east", "a", ("a",))
-    with pytest.raises(ValueError, match="outlasts the bound"):
+    with pytest.raises(ValueError, match="is longer than the bound"):
         Relay(0.0, identity, RelayStart("a.1"), Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
 
 
