--- a/otterrudder/__main__.py
+++ b/otterrudder/__main__.py
@@ -6,7 +6,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] in ([], ["serve"]):
-        early_sighup.hold()
+        early_sighup.install_handler()
     from otterrudder.cli import main
 
     main(prog_name="otterrudder")
--- a/otterrudder/net/early_sighup.py
+++ b/otterrudder/net/early_sighup.py
@@ -1,19 +1,20 @@
-"""SIGHUP before the server listens for signals.
+"""Records a SIGHUP that arrives before the server listens for signals.
 
-By default it would end the process, and a reload is as likely in those moments as in any other.
-`deploy/balancer.toml` has it ignored until `hold` is called, ahead of the configuration's reading: by
-`__main__`, ahead of every import that takes time. `serve.py` asks `has_come` once it listens itself."""
+The default action of SIGHUP ends the process, and a reload may be requested while the server is starting.
+`deploy/balancer.toml` starts the process with SIGHUP ignored. `__main__` calls `install_handler` before all
+imports that take time, and so before the configuration is read. `serve.py` calls `was_received` once it
+listens for signals itself."""
 
 import signal
 
 _received: list[int] = []
 
 
-def hold() -> None:
-    """From now on SIGHUP is remembered, and ends nothing."""
+def install_handler() -> None:
+    """Installs a handler that records SIGHUP instead of ending the process."""
     signal.signal(signal.SIGHUP, lambda number, _: _received.append(number))
 
 
-def has_come() -> bool:
-    """Whether one came since `hold`: the file may have changed since it was read."""
+def was_received() -> bool:
+    """Whether SIGHUP arrived since `install_handler`: the configuration may have changed since it was read."""
     return bool(_received)
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -43,7 +43,7 @@
     signals: AsyncIterator[signal.Signals], reloader: Reloader, parts: ServerParts
 ) -> None:
     """SIGHUP reloads, also one that came before signals were listened for; any other begins the shutdown."""
-    if early_sighup.has_come():
+    if early_sighup.was_received():
         reloader.reload()
     async for number in signals:
         if number == signal.SIGHUP:
--- a/tests/engine.py
+++ b/tests/engine.py
@@ -35,9 +35,9 @@
         assert self.process.stdout
         self.port = int(self.process.stdout.readline())
 
-    def tell(self, **fault: object) -> None:
+    def set_faults(self, **faults: object) -> None:
         assert self.process.stdin and self.process.stdout
-        self.process.stdin.write(json.dumps(fault).encode() + b"\n")
+        self.process.stdin.write(json.dumps(faults).encode() + b"\n")
         self.process.stdin.flush()
         assert self.process.stdout.readline() == b"ok\n"
 
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -84,14 +84,14 @@
 def test_no_answer_is_told_as_such_and_what_took_effect_is_found_by_reading(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
-        engine.tell(lose_answers=1)
+        engine.set_faults(lose_answers=1)
         with pytest.raises(StoreUnavailableError):
             await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
         assert (await client.read(["f/a"], TIMEOUT_MS)).entries["f/a"].value == b"1"
-        engine.tell(down=True)
+        engine.set_faults(down=True)
         with anyio.fail_after(3), pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
-        engine.tell(down=False)
+        engine.set_faults(down=False)
         with anyio.fail_after(3):
             while True:
                 try:
@@ -113,7 +113,7 @@
         with pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
         engine.start()
-        engine.tell(empty=1)
+        engine.set_faults(empty=1)
         with anyio.fail_after(5):
             while True:
                 try:
@@ -166,7 +166,7 @@
                 while len(heard) < 2:
                     await anyio.sleep(0.02)
             assert heard[1] >= done.revision
-            engine.tell(cancel_watches=1)
+            engine.set_faults(cancel_watches=1)
         assert len(heard) == 2
         await client.close()
 
@@ -176,7 +176,7 @@
 def test_a_cancelled_caller_is_cancelled_and_a_closed_channel_cancels_nobody(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
-        engine.tell(down=True)
+        engine.set_faults(down=True)
         with anyio.move_on_after(0.1) as scope:
             await client.read(["f/a"], 5000.0)
         assert scope.cancelled_caught
@@ -426,7 +426,7 @@
         (3, "ann", "back to version 1"),
     ]
     assert run("gone", "n7") == (3, "otterrudder: n7 is not on the roster\n")
-    engine.tell(down=True)
+    engine.set_faults(down=True)
     code, text = run("status")
     assert code == 4 and text.startswith("otterrudder: the store does not answer")
-    engine.tell(down=False)
+    engine.set_faults(down=False)
