--- a/otterrudder/net/buffer.py
+++ b/otterrudder/net/buffer.py
@@ -8,7 +8,7 @@
 
 
 class Buffer:
-    """What was received and not yet taken: codecs read `data` from `start` to `end`, and `drop` it.
+    """What was received and not yet taken: codecs read `data` from `start` to `end`, and `consume` it.
 
     It grows up to its maximum with the longest message."""
 
@@ -24,7 +24,7 @@
         """Whether nothing waits, not even a part of a message."""
         return self.start == self.end
 
-    def space(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Room for more; empty if one message fills it all, which no good sender's does."""
         if self.start:
             rest = self.end - self.start
@@ -36,8 +36,9 @@
             self.data += bytes(min(self.end, self.max_bytes - self.end))
         return memoryview(self.data)[self.end :]
 
-    def line(self, terminator: bytes) -> memoryview | None:
-        """The next line without its terminator, in place, if it is whole. `drop` it before the next one."""
+    def next_line(self, terminator: bytes) -> memoryview | None:
+        """The next line without its terminator, in place, if it is whole. `consume` it before the next
+        one."""
         at = self.data.find(terminator, max(self._scanned, self.start), self.end)
         if at < 0:
             self._scanned = max(self.end - len(terminator) + 1, self.start)
@@ -48,15 +49,15 @@
         """The line that was found last stays: the next look begins at it."""
         self._scanned = self.start
 
-    def drop(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """So many bytes are taken."""
         self.start += count
         self._scanned = self.start
 
-    def put(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """Adds bytes as if they were received; ProtocolError: they are more than it may hold."""
         while data:
-            with self.space() as space:
+            with self.free_space() as space:
                 if not space:
                     raise ProtocolError("a message that is too long")
                 count = min(len(space), len(data))
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -101,7 +101,7 @@
         while self.controller and (pending := self.controller.take_commands()):
             for command in pending:
                 try:
-                    self._carry_out(command)
+                    self._execute(command)
                 except Exception as error:  # one request's failure is not the others'
                     self._log("a command failed", {"command": command, "error": repr(error)})
                     if request := self.requests.by_number.get(getattr(command, "request_id", 0)):
@@ -181,7 +181,7 @@
     def handle_link_established(self) -> None:
         """A link to the runtime stands, and all that the runtime said meanwhile was received: what it shows
         to be missing is sent again."""
-        self.delivery.handle_linked()
+        self.delivery.handle_link_established()
         for request in self.requests.running():
             is_safe = self.request_classes[request.class_index].idempotency is Idempotency.SAFE
             if not self.delivery.resume(request, is_safe):
@@ -189,7 +189,7 @@
 
     def handle_link_lost(self) -> None:
         """The link to the runtime has gone."""
-        self.delivery.handle_unlinked()
+        self.delivery.handle_link_lost()
 
     def handle_runtime_restart(self) -> None:
         """The runtime has started anew by itself: its runs are gone, and nothing tells how they ended."""
@@ -197,9 +197,9 @@
             if self.delivery.has_reached(request):
                 self.requests.finish_run(request, Outcome.RESET)
 
-    def leave_runtime_link(self) -> None:
+    def close_runtime_link(self) -> None:
         """The runtime has another address: what is decided from now on goes there."""
-        self.delivery.leave_link()
+        self.delivery.close_link()
 
     def handle_run_ended(self, request_id: str, outcome: Outcome, body: bytes) -> None:
         """A run has ended; `body` is its response."""
@@ -315,7 +315,7 @@
 
     # Commands of the admission controller.
 
-    def _carry_out(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         if commands.is_request_command(command):
             if request := self.requests.by_number.get(command.request_id):
                 _REQUEST_COMMANDS[type(command)](self, request, command)
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -93,7 +93,7 @@
                 self._try(self.recipients.get(destination, destination).send, message)
         if self.tick_at == self.gauge_query_at == math.inf and self._tick_delay_ms:
             self._schedule_tick(self._tick_delay_ms)  # a tick that failed must not be the last
-        self._try(self.statistics.batch_handled, now, len(events), self.core)
+        self._try(self.statistics.record_batch, now, len(events), self.core)
 
     def send(self, message: DispatcherMessage) -> None:
         """What the core sends to its dispatcher: when the next tick is due, or a line for the log."""
@@ -108,7 +108,7 @@
             self._try(self.core.query_gauges)
         if now >= self.tick_at:
             late_ms = now - self.tick_at
-            self.statistics.tick_handled(late_ms)
+            self.statistics.record_tick(late_ms)
             self.tick_at = math.inf
             self._try(self.core.tick, late_ms)
 
--- a/otterrudder/net/gateway_connection.py
+++ b/otterrudder/net/gateway_connection.py
@@ -18,7 +18,7 @@
 MAX_UNSENT_BYTES = 512 * 1024  # the 32 longest answers, three times over
 MAX_PROTOCOL_ERRORS = 6  # after so many it is closed: a good gateway makes none
 CLOSE_TIMEOUT_S = 0.5  # to read what it is owed, and to close: many round trips
-IDLE = "idle"  # a reason for an end
+IDLE_REASON = "idle"  # a reason for an end
 
 
 class ConnectionOwner(Protocol):
@@ -58,7 +58,7 @@
         """Serves the connection to its end."""
         try:
             reason = await self.stream.serve()
-            if reason not in (sockets.CLOSED_BY_PEER, IDLE, sockets.SERVER_ENDS):
+            if reason not in (sockets.CLOSED_BY_PEER, IDLE_REASON, sockets.SERVER_SHUTDOWN):
                 self._owner.log_connection_error(reason)
         except Exception:  # a fault of this connection's is not the others'
             log.exception("a connection failed")
--- a/otterrudder/net/gateway_listener.py
+++ b/otterrudder/net/gateway_listener.py
@@ -14,7 +14,7 @@
 from otterrudder.net.dispatcher import Dispatcher
 from otterrudder.net.gateway_connection import GatewayConnection
 from otterrudder.net.messages import GatewaysMessage
-from otterrudder.net.sockets import SERVER_ENDS
+from otterrudder.net.sockets import SERVER_SHUTDOWN
 
 BACKLOG = 1024  # connections that may wait to be accepted while the loop is busy
 MIN_CONNECTIONS = 8  # taken however few descriptors there are
@@ -25,7 +25,7 @@
 SWEEP_INTERVAL_S = 0.1  # between looks for connections to close
 MAX_LOGGED_ERRORS = 5  # lines a second on connections; past that they are counted
 GOAWAY_GRACE_S = 0.1  # at the end of a drain, for what crosses `noMore`: twice the bound of a round trip
-LAST_WRITES_S = 0.05  # after that, for what is owed to be written; both lie ahead of the stop
+FINAL_WRITE_TIMEOUT_S = 0.05  # after that, for what is owed to be written; both lie ahead of the stop
 # No descriptor or memory for a connection, rather than something wrong with it.
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -85,8 +85,10 @@
             self.sock.close()
         for connection in self.connections:  # nothing is awaited between the last read and the close
             connection.stream.receive_pending()
-            connection.stream.close(SERVER_ENDS, LAST_WRITES_S)  # waits for answers to what was just read
-        with anyio.move_on_after(LAST_WRITES_S):
+            connection.stream.close(
+                SERVER_SHUTDOWN, FINAL_WRITE_TIMEOUT_S
+            )  # waits for answers to what was just read
+        with anyio.move_on_after(FINAL_WRITE_TIMEOUT_S):
             await self._wait_until_closed()
 
     def remove(self, connection: GatewayConnection) -> None:
--- a/otterrudder/net/idempotency.py
+++ b/otterrudder/net/idempotency.py
@@ -62,14 +62,14 @@
             entry.response = None
         entry.expires_at = retained_until + deadline_ms
 
-    def held_by(self, key: str, number: int) -> IdempotencyEntry | None:
+    def entry_held_by(self, key: str, number: int) -> IdempotencyEntry | None:
         """The key's entry, if it stands for the run of the request of this number."""
         entry = self.entries.get(key) if key else None
         return entry if entry and entry.holder == number else None
 
     def evict(self, key: str, number: int) -> None:
         """Drops the entry of a request that never ran."""
-        if self.held_by(key, number):
+        if self.entry_held_by(key, number):
             del self.entries[key]
 
     def expire(self, now: float, deadline_of: Callable[[int], float | None]) -> None:
--- a/otterrudder/net/jsonrpc.py
+++ b/otterrudder/net/jsonrpc.py
@@ -71,11 +71,11 @@
 
 def read_messages(buffer: Buffer) -> Iterator[IncomingMessage | InvalidMessage]:
     """Takes all whole lines out of the buffer."""
-    while (line := buffer.line(b"\n")) is not None:
+    while (line := buffer.next_line(b"\n")) is not None:
         size = len(line) + 1
         with line:
             message = _decode_line(line)
-        buffer.drop(size)
+        buffer.consume(size)
         if message:
             yield message
 
--- a/otterrudder/net/lines.py
+++ b/otterrudder/net/lines.py
@@ -18,7 +18,7 @@
 
 def read_messages(buffer: Buffer, has_body: Callable[[Words], bool]) -> Iterator[tuple[Words, bytes]]:
     """Takes all whole messages out of the buffer. `has_body`: whether a body follows the line."""
-    while (line := buffer.line(END_OF_LINE)) is not None:
+    while (line := buffer.next_line(END_OF_LINE)) is not None:
         with line:
             size = len(line) + len(END_OF_LINE)
             words = _split(line, size)
@@ -29,7 +29,7 @@
                 return
             body = whole_body
             size += length + len(END_OF_LINE)
-        buffer.drop(size)
+        buffer.consume(size)
         yield words, body
     if buffer.end - buffer.start > MAX_LINE_BYTES:
         raise ProtocolError("a line without end")
--- a/otterrudder/net/loop_statistics.py
+++ b/otterrudder/net/loop_statistics.py
@@ -34,7 +34,7 @@
         self._batches = 0
         self._events = 0
 
-    def tick_handled(self, late_ms: float) -> None:
+    def record_tick(self, late_ms: float) -> None:
         """A tick was handled so late."""
         self._worst_tick_late_ms = max(self._worst_tick_late_ms, late_ms)
         if late_ms > LATE_TICK_MS:
@@ -44,7 +44,7 @@
         """Whether a tick was lately so late that answers at their deadlines may be late too."""
         return clock.monotonic() - self._last_late_tick < LATE_PERIOD_MS
 
-    def batch_handled(self, began: float, event_count: int, core: RequestCore) -> None:
+    def record_batch(self, began: float, event_count: int, core: RequestCore) -> None:
         """A batch that began then had so many events. Writes the report if it is due."""
         now = clock.monotonic()
         self._worst_batch_ms = max(self._worst_batch_ms, now - began)
--- a/otterrudder/net/messages.py
+++ b/otterrudder/net/messages.py
@@ -104,7 +104,7 @@
     tag: int
 
 
-class LeaveLink(msgspec.Struct, frozen=True, gc=False):
+class CloseLink(msgspec.Struct, frozen=True, gc=False):
     """Ask for the gauges a last time, and give the link up once they are answered."""
 
     tag: int
@@ -138,7 +138,7 @@
 
 
 ConnectionMessage = RequestCompleted | RequestRejected | RequestFailed | RequestInvalid | HealthStatus
-RuntimeMessage = StartRun | DeliverReply | StopRun | SkipDownstreamCall | QueryGauges | LeaveLink
+RuntimeMessage = StartRun | DeliverReply | StopRun | SkipDownstreamCall | QueryGauges | CloseLink
 RecordsMessage = SendCall | CancelCall
 GatewaysMessage = SetIdleTimeout | CloseConnections
 DispatcherMessage = ScheduleTick | LogEntry
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -165,7 +165,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def move(self, address: tuple[str, int] | None) -> None:
+    def change_address(self, address: tuple[str, int] | None) -> None:
         """New calls go to a new address; those that are out end where they are."""
         self._address = address
         for connection in self.connections:
@@ -187,7 +187,7 @@
             earlier.cancel_call(request_id, records_codec.encode_cancel(cancel))
         connection = None
         if self._address and self.group:
-            connection = self._choose(request_id, self._address, self.group)
+            connection = self._choose_connection(request_id, self._address, self.group)
         if connection:
             self.connection_of[request_id] = connection
             connection.start_call(request_id, records_codec.encode_call(call))
@@ -199,7 +199,7 @@
         handler = self._dispatcher.core.handle_call_ended
         self._dispatcher.post(handler, request_id, reply.outcome, reply.body, request_id=request_id)
 
-    def _choose(
+    def _choose_connection(
         self, request_id: str, address: tuple[str, int], group: anyio.abc.TaskGroup
     ) -> RecordsConnection | None:
         """The freshest idle one, else a new one, else the one with the fewest calls."""
--- a/otterrudder/net/reload.py
+++ b/otterrudder/net/reload.py
@@ -55,9 +55,9 @@
 
     def _move(self, new: Configuration, moved: list[str]) -> None:
         if "runtime" in moved:
-            self._parts.runtime.move(parse_address(new.runtime))
+            self._parts.runtime.change_address(parse_address(new.runtime))
         if "records" in moved:
-            self._parts.records.move(records_address(new))
+            self._parts.records.change_address(records_address(new))
         if "registry" in moved:
             self._parts.discovery.address = parse_address(new.registry)
 
--- a/otterrudder/net/request_table.py
+++ b/otterrudder/net/request_table.py
@@ -127,7 +127,7 @@
         request.is_running = False
         entry = None
         if request.idempotency_key:
-            entry = self._idempotency.held_by(request.idempotency_key, request.number)
+            entry = self._idempotency.entry_held_by(request.idempotency_key, request.number)
         if entry:
             entry.is_finished = True
             entry.response = body if outcome is Outcome.OK else None
--- a/otterrudder/net/run_delivery.py
+++ b/otterrudder/net/run_delivery.py
@@ -7,9 +7,9 @@
 import math
 
 from otterrudder.net.messages import (
+    CloseLink,
     DeliverReply,
     Destination,
-    LeaveLink,
     Outgoing,
     QueryGauges,
     SkipDownstreamCall,
@@ -81,21 +81,21 @@
 
     # Links.
 
-    def handle_linked(self) -> None:
+    def handle_link_established(self) -> None:
         """A link stands; each running request has to be passed to `resume`."""
         self.is_linked = True
 
-    def handle_unlinked(self) -> None:
+    def handle_link_lost(self) -> None:
         """The link is gone."""
         self.is_linked = False
         self._gauges = {}
 
-    def leave_link(self) -> None:
+    def close_link(self) -> None:
         """What is decided from now on goes out on the link to another address. A last query on the old link
         confirms what was read there."""
         self.last_query += 1
-        self._outbox.append((Destination.RUNTIME, LeaveLink(self.last_query)))
-        self.handle_unlinked()
+        self._outbox.append((Destination.RUNTIME, CloseLink(self.last_query)))
+        self.handle_link_lost()
 
     def resume(self, request: PendingRequest, is_safe: bool) -> bool:
         """Sends on a new link what the old one lost of a running request; False if the run was never started
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -10,7 +10,7 @@
 from otterrudder.net import lines, runtime_codec, sockets
 from otterrudder.net.buffer import Buffer, ProtocolError
 from otterrudder.net.dispatcher import Dispatcher
-from otterrudder.net.messages import LeaveLink, RuntimeMessage
+from otterrudder.net.messages import CloseLink, RuntimeMessage
 
 FIRST_RETRY_MS = 20.0  # until the first attempt to reconnect: the runtime most likely still runs
 MAX_RETRY_MS = 500.0  # a runtime that comes up is found within that
@@ -33,35 +33,35 @@
         self._last_notice = 0
         self._is_replaying = False  # notices missed on earlier links come first
         self._started_at: float | None = None  # when the runtime started, by this process's clock
-        self._leaving_tag = 0  # of the last query on a link that is left for a new address; 0: none
-        self._leaving_stream: sockets.Stream | None = None  # that link
+        self._closing_tag = 0  # of the last query on a link that is left for a new address; 0: none
+        self._closing_stream: sockets.Stream | None = None  # that link
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """The runtime has another address. The core is asked first: what it decides from then on waits for
         the new link."""
         self._address = address
-        self._leaving_stream = self._stream
+        self._closing_stream = self._stream
         if self._stream and self._is_replaying:
             self._stream.abort(ADDRESS_CHANGED)  # nothing was sent on it
         elif self._stream:
-            self._dispatcher.post(self._dispatcher.core.leave_runtime_link)
+            self._dispatcher.post(self._dispatcher.core.close_runtime_link)
 
     def send(self, message: RuntimeMessage) -> None:
         """Sends a command of the core; without a link it is dropped, and the core sends what is missing once
         a link stands."""
         if not self._stream:
             return
-        if isinstance(message, LeaveLink):
-            self._leave(message)
-        elif not self._is_replaying and not self._leaving_tag:
+        if isinstance(message, CloseLink):
+            self._begin_close(message)
+        elif not self._is_replaying and not self._closing_tag:
             self._stream.send(runtime_codec.encode(message))
 
     async def run(self) -> None:
         """Keeps the link up until it is cancelled."""
         async with anyio.create_task_group() as self._group:
-            await self._keep_linked()
+            await self._maintain_link()
 
-    async def _keep_linked(self) -> None:
+    async def _maintain_link(self) -> None:
         retry_ms = FIRST_RETRY_MS
         while True:
             try:
@@ -82,7 +82,7 @@
         """Runs one link to its end; whether it ended because the address is another now."""
         self._stream = stream
         self._is_replaying = True
-        self._leaving_tag = 0
+        self._closing_tag = 0
         stream.send(runtime_codec.encode_sync(self._last_notice))
         try:
             reason = await stream.serve()
@@ -100,12 +100,12 @@
             self._dispatcher.post(self._dispatcher.core.handle_link_lost)
         return reason == ADDRESS_CHANGED
 
-    def _leave(self, message: LeaveLink) -> None:
+    def _begin_close(self, message: CloseLink) -> None:
         """Sends the last query on the old link: its answer confirms that all before it was read. What is
         decided meanwhile waits for the new link, so that no start is uncertain."""
         stream = self._stream
-        if stream and stream is self._leaving_stream and not self._leaving_tag:
-            self._leaving_tag = message.tag
+        if stream and stream is self._closing_stream and not self._closing_tag:
+            self._closing_tag = message.tag
             stream.send(runtime_codec.encode(message))
             self._group.start_soon(self._abort_after_timeout, stream)
 
@@ -158,7 +158,7 @@
 
     def _handle_gauges(self, event: runtime_codec.GaugesReported) -> None:
         self._dispatcher.post(self._dispatcher.core.handle_gauges, event.tag, event.values)
-        if self._stream and self._leaving_tag and event.tag == self._leaving_tag:
+        if self._stream and self._closing_tag and event.tag == self._closing_tag:
             self._stream.abort(ADDRESS_CHANGED)
 
     def _handle_ready(self, event: runtime_codec.RuntimeReady) -> None:
--- a/otterrudder/net/runtime_codec.py
+++ b/otterrudder/net/runtime_codec.py
@@ -13,8 +13,8 @@
 from otterrudder.net.buffer import ProtocolError
 from otterrudder.net.lines import Words
 from otterrudder.net.messages import (
+    CloseLink,
     DeliverReply,
-    LeaveLink,
     QueryGauges,
     RuntimeMessage,
     SkipDownstreamCall,
@@ -168,7 +168,7 @@
     return lines.encode("gauges", REPLAYED)
 
 
-def _encode_query(message: QueryGauges | LeaveLink) -> list[bytes]:
+def _encode_query(message: QueryGauges | CloseLink) -> list[bytes]:
     return lines.encode("gauges", message.tag)
 
 
@@ -178,5 +178,5 @@
     StopRun: lambda m: lines.encode("stop", m.request_id),
     SkipDownstreamCall: lambda m: lines.encode("omit", m.request_id),
     QueryGauges: _encode_query,
-    LeaveLink: _encode_query,
+    CloseLink: _encode_query,
 }
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -22,7 +22,7 @@
 
 # Reasons for an end.
 CLOSED_BY_PEER = "closed by the other side"
-SERVER_ENDS = "the server ends"
+SERVER_SHUTDOWN = "the server ends"
 MESSAGE_TOO_LONG = "a message that is too long"
 
 
@@ -91,10 +91,10 @@
                 await self._read()
                 if self.state is State.CLOSING:
                     await self._finish_close()
-                self.abort(SERVER_ENDS)
+                self.abort(SERVER_SHUTDOWN)
                 group.cancel_scope.cancel()
         finally:
-            self.abort(SERVER_ENDS)
+            self.abort(SERVER_SHUTDOWN)
             self._output.clear()
             self.sock.close()
             # Breaks the reference cycle with the owner: left to the garbage collector, the buffers of a day
@@ -153,7 +153,7 @@
     def _receive(self) -> bool:
         """One read, whose whole messages are handled; whether anything came, an end included."""
         try:
-            with self.buffer.space() as space:
+            with self.buffer.free_space() as space:
                 if not space:
                     self.close(MESSAGE_TOO_LONG)
                     return True
--- a/tests/fake_runtime.py
+++ b/tests/fake_runtime.py
@@ -19,8 +19,8 @@
     ) -> None:
         """`ready`: warmth and uptime, "" for a runtime that is not up yet; `missed`: notices to replay."""
         super().__init__(sock)
-        self.synced = int(self.read_line().split()[1])  # the last notice that the server knows
-        self.last_notice = self.synced
+        self.synced_notice = int(self.read_line().split()[1])  # the last notice that the server knows
+        self.last_notice = self.synced_notice
         self.ignores_gauges = False
         if ready:
             self.send(f"ready {ready}")
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -13,7 +13,14 @@
 import anyio
 import pytest
 from fake_gateway import FakeGateway
-from net_harness import InProcessServer, answer, end, in_process, rest, until
+from net_harness import (
+    InProcessServer,
+    read_answer,
+    read_to_end,
+    run_in_process,
+    run_pending_tasks,
+    wait_until,
+)
 from server_process import A, B
 
 from otterrudder import clock
@@ -66,9 +73,9 @@
         due = at_rest(peer)
         gateway.sock.sendall(gateway.request_message(A))  # in the queue, for the loop does not run
         ends(peer, due)
-        assert "result" in await server.served(gateway, A)
+        assert "result" in await server.finish_request(gateway, A)
 
-    in_process(play)
+    run_in_process(play)
 
 
 @pytest.mark.parametrize("ends", [sweeps, makes_room])
@@ -80,11 +87,11 @@
         due, data = at_rest(peer), gateway.request_message(A)
         gateway.sock.sendall(data[:40])
         ends(peer, due)
-        await rest()
+        await run_pending_tasks()
         gateway.sock.sendall(data[40:])
-        assert "result" in await server.served(gateway, A)
+        assert "result" in await server.finish_request(gateway, A)
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_a_partial_request_after_a_rest_is_no_old_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,17 +100,17 @@
         monkeypatch.setattr(connection_reaper, "PARTIAL_MESSAGE_TIMEOUT_MS", 50.0)
         gateway, peer = await server.connect()
         gateway.sock.sendall(gateway.request_message(A))
-        await server.served(gateway, A)
+        await server.finish_request(gateway, A)
         await anyio.sleep(0.06)  # the rest, longer than a half may last
         data, before = gateway.request_message(B), peer.last_activity
         gateway.sock.sendall(data[:40])
-        await until(lambda: peer.last_activity > before)
+        await wait_until(lambda: peer.last_activity > before)
         close_if_silent(peer, peer.last_activity, Timeouts(1e9))  # in the moment in which it came
-        await rest()
+        await run_pending_tasks()
         gateway.sock.sendall(data[40:])
-        assert "result" in await server.served(gateway, B)
+        assert "result" in await server.finish_request(gateway, B)
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_a_dripping_message_is_cut_off_though_more_of_it_always_lies_unread() -> None:
@@ -112,30 +119,30 @@
         at_rest(peer)
         data = gateway.request_message(A)
         gateway.sock.sendall(data[:40])
-        await until(lambda: peer.partial_since < 1e300)
+        await wait_until(lambda: peer.partial_since < 1e300)
         gateway.sock.sendall(data[40:50])
         due = peer.partial_since + connection_reaper.PARTIAL_MESSAGE_TIMEOUT_MS + 1.0
         close_if_silent(peer, due, TIMEOUTS)
-        assert await end(gateway) == b""
+        assert await read_to_end(gateway) == b""
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_what_a_slow_reader_is_owed_outlasts_its_rest() -> None:
     async def play(server: InProcessServer) -> None:
         gateway, peer = await server.connect(small=True)
         owe(peer)
-        await rest()
+        await run_pending_tasks()
         assert peer.stream.unsent_bytes  # it does not read
         close_if_silent(peer, at_rest(peer), TIMEOUTS)
         makes_room(peer, 0.0)
         assert not peer.stream.end_reason  # nor is it on its way out, which is bounded
         for _ in range(ANSWERS):
-            assert len((await answer(gateway))["result"]["blob"]) > 5000
+            assert len((await read_answer(gateway))["result"]["blob"]) > 5000
         close_if_silent(peer, clock.monotonic() + 1e6, TIMEOUTS)
-        assert not await end(gateway)
+        assert not await read_to_end(gateway)
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_a_gateway_that_never_reads_is_aborted_at_last() -> None:
@@ -143,13 +150,13 @@
         _, peer = await server.connect()
         peer.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         peer.stream.send([b"x" * 400_000])
-        await rest()
+        await run_pending_tasks()
         close_if_silent(peer, clock.monotonic() + connection_reaper.READ_TIMEOUT_MS - 1000.0, TIMEOUTS)
         assert not peer.stream.end_reason
         close_if_silent(peer, clock.monotonic() + connection_reaper.READ_TIMEOUT_MS + 1.0, TIMEOUTS)
-        await until(lambda: not server.gateways.connections)
+        await wait_until(lambda: not server.gateways.connections)
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_a_close_over_unread_bytes_is_no_reset_and_answers_come_whole() -> None:
@@ -157,17 +164,17 @@
     async def play(server: InProcessServer) -> None:
         gateway, _ = await server.connect()
         gateway.sock.sendall(gateway.request_message(A) + b"{\n" * 15_000)
-        await until(lambda: server.turned() and server.runtime.started == [A])
+        await wait_until(lambda: server.run_batch() and server.runtime.started == [A])
         gateway.sock.sendall(gateway.request_message(B))  # after the last wrong one: never reported
         server.dispatcher.post(server.dispatcher.core.handle_run_ended, A, Outcome.OK, b"r" * 4096)
         server.dispatcher.run_batch()
-        lines = (await end(gateway)).splitlines()
+        lines = (await read_to_end(gateway)).splitlines()
         assert not gateway.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         assert len(lines) == gateway_connection.MAX_PROTOCOL_ERRORS + 1 and json.loads(lines[-1])["id"] == 1
         server.dispatcher.run_batch()
         assert server.runtime.started == [A]
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_owed_answers_of_a_connection_with_too_many_wrong_messages_are_not_cut_in_half() -> None:
@@ -175,12 +182,12 @@
         gateway, peer = await server.connect(small=True)
         owe(peer)
         gateway.sock.sendall(b"{\n" * 10)
-        await until(lambda: peer.stream.end_reason)
+        await wait_until(lambda: peer.stream.end_reason)
         assert peer.stream.unsent_bytes
-        told = [json.loads(text) for text in (await end(gateway)).splitlines()]
+        told = [json.loads(text) for text in (await read_to_end(gateway)).splitlines()]
         assert sum("result" in message for message in told) == ANSWERS
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_nobody_who_neither_reads_nor_closes_and_no_flood_holds_up_a_close() -> None:
@@ -204,11 +211,11 @@
         async with anyio.create_task_group() as pouring:
             for flood, peer in floods:
                 pouring.start_soon(pour, flood, peer)
-        await until(lambda: not server.gateways.connections)
+        await wait_until(lambda: not server.gateways.connections)
         assert time.monotonic() - began < 5.0  # 0.1 s, on a busy machine
         deaf.close()
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_a_connection_that_is_owed_an_answer_keeps_no_room_from_being_made() -> None:
@@ -216,20 +223,22 @@
     async def play(server: InProcessServer) -> None:
         owed, owed_peer = await server.connect()
         owed.sock.sendall(owed.request_message(A) + b"{\n" * 6)
-        await until(lambda: owed_peer.stream.end_reason and server.turned() and server.runtime.started)
+        await wait_until(
+            lambda: owed_peer.stream.end_reason and server.run_batch() and server.runtime.started
+        )
         resting = [await server.connect() for _ in range(server.gateways.max_connections - 1)]
         for _, peer in resting:
             peer.last_activity = -1e9
         newcomer = FakeGateway(server.gateways.sock.getsockname())
         newcomer.sock.sendall(newcomer.request_message(B))
         server.group.start_soon(server.gateways._accept, server.group)
-        assert "result" in await server.served(newcomer, B)
+        assert "result" in await server.finish_request(newcomer, B)
         assert owed_peer in server.gateways.connections
         server.dispatcher.post(server.dispatcher.core.handle_run_ended, A, Outcome.OK, b"done")
         server.dispatcher.run_batch()
-        assert b"result" in await end(owed)
+        assert b"result" in await read_to_end(owed)
 
-    in_process(play, max_descriptors=gateway_listener.SPARE_DESCRIPTORS + 10)
+    run_in_process(play, max_descriptors=gateway_listener.SPARE_DESCRIPTORS + 10)
 
 
 def test_a_connection_that_is_over_leaves_nothing_to_the_collector() -> None:
@@ -238,15 +247,15 @@
         try:
             gateway, peer = await server.connect()
             gateway.sock.sendall(gateway.request_message(A))
-            await server.served(gateway, A)
+            await server.finish_request(gateway, A)
             gateway.close()
             ended_connection = weakref.ref(peer)
             del peer
-            await until(lambda: not server.gateways.connections)
+            await wait_until(lambda: not server.gateways.connections)
             server.dispatcher.run_batch()
-            await rest()
+            await run_pending_tasks()
             assert ended_connection() is None
         finally:
             gc.enable()
 
-    in_process(play)
+    run_in_process(play)
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -17,7 +17,7 @@
 def fed(pieces: list[bytes], read, room: int = 4096) -> list:
     buffer, got = Buffer(room), []
     for piece in pieces:
-        buffer.put(piece)
+        buffer.append(piece)
         got += read(buffer)
     assert buffer.start == buffer.end
     return got
@@ -58,7 +58,7 @@
     buffer = Buffer(16384)
     assert len(buffer.data) == 4096
     with pytest.raises(ProtocolError):
-        buffer.put(b"z" * 20000)
+        buffer.append(b"z" * 20000)
     assert len(buffer.data) == 16384
 
 
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import SETTINGS
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 pytestmark = pytest.mark.exclusive
 
@@ -36,7 +36,7 @@
     bad = server.connect_gateway()
     for fields in BAD_FIELDS:
         rude = server.connect_gateway()
-        rude.send_request(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
+        rude.send_request(**({"call": B, "product": "pay", "dedupe": IDEMPOTENCY_KEY} | fields))
         assert rude.read_answer()["error"]["code"] == -32602, fields
         rude.close()
     for line, code in BAD_LINES.items():
@@ -94,7 +94,7 @@
 def test_a_33rd_open_request_is_turned_away(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     for n in range(33):
-        gateway.send_request(f"{n:016x}", "pay", dedupe=MARK)
+        gateway.send_request(f"{n:016x}", "pay", dedupe=IDEMPOTENCY_KEY)
     answer = gateway.read_answer()
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -9,8 +9,8 @@
 import anyio
 import pytest
 from line_connection import listen
-from net_harness import InProcessServer, in_process, until
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from net_harness import InProcessServer, run_in_process, wait_until
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 from otterrudder.admission.interface import Outcome
 from otterrudder.net.messages import (
@@ -24,7 +24,7 @@
 
 def test_calls_are_made_retried_cancelled_and_late_replies_dropped(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    rpc = gateway.send_request(A, "pay", dedupe=MARK)
+    rpc = gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
     runtime.expect_command("start", A)
     runtime.send_notice(f"wants {A}", b"row?")
     records = server.accept_records()
@@ -52,7 +52,7 @@
 ) -> None:
     runtime, gateway = server.connect_all()
     links = {}
-    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B, "look")
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B, "look")
     for call in (A, B):
         runtime.expect_command("start", call)
         runtime.send_notice(f"wants {call}", b"?")
@@ -136,20 +136,20 @@
         pool, reported = pool_of(server.group, service.getsockname())
         pool.send(SendCall(A, 500.0, b"?"))
         first = await anyio.to_thread.run_sync(lambda: service.accept()[0])
-        await until(lambda: pool.connections and next(iter(pool.connections)).stream)
+        await wait_until(lambda: pool.connections and next(iter(pool.connections)).stream)
         await anyio.to_thread.run_sync(lambda: first.recv(100))
         first.sendall(f"{A} DONE 1\r\n!\r\n".encode())
-        await until(lambda: reported)
+        await wait_until(lambda: reported)
         assert reported.pop() == (A, Outcome.OK, b"!") and pool.idle
         first.close()  # its end lies unread, for the loop does not run
         pool.send(SendCall(B, 500.0, b"?"))
         second = await anyio.to_thread.run_sync(lambda: service.accept()[0])
         second.sendall(f"{B} DONE 1\r\n!\r\n".encode())
-        await until(lambda: reported)
+        await wait_until(lambda: reported)
         assert reported == [(B, Outcome.OK, b"!")]
         service.close(), second.close()
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_the_end_of_an_earlier_calls_connection_is_not_that_of_the_call_now_out() -> None:
@@ -165,11 +165,11 @@
         await anyio.sleep(0.05)
         assert not reported  # the first was given up by the second
         ends[1].sendall(f"{A} DONE 1\r\n!\r\n".encode())
-        await until(lambda: reported)
+        await wait_until(lambda: reported)
         assert reported == [(A, Outcome.OK, b"!")] and not pool.connection_of
         service.close(), ends[1].close()
 
-    in_process(play)
+    run_in_process(play)
 
 
 CALL = re.compile(r"OP (\w{16}) \d+ 16\r\n(\d{16})\r\n")  # a body names the call, so its reply does
@@ -212,7 +212,7 @@
             self.pool.send(CancelCall(call))
             del self.calls[call]
         elif event == 5 and self.chance.random() < 0.3:
-            self.pool.move(self.chance.choice(self.listeners).getsockname())
+            self.pool.change_address(self.chance.choice(self.listeners).getsockname())
         elif self.connections:
             self._serve(self.chance.choice(self.connections))
 
@@ -274,4 +274,4 @@
         await service.close()
         assert not service.pool.connection_of and service.ended > 30
 
-    in_process(play)
+    run_in_process(play)
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -6,14 +6,14 @@
 
 import pytest
 from line_connection import listen
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 pytestmark = pytest.mark.exclusive
 
 
 def test_a_new_configuration_moves_runtime_records_and_registry(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
     gateway.send_request(C), runtime.expect_command("start", C)
     runtime.send_notice(f"wants {C}", b"?")
     old_records = server.accept_call(C, b"?")
@@ -29,7 +29,7 @@
         assert words[0] == "gauges"
         runtime.send(f"load {words[1]} 0.2 1 0.1 5")
     new = server.accept_runtime()
-    assert new.synced == 1
+    assert new.synced_notice == 1
     gateway.send_request(B), new.expect_command("start", B)  # not A again: its start was read
     new.send_notice(f"wants {B}", b"?")
     server.accept_call(B, b"?").send(f"{B} DONE", b"!")
@@ -74,7 +74,7 @@
         gateway.send_request(A)
         error = gateway.read_answer()["error"]
         assert error["code"] == -32014
-        gateway.send_request(B, "pay", dedupe=MARK), runtime.expect_command("start", B, "pay")
+        gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", B, "pay")
         file.write_text("version = 1\nlevel = 7")
         server.process.send_signal(signal.SIGHUP)
         server.wait_for_log("levels not taken", lambda: runtime.answer_gauges(1))
@@ -82,7 +82,9 @@
         server.process.send_signal(signal.SIGHUP)
         server.wait_for_log("entered=no-pay", lambda: runtime.answer_gauges(1))
         gateway.send_request(A), runtime.expect_command("start", A, "look")
-        gateway.send_request(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
+        gateway.send_request(
+            C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1
+        )  # what runs is never declined by a level
         runtime.answer_gauges()
         runtime.end_run(B, b"paid")
         assert gateway.read_result() == gateway.read_result() == b"paid"
--- a/tests/net/test_request_core.py
+++ b/tests/net/test_request_core.py
@@ -4,7 +4,7 @@
 
 import pytest
 from core_harness import CoreBench, fields_of
-from net_harness import InProcessServer, in_process
+from net_harness import InProcessServer, run_in_process
 from server_process import A
 
 from otterrudder.admission.commands import ScheduleTick
@@ -146,6 +146,6 @@
         server.dispatcher.run_batch()
         gateway, _ = await server.connect()
         gateway.sock.sendall(gateway.request_message(A))
-        assert "result" in await server.served(gateway, A)
+        assert "result" in await server.finish_request(gateway, A)
 
-    in_process(play)
+    run_in_process(play)
--- a/tests/net/test_requests_on_sockets.py
+++ b/tests/net/test_requests_on_sockets.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 pytestmark = pytest.mark.exclusive
 
@@ -25,13 +25,13 @@
 def test_a_retry_is_answered_from_the_first_run(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     other = server.connect_gateway()
-    gateway.send_request(A, "pay", dedupe=MARK)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
     runtime.expect_command("start", A, "pay")
-    other.send_request(B, "pay", dedupe=MARK, rep=1)  # while it runs
+    other.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # while it runs
     runtime.answer_gauges()
     runtime.end_run(A, b"paid")
     assert gateway.read_result() == other.read_result() == b"paid"
-    other.send_request(C, "pay", dedupe=MARK, rep=1)  # afterwards
+    other.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # afterwards
     assert other.read_result() == b"paid"
     runtime.answer_gauges()
 
@@ -45,7 +45,7 @@
     assert gateway.read_line() == b""
     server.start()
     runtime = server.accept_runtime(ready="chilly 0")
-    assert runtime.synced == 0
+    assert runtime.synced_notice == 0
     runtime.answer_gauges()
     complete_request(runtime, server.connect_gateway(), B)
 
@@ -68,23 +68,23 @@
 def test_a_key_with_another_body_or_method_is_never_served(server: ServerProcess) -> None:
     # Its result was once given to whoever named the mark.
     runtime, gateway = server.connect_all()
-    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
-    gateway.send_request(B, "pay", dedupe=MARK, body=b"other")
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
+    gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, body=b"other")
     assert gateway.read_answer()["error"]["code"] == -32602
     runtime.end_run(A, b"paid")
     assert gateway.read_result() == b"paid"
-    gateway.send_request(B, "pay", dedupe=MARK, body=b"other")
+    gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, body=b"other")
     assert gateway.read_answer()["error"]["code"] == -32602
-    gateway.send_request(C, "pay", dedupe=MARK)
+    gateway.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY)
     assert gateway.read_result() == b"paid"
 
 
 def test_a_start_that_the_runtime_refused_leaves_its_key_free(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    gateway.send_request(B, "pay", dedupe=MARK, body=b"other"), runtime.expect_command("start", B)
+    gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, body=b"other"), runtime.expect_command("start", B)
     runtime.send(f"nack start {B}")
     assert gateway.read_answer()["error"]["code"] == -32602
-    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
     runtime.end_run(A, b"paid")
     assert gateway.read_result() == b"paid"
 
@@ -93,10 +93,10 @@
     limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # room for one result
     with ServerProcess(tmp_path, limits=limits) as server:
         runtime, gateway = server.connect_all()
-        gateway.send_request(A, "pay", dedupe=MARK)
+        gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
         runtime.expect_command("start", A)
-        gateway.send_request(B, "pay", dedupe=MARK[::-1])
+        gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY[::-1])
         assert gateway.read_answer()["error"]["code"] == -32014
-        gateway.send_request(C, "pay", dedupe=MARK)  # the one that is kept is still known
+        gateway.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY)  # the one that is kept is still known
         runtime.end_run(A, b"paid")
         assert {gateway.read_result(), gateway.read_result()} == {b"paid"}
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import ROOT, RUN, SETTINGS
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 from otterrudder.cli.migrate import migrate_settings
 
@@ -36,14 +36,14 @@
 @pytest.mark.parametrize("cut", [b"end 2 ", f"end 2 {A} complete 3.5 40\r\nhalf of".encode()])
 def test_a_lost_runtime_link_is_made_anew_and_replayed(server: ServerProcess, cut: bytes) -> None:
     runtime, gateway = server.connect_all()
-    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
     runtime.answer_gauges()  # proves that both starts were read
     runtime.send_notice("info hello there")
     runtime.sock.sendall(cut)
     runtime.close()
     runtime = server.accept_runtime(missed=[(f"end {A} complete 3.5", b"a" * 40)])
-    assert runtime.synced == 1 and gateway.read_result() == b"a" * 40
+    assert runtime.synced_notice == 1 and gateway.read_result() == b"a" * 40
     runtime.answer_gauges()
     runtime.end_run(B, b"b")  # it ran on and was not started again
     assert gateway.read_result() == b"b"
@@ -53,7 +53,7 @@
 def test_after_a_lost_link_only_what_has_no_effect_is_started_again(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     runtime.ignores_gauges = True  # so nothing proves that the starts were read
-    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
     runtime.close()
     runtime = server.accept_runtime()
@@ -99,7 +99,7 @@
     server.wait_for_log(
         "runtime link lost"
     )  # a start on a link that dies unseen is in doubt, which is another test
-    gateway.send_request(A, "pay", dedupe=MARK)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
     gateway.send_message("check")
     assert gateway.read_answer()["result"]["pass"] is True  # it has read the request before
     server.runtimes = socket.create_server(server.runtime_address)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -12,8 +12,8 @@
 import pytest
 from fake_gateway import FakeGateway
 from helpers import SETTINGS
-from net_harness import InProcessServer, end, in_process, rest, until
-from server_process import MARK, A, B, C, ServerProcess
+from net_harness import InProcessServer, read_to_end, run_in_process, run_pending_tasks, wait_until
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess
 
 from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
 from otterrudder.net import gateway_listener, serve
@@ -25,7 +25,7 @@
 
 def test_a_drain_answers_all_and_ends_with_0(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    gateway.send_request(A, "pay", dedupe=MARK), gateway.send_request(B), gateway.send_request(C)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B), gateway.send_request(C)
     for call in (A, B, C):
         runtime.expect_command("start", call)
     runtime.send_notice(f"wants {C}", b"?")
@@ -83,13 +83,13 @@
         inside.group.start_soon(inside.dispatcher.run)
         await inside.gateways.run(inside.group)
         for gateway in (resting, half):
-            told = [json.loads(text) for text in (await end(gateway)).splitlines()]
+            told = [json.loads(text) for text in (await read_to_end(gateway)).splitlines()]
             assert [message.get("method") for message in told[:1]] == ["noMore"]
             assert [message["error"]["code"] for message in told[1:]] == [-32014]
-        assert b"noMore" in await end(busy)  # its half was never a request
+        assert b"noMore" in await read_to_end(busy)  # its half was never a request
         assert not inside.runtime.started and not inside.gateways.connections
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_whoever_waits_to_be_accepted_at_the_end_of_a_drain_is_answered(tmp_path: Path) -> None:
@@ -133,7 +133,7 @@
         gateway.read_answer()
         stopped(server)
         runtime.send("ready hot 60000")
-        gateway.send_request(A), gateway.send_request(B, "pay", dedupe=MARK)
+        gateway.send_request(A), gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY)
         server.process.terminate()
         server.process.send_signal(signal.SIGCONT)
         answers = {}
@@ -157,14 +157,14 @@
         inside.dispatcher.post(core.handle_runtime_ready, True, 60_000.0)
         inside.dispatcher.post(core.handle_link_established)
         gateway.sock.sendall(gateway.request_message(A))
-        await rest()
+        await run_pending_tasks()
         inside.group.start_soon(inside.dispatcher.run)
         await inside.gateways.run(inside.group)  # it ends by itself
-        told = [json.loads(text) for text in (await end(gateway)).splitlines()]
+        told = [json.loads(text) for text in (await read_to_end(gateway)).splitlines()]
         assert [message["error"]["code"] for message in told if "id" in message] == [-32014]
         assert not inside.runtime.started
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_sigterm_between_ready_and_the_batch_that_handles_it_is_a_whole_drain() -> None:
@@ -196,14 +196,14 @@
         inside.group.start_soon(inside.dispatcher.run)
         gateway, _ = await inside.connect()
         gateway.sock.sendall(gateway.request_message(A))
-        await until(lambda: inside.runtime.started)
-        shutdown_s = gateway_listener.GOAWAY_GRACE_S + gateway_listener.LAST_WRITES_S
+        await wait_until(lambda: inside.runtime.started)
+        shutdown_s = gateway_listener.GOAWAY_GRACE_S + gateway_listener.FINAL_WRITE_TIMEOUT_S
         await anyio.sleep(2 * shutdown_s)  # longer than a way out takes
         assert not over.is_set()
-        assert "result" in await inside.served(gateway, A)
+        assert "result" in await inside.finish_request(gateway, A)
         await over.wait()
 
-    in_process(play)
+    run_in_process(play)
 
 
 def test_signals_in_any_order_end_in_one_drain(tmp_path: Path) -> None:
--- a/tests/net_harness.py
+++ b/tests/net_harness.py
@@ -64,22 +64,24 @@
         (peer,) = self.gateways.connections - before
         if small:
             peer.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        await rest()
+        await run_pending_tasks()
         return gateway, peer
 
-    async def served(self, gateway: FakeGateway, call: str, body: bytes = b"done", **more: object) -> dict:
+    async def finish_request(
+        self, gateway: FakeGateway, call: str, body: bytes = b"done", **more: object
+    ) -> dict:
         """Takes the one start that is there or to come, ends it, and hands over the answer."""
-        await until(lambda: self.turned() and call in self.runtime.started)
+        await wait_until(lambda: self.run_batch() and call in self.runtime.started)
         self.dispatcher.post(self.dispatcher.core.handle_run_ended, call, Outcome.OK, body)
         self.dispatcher.run_batch()
-        return await answer(gateway)
+        return await read_answer(gateway)
 
-    def turned(self) -> bool:
+    def run_batch(self) -> bool:
         self.dispatcher.run_batch()
         return True
 
 
-def in_process(test: Callable[[InProcessServer], Awaitable[None]], **told: int) -> None:
+def run_in_process(test: Callable[[InProcessServer], Awaitable[None]], **told: int) -> None:
     async def play() -> None:
         async with anyio.create_task_group() as group:
             with anyio.fail_after(20):
@@ -93,26 +95,26 @@
     anyio.run(play)
 
 
-async def rest() -> None:
+async def run_pending_tasks() -> None:
     """Whoever can go on does, until nobody can."""
     for _ in range(20):
         await anyio.sleep(0)
 
 
-async def until(true: Callable[[], object]) -> None:
+async def wait_until(true: Callable[[], object]) -> None:
     while not true():
         await anyio.sleep(0.001)
 
 
-async def line(gateway: FakeGateway) -> bytes:
+async def read_line(gateway: FakeGateway) -> bytes:
     return await anyio.to_thread.run_sync(gateway.read_line)
 
 
-async def answer(gateway: FakeGateway) -> dict:
+async def read_answer(gateway: FakeGateway) -> dict:
     return await anyio.to_thread.run_sync(gateway.read_answer)
 
 
-async def end(gateway: FakeGateway) -> bytes:
+async def read_to_end(gateway: FakeGateway) -> bytes:
     """The rest up to an orderly end; a reset raises."""
 
     def read() -> bytes:
--- a/tests/server_process.py
+++ b/tests/server_process.py
@@ -19,7 +19,7 @@
 
 # Ids of requests, and an idempotency key.
 A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
-MARK = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
 def address_text(address: tuple[str, int]) -> str:
