--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -196,7 +196,7 @@
             below_full=self.downstream.full / max(self.downstream.calls, 1),
             p50_ms=_quantile(statistics.times, 0.5),
             p99_ms=_quantile(statistics.times, 0.99),
-            failed_steps=float(self.logged.get("a command failed", 0)),
+            failed_steps=float(self.logged.get("admission command failed", 0)),
         )
         for n, product in enumerate(statistics.products):
             figures[f"served.{product.name}"] = statistics.served(n)
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -1,12 +1,14 @@
-"""The request core: the server without its sockets. No I/O, no clock, no decision.
+"""The request core: the server without its sockets. It performs no I/O, reads no clock, and leaves admission
+decisions to the admission controller.
 
-The dispatcher drives it in batches: `advance_to` with the time, a handler for each event that came, then
-`take_messages`, which carries out the admission controller's commands and hands over what is to be sent. The
-messages are in `messages.py`. The lab drives the very same code.
+The dispatcher drives the core in batches: it calls `advance_to` with the time, then a handler for each event,
+then `take_messages`, which executes the admission controller's commands and returns the messages to send. The
+message types are in `messages.py`. The simulations in the lab drive the same code.
 
-Its parts: `request_table` (the pending requests and their ends), `idempotency` (the keys and the responses to
-replay), `run_delivery` (what the runtime is told, and has read), `downstream` (calls to the records service),
-`service_state` (what restricts admission from outside the controller)."""
+The core consists of `request_table` (pending requests and how they end), `idempotency` (idempotency keys and
+the responses to replay), `run_delivery` (commands to the runtime, and which of them it has read),
+`downstream` (calls to the records service) and `service_state` (restrictions on admission from outside the
+controller)."""
 
 from collections.abc import Callable, Hashable
 from typing import TYPE_CHECKING, Any
@@ -44,12 +46,13 @@
 if TYPE_CHECKING:  # a server without levels does not import them
     from otterrudder.levels import LevelController, LevelTable, LevelUpdate
 
-MIN_TIME_LEFT_MS = 1e-3  # 0 would tell the controller that the time left is not known
-UNKNOWN_CORES = -1.0  # busy cores where no gauges came
+MIN_TIME_LEFT_MS = 1e-3  # the controller takes 0 for an unknown time left
+UNKNOWN_CORES = -1.0  # number of busy cores if the runtime has not answered the gauges query
 
 
 class RequestCore:
-    """Keeps the pending requests, and connects the admission controller with the edges of the server."""
+    """Keeps the pending requests and connects the admission controller with the gateways, the runtime and the
+    records service."""
 
     def __init__(
         self,
@@ -58,36 +61,41 @@
         gauge_names: list[str],
         levels: "LevelController | None" = None,
     ) -> None:
-        """`create_controller` is called with the time, whether the runtime is warm and its uptime in ms, once
-        the runtime is up. `gauge_names`: in the order of the runtime's answers. `levels`: the controller of
-        the levels of reduced service, if there are any."""
+        """`create_controller` is called once the runtime is up, with the time, whether the runtime is warm
+        and its uptime in ms. `gauge_names` has the gauges in the order of the runtime's answers. `levels` is
+        the controller of the levels of reduced service; None if no levels are configured."""
         self.request_classes = request_classes
-        self.class_indices = {one.name: index for index, one in enumerate(request_classes)}
+        self.class_indices = {
+            request_class.name: index for index, request_class in enumerate(request_classes)
+        }
         self.controller: AdmissionController | None = None
         self._create_controller = create_controller
         self.unix_ms = 0.0
         self.now = 0.0
-        self.outbox: list[Outgoing] = []  # shared with the parts below
+        self.outbox: list[Outgoing] = []  # shared with the components created below
         self.idempotency = IdempotencyTable()
-        self.delivery = RunDelivery(self.outbox, [one.name for one in request_classes], gauge_names)
+        method_names = [request_class.name for request_class in request_classes]
+        self.delivery = RunDelivery(self.outbox, method_names, gauge_names)
         self.calls = DownstreamCalls(self.outbox)
         self.requests = RequestTable(
             request_classes, self.outbox, self.idempotency, self.delivery, self.calls
         )
         self.service = ServiceState(len(request_classes), levels)
         self.is_healthy = False
-        self.busy_cores = UNKNOWN_CORES  # at the last tick, for the log
+        self.busy_cores = UNKNOWN_CORES  # at the last tick, for the periodic log line
 
     @property
     def _admission(self) -> AdmissionController:
-        """The controller, where it is known to exist: no request is kept and no tick is due before."""
+        """The controller, for callers that run only once it exists: without a controller no request is kept
+        and no tick is due."""
         assert self.controller
         return self.controller
 
-    # A batch.
+    # Batches.
 
     def advance_to(self, unix_ms: float, now: float) -> None:
-        """The batch's time: `now` is monotonic, in ms. What was due by then happens first."""
+        """Begins a batch at the time `now` (monotonic, in ms), and handles the deadlines that have passed by
+        then."""
         self.unix_ms = unix_ms
         self.now = now
         if self.idempotency.expirations:
@@ -96,14 +104,14 @@
             self.controller.advance_to(now)
 
     def take_messages(self) -> list[Outgoing]:
-        """Ends the batch: carries out the controller's commands, and those that follow from them, and returns
-        what is to be sent, in order."""
+        """Ends the batch: executes the controller's commands, including those that result from executing
+        others, and returns the messages to send, in order."""
         while self.controller and (pending := self.controller.take_commands()):
             for command in pending:
                 try:
                     self._execute(command)
-                except Exception as error:  # one request's failure is not the others'
-                    self._log("a command failed", {"command": command, "error": repr(error)})
+                except Exception as error:  # must not affect other requests
+                    self._log("admission command failed", {"command": command, "error": repr(error)})
                     if request := self.requests.by_number.get(getattr(command, "request_id", 0)):
                         self.requests.fail(request)
         self.idempotency.batch_entries.clear()
@@ -111,33 +119,33 @@
         self.outbox.clear()
         return messages
 
-    # Events of gateways.
+    # Events from gateways.
 
     def handle_arrival(
         self, connection: Hashable, rpc_id: int, class_index: int, fields: RequestFields
     ) -> None:
-        """A request has come on a connection; exactly one answer goes back."""
+        """Handles a request that arrived on a connection; exactly one answer is sent back."""
         if fields.request_id in self.requests.by_id:
-            self.outbox.append((connection, RequestInvalid(rpc_id, "this call is open already")))
+            self.outbox.append((connection, RequestInvalid(rpc_id, "call is already open")))
             return
-        if not self.controller:  # nothing can run yet
+        if not self.controller:  # nothing can run before the runtime is up
             load = self.requests.advertised_load
             self.outbox.append((connection, RequestRejected(rpc_id, False, 0.0, load)))
             return
         key = ""
         digest = b""
-        earlier = None
+        earlier_entry = None
         if self.request_classes[class_index].idempotency is Idempotency.IDEMPOTENT:
             key = fields.idempotency_key
         if key:
             digest = request_digest(class_index, fields.body)
-            earlier = self.idempotency.find(key)
-            if earlier and earlier.digest != digest:  # its response would be served to another request
-                reason = "this mark came with another body or method"
+            earlier_entry = self.idempotency.find(key)
+            if earlier_entry and earlier_entry.digest != digest:  # its response belongs to another request
+                reason = "dedupe was used with another body or method"
                 self.outbox.append((connection, RequestInvalid(rpc_id, reason)))
                 return
         request = self.requests.add(connection, rpc_id, class_index, fields, digest)
-        if key and not earlier:
+        if key and not earlier_entry:
             self.idempotency.add_to_batch(key, request.number, digest)
         age_ms = max(self.unix_ms - fields.received_at, 0.0)
         ttl_ms = fields.ttl_ms
@@ -150,14 +158,14 @@
                 size_kb=fields.size_kb,
                 age_ms=age_ms,
                 time_left_ms=0.0 if ttl_ms is None else max(ttl_ms - age_ms, MIN_TIME_LEFT_MS),
-                earlier_attempt_id=earlier.holder if earlier else 0,
+                earlier_attempt_id=earlier_entry.holder if earlier_entry else 0,
                 is_retry=fields.is_retry,
                 criticality=fields.criticality,
             )
         )
 
     def handle_disconnect(self, request_id: str) -> None:
-        """The caller waits no more, or its connection has gone: no answer is owed."""
+        """Closes a request whose caller cancelled it or disconnected; no answer is sent."""
         request = self.requests.by_id.get(request_id)
         if request and not request.is_answered:
             self.requests.close(request)
@@ -165,22 +173,23 @@
             self.requests.release(request)
 
     def handle_health_check(self, connection: Hashable, rpc_id: int) -> None:
-        """A gateway asks whether requests are served here."""
+        """Answers a gateway's health check."""
         self.outbox.append((connection, HealthStatus(rpc_id, self.is_healthy, self.requests.advertised_load)))
 
-    # Events of the runtime.
+    # Events from the runtime.
 
     def handle_runtime_ready(self, is_warm: bool, uptime_ms: float) -> None:
-        """The runtime is up for the first time since this process started."""
-        if self.service.is_shutting_down:  # what was admitted now could not be answered by the end
+        """Creates the admission controller: the runtime is up for the first time since this process
+        started."""
+        if self.service.is_shutting_down:  # a request admitted now could not be answered in time
             return
         self.controller = self._create_controller(self.now, is_warm, uptime_ms)
         self.requests.controller = self.controller
         self.service.attach(self.controller)
 
     def handle_link_established(self) -> None:
-        """A link to the runtime stands, and all that the runtime said meanwhile was received: what it shows
-        to be missing is sent again."""
+        """Resends what earlier links lost: a link to the runtime is established, and all notices that the
+        runtime issued in the meantime were received."""
         self.delivery.handle_link_established()
         for request in self.requests.running():
             is_safe = self.request_classes[request.class_index].idempotency is Idempotency.SAFE
@@ -188,38 +197,40 @@
                 self.requests.finish_run(request, Outcome.NEVER_STARTED)
 
     def handle_link_lost(self) -> None:
-        """The link to the runtime has gone."""
+        """Stops sending commands: the link to the runtime is lost."""
         self.delivery.handle_link_lost()
 
     def handle_runtime_restart(self) -> None:
-        """The runtime has started anew by itself: its runs are gone, and nothing tells how they ended."""
+        """Ends all runs that the runtime may have received: it has restarted, and how they ended is
+        unknown."""
         for request in self.requests.running():
             if self.delivery.has_reached(request):
                 self.requests.finish_run(request, Outcome.RESET)
 
     def close_runtime_link(self) -> None:
-        """The runtime has another address: what is decided from now on goes there."""
+        """Stops using the link because the runtime's address changed; later commands wait for the new
+        link."""
         self.delivery.close_link()
 
     def handle_run_ended(self, request_id: str, outcome: Outcome, body: bytes) -> None:
-        """A run has ended; `body` is its response."""
+        """Handles the end of a run; `body` is its response."""
         request = self.requests.by_id.get(request_id)
         if request and request.is_running:
             self.requests.finish_run(request, outcome, body)
 
     def handle_call_needed(self, request_id: str, body: bytes) -> None:
-        """A run waits at a downstream call."""
+        """Handles a run that waits for a downstream call with this body."""
         request = self.requests.by_id.get(request_id)
         if request and request.is_running and request.pending_call is None:
             self.delivery.handle_call_needed(request, body)
             self._admission.handle_call_needed(request.number)
 
     def handle_gauges(self, tag: int, values: list[float]) -> None:
-        """The answer to the gauges query of that tag."""
+        """Handles the answer to the gauges query with this tag."""
         self.delivery.handle_gauges(tag, values)
 
     def handle_command_refused(self, command: type[RuntimeMessage] | None, request_id: str) -> None:
-        """The runtime did not carry out a command of that type; None: of a type unknown here."""
+        """Handles a command that the runtime refused; `command` is its type, None if the type is unknown."""
         request = self.requests.by_id.get(request_id)
         if not request:
             return
@@ -232,35 +243,35 @@
         elif command is DeliverReply:
             self.requests.fail(request)
 
-    # Events of the records service.
+    # Events from the records service.
 
     def handle_call_ended(self, request_id: str, outcome: Outcome, body: bytes = b"") -> None:
-        """A downstream call has ended; `body` is its reply."""
+        """Handles the end of a downstream call; `body` is its reply."""
         request = self.requests.by_id.get(request_id)
         if not request or not request.is_calling:
-            return  # late: it was cancelled
+            return  # the call was cancelled before its end was handled
         self.calls.finish(request)
         if outcome is Outcome.OK:
             self.delivery.deliver_reply(request, body)
         self._admission.handle_call_ended(request.number, outcome)
 
-    # Events of the dispatcher and of the parts that it drives.
+    # Calls from the dispatcher and from the server's other components.
 
     def query_gauges(self) -> None:
-        """Asks the runtime for gauges, ahead of a tick."""
+        """Queries the runtime's gauges before a tick."""
         self.delivery.query_gauges()
 
     def tick(self, late_ms: float = 0.0) -> None:
-        """The admission controller's periodic tick; `late_ms`: how late this one is. Without an answer to the
-        last gauges query the controller takes the safe side, and the levels take the use of the cores for
-        unknown."""
+        """Runs the admission controller's periodic tick, which is `late_ms` late. Without an answer to the
+        last gauges query the controller assumes that all cores are busy, and the level controller treats the
+        core utilization as unknown."""
         gauges = self.delivery.take_gauges()
         self.busy_cores = gauges.get("on_cores", UNKNOWN_CORES)
         self._admission.tick(**gauges)
         self._log_update(self.service.step_levels(self.now, late_ms, "busy" in gauges))
 
     def replace_level_table(self, table: "LevelTable") -> None:
-        """Takes another table of levels, where there are levels."""
+        """Replaces the table of levels, if levels are configured."""
         self._log_update(self.service.replace_table(table, self.now))
 
     def update_policy(
@@ -271,7 +282,7 @@
         tenants: list[Tenant],
         limits: Limits,
     ) -> None:
-        """A policy of the fleet is in force."""
+        """Puts a policy of the fleet into force."""
         policy = (request_classes, tenants, limits)
         self._log_update(self.service.update_policy(table, create_levels, policy, self.now))
 
@@ -280,23 +291,23 @@
         self.service.set_suspended(is_suspended)
 
     def set_scope_served(self, scope: RequestScope, is_served: bool, drain_ms: float) -> None:
-        """Serves the scope's requests from now on, or drains them within `drain_ms`."""
+        """Starts serving the scope's requests, or drains them within `drain_ms`."""
         self.service.set_scope_served(scope, is_served, drain_ms)
 
     def begin_graceful_shutdown(self, time_left_ms: float) -> None:
-        """Answers all that is here within `time_left_ms`, then closes the connections."""
+        """Answers all pending requests within `time_left_ms`, then closes the connections."""
         if not self.service.is_shutting_down and not self.service.begin_shutdown(time_left_ms):
             self.outbox.append((Destination.GATEWAYS, commands.CloseConnections()))
 
     def fail_request(self, request_id: str) -> None:
-        """An event of this request could not be handled: it fails, the others go on."""
+        """Fails a request because one of its events could not be handled; other requests are not affected."""
         if request := self.requests.by_id.get(request_id):
             self.requests.fail(request)
             self._admission.handle_disconnect(request.number)
 
     def log_fields(self) -> dict[str, Any]:
-        """Fields for the periodic log line: the controller's counts beside those kept here, which must
-        agree."""
+        """Returns the fields for the periodic log line. They include the controller's counts and the core's
+        own counts, which must agree."""
         if not self.controller:
             return {}
         fields: dict[str, Any] = dict(
@@ -320,7 +331,7 @@
             if request := self.requests.by_number.get(command.request_id):
                 _REQUEST_COMMANDS[type(command)](self, request, command)
             elif isinstance(command, commands.StartRequest):
-                # Its caller left within this batch: nothing starts, and its slot comes back.
+                # Its caller disconnected within this batch: the slot is released without a start.
                 self._admission.handle_finished(command.request_id, Outcome.NEVER_STARTED)
             return
         match command:
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -1,10 +1,11 @@
 """The dispatcher of the event loop, the only caller of the request core.
 
-The actors (connections, links, signals) post events: calls of the core, which they never call themselves. The
-dispatcher handles all events that wait as one batch: the time once, then the events of the runtime and the
-records service ahead of arrivals (what they free is there for those that arrive), then the admission
-controller's tick if it is due. The core's messages then go to their destinations. A timer wakes the
-dispatcher for the next tick, and a little earlier to query gauges."""
+The actors (connections, links, signals) never call the core themselves; they post events, which are calls of
+the core. The dispatcher handles all posted events as one batch: it sets the time once, then handles the
+events of the runtime and the records service, then arrivals, then the admission controller's tick if it is
+due. Events come before arrivals so that the capacity they free is available to the arrivals. Finally the
+core's messages are passed to their destinations. A timer wakes the dispatcher for the next tick, and a few ms
+earlier to query the gauges."""
 
 import math
 from collections.abc import Callable, Hashable
@@ -20,27 +21,27 @@
 from otterrudder.net.loop_statistics import LoopStatistics
 from otterrudder.net.messages import Destination, DispatcherMessage
 
-GAUGE_QUERY_LEAD_MS = 6.0  # ahead of a tick: a round trip, and a busy loop
+GAUGE_QUERY_LEAD_MS = 6.0  # before a tick: covers a round trip to the runtime and a busy event loop
 
 
 class MailboxEvent(msgspec.Struct, frozen=True, gc=False):
-    """A call of the core that waits for the next batch."""
+    """A call of the core, queued for the next batch."""
 
     handler: Callable[..., object]
     arguments: tuple[Any, ...]
-    request_id: str  # of the request that fails with it; "": none
+    request_id: str  # the request that fails if the call raises an exception; "" for none
 
 
 class Recipient(Protocol):
-    """Where the core's messages may go."""
+    """A destination of the core's messages."""
 
     def send(self, message: Any) -> None:
-        """Takes a message of its own types, see `messages.py`; never waits."""
+        """Sends or handles a message without waiting; `messages.py` groups the types by destination."""
 
 
 class Dispatcher:
-    """Handles posted events in batches, one batch at a time. An event that fails is logged, and the others go
-    on."""
+    """Handles posted events in batches, one batch at a time. An event whose handler raises an exception is
+    logged, and the remaining events are still handled."""
 
     def __init__(self, core: RequestCore) -> None:
         self.core = core
@@ -49,18 +50,20 @@
         self.gauge_query_at = math.inf
         self.statistics = LoopStatistics()
         self.batch_hooks: list[Callable[[float], None]] = []  # called at the start of each batch
-        self._tick_delay_ms = 0.0  # of the last tick
-        self._events: list[MailboxEvent] = []  # of all but gateways: handled ahead of arrivals
+        self._tick_delay_ms = 0.0  # delay that the controller last requested; 0 before the first request
+        self._events: list[MailboxEvent] = []  # from all sources but gateways; handled before arrivals
         self._arrivals: list[MailboxEvent] = []
         self._woken = anyio.Event()
 
     def post(self, handler: Callable[..., object], *arguments: Any, request_id: str = "") -> None:
-        """Puts a call of the core into the mailbox; `request_id`: the request that fails if the call does."""
+        """Queues a call of the core for the next batch. If it raises an exception, the request `request_id`
+        fails."""
         self._events.append(MailboxEvent(handler, arguments, request_id))
         self._woken.set()
 
     def post_arrival(self, handler: Callable[..., object], *arguments: Any, request_id: str = "") -> None:
-        """The same for events of gateways: handled after all that came by `post`."""
+        """Queues a call like `post`, for events from gateways: they are handled after all events of
+        `post`."""
         self._arrivals.append(MailboxEvent(handler, arguments, request_id))
         self._woken.set()
 
@@ -73,11 +76,11 @@
                 with anyio.move_on_after(wait_ms / 1000):
                     await self._woken.wait()
             else:
-                await anyio.lowlevel.checkpoint()  # the actors get their turn even if this one never rests
+                await anyio.lowlevel.checkpoint()  # lets other tasks run even if events are always pending
             self.run_batch()
 
     def run_batch(self) -> None:
-        """One batch: the time, all events, what is due, and what the core then sends."""
+        """Runs one batch: sets the time, handles all events and due timers, and sends the core's messages."""
         now = clock.monotonic()
         for hook in self.batch_hooks:
             self._try(hook, now)
@@ -89,14 +92,14 @@
             self._try(event.handler, *event.arguments, request_id=event.request_id)
         self._run_timers(now)
         for destination, message in self._try(self.core.take_messages) or ():
-            if destination:  # else its caller has gone
+            if destination:  # None: the caller has disconnected
                 self._try(self.recipients.get(destination, destination).send, message)
         if self.tick_at == self.gauge_query_at == math.inf and self._tick_delay_ms:
-            self._schedule_tick(self._tick_delay_ms)  # a tick that failed must not be the last
+            self._schedule_tick(self._tick_delay_ms)  # a failed tick has not scheduled the next one
         self._try(self.statistics.record_batch, now, len(events), self.core)
 
     def send(self, message: DispatcherMessage) -> None:
-        """What the core sends to its dispatcher: when the next tick is due, or a line for the log."""
+        """Handles the core's messages to the dispatcher: schedules the next tick or writes a log line."""
         if isinstance(message, ScheduleTick):
             self._schedule_tick(message.delay_ms)
         else:
@@ -117,11 +120,11 @@
         self.tick_at = clock.monotonic() + delay_ms
         self.gauge_query_at = self.tick_at - GAUGE_QUERY_LEAD_MS
 
-    def _try(self, act: Callable[..., Any], *arguments: Any, request_id: str = "") -> Any:
+    def _try(self, handler: Callable[..., Any], *arguments: Any, request_id: str = "") -> Any:
         try:
-            return act(*arguments)
+            return handler(*arguments)
         except Exception:
-            log.exception("an event failed", event_of=act.__name__, call=request_id)
-            if request_id and act != self.core.fail_request:
+            log.exception("event handler failed", event_of=handler.__name__, call=request_id)
+            if request_id and handler != self.core.fail_request:
                 self._try(self.core.fail_request, request_id)
             return None
--- a/otterrudder/net/early_sighup.py
+++ b/otterrudder/net/early_sighup.py
@@ -16,6 +16,6 @@
 
 
 def was_received() -> bool:
-    """Whether SIGHUP arrived since `install_handler`: the configuration may have changed since it was
+    """Whether SIGHUP arrived since `install_handler`; the configuration may have changed since it was
     read."""
     return bool(_received)
--- a/otterrudder/net/loop_statistics.py
+++ b/otterrudder/net/loop_statistics.py
@@ -1,4 +1,4 @@
-"""How the event loop keeps up, and the periodic log line."""
+"""Statistics on the lag of the event loop, and the periodic status line in the log."""
 
 import gc
 import math
@@ -9,20 +9,20 @@
 from otterrudder.log import log
 from otterrudder.net.core import RequestCore
 
-LATE_TICK_MS = 40.0  # a tick this late (a whole one) shows that this process is short of CPU
-LATE_PERIOD_MS = 1000.0  # for how long one such tick makes the process a late one
+LATE_TICK_MS = 40.0  # delay of a tick, one whole tick interval, from which on the process is short of CPU
+LATE_PERIOD_MS = 1000.0  # time after a late tick during which the process counts as late
 REPORT_INTERVAL_MS = 10_000.0
-OLDEST_GENERATION = 2  # of the garbage collector
+OLDEST_GENERATION = 2  # oldest generation of the garbage collector
 
 
 def resident_mb() -> float:
-    """The resident memory now, not at its peak: growth shows."""
+    """Returns the current resident memory in MB. Unlike the peak, it shows growth and release."""
     pages = int(Path("/proc/self/statm").read_bytes().split()[1])
     return round(pages * resource.getpagesize() / 2**20, 1)
 
 
 class LoopStatistics:
-    """Cheap counts, logged and reset at each report."""
+    """Counts batches, events and delays. The counts are logged and reset with each report."""
 
     def __init__(self) -> None:
         self.next_report = clock.monotonic() + REPORT_INTERVAL_MS
@@ -30,24 +30,25 @@
         self._reported_cpu_s = 0.0
         self._worst_tick_late_ms = 0.0
         self._worst_batch_ms = 0.0
-        self._largest_batch = 0  # events
+        self._largest_batch = 0  # number of events
         self._batches = 0
         self._events = 0
 
     def record_tick(self, late_ms: float) -> None:
-        """A tick was handled so late."""
+        """Records a tick that was handled `late_ms` late."""
         self._worst_tick_late_ms = max(self._worst_tick_late_ms, late_ms)
         if late_ms > LATE_TICK_MS:
             self._last_late_tick = clock.monotonic()
 
     def is_late(self) -> bool:
-        """Whether a tick was lately so late that answers at their deadlines may be late too."""
+        """Whether a recent tick was so late that answers due at their deadline may be late too."""
         return clock.monotonic() - self._last_late_tick < LATE_PERIOD_MS
 
-    def record_batch(self, began: float, event_count: int, core: RequestCore) -> None:
-        """A batch that began then had so many events. Writes the report if it is due."""
+    def record_batch(self, started_at: float, event_count: int, core: RequestCore) -> None:
+        """Records a batch that began at `started_at` and had `event_count` events. Logs the report if it is
+        due."""
         now = clock.monotonic()
-        self._worst_batch_ms = max(self._worst_batch_ms, now - began)
+        self._worst_batch_ms = max(self._worst_batch_ms, now - started_at)
         self._largest_batch = max(self._largest_batch, event_count)
         self._batches += 1
         self._events += event_count
@@ -80,6 +81,6 @@
     def _reset(self) -> None:
         self._worst_tick_late_ms = 0.0
         self._worst_batch_ms = 0.0
-        self._largest_batch = 0  # events
+        self._largest_batch = 0
         self._batches = 0
         self._events = 0
--- a/otterrudder/net/messages.py
+++ b/otterrudder/net/messages.py
@@ -1,8 +1,9 @@
-"""What the request core sends: one small immutable type for each message, grouped by its destination.
+"""The messages that the request core sends: one immutable type for each, grouped by destination.
 
-Durations are milliseconds. `rpc_id` is the JSON-RPC id on its connection, `request_id` the id that gateways,
-the runtime and the records service know a request by. Of the admission controller's commands, `ScheduleTick`,
-`SetIdleTimeout` and `CloseConnections` are passed on as they are. Wire words are the codecs' business.
+Durations are in milliseconds. `rpc_id` is the JSON-RPC id of a request on its connection; `request_id` is the
+id by which gateways, the runtime and the records service know the request. The admission controller's
+commands `ScheduleTick`, `SetIdleTimeout` and `CloseConnections` are passed on unchanged. The codecs define
+how messages are written on the wire.
 """
 
 from collections.abc import Hashable
@@ -15,21 +16,23 @@
 
 
 class Destination(Enum):
-    """Where a message goes, other than to the connection that its request came on."""
+    """Destinations of messages besides the connection on which a request arrived."""
 
     RUNTIME = "runtime"
     RECORDS = "records"
     GATEWAYS = "gateways"
     DISPATCHER = "dispatcher"
 
-    __hash__ = object.__hash__  # members are singletons, and each message looks its destination up
+    __hash__ = (
+        object.__hash__
+    )  # identity hash: members are singletons, and each message is looked up by its destination
 
 
-# To the connection that a request came on.
+# Messages to the connection on which a request arrived.
 
 
 class RequestCompleted(msgspec.Struct, frozen=True, gc=False):
-    """The request ran, and this is its response."""
+    """The request ran; `body` is its response."""
 
     rpc_id: int
     body: bytes
@@ -54,7 +57,7 @@
 
 
 class RequestInvalid(msgspec.Struct, frozen=True, gc=False):
-    """The request can't be accepted as it is."""
+    """The request is invalid and cannot be accepted."""
 
     rpc_id: int
     reason: str
@@ -68,11 +71,11 @@
     load: float | None
 
 
-# To the runtime.
+# Messages to the runtime.
 
 
 class StartRun(msgspec.Struct, frozen=True, gc=False):
-    """Run the request; nothing happens if it runs already."""
+    """Starts the run of a request; ignored if the run is active."""
 
     request_id: str
     method: str
@@ -80,41 +83,41 @@
 
 
 class DeliverReply(msgspec.Struct, frozen=True, gc=False):
-    """The reply to the downstream call that the run waits at."""
+    """Delivers the reply to the downstream call that the run waits for."""
 
     request_id: str
     body: bytes
 
 
 class StopRun(msgspec.Struct, frozen=True, gc=False):
-    """Stop the run."""
+    """Stops a run."""
 
     request_id: str
 
 
 class SkipDownstreamCall(msgspec.Struct, frozen=True, gc=False):
-    """Let the run go on without the downstream call that it waits at."""
+    """Lets a run continue without the downstream call that it waits for."""
 
     request_id: str
 
 
 class QueryGauges(msgspec.Struct, frozen=True, gc=False):
-    """Ask for the gauges; the answer carries the tag."""
+    """Queries the gauges; the answer carries the tag."""
 
     tag: int
 
 
 class CloseLink(msgspec.Struct, frozen=True, gc=False):
-    """Ask for the gauges a last time, and give the link up once they are answered."""
+    """Queries the gauges a last time; the link is closed once the query is answered."""
 
     tag: int
 
 
-# To the records service.
+# Messages to the records service.
 
 
 class SendCall(msgspec.Struct, frozen=True, gc=False):
-    """Make the request's downstream call."""
+    """Makes the request's downstream call."""
 
     request_id: str
     timeout_ms: float
@@ -122,16 +125,16 @@
 
 
 class CancelCall(msgspec.Struct, frozen=True, gc=False):
-    """Nobody waits for the reply to the request's downstream call any more."""
+    """Cancels the request's downstream call, whose reply is not needed any more."""
 
     request_id: str
 
 
-# To the dispatcher.
+# Messages to the dispatcher.
 
 
 class LogEntry(msgspec.Struct, frozen=True, gc=False):
-    """A line for the log."""
+    """Writes a log line."""
 
     text: str
     fields: dict[str, Any]
@@ -144,4 +147,4 @@
 DispatcherMessage = ScheduleTick | LogEntry
 Message = ConnectionMessage | RuntimeMessage | RecordsMessage | GatewaysMessage | DispatcherMessage
 
-Outgoing = tuple[Hashable, Message]  # a Destination or a connection, and what goes there
+Outgoing = tuple[Hashable, Message]  # a Destination or a connection, and the message to it
--- a/otterrudder/net/request_table.py
+++ b/otterrudder/net/request_table.py
@@ -1,7 +1,7 @@
-"""The pending requests, and the ways in which they end.
+"""The table of pending requests, with all the ways in which a request can end.
 
-A request is kept until it is answered, or its caller has gone, and its run is over. What hangs on it is given
-back on every way out: its run in `finish_run`, its downstream call in `finish_run` or `close`, the request
+A request is kept until it is answered (or its caller has disconnected) and its run is over. Its resources are
+released on every path: the run in `finish_run`, the downstream call in `finish_run` or `close`, the request
 itself in `release`."""
 
 from collections.abc import Hashable
@@ -16,7 +16,8 @@
 
 
 class RequestTable:
-    """Keeps the requests, answers each of them once, and tells the admission controller what has finished."""
+    """Keeps the pending requests, answers each of them once, and reports finished requests to the admission
+    controller."""
 
     def __init__(
         self,
@@ -31,11 +32,11 @@
         self._idempotency = idempotency
         self._delivery = delivery
         self._calls = calls
-        self.controller: AdmissionController  # from when the runtime is up: no request is kept before
+        self.controller: AdmissionController  # set once the runtime is up; no request is kept before that
         self.by_number: dict[int, PendingRequest] = {}
         self.by_id: dict[str, PendingRequest] = {}
         self.arrival_count = 0
-        self.advertised_load: float | None = None  # goes with each answer
+        self.advertised_load: float | None = None  # sent with each answer
 
     def __len__(self) -> int:
         return len(self.by_number)
@@ -48,7 +49,7 @@
         fields: RequestFields,
         digest: bytes,
     ) -> PendingRequest:
-        """Keeps a request that has come on a connection. `digest`: b"" if its key is of no account."""
+        """Adds a request that arrived on a connection. `digest` is b"" if its idempotency key is ignored."""
         self.arrival_count += 1
         request = PendingRequest(
             self.arrival_count,
@@ -65,26 +66,26 @@
         return request
 
     def running(self) -> list[PendingRequest]:
-        """Those whose run is not over."""
+        """Returns the requests whose run is not over."""
         return [request for request in self.by_number.values() if request.is_running]
 
     def unanswered_count(self) -> int:
-        """How many are owed an answer."""
+        """Returns the number of requests that are not answered yet."""
         return sum(not request.is_answered for request in self.by_number.values())
 
     def pending_call_count(self) -> int:
-        """How many wait at a downstream call."""
+        """Returns the number of requests whose run waits for a downstream call."""
         return sum(request.pending_call is not None for request in self.by_number.values())
 
     def deadline_of(self, number: int) -> float | None:
-        """In ms, of a request that is still kept."""
+        """Returns the deadline in ms of the class of a kept request; None if the request is not kept."""
         request = self.by_number.get(number)
         return self._request_classes[request.class_index].deadline_ms if request else None
 
     # Answers.
 
     def reject(self, request: PendingRequest, is_final: bool, retry_after_ms: float) -> None:
-        """Answers that the request never ran."""
+        """Answers that the request was rejected and never ran."""
         if not request.is_answered:
             answer = RequestRejected(request.rpc_id, is_final, retry_after_ms, self.advertised_load)
             self._outbox.append((request.connection, answer))
@@ -92,7 +93,7 @@
         self.release(request)
 
     def fail(self, request: PendingRequest) -> None:
-        """Answers that the request is given up; a run goes on."""
+        """Answers that the server has given up on the request; its run, if any, continues."""
         if not request.is_answered:
             answer = RequestFailed(request.rpc_id, "given up", self.advertised_load)
             self._outbox.append((request.connection, answer))
@@ -100,7 +101,7 @@
         self.release(request)
 
     def replay(self, request: PendingRequest) -> None:
-        """Answers with the response of an earlier attempt, as soon as there is one."""
+        """Answers with the response of an earlier attempt, once that attempt has finished."""
         entry = self._idempotency.entries.get(request.idempotency_key)
         if entry and not entry.is_finished:
             entry.waiting.append(request.number)
@@ -109,7 +110,7 @@
             self._answer_from(request, entry.response if entry else None)
 
     def close(self, request: PendingRequest) -> None:
-        """No answer is owed any more; a run may go on."""
+        """Marks the request as answered, so that no further answer is sent; its run may continue."""
         request.is_answered = True
         request.connection = None
         if request.replayed_entry:
@@ -120,10 +121,10 @@
         if request.delivery == UNCERTAIN:
             self._delivery.confirm_answered(request)
 
-    # The ends of runs.
+    # Ends of runs.
 
     def finish_run(self, request: PendingRequest, outcome: Outcome, body: bytes = b"") -> None:
-        """The run is over: answers the request and those that wait for its response."""
+        """Handles the end of a run: answers the request and the attempts that wait for its response."""
         request.is_running = False
         entry = None
         if request.idempotency_key:
@@ -143,7 +144,7 @@
         self.release(request)
 
     def release(self, request: PendingRequest) -> None:
-        """Drops the request once it is answered and its run is over."""
+        """Removes the request if it is answered and its run is over."""
         if not request.is_answered or request.is_running:
             return
         if self.by_number.pop(request.number, None):
@@ -161,14 +162,14 @@
         self.close(request)
 
     def _answer_from(self, request: PendingRequest, response: bytes | None) -> None:
-        """Answers with the response of an earlier attempt; None: that one failed."""
+        """Answers with the response of an earlier attempt; None means that the attempt failed."""
         outcome = Outcome.ERROR if response is None else Outcome.OK
         self._answer(request, outcome, response or b"")
         self.controller.handle_finished(request.number, outcome)
         self.release(request)
 
     def _answer_waiting(self, entry: IdempotencyEntry) -> None:
-        """Answers the attempts that wait for the run that has ended."""
+        """Answers the attempts that wait for the response of a run that has ended."""
         waiting = entry.waiting
         entry.waiting = []
         for number in waiting:
--- a/otterrudder/net/requests.py
+++ b/otterrudder/net/requests.py
@@ -1,4 +1,4 @@
-"""A request as it arrives, and as it is kept until it is answered and its run is over."""
+"""The fields of a request as it arrives, and the record of a pending request."""
 
 import math
 from typing import Any
@@ -7,21 +7,21 @@
 
 from otterrudder.net.idempotency import IdempotencyEntry
 
-# States of `PendingRequest.delivery` beside the tag of a gauges query.
+# Values of `PendingRequest.delivery` besides the tag of a gauges query.
 NOT_SENT = 0
-CONFIRMED = -1  # the runtime has read what was last sent to it
-UNCERTAIN = math.inf  # a lost link may have swallowed it, and no later answer can tell
+CONFIRMED = -1  # the runtime has read the last command
+UNCERTAIN = math.inf  # the command may be lost with its link, and no later answer can tell
 
 
 class RequestFields(msgspec.Struct, frozen=True, gc=False, kw_only=True):
-    """What a gateway says of a request."""
+    """The fields of a request, as a gateway sent them."""
 
     request_id: str
-    received_at: float  # Unix time in ms at which the gateway received it, by the gateway's clock
-    ttl_ms: float | None  # how long from then it may wait for its answer; None: not said
-    size_kb: float  # the memory that a run of it takes
+    received_at: float  # Unix time in ms at which the gateway received the request, by its clock
+    ttl_ms: float | None  # how long its caller waits for an answer from `received_at` on; None: not given
+    size_kb: float  # memory that a run of the request takes
     tenant_index: int
-    session_key: int  # 0: of no session
+    session_key: int  # 0: not part of a session
     is_retry: bool
     idempotency_key: str  # "": none
     body: bytes
@@ -29,22 +29,22 @@
 
 
 class PendingRequest(msgspec.Struct, eq=False):
-    """A request that is owed an answer, or whose run is not over."""
+    """A request that is not answered yet or whose run is not over."""
 
-    number: int  # the admission controller's id of it
-    request_id: str  # its id on the wires
-    connection: Any  # where the answer goes; None once no answer is owed
+    number: int  # its id at the admission controller
+    request_id: str  # its id in the protocols of gateways, runtime and records service
+    connection: Any  # the connection to answer on; None once the request is closed
     rpc_id: int
     class_index: int
     body: bytes
     idempotency_key: str  # "": none
-    digest: bytes  # identifies what is asked for
-    is_answered: bool = False  # or its caller has gone
-    is_running: bool = False  # started, and its end is not known yet
-    is_calling: bool = False  # its downstream call is out
-    # The tag of the gauges query whose answer confirms that the runtime has read its start or reply, or one
-    # of NOT_SENT, CONFIRMED and UNCERTAIN.
+    digest: bytes  # of class and body
+    is_answered: bool = False  # it was answered, or its caller has disconnected
+    is_running: bool = False  # its run was started, and the end of the run is not known yet
+    is_calling: bool = False  # its downstream call was sent and has not ended
+    # Tag of the gauges query whose answer confirms that the runtime has read the start or reply of the run,
+    # or one of NOT_SENT, CONFIRMED and UNCERTAIN.
     delivery: float = NOT_SENT
-    pending_call: bytes | None = None  # the body of the downstream call that its run waits at
-    reply: bytes | None = None  # to its last downstream call, until its run is at the next one
-    replayed_entry: IdempotencyEntry | None = None  # whose response it waits for
+    pending_call: bytes | None = None  # body of the downstream call that its run waits for
+    reply: bytes | None = None  # reply to its last downstream call, until its run needs the next one
+    replayed_entry: IdempotencyEntry | None = None  # entry whose response the request waits for
--- a/otterrudder/net/runtime_codec.py
+++ b/otterrudder/net/runtime_codec.py
@@ -1,7 +1,7 @@
-"""The codec of the runtime's protocol: notices and answers in, commands out. No I/O.
+"""The codec of the runtime's protocol: decodes notices and answers, encodes commands. It performs no I/O.
 
-Words of the wire appear here alone. Notices (`end`, `wants`, `info`) are numbered by the runtime and come
-again on a new link from the number that `sync` names."""
+The words of the protocol appear only in this module. The runtime numbers its notices (`end`, `wants`, `info`)
+and replays them on a new link from the number that `sync` names."""
 
 from collections.abc import Callable
 from typing import Any
@@ -26,12 +26,12 @@
 WANTS = "wants"
 INFO = "info"
 NOTICE_WORDS = frozenset({END, WANTS, INFO})
-# Numbers of words in a line.
-END_WORDS = 6  # where a body follows
-WANTS_WORDS = 4  # where a body follows
+# Number of words in a line.
+END_WORDS = 6  # `end` followed by a body
+WANTS_WORDS = 4  # `wants` followed by a body
 MIN_NACK_WORDS = 2
-REPLAYED = "replayed"  # tag of the gauges whose answer ends the replay: commands are dealt with in order
-MAX_QUOTED = 20  # characters of a wrong word in an error
+REPLAYED = "replayed"  # tag of the gauges query whose answer ends the replay; commands are handled in order
+MAX_QUOTED = 20  # characters of an unknown word that an error message quotes
 
 _OUTCOMES = {
     "complete": Outcome.OK,
@@ -57,14 +57,14 @@
 
 
 class CallNeeded(msgspec.Struct, frozen=True, gc=False):
-    """A run waits at a downstream call."""
+    """A run waits for a downstream call."""
 
     request_id: str
     body: bytes
 
 
 class Information(msgspec.Struct, frozen=True, gc=False):
-    """A notice without consequence."""
+    """A notice that needs no action."""
 
 
 class GaugesReported(msgspec.Struct, frozen=True, gc=False):
@@ -75,7 +75,7 @@
 
 
 class ReplayFinished(msgspec.Struct, frozen=True, gc=False):
-    """All notices missed on earlier links have come."""
+    """All notices missed on earlier links have been received."""
 
 
 class RuntimeReady(msgspec.Struct, frozen=True, gc=False):
@@ -89,16 +89,16 @@
     """The runtime did not carry out a command."""
 
     word: str
-    argument: str  # of most commands the request's id
+    argument: str  # the request id for most commands
 
     @property
     def command(self) -> type[RuntimeMessage] | None:
-        """The type of the command; None: there is none of that word."""
+        """The type of the refused command; None if the word is unknown."""
         return _COMMANDS.get(self.word)
 
     @property
     def is_replay_end(self) -> bool:
-        """Whether it is the query whose answer would end the replay."""
+        """Whether the refused command is the query whose answer ends the replay."""
         return self.command is QueryGauges and self.argument == REPLAYED
 
 
@@ -108,17 +108,18 @@
 
 
 def has_body(words: Words) -> bool:
-    """Whether a body follows this line."""
+    """Whether a body follows the line with these words."""
     return (words[0] == END and len(words) == END_WORDS) or (words[0] == WANTS and len(words) == WANTS_WORDS)
 
 
 def notice_number(words: Words) -> int | None:
-    """The number of a notice; None: the line is none. ProtocolError or IndexError: it lacks a number."""
+    """Returns the number of a notice, or None if the line is not a notice. Raises ProtocolError or IndexError
+    if the notice has no valid number."""
     return lines.whole_number(words[1]) if words[0] in NOTICE_WORDS else None
 
 
 def decode(words: Words, body: bytes) -> RuntimeEvent:
-    """What a line says. ProtocolError, ValueError or IndexError: it can't be understood."""
+    """Decodes a line and its body. Raises ProtocolError, ValueError or IndexError if they are not valid."""
     decoder = _DECODERS.get(words[0])
     if decoder is None:
         raise ProtocolError(f"unknown word {words[0][:MAX_QUOTED]!r}")
@@ -128,7 +129,7 @@
 def _decode_end(words: Words, body: bytes) -> RunEnded:
     outcome = _OUTCOMES.get(words[3])
     if outcome is None:
-        raise ProtocolError(f"unknown end {words[3][:MAX_QUOTED]!r}")
+        raise ProtocolError(f"unknown outcome of a run {words[3][:MAX_QUOTED]!r}")
     return RunEnded(words[2], outcome, body)
 
 
@@ -154,17 +155,17 @@
 
 
 def encode(message: RuntimeMessage) -> list[bytes]:
-    """The line of a command, in parts."""
+    """Encodes a command as the parts of a line."""
     return _ENCODERS[type(message)](message)
 
 
 def encode_sync(last_notice: int) -> list[bytes]:
-    """Asks for all notices after that one; the first line on a link."""
+    """Encodes the first line on a link, which requests all notices after `last_notice`."""
     return lines.encode("sync", last_notice)
 
 
 def encode_replay_end() -> list[bytes]:
-    """Asks for the gauges whose answer ends the replay."""
+    """Encodes the gauges query whose answer ends the replay."""
     return lines.encode("gauges", REPLAYED)
 
 
@@ -173,10 +174,12 @@
 
 
 _ENCODERS: dict[type[RuntimeMessage], Callable[[Any], list[bytes]]] = {
-    StartRun: lambda m: lines.encode_with_body(m.body, "start", m.request_id, m.method),
-    DeliverReply: lambda m: lines.encode_with_body(m.body, "give", m.request_id),
-    StopRun: lambda m: lines.encode("stop", m.request_id),
-    SkipDownstreamCall: lambda m: lines.encode("omit", m.request_id),
+    StartRun: lambda message: lines.encode_with_body(
+        message.body, "start", message.request_id, message.method
+    ),
+    DeliverReply: lambda message: lines.encode_with_body(message.body, "give", message.request_id),
+    StopRun: lambda message: lines.encode("stop", message.request_id),
+    SkipDownstreamCall: lambda message: lines.encode("omit", message.request_id),
     QueryGauges: _encode_query,
     CloseLink: _encode_query,
 }
--- a/otterrudder/net/service_state.py
+++ b/otterrudder/net/service_state.py
@@ -1,7 +1,7 @@
-"""What restricts admission from outside the controller: the service level, the policy, suspension, drained
+"""Restrictions on admission from outside the controller: the service level, the policy, suspension, drained
 scopes and the shutdown.
 
-All of it may be set before the admission controller exists, and holds from its start on."""
+Each of them may be set before the admission controller exists, and then applies as soon as it is created."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -22,8 +22,8 @@
 
 
 class ServiceState:
-    """Keeps what is in force and passes it to the controller. Where a level changes, the update is returned
-    for the log."""
+    """Keeps the restrictions in force and passes them to the controller. Methods that may change the service
+    level return the update, to be logged."""
 
     def __init__(self, class_count: int, levels: "LevelController | None") -> None:
         self.levels = levels
@@ -37,7 +37,7 @@
         )
 
     def attach(self, controller: AdmissionController) -> None:
-        """The controller has been created: what is in force holds for it too."""
+        """Applies the restrictions in force to a controller that has just been created."""
         self._controller = controller
         if self._policy:
             controller.update_policy(*self._policy)
@@ -49,8 +49,8 @@
     def step_levels(
         self, now: float, tick_late_ms: float, is_utilization_known: bool
     ) -> "LevelUpdate | None":
-        """Plays a tick of the level controller. During the shutdown levels stay as they are, for a drain
-        rejects by rules of its own."""
+        """Runs a tick of the level controller. During the shutdown the level does not change, because a drain
+        rejects requests by its own rules."""
         if not self.levels or self.is_shutting_down or not self._controller:
             return None
         facts = self._controller.load_report() | {"late_ms": tick_late_ms}
@@ -59,7 +59,7 @@
         return self._apply(self.levels.step(now, facts))
 
     def replace_table(self, table: "LevelTable", now: float) -> "LevelUpdate | None":
-        """Takes another table of levels, where there are levels."""
+        """Replaces the table of levels, if levels are configured."""
         if not self.levels or self.is_shutting_down:
             return None
         return self._apply(self.levels.replace_table(table, now))
@@ -71,8 +71,8 @@
         policy: tuple[list[RequestClass], list[Tenant], Limits],
         now: float,
     ) -> "LevelUpdate | None":
-        """A policy is in force: its table of levels takes the place of any other, or of none, and its request
-        classes, tenants and limits hold for what comes from now on."""
+        """Puts a policy into force. Its table of levels replaces the current one, or is removed if the policy
+        has none; its request classes, tenants and limits apply to later requests."""
         self._policy = policy
         if self._controller:
             self._controller.update_policy(*policy)
@@ -83,13 +83,14 @@
         return None
 
     def set_suspended(self, is_suspended: bool) -> None:
-        """While admission is suspended, all that comes is rejected, though not finally: others may know which
-        policy is in force. What is queued or runs is answered, and a retry of what ran."""
+        """Suspends admission or resumes it. While admission is suspended, new requests are rejected without
+        being final, because other servers may know which policy is in force. Queued and running requests are
+        still answered, and so are retries of requests that ran."""
         self.is_suspended = is_suspended
         self._set_service_level()
 
     def set_scope_served(self, scope: RequestScope, is_served: bool, drain_ms: float) -> None:
-        """Serves the scope's requests from now on, or drains them within `drain_ms`."""
+        """Starts serving the scope's requests, or drains them within `drain_ms`."""
         self.drained_scopes = [other for other in self.drained_scopes if other != scope]
         if not is_served:
             self.drained_scopes.append(scope)
@@ -99,7 +100,8 @@
             self._controller.drain(scope, drain_ms)
 
     def begin_shutdown(self, time_left_ms: float) -> bool:
-        """Drains everything; False if there is no controller, so nothing has run and nothing will."""
+        """Begins to drain all requests. Returns False if there is no controller: then no request has run or
+        will run."""
         self.is_shutting_down = True
         if not self._controller:
             return False
