--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -31,7 +31,7 @@
 def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
-    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
+    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, has_shared_downstream=False)]
     kinds = [
         server_fingerprint(own),
         server_fingerprint(own, "another program"),
@@ -47,21 +47,27 @@
 @pytest.mark.parametrize(
     ("text", "error"),
     [
-        (SERVER, "server_lease_ms: 3000 is not from 1000 to bound_ms, which is 2000"),
+        (SERVER, "server_lease_ms: 3000 is not between 1000 and bound_ms (2000)"),
         (SERVER + "server_lease_ms = 999", "server_lease_ms: 999 is not"),
         (SERVER + 'bound_ms = 3000\nstart = "folder"', "start: "),
         (SERVER + 'bound_ms = 3000\nfolder = "f"', "folder: a server with relays keeps nothing"),
         ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is not an address of the form host:port"),
         ('bound_ms = 3000\nrelays = ["a:0"]', "relays: 'a:0'"),
-        ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is there twice"),
+        ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is listed twice"),
         ('bound_ms = 3000\nrelays = ["a:1"]\n[relay]\ncell = "a"\naddress = "a:1"', "relays: a server's"),
-        (RELAY, 'relay.folder: absent = "wait" with one relay needs one'),
-        (RELAY + 'candidates = ["127.0.0.1:3"]', "relay.candidates: this relay's own address"),
+        (RELAY, 'relay.folder: the folder is required with absent = "wait" and one relay'),
+        (
+            RELAY + 'candidates = ["127.0.0.1:3"]',
+            "relay.candidates: the list does not contain this relay's own address",
+        ),
         (
             RELAY + 'folder = "f"\nlisten = "0.0.0.0"',
             "relay.listen: '0.0.0.0' is not an address of the form host:port",
         ),
-        (RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"', "relay.folder: the relays"),
+        (
+            RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"',
+            "relay.folder: not allowed with several relays",
+        ),
         (RELAY + 'folder = "f"\nsessions_most = 0', "relay.sessions_most: 0"),
         (RELAY + 'folder = "f"\nother = 1', ".relay: Object contains unknown field `other`"),
         (RELAY.replace('"a"', '"a/b"') + 'folder = "f"', "relay.cell"),
