--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -10,7 +10,7 @@
 from otterrudder.admission.requests import IN_FLIGHT_STATES, Request, RequestState
 
 CEILING_SHARE = 0.5  # share of the concurrency that the server survives
-BUSY_CORES_SHARE = 0.9  # share of the cores in use from which they count as busy
+BUSY_CORES_SHARE = 0.9  # share of the cores in use at which the server counts as busy
 
 # Adaptation of the limit.
 MAX_RATIO_FOR_INCREASE = 2.0  # `latency_to_lowest` up to which the limit may rise
@@ -32,9 +32,9 @@
 
     def __init__(self, class_count: int) -> None:
         self.run_counts = [0] * class_count
-        self.lowest_ms = [math.inf] * class_count  # on the cores
-        self.mean_ms = [0.0] * class_count  # on the cores
-        self.mean_off_cores_ms = [0.0] * class_count
+        self.lowest_ms = [math.inf] * class_count  # lowest time on the cores
+        self.mean_ms = [0.0] * class_count  # mean time on the cores
+        self.mean_off_cores_ms = [0.0] * class_count  # mean time at downstream calls
 
     def restart(self) -> None:
         """Keeps the estimates with the weight of a single run, so that new runs replace them quickly."""
@@ -42,13 +42,15 @@
 
     def add(self, request: Request, latency_ms: float) -> None:
         """Adds the latency of a run."""
-        n = request.class_index
-        self.run_counts[n] += 1
-        weight = max(MIN_MEAN_WEIGHT, 1 / self.run_counts[n])
-        self.mean_ms[n] += weight * (latency_ms - self.mean_ms[n])
+        class_index = request.class_index
+        self.run_counts[class_index] += 1
+        weight = max(MIN_MEAN_WEIGHT, 1 / self.run_counts[class_index])
+        self.mean_ms[class_index] += weight * (latency_ms - self.mean_ms[class_index])
         if request.is_completed:
-            self.mean_off_cores_ms[n] += weight * (request.off_cores_ms - self.mean_off_cores_ms[n])
-        self.lowest_ms[n] = min(self.lowest_ms[n] * LOWEST_LATENCY_GROWTH, latency_ms)
+            self.mean_off_cores_ms[class_index] += weight * (
+                request.off_cores_ms - self.mean_off_cores_ms[class_index]
+            )
+        self.lowest_ms[class_index] = min(self.lowest_ms[class_index] * LOWEST_LATENCY_GROWTH, latency_ms)
 
 
 class ConcurrencyLimiter(Stage):
--- a/otterrudder/admission/deduplication.py
+++ b/otterrudder/admission/deduplication.py
@@ -20,7 +20,7 @@
         self.entries: dict[int, Request] = {}  # by the id of the attempt that retained the key
         # Ids of attempts that were answered before they ran, in the current and the previous tick period.
         self._never_ran: set[int] = set()
-        self._never_ran_before: set[int] = set()
+        self._never_ran_last_period: set[int] = set()
 
     def admit(self, request: Request) -> bool:
         """Passes on a new request. A repeat of an earlier attempt is replayed, held or failed."""
@@ -76,11 +76,11 @@
 
     def on_tick(self) -> None:
         """Forgets which attempts never ran after one to two tick periods."""
-        self._never_ran_before = self._never_ran
+        self._never_ran_last_period = self._never_ran
         self._never_ran = set()
 
     def _is_known_not_to_have_run(self, request_id: int) -> bool:
-        return request_id in self._never_ran or request_id in self._never_ran_before
+        return request_id in self._never_ran or request_id in self._never_ran_last_period
 
     def _expire(self, request: Request) -> None:
         if request.state in _UNFINISHED_STATES:  # the entry must outlive the request
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -62,16 +62,16 @@
         max_concurrency_per_core=rules.get("fallMultiple") or 1.0,
         is_cold_start=bool(family.get("freshStart")),
         slow_start_from=rules.get("coldFrom") or 0.0,
-        slow_start_ms=_ms(rules, "coldUs"),
-        clock_tick_ms=_ms(settings, "tickUs", DEFAULT_CLOCK_TICK_US),
-        drain_grace_ms=_ms(rules, "drainGraceUs"),
+        slow_start_ms=_duration_ms(rules, "coldUs"),
+        clock_tick_ms=_duration_ms(settings, "tickUs", DEFAULT_CLOCK_TICK_US),
+        drain_grace_ms=_duration_ms(rules, "drainGraceUs"),
         callers=family.get("callers") or 1,
         load_signal=_LOAD_SIGNALS.get(family.get("say", ""), LoadSignal.NONE),
-        max_idle_timeout_ms=_ms(family, "callerIdleUs"),
+        max_idle_timeout_ms=_duration_ms(family, "callerIdleUs"),
         are_retries_marked=_section(settings, "clients").get("marksRetry") is not False,
         downstream=parse_downstream_kind(settings),
-        downstream_quota_window_ms=_ms(family, "depWindowUs"),
-        downstream_linger_ms=_ms(family, "lingerUs"),
+        downstream_quota_window_ms=_duration_ms(family, "depWindowUs"),
+        downstream_linger_ms=_duration_ms(family, "lingerUs"),
     )
 
 
@@ -85,9 +85,11 @@
             name=fields.get("name") or str(index),
             idempotency=_IDEMPOTENCY.get(fields.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             priority_weight=fields.get("worth") or 0.0,
-            latency_objective_ms=_ms(fields, "promiseUs", fields.get("hardLimitUs") or DEFAULT_DEADLINE_US),
-            deadline_ms=_ms(fields, "hardLimitUs", DEFAULT_DEADLINE_US),
-            retention_ms=_ms(fields, "windowUs"),
+            latency_objective_ms=_duration_ms(
+                fields, "promiseUs", fields.get("hardLimitUs") or DEFAULT_DEADLINE_US
+            ),
+            deadline_ms=_duration_ms(fields, "hardLimitUs", DEFAULT_DEADLINE_US),
+            retention_ms=_duration_ms(fields, "windowUs"),
             late_weight_factor=fields.get("lateWorth") or 0.0,
             may_call=bool(may_call[index]) if index < len(may_call) else False,
             skip_weight_factor=(
@@ -117,7 +119,7 @@
     """Returns the limits that a server starts with."""
     limits = _section(settings, "limits")
     return Limits(
-        max_retry_after_ms=_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
+        max_retry_after_ms=_duration_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
         downstream_call_quota=_section(settings, "familyInfo").get("callsOut") or 0.0,
         over_quota_weight_factor=settings.get("overShareWorth") or 0.0,
     )
@@ -142,6 +144,6 @@
     return settings.get(name) or {}
 
 
-def _ms(table: Settings, name: str, default_us: float = 0) -> float:
+def _duration_ms(table: Settings, name: str, default_us: float = 0) -> float:
     value_us = table.get(name)
     return (default_us if value_us is None else value_us) / 1000
--- a/otterrudder/admission/interface.py
+++ b/otterrudder/admission/interface.py
@@ -102,7 +102,7 @@
     time_left_ms: float = 0.0  # time until its deadline
     earlier_attempt_id: int = 0  # id of the earlier attempt with the same idempotency key
     is_retry: bool = False
-    criticality: float = 1.0  # 0 to 1
+    criticality: float = 1.0  # from 0 to 1
 
 
 class RestrictionKind(Enum):
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -16,7 +16,7 @@
 TARGET_WAIT_SHARE = 0.12  # share above which the pressure rises
 PRESSURE_STEP = 0.01  # change per tick for each TARGET_WAIT_SHARE above the target
 MAX_PRESSURE_EXCESS = 2.0  # maximum steps per tick, so that a burst does not raise the pressure to 1 at once
-PRESSURE_DECAY_FACTOR = 0.5  # factor on a step below the target; slow, because all callers react at once
+PRESSURE_DECAY_FACTOR = 0.5  # factor on a decrease; slow, because all callers react to it at once
 MAX_CREDIT_FACTOR = 8.0  # credit of a caller without pressure, in even shares of the limit
 MAX_ADVERTISED_CRITICALITY = 0.3  # criticality below which callers hold requests back at full pressure
 
@@ -29,7 +29,7 @@
 INITIAL_ARRIVAL_GAP_MS = 100.0
 MAX_CALLER_GAP_MS = 15_000.0  # interval between a caller's requests above which its connection may be closed
 HIGH_REJECTION_SHARE = 0.7  # rejected share of arrivals above which idle connections are kept longer
-LOW_REJECTION_SHARE = 0.4  # rejected share of arrivals below which they are closed earlier
+LOW_REJECTION_SHARE = 0.4  # rejected share of arrivals below which idle connections are closed earlier
 REJECTION_WEIGHT = 1 / 40  # weight of an arrival in the rejected share of arrivals
 IDLE_TIMEOUT_GROWTH = 1.2  # factor per tick
 IDLE_TIMEOUT_DECAY = 0.95  # factor per tick
@@ -125,7 +125,7 @@
         excess = min(self.wait_share / TARGET_WAIT_SHARE - 1, MAX_PRESSURE_EXCESS)
         change = PRESSURE_STEP * excess * (1.0 if excess > 0 else PRESSURE_DECAY_FACTOR)
         self.pressure = min(max(self.pressure + change, 0.0), 1.0)
-        if not self._limiter.in_flight:  # with nothing in flight no wait is measured
+        if not self._limiter.in_flight:  # no wait is measured while no request is in flight
             self.wait_share *= 1 - RECENT_WEIGHT
 
     def _update_idle_timeout(self) -> None:
--- a/otterrudder/drill/__main__.py
+++ b/otterrudder/drill/__main__.py
@@ -14,7 +14,7 @@
     host = Host()
     try:
         for body in read_frames(sys.stdin.buffer):
-            sys.stdout.buffer.write(host.play(body))
+            sys.stdout.buffer.write(host.handle_batch(body))
             sys.stdout.buffer.flush()
     except FrameError as error:
         print(f"drill: malformed input: {error}", file=sys.stderr)
--- a/otterrudder/drill/events.py
+++ b/otterrudder/drill/events.py
@@ -15,7 +15,7 @@
 
     instance: int
     request_id: int
-    hint: int  # not used
+    hint: int  # not used by the controller
     earlier_attempt_id: int
     size_kb: float
     session_key: int
@@ -24,7 +24,7 @@
     class_index: int
     time_left_us: int
     flags: int
-    source: int  # not used
+    source: int  # not used by the controller
     tenant: int
 
 
@@ -113,7 +113,7 @@
 _CODE = struct.Struct(">H")
 _INSTANCE_STARTED_CODE = 6
 _TICKED_CODE = 9
-_GAUGE_SIZE = 4  # bytes
+_GAUGE_BYTES = 4
 # By event code: the type of the event and the layout of the fields after the code.
 _RECORDS: dict[int, tuple[Any, struct.Struct]] = {
     1: (RequestArrived, struct.Struct(">HQIQfQIfHIHIH")),
@@ -150,7 +150,7 @@
             if code == _TICKED_CODE:
                 instance, token, gauge_count = fields
                 gauges = struct.unpack_from(f">{gauge_count}f", body, offset)
-                offset += _GAUGE_SIZE * gauge_count
+                offset += _GAUGE_BYTES * gauge_count
                 events.append(Ticked(instance, token, gauges))
             elif code == _INSTANCE_STARTED_CODE:
                 instance, seed, size = fields
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -35,12 +35,12 @@
 
 
 class Host:
-    """Plays batches of events on the controllers of all servers."""
+    """Handles batches of events with the controllers of all servers."""
 
     def __init__(self) -> None:
         self._servers: dict[int, _Server] = {}
 
-    def play(self, body: bytes) -> bytes:
+    def handle_batch(self, body: bytes) -> bytes:
         """Returns the reply to the body of a frame. Raises FrameError if the body is malformed.
 
         An exception in a controller is reported as a record of the reply."""
--- a/otterrudder/drill/replies.py
+++ b/otterrudder/drill/replies.py
@@ -35,7 +35,7 @@
     return _encode_text(_FATAL_CODE, instance, text)
 
 
-def _us(duration_ms: float) -> int:
+def _duration_us(duration_ms: float) -> int:
     return min(max(round(duration_ms * US_PER_MS), 0), MAX_U32)
 
 
@@ -49,7 +49,7 @@
 
 
 def _encode_schedule(instance: int, command: commands.ScheduleTick) -> bytes:
-    return _SCHEDULE.pack(65, instance, _us(command.delay_ms), 0)
+    return _SCHEDULE.pack(65, instance, _duration_us(command.delay_ms), 0)
 
 
 def _encode_advertise(instance: int, command: commands.AdvertiseLoad) -> bytes:
@@ -63,20 +63,20 @@
 
 
 def _encode_call(instance: int, command: commands.CallDownstream) -> bytes:
-    return _REQUEST_DURATION.pack(70, instance, command.request_id, _us(command.timeout_ms))
+    return _REQUEST_DURATION.pack(70, instance, command.request_id, _duration_us(command.timeout_ms))
 
 
 def _encode_idle_timeout(instance: int, command: commands.SetIdleTimeout) -> bytes:
-    return _IDLE_TIMEOUT.pack(74, instance, _us(command.timeout_ms))
+    return _IDLE_TIMEOUT.pack(74, instance, _duration_us(command.timeout_ms))
 
 
 def _encode_reject(instance: int, command: commands.RejectRequest) -> bytes:
-    retry_after_us = _us(command.retry_after_ms)
+    retry_after_us = _duration_us(command.retry_after_ms)
     return _REJECT.pack(75, instance, command.request_id, command.is_final, retry_after_us)
 
 
 def _encode_retain(instance: int, command: commands.RetainKey) -> bytes:
-    return _REQUEST_DURATION.pack(78, instance, command.request_id, _us(command.retention_ms))
+    return _REQUEST_DURATION.pack(78, instance, command.request_id, _duration_us(command.retention_ms))
 
 
 def _encode_log(instance: int, command: commands.LogMessage) -> bytes:
--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -9,8 +9,8 @@
 at 50 finished a ok                 also call_needed a, call_ended a full, disconnect a, shutdown 5000
 at 55 drain pay 2000                drains a class (-: all) within 2000 ms; also resume pay
 at 60 level - look=decline          sets a level; also =share:0.5, =omit, and fields of `ServiceLevel`
-  sees start a                      expects a command since the last `at`; also `sees 2 start` for a count, <3
-  lacks reject a                    expects no such command
+  sees start a                      expects a command since the last `at`; `sees 2 start` expects exactly two
+  lacks reject a                    expects no such command; <3 and >3 match numbers
 memory_kb 100                       expects that the controller counts at most this much memory in use
 """
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -44,7 +44,7 @@
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-def sources(root: Path = ROOT) -> dict[str, str]:
+def read_sources(root: Path = ROOT) -> dict[str, str]:
     return {module_name(path, root): path.read_text() for path in sorted((root / PACKAGE).rglob("*.py"))}
 
 
@@ -52,15 +52,15 @@
     return isinstance(node, ast.If) and ast.unparse(node.test) in ("TYPE_CHECKING", "typing.TYPE_CHECKING")
 
 
-def nodes(tree: ast.AST, for_types: bool = False) -> Iterator[tuple[ast.AST, bool]]:
+def walk_nodes(tree: ast.AST, for_types: bool = False) -> Iterator[tuple[ast.AST, bool]]:
     """Yields every node, and whether it is under `if TYPE_CHECKING:`."""
     yield tree, for_types
     guarded = set(map(id, tree.body)) if is_for_types(tree) else set()
     for child in ast.iter_child_nodes(tree):
-        yield from nodes(child, for_types or id(child) in guarded)
+        yield from walk_nodes(child, for_types or id(child) in guarded)
 
 
-def names_imported(node: ast.AST, importer: str) -> list[str]:
+def imported_names(node: ast.AST, importer: str) -> list[str]:
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     if isinstance(node, ast.ImportFrom):
@@ -69,14 +69,14 @@
     return []
 
 
-def imports_of(texts: dict[str, str]) -> set[Import]:
+def find_imports(texts: dict[str, str]) -> set[Import]:
     """Returns all imports among these modules.
 
     `from a import b` imports `a.b` if that is a module, and otherwise `a`."""
     imports = set()
     for importer, text in texts.items():
-        for node, for_types in nodes(ast.parse(text)):
-            for name in names_imported(node, importer):
+        for node, for_types in walk_nodes(ast.parse(text)):
+            for name in imported_names(node, importer):
                 imported = name if name in texts else name.rpartition(".")[0]
                 if imported in texts and imported != importer:
                     imports.add(Import(importer, imported, for_types))
@@ -87,7 +87,7 @@
     """Returns the name in LAYERS that a module belongs to. Raises KeyError if there is none."""
     name = ".".join(module.split(".")[:2])
     if name not in HEIGHTS:
-        raise KeyError(f"{module} is in no layer")
+        raise KeyError(f"{module} belongs to no layer")
     return name
 
 
@@ -121,28 +121,28 @@
 
 
 def test_layers_list_exactly_the_modules_of_the_package() -> None:
-    used = {layer_name(module) for module in sources()}
+    used = {layer_name(module) for module in read_sources()}
     assert used == HEIGHTS.keys()
 
 
 def test_no_runtime_import_goes_upward() -> None:
     assert not sorted(
-        import_ for import_ in imports_of(sources()) if not import_.for_types and is_upward(import_)
+        import_ for import_ in find_imports(read_sources()) if not import_.for_types and is_upward(import_)
     )
 
 
 def test_no_type_checking_import_goes_upward() -> None:
     assert not sorted(
-        import_ for import_ in imports_of(sources()) if import_.for_types and is_upward(import_)
+        import_ for import_ in find_imports(read_sources()) if import_.for_types and is_upward(import_)
     )
 
 
 def test_runtime_imports_form_no_cycle() -> None:
-    assert not find_cycle({import_ for import_ in imports_of(sources()) if not import_.for_types})
+    assert not find_cycle({import_ for import_ in find_imports(read_sources()) if not import_.for_types})
 
 
 def test_all_imports_form_no_cycle() -> None:
-    assert not find_cycle(imports_of(sources()))
+    assert not find_cycle(find_imports(read_sources()))
 
 
 # Tests of the checks themselves, on constructed sources.
@@ -171,7 +171,7 @@
 )
 def test_every_form_of_import_is_found(text: str, imported: str, for_types: bool) -> None:
     texts = {"otterrudder.vrrp.admission_gate": text, "otterrudder.net": "", "otterrudder.net.core": ""}
-    assert Import("otterrudder.vrrp.admission_gate", imported, for_types) in imports_of(texts)
+    assert Import("otterrudder.vrrp.admission_gate", imported, for_types) in find_imports(texts)
 
 
 @pytest.mark.parametrize(
