--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -11,19 +11,19 @@
 BAD_INPUT = 2  # exit code for unusable input; 1 is for a result other than the expected one
 
 
-def give_up(reason: object) -> NoReturn:
+def exit_bad_input(reason: object) -> NoReturn:
     """Prints one line on standard error and exits with BAD_INPUT."""
     click.echo(f"otterrudder: {reason}", err=True)
     sys.exit(BAD_INPUT)
 
 
-def tables_in(values: object, key: str) -> list[dict[str, object]]:
+def tables_under(values: object, key: str) -> list[dict[str, object]]:
     """The array of tables under a key of an unchecked table; what is no table is left out."""
     items = values.get(key) if isinstance(values, dict) else None
     return [item for item in items if isinstance(item, dict)] if isinstance(items, list) else []
 
 
-def named_in(tables: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
+def names_used_in(tables: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
     """The request classes and tenants that a file's own tables name, for a check without a configuration."""
     class_names: set[str] = set()
     tenant_names: set[str] = set()
--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -10,7 +10,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.cli.fleet_store import (
     ABORTED,
     FLEET_OPTION,
@@ -67,7 +67,7 @@
     try:
         response = control.query(name, "fleet")
     except (OSError, ValueError) as error:
-        give_up(f"no server answers at {control.socket_path(name)}: {error}")
+        exit_bad_input(f"no server answers at {control.socket_path(name)}: {error}")
     click.echo(json.dumps(response.get("fleet", response), indent=1))
 
 
--- a/otterrudder/cli/fleet_store.py
+++ b/otterrudder/cli/fleet_store.py
@@ -9,7 +9,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.configuration import FLEET_VARIABLE
 from otterrudder.fleet.change import coordination_keys
 from otterrudder.fleet.configuration import Fleet, InvalidFleetError, read_fleet
@@ -42,9 +42,9 @@
         try:
             self.fleet: Fleet = read_fleet(file)
         except InvalidFleetError as error:
-            give_up(error)
+            exit_bad_input(error)
         if not self.fleet.stores:
-            give_up(f"{file}: store: a command needs the store's address, also where servers do not")
+            exit_bad_input(f"{file}: store: a command needs the store's address, also where servers do not")
         from otterrudder.fleet.client import Client
 
         self.keys = Keys(self.fleet.name)
--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -9,7 +9,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.files import load_toml
 
 try:
@@ -22,7 +22,9 @@
     from otterrudder.lab.scale.play import settings_of
     from otterrudder.lab.site import InvalidInputError
 except ModuleNotFoundError as missing:
-    give_up(f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt")
+    exit_bad_input(
+        f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt"
+    )
 
 if TYPE_CHECKING:
     from otterrudder.lab.scale.simulated import Choice
@@ -64,7 +66,9 @@
     from otterrudder.lab.fleet.cell_report import CellSearchPlan, cells_searched, variant_names
 
     if unknown := set(names) - set(variant_names()):
-        give_up(f"no such variant: {', '.join(sorted(unknown))}; there are: {'; '.join(variant_names())}")
+        exit_bad_input(
+            f"no such variant: {', '.join(sorted(unknown))}; there are: {'; '.join(variant_names())}"
+        )
     plan = CellSearchPlan(walks, seed, depth, names)
     sys.exit(0 if cells_searched(plan, workers, click.echo) else 1)
 
@@ -87,8 +91,8 @@
         signal.signal(number, signal.default_int_handler)
 
 
-def _give_up_without_fleet_extra(error: ModuleNotFoundError) -> NoReturn:
-    give_up(f"this needs {error.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
+def _exit_without_fleet_extra(error: ModuleNotFoundError) -> NoReturn:
+    exit_bad_input(f"this needs {error.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,12 +139,12 @@
     try:
         from otterrudder.lab.processes.cell_experiment import is_of_cells
     except ModuleNotFoundError as error:
-        _give_up_without_fleet_extra(error)
+        _exit_without_fleet_extra(error)
     choice = ProcessesChoice(file, seed, servers, quick, names, folder)
     if not is_of_cells(file):
         sys.exit(0 if _play_members(choice, shrink) else 1)
     if shrink:
-        give_up("--shrink: schedules of cells are not shrunk")
+        exit_bad_input("--shrink: schedules of cells are not shrunk")
     sys.exit(0 if _play_cells(choice) else 1)
 
 
@@ -151,7 +155,7 @@
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
     except InvalidInputError as error:
-        give_up(error)
+        exit_bad_input(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
     changes = experiment.quick_changes if choice.is_quick else experiment.changes
@@ -175,7 +179,7 @@
     try:
         experiment = experiments.only(experiments.read(choice.file), choice.variants)
     except InvalidInputError as error:
-        give_up(error)
+        exit_bad_input(error)
     _raise_interrupt_on_signals()
     servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
     rounds = experiment.quick_rounds if choice.is_quick else experiment.rounds
@@ -236,7 +240,7 @@
     try:
         broken = perform(file, choice, click.echo)
     except InvalidInputError as error:
-        give_up(error)
+        exit_bad_input(error)
     for line in broken:
         click.echo(f"does not hold: {line}", err=True)
     return not broken
@@ -248,11 +252,11 @@
         from otterrudder.lab.scale.processes import command
         from otterrudder.lab.scale.processes.bench import NotInTimeError
     except ModuleNotFoundError as error:
-        _give_up_without_fleet_extra(error)
+        _exit_without_fleet_extra(error)
     try:
         report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
     except (InvalidInputError, NotInTimeError) as error:
-        give_up(error)
+        exit_bad_input(error)
     except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
     return report.holds
@@ -272,11 +276,11 @@
     try:
         numbers = [int(seed) for seed in seeds.split(",")] if seeds else None
     except ValueError:
-        give_up(f"--seeds: {seeds!r} is no list of whole numbers")
+        exit_bad_input(f"--seeds: {seeds!r} is no list of whole numbers")
     try:
         experiment = read_experiment(file, numbers, quick)
     except InvalidInputError as error:
-        give_up(error)
+        exit_bad_input(error)
     click.echo(f"{experiment.title}: {len(experiment.runs)} runs (simulated: {experiment.model})")
 
     outcome = perform(experiment, workers or 0, _show_progress)
@@ -303,12 +307,12 @@
     """List the experiments in FOLDER, with their titles and how many runs each has."""
     files = sorted(folder.glob("*.toml"))
     if not files:
-        give_up(f"no experiments in {folder}")
+        exit_bad_input(f"no experiments in {folder}")
     for file in files:
         try:
             summary = _summary_of(file)
         except InvalidInputError as error:
-            give_up(error)
+            exit_bad_input(error)
         click.echo(f"{file}  {summary.title} ({summary.runs} runs)")
 
 
@@ -339,9 +343,9 @@
     try:
         lines = _verdict_lines(json.loads(path.read_text()))
     except OSError as error:
-        give_up(f"cannot read {path}: {error}")
+        exit_bad_input(f"cannot read {path}: {error}")
     except (ValueError, KeyError, TypeError):
-        give_up(f"{path}: no results of the lab")
+        exit_bad_input(f"{path}: no results of the lab")
     for line in lines:
         click.echo(line)
 
@@ -368,7 +372,7 @@
     try:
         outcome = show_demo(file, folder, click.echo)
     except InvalidInputError as error:
-        give_up(error)
+        exit_bad_input(error)
     all_hold = outcome.holds
     try:
         from otterrudder.lab.processes.demo import show as show_fleet
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -11,7 +11,7 @@
 
 from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Restriction, RestrictionKind, Tenant
-from otterrudder.cli.common import give_up, named_in, tables_in
+from otterrudder.cli.common import exit_bad_input, names_used_in, tables_under
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.levels import Level, LevelSelector, LevelTable, LevelTableError, Transition, read_table
 from otterrudder.levels.facts import FACTS
@@ -120,9 +120,9 @@
         with Path(path).open(newline="") as file:
             samples = list(_parse_samples(path, csv.DictReader(file)))
     except (OSError, UnicodeDecodeError) as error:
-        give_up(f"cannot read {path}: {error}")
+        exit_bad_input(f"cannot read {path}: {error}")
     if any(later.at_ms < earlier.at_ms for earlier, later in zip(samples, samples[1:], strict=False)):
-        give_up(f"{path}: at_ms goes back")
+        exit_bad_input(f"{path}: at_ms goes back")
     return samples
 
 
@@ -131,13 +131,13 @@
     unknown = columns - {"at_ms", *FACTS}
     if unknown or "at_ms" not in columns:
         found = ", ".join(sorted(unknown)) or "without at_ms"
-        give_up(f"{path}: columns are at_ms and {', '.join(FACTS)}, not {found}")
+        exit_bad_input(f"{path}: columns are at_ms and {', '.join(FACTS)}, not {found}")
     for line, row in enumerate(reader, 2):
         try:
             numbers = {name: float(value) for name, value in row.items() if value}
             yield FactSample(numbers.pop("at_ms"), numbers)
         except (KeyError, TypeError, ValueError):
-            give_up(f"{path}: line {line}: not numbers by the columns' names")
+            exit_bad_input(f"{path}: line {line}: not numbers by the columns' names")
 
 
 def _table(file: str, config: str | None) -> LevelTable:
@@ -145,7 +145,7 @@
     try:
         return read_table(file, request_classes, tenants)
     except LevelTableError as error:
-        give_up(error)
+        exit_bad_input(error)
 
 
 def _names(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
@@ -156,7 +156,7 @@
     try:
         settings = read_configuration(path).settings
     except ConfigurationError as error:
-        give_up(error)
+        exit_bad_input(error)
     return request_classes_of(settings), tenants_of(settings)
 
 
@@ -164,8 +164,8 @@
     try:
         values = tomllib.loads(Path(file).read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        give_up(f"cannot read {file}: {error}")
-    return named_in(cut for level in tables_in(values, "level") for cut in tables_in(level, "cut"))
+        exit_bad_input(f"cannot read {file}: {error}")
+    return names_used_in(cut for level in tables_under(values, "level") for cut in tables_under(level, "cut"))
 
 
 def _description(
--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -9,7 +9,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.configuration import ConfigurationError, check_configuration, decode_file
 from otterrudder.files import merged
 
@@ -142,16 +142,16 @@
 def migrate(old: str, out: str | None, shape: str | None, dry_run: bool) -> None:
     """Write configuration OLD in the new shape, and list what could not be carried over."""
     if not out and not dry_run:
-        give_up("migrate: name the new file with --out, or ask for --dry-run")
+        exit_bad_input("migrate: name the new file with --out, or ask for --dry-run")
     try:
         document = check_configuration(decode_file(old), old).document
         stated = decode_file(shape) if shape else {}
         if not isinstance(stated, dict):
-            give_up(f"{shape}: an object of settings is wanted")
+            exit_bad_input(f"{shape}: an object of settings is wanted")
         migration = migrate_settings(document["settings"], stated)
         new = check_configuration(document | {"settings": migration.settings}, f"{old}, migrated")
     except ConfigurationError as error:
-        give_up(error)
+        exit_bad_input(error)
     if not new.records:
         migration.not_carried_over.append(
             "records: the old file names no address; the shared dependency's has to be added"
@@ -164,7 +164,7 @@
     try:
         _write_new_file(Path(out), json.dumps(new.document, indent=1) + "\n")
     except OSError as error:
-        give_up(f"cannot write {out}: {error.strerror}")
+        exit_bad_input(f"cannot write {out}: {error.strerror}")
     click.echo(f"written: {out}")
 
 
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -15,7 +15,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up, named_in, tables_in
+from otterrudder.cli.common import exit_bad_input, names_used_in, tables_under
 from otterrudder.cli.fleet_change import ChangeRequest, follow, follow_queued
 from otterrudder.cli.fleet_store import (
     ABORTED,
@@ -167,9 +167,9 @@
     With --queue it waits behind what is open and what came before; its deadline counts from its turn, and
     interrupted it keeps its place."""
     if (trial_s is None) != (not conditions):
-        give_up("--trial and --if go together")
+        exit_bad_input("--trial and --if go together")
     if base_version is not None and not queued:
-        give_up("--base goes with --queue")
+        exit_bad_input("--base goes with --queue")
     text = _read_text(policy_file)
     _check_policy(text, policy_file)
     base = "" if base_version is None else digest_of(_committed_policy(file, base_version).text)
@@ -217,9 +217,9 @@
         try:
             conditions.append((fact, float(threshold)))
         except ValueError:
-            give_up(f"--if {text!r}: wanted is FIGURE > NUMBER")
+            exit_bad_input(f"--if {text!r}: wanted is FIGURE > NUMBER")
         if fact not in FACTS:
-            give_up(f"--if {text!r}: figures are {', '.join(FACTS)}")
+            exit_bad_input(f"--if {text!r}: figures are {', '.join(FACTS)}")
     return tuple(conditions)
 
 
@@ -324,7 +324,7 @@
     try:
         return path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        give_up(f"cannot read {path}: {error}")
+        exit_bad_input(f"cannot read {path}: {error}")
 
 
 def _check_policy(text: str, path: Path) -> None:
@@ -333,15 +333,15 @@
         if config := os.environ.get(CONFIGURATION_VARIABLE):
             local = local_configuration_of(read_configuration(config).settings)
         else:
-            local = LocalConfiguration(*named_in(_tables_with_names(tomllib.loads(text))))
+            local = LocalConfiguration(*names_used_in(_tables_with_names(tomllib.loads(text))))
         parse(text, local)
     except (InvalidPolicyError, ConfigurationError, ValueError) as error:
-        give_up(f"{path.name}: {error}")
+        exit_bad_input(f"{path.name}: {error}")
 
 
 def _tables_with_names(values: dict[str, Any]) -> list[dict[str, object]]:
     """Tables of a policy that name products and tenants: the cuts of its levels, and its own keys."""
-    levels = tables_in(values.get("levels"), "level")
-    tables = [cut for level in levels for cut in tables_in(level, "cut")]
+    levels = tables_under(values.get("levels"), "level")
+    tables = [cut for level in levels for cut in tables_under(level, "cut")]
     own_keys = [key for key in ("products", "tenants") if isinstance(values.get(key), dict)]
     return tables + [{key: list(values[key])} for key in own_keys]
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -7,7 +7,7 @@
 
 import click
 
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.configuration import FLEET_VARIABLE
 from otterrudder.durable import DirectoryInUseError
 from otterrudder.fleet.cell.configuration import RelayRole
@@ -40,7 +40,7 @@
     try:
         process.run(fleet, role)
     except (DirectoryInUseError, DescriptorLimitError) as error:
-        give_up(error)
+        exit_bad_input(error)
     except OSError as error:
         log.error("cannot start", why=str(error))
         sys.exit(CANNOT_START)
@@ -57,7 +57,7 @@
     try:
         response = control.query(name, "relay")
     except (OSError, ValueError) as error:
-        give_up(f"no relay answers at {control.socket_path(name)}: {error}")
+        exit_bad_input(f"no relay answers at {control.socket_path(name)}: {error}")
     click.echo(json.dumps(response.get("relay", response), indent=1))
 
 
@@ -67,7 +67,7 @@
     try:
         fleet = read_fleet(file)
     except InvalidFleetError as error:
-        give_up(error)
+        exit_bad_input(error)
     if not fleet.relay:
-        give_up(f"{file}: relay: the file has no such table, so it is no relay's")
+        exit_bad_input(f"{file}: relay: the file has no such table, so it is no relay's")
     return fleet, fleet.relay
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -6,7 +6,7 @@
 import click
 
 from otterrudder import log
-from otterrudder.cli.common import give_up
+from otterrudder.cli.common import exit_bad_input
 from otterrudder.configuration import (
     CONFIGURATION_VARIABLE,
     FLEET_VARIABLE,
@@ -52,7 +52,7 @@
     try:
         return read_configuration(path), path
     except ConfigurationError as error:
-        give_up(error)
+        exit_bad_input(error)
 
 
 @click.command()
@@ -66,7 +66,7 @@
     try:
         sys.exit(server.run(configuration, ServerFiles(path, levels, vrrp, fleet)))
     except ConfigurationError as error:
-        give_up(error)
+        exit_bad_input(error)
 
 
 @click.command()
@@ -83,7 +83,7 @@
         vrrp_configuration = files.read_vrrp(settings)
         fleet_configuration = files.read_fleet()
     except ConfigurationError as error:
-        give_up(error)
+        exit_bad_input(error)
     parts = [f"{len(settings['classes'])} products"]
     if table:
         parts.append(f"{len(table.levels)} levels")
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -14,7 +14,7 @@
 
 from otterrudder.admission.factory import request_classes_of, tenants_of
 from otterrudder.admission.interface import RequestClass, Tenant
-from otterrudder.cli.common import give_up, named_in, tables_in
+from otterrudder.cli.common import exit_bad_input, names_used_in, tables_under
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.net import control
 from otterrudder.vrrp import packet
@@ -72,13 +72,13 @@
     """Show groups, states, timers and counters of the server NAME (default NODE_NAME) on this machine."""
     name = name or os.environ.get("NODE_NAME")
     if not name:
-        give_up("name the server, or set NODE_NAME")
+        exit_bad_input("name the server, or set NODE_NAME")
     try:
         answer = control.query(name, "vrrp")
     except (OSError, ValueError) as error:
-        give_up(f"no server answers at {control.socket_path(name)}: {error}")
+        exit_bad_input(f"no server answers at {control.socket_path(name)}: {error}")
     if "error" in answer:
-        give_up(str(answer["error"]))
+        exit_bad_input(str(answer["error"]))
     groups = answer["vrrp"]
     if as_json:
         click.echo(json.dumps(groups, indent=1))
@@ -107,11 +107,11 @@
     try:
         values = tomllib.loads(file.read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        give_up(f"cannot read {file}: {error}")
+        exit_bad_input(f"cannot read {file}: {error}")
     try:
         configuration = parse_configuration(values, file, *_names(values))
     except (VrrpConfigurationError, ConfigurationError) as error:
-        give_up(error)
+        exit_bad_input(error)
     keys = configuration.keys
     click.echo(
         f"{file}: good: {len(configuration.groups)} groups, keys {sorted(keys.by_number)}, "
@@ -124,7 +124,7 @@
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
         return request_classes_of(settings), tenants_of(settings)
-    return named_in(tables_in(values, "group"))
+    return names_used_in(tables_under(values, "group"))
 
 
 @vrrp.command()
@@ -140,7 +140,7 @@
     try:
         advertisement = packet.decode(message[:size], source_address, destination_address)
     except PacketError as error:
-        give_up(f"dropped: {error}")
+        exit_bad_input(f"dropped: {error}")
     click.echo(
         f"vrid {advertisement.vrid}, priority {advertisement.priority}, "
         f"interval {advertisement.interval_ms:g} ms, "
@@ -172,14 +172,14 @@
     try:
         return bytes.fromhex(text)
     except ValueError:
-        give_up("DATA is not hex")
+        exit_bad_input("DATA is not hex")
 
 
 def _parse_address(text: str) -> packet.Address:
     try:
         return ip_address(text)
     except ValueError as error:
-        give_up(error)
+        exit_bad_input(error)
 
 
 @vrrp.command()
@@ -190,13 +190,13 @@
     """Write a new key FILE, mode 0600; --add and --sign are the two steps of a key change (docs/vrrp.md)."""
     is_change = add or sign is not None
     if not is_change and file.exists():
-        give_up(f"{file} is there already: --add adds a key to it")
+        exit_bad_input(f"{file} is there already: --add adds a key to it")
     content = _read_key_file(file) if is_change else KeyFileContent(1, [])
     if add or not content.keys:
         content.add_key()
     if sign is not None:
         if sign not in content.numbers:
-            give_up(f"{file}: there is no key {sign}")
+            exit_bad_input(f"{file}: there is no key {sign}")
         content.signing_number = sign
     _write_key_file(file, content)
     click.echo(f"{file}: keys {sorted(content.numbers)}, {content.signing_number} signs")
@@ -208,7 +208,7 @@
         keys = [NumberedSecret(key["number"], key["secret"]) for key in values["key"]]
         return KeyFileContent(values["signs"], keys)
     except (OSError, ValueError, KeyError, TypeError):
-        give_up(f"{file}: no key file")
+        exit_bad_input(f"{file}: no key file")
 
 
 def _write_key_file(file: Path, content: KeyFileContent) -> None:
