--- a/otterrudder/cli/common.py
+++ b/otterrudder/cli/common.py
@@ -1,4 +1,4 @@
-"""What the command groups share: how bad input ends a command, and names taken from an unchecked file."""
+"""Functions shared by the command groups: exiting on bad input, and reading names from an unchecked file."""
 
 import sys
 from collections.abc import Iterable
@@ -8,23 +8,25 @@
 
 from otterrudder.admission.interface import Idempotency, RequestClass, Tenant
 
-BAD_INPUT = 2  # exit code for unusable input; 1 is for a result other than the expected one
+BAD_INPUT = 2  # exit code for invalid input; 1 means that the result is not the expected one
 
 
 def exit_bad_input(reason: object) -> NoReturn:
-    """Prints one line on standard error and exits with BAD_INPUT."""
+    """Prints `reason` on standard error and exits with BAD_INPUT."""
     click.echo(f"otterrudder: {reason}", err=True)
     sys.exit(BAD_INPUT)
 
 
 def tables_under(values: object, key: str) -> list[dict[str, object]]:
-    """The array of tables under a key of an unchecked table; what is no table is left out."""
+    """Returns the tables in the array under a key of an unchecked table, ignoring all other items."""
     items = values.get(key) if isinstance(values, dict) else None
     return [item for item in items if isinstance(item, dict)] if isinstance(items, list) else []
 
 
 def names_used_in(tables: Iterable[dict[str, object]]) -> tuple[list[RequestClass], list[Tenant]]:
-    """The request classes and tenants that a file's own tables name, for a check without a configuration."""
+    """Returns request classes and tenants with the names that `tables` use.
+
+    They stand in for those of the configuration when a file is checked without one."""
     class_names: set[str] = set()
     tenant_names: set[str] = set()
     for table in tables:
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -1,4 +1,4 @@
-"""`otterrudder levels`: check and show a table of levels, and replay recorded facts through it."""
+"""`otterrudder levels`: checks and shows a table of levels, and replays recorded facts through it."""
 
 import csv
 import os
@@ -20,20 +20,21 @@
     "--config",
     "config",
     metavar="FILE",
-    help="Configuration whose names the table uses; by default NODE_CONFIG's, else the table's own names.",
+    help="Configuration with the products and tenants that the table may name. Default: the file that "
+    "NODE_CONFIG names; without it, all names in the table are accepted.",
 )
 
 RESTRICTION_EFFECTS = {
-    RestrictionKind.OMIT: "runs without its call",
-    RestrictionKind.SPARE: "runs where a slot is free, and is never held",
-    RestrictionKind.ESTABLISHED: "newcomers are declined",
-    RestrictionKind.REJECT: "declined",
+    RestrictionKind.OMIT: "runs without its downstream call",
+    RestrictionKind.SPARE: "runs only if a slot is free, and is never queued",
+    RestrictionKind.ESTABLISHED: "newcomers are rejected",
+    RestrictionKind.REJECT: "rejected",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class FactSample:
-    """One row of recorded facts."""
+    """Recorded facts at one time."""
 
     at_ms: float
     facts: dict[str, float]
@@ -41,17 +42,17 @@
 
 @dataclass(slots=True)
 class ReplaySummary:
-    """What a replay counts: transitions and the time on each level."""
+    """The number of transitions of a replay, and the time on each level."""
 
     transitions: int = 0
     ms_by_level: dict[str, float] = field(default_factory=dict)
 
     def add_time(self, level: str, span_ms: float) -> None:
-        """Adds time on a level."""
+        """Adds `span_ms` to the time on a level."""
         self.ms_by_level[level] = self.ms_by_level.get(level, 0.0) + span_ms
 
     def line(self) -> str:
-        """The last line that `replay` prints."""
+        """Returns the last line that `replay` prints."""
         total_ms = sum(self.ms_by_level.values()) or 1.0
         shares = ", ".join(f"{name} {span_ms / total_ms:.1%}" for name, span_ms in self.ms_by_level.items())
         return f"{self.transitions} transitions in {total_ms / 1000:.0f} s; {shares}"
@@ -59,7 +60,7 @@
 
 @click.group()
 def levels() -> None:
-    """Tables of reduced service: check and show them, and replay recorded facts through them."""
+    """Check and show tables of levels of reduced service, and replay recorded facts through them."""
 
 
 @levels.command()
@@ -67,8 +68,8 @@
 @CONFIG_OPTION
 def check(file: str, config: str | None) -> None:
     """Check the table in FILE."""
-    table = _table(file, config)
-    click.echo(f"{file}: good: {len(table.levels)} levels, {'shadow' if table.is_shadow else 'enforced'}")
+    table = _read_table(file, config)
+    click.echo(f"{file}: valid: {len(table.levels)} levels, {'shadow' if table.is_shadow else 'enforced'}")
 
 
 @levels.command()
@@ -77,7 +78,7 @@
 def show(file: str, config: str | None) -> None:
     """Describe when each level of FILE is entered and left, and what it restricts."""
     request_classes, tenants = _names(file, config)
-    for number, level in enumerate(_table(file, config).levels, 1):
+    for number, level in enumerate(_read_table(file, config).levels, 1):
         for line in _description(number, level, request_classes, tenants):
             click.echo(line)
 
@@ -87,10 +88,11 @@
 @click.argument("facts")
 @CONFIG_OPTION
 def replay(file: str, facts: str, config: str | None) -> None:
-    """Replay recorded FACTS (CSV: at_ms, then a column per fact; empty = unknown) through the levels of FILE.
+    """Replay recorded FACTS through the levels of FILE.
 
-    Prints each transition and the share of time on each level, to compare thresholds."""
-    table = _table(file, config)
+    FACTS is a CSV file with the column at_ms and one column for each fact; an empty value is unknown. Prints
+    each transition and the share of time on each level, so that thresholds can be compared."""
+    table = _read_table(file, config)
     selector = LevelSelector(table.levels, table.damping, start=table.start)
     samples = _read_samples(facts)
     summary = ReplaySummary()
@@ -115,14 +117,14 @@
 
 
 def _read_samples(path: str) -> list[FactSample]:
-    """The rows of a CSV file of facts, in time order."""
+    """Reads the rows of a CSV file of facts. Exits if they are not in the order of time."""
     try:
         with Path(path).open(newline="") as file:
             samples = list(_parse_samples(path, csv.DictReader(file)))
     except (OSError, UnicodeDecodeError) as error:
         exit_bad_input(f"cannot read {path}: {error}")
     if any(later.at_ms < earlier.at_ms for earlier, later in zip(samples, samples[1:], strict=False)):
-        exit_bad_input(f"{path}: at_ms goes back")
+        exit_bad_input(f"{path}: at_ms decreases")
     return samples
 
 
@@ -130,17 +132,17 @@
     columns = set(reader.fieldnames or ())
     unknown = columns - {"at_ms", *FACTS}
     if unknown or "at_ms" not in columns:
-        found = ", ".join(sorted(unknown)) or "without at_ms"
-        exit_bad_input(f"{path}: columns are at_ms and {', '.join(FACTS)}, not {found}")
+        problem = f"unknown columns: {', '.join(sorted(unknown))}" if unknown else "column at_ms is missing"
+        exit_bad_input(f"{path}: {problem}; the columns are at_ms and {', '.join(FACTS)}")
     for line, row in enumerate(reader, 2):
         try:
             numbers = {name: float(value) for name, value in row.items() if value}
             yield FactSample(numbers.pop("at_ms"), numbers)
         except (KeyError, TypeError, ValueError):
-            exit_bad_input(f"{path}: line {line}: not numbers by the columns' names")
+            exit_bad_input(f"{path}: line {line}: a value is not a number, or does not belong to a column")
 
 
-def _table(file: str, config: str | None) -> LevelTable:
+def _read_table(file: str, config: str | None) -> LevelTable:
     request_classes, tenants = _names(file, config)
     try:
         return read_table(file, request_classes, tenants)
@@ -149,7 +151,7 @@
 
 
 def _names(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
-    """The request classes and tenants that a table is checked against."""
+    """Returns the request classes and tenants that a table is checked against."""
     path = config or os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
         return _names_in_table(file)
@@ -173,12 +175,13 @@
 ) -> list[str]:
     joiner = " and " if level.needs_all else " or "
     entry = joiner.join(f"{threshold.fact} >= {threshold.value:g}" for threshold in level.entry)
-    leave = " and ".join(f"{threshold.fact} <= {threshold.value:g}" for threshold in level.exit)
+    exit_condition = " and ".join(f"{threshold.fact} <= {threshold.value:g}" for threshold in level.exit)
     lines = [
         f"{number}. {level.name}",
-        f"   in    {entry}, in the mean of {level.entry_ms / 1000:g} s",
-        f"   out   {leave}, over {level.exit_ms / 1000:g} s, after {level.min_stay_ms / 1000:g} s at least",
-        f"   trial after {level.trial_ms / 1000:g} s with all calm but what is asked for",
+        f"   entry {entry}, in the mean of {level.entry_ms / 1000:g} s",
+        f"   exit  {exit_condition}, over {level.exit_ms / 1000:g} s, after at least "
+        f"{level.min_stay_ms / 1000:g} s",
+        f"   trial after {level.trial_ms / 1000:g} s in which all facts but demand and retries stay low",
     ]
     service = level.service_level
     for request_class, restrictions in zip(request_classes, service.restrictions, strict=True):
@@ -186,9 +189,9 @@
             f"   {request_class.name}: {_restriction_text(restriction, tenants)}"
             for restriction in restrictions
         ]
-    queued = "is answered at once" if service.rejects_queued else "is kept and runs"
+    queued = "rejected at once" if service.rejects_queued else "kept and run"
     retry = "asked to stay away" if service.sends_retry_after else "not asked to stay away"
-    lines.append(f"   what is held when it starts {queued}; callers are {retry}")
+    lines.append(f"   requests queued when the level starts are {queued}; rejected callers are {retry}")
     return lines
 
 
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -141,7 +141,7 @@
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         self.logged[text] = self.logged.get(text, 0) + 1
-        if text in ("less service", "more service"):
+        if text in ("service reduced", "service restored"):
             left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
             self.moves.append(Transition(now / 1000, server, left, entered, why))
 
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -23,7 +23,7 @@
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         super()._log(now, server, text, facts)
-        if text in ("less service", "more service"):
+        if text in ("service reduced", "service restored"):
             names = [name for name in facts if f"{name}_bound" in facts]
             why = ", ".join(f"{name} {facts[name]} ({facts[f'{name}_bound']})" for name in names)
             self.narrate(
--- a/otterrudder/levels/__init__.py
+++ b/otterrudder/levels/__init__.py
@@ -1,10 +1,12 @@
-"""Levels of reduced service: which named level is in force, selected from facts about the server.
+"""Levels of reduced service: selects the named level in force from facts about the server.
 
-`table` and `level_parser` read the operators' TOML file (`schema`: its keys, `facts`: what a condition may
-name), `selector` moves between the levels, `controller` is what a server holds: the selector, its mode
-(enforced or shadow) and the fields of the log lines. Nothing here does I/O of its own (but `read_table`), has
-a clock or uses randomness. The admission controller enforces a level
-(`AdmissionController.set_service_level`)."""
+- `table` and `level_parser` read the operators' TOML file. `schema` defines its keys, `facts` the facts that
+  its conditions may name.
+- `selector` moves between the levels.
+- `controller` combines the selector, its mode (enforced or shadow) and the log fields for one server.
+
+Only `read_table` does I/O. The package reads no clock and uses no randomness. The admission controller
+enforces a level (`AdmissionController.set_service_level`)."""
 
 from otterrudder.levels.controller import LevelController, LevelUpdate
 from otterrudder.levels.errors import LevelTableError
--- a/otterrudder/levels/errors.py
+++ b/otterrudder/levels/errors.py
@@ -1,4 +1,4 @@
-"""The error of a table of levels, and the checks of plain numbers and names that raise it."""
+"""The error for an invalid table of levels, and the checks of numbers and names that raise it."""
 
 import math
 from collections.abc import Sequence
@@ -6,30 +6,32 @@
 
 
 class LevelTableError(Exception):
-    """What is wrong with a table, in one line that names the key."""
+    """A table of levels is invalid. The message is one line that names the key."""
 
 
 def check_range(value: float, minimum: float, maximum: float, key: str) -> float:
-    """`value`, or LevelTableError if it is NaN or out of range."""
+    """Returns `value`. Raises LevelTableError if it is NaN or out of range."""
     if not minimum <= value <= maximum:
-        raise LevelTableError(f"{key}: {value:g} is not from {minimum:g} to {maximum:g}")
+        raise LevelTableError(f"{key}: {value:g} is not between {minimum:g} and {maximum:g}")
     return value
 
 
 def check_number(value: Any, key: str) -> float:
-    """`value` as a float, or LevelTableError if it is no finite number (bool is none)."""
+    """Returns `value` as a float. Raises LevelTableError if it is a bool or not a finite number."""
     if type(value) not in (int, float) or not math.isfinite(value):
-        shown = f", not {value!r}" if value is not None else ""
-        raise LevelTableError(f"{key}: a number is wanted{shown}")
+        problem = f"{value!r} is not a finite number" if value is not None else "a number is required"
+        raise LevelTableError(f"{key}: {problem}")
     return float(value)
 
 
 def indexes_of(names: Sequence[str], known: Sequence[str], key: str) -> list[int]:
-    """The position of each name in `known`, or LevelTableError for an empty, doubled or unknown name."""
+    """Returns the position of each name in `known`.
+
+    Raises LevelTableError if `names` is empty, has duplicates or has a name that is not in `known`."""
     if not names or len(set(names)) != len(names):
-        raise LevelTableError(f"{key}: it is empty or names one twice")
+        raise LevelTableError(f"{key}: the list is empty or has duplicates")
     for name in names:
         if name not in known:
-            choices = f"; there are {', '.join(known)}" if known else ""
-            raise LevelTableError(f"{key}: there is no {name!r}{choices}")
+            choices = f"; known names: {', '.join(known)}" if known else ""
+            raise LevelTableError(f"{key}: unknown name {name!r}{choices}")
     return [known.index(name) for name in names]
--- a/otterrudder/levels/level_parser.py
+++ b/otterrudder/levels/level_parser.py
@@ -1,4 +1,4 @@
-"""Parses one `[[level]]` of a table and compares it with the level before it."""
+"""Parses one `[[level]]` of a table and checks that it is stricter than the level before it."""
 
 import math
 from collections.abc import Iterator, Mapping, Sequence
@@ -18,11 +18,11 @@
 from otterrudder.levels.schema import CutSection, LevelSection, convert_section
 from otterrudder.levels.selector import Level, Threshold
 
-MIN_SPAN_S = 1.0  # of a condition's window: a shorter one holds too few ticks to be full
-MAX_SPAN_S = 600.0  # of a window, stay or trial: more is most likely a wrong unit
+MIN_WINDOW_S = 1.0  # a shorter window has too few ticks to become full
+MAX_DURATION_S = 600.0  # of a window, a stay or a trial; a longer one is most likely in a wrong unit
 MIN_STAY_S = 0.1
-NO_WAY_OUT = "the level could never be left"
-_SEVERITY = {kind: severity for severity, kind in enumerate(RestrictionKind, 1)}  # the enum: mildest first
+NEVER_LEFT = "the level could never be left"
+_SEVERITY = {kind: severity for severity, kind in enumerate(RestrictionKind, 1)}  # the mildest kind is first
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,25 +30,25 @@
     """`entry` or `exit` of a level: thresholds by fact, over one window."""
 
     thresholds: Mapping[str, float]
-    span_s: float
-    needs_all: bool
+    window_s: float
+    needs_all: bool  # whether all thresholds must be reached; otherwise one is enough
 
     def as_thresholds(self) -> tuple[Threshold, ...]:
-        """The thresholds in the order of the file."""
+        """Returns the thresholds in the order of the file."""
         return tuple(Threshold(fact, float(value)) for fact, value in self.thresholds.items())
 
 
 @dataclass(frozen=True, slots=True)
-class _Case:
-    """Requests of one tenant just below a rank, for comparing two levels."""
+class _ComparedRequests:
+    """The requests of one tenant just below a rank, for which two levels are compared."""
 
     tenant: int
     rank: float
-    text: str
+    description: str
 
 
 class LevelParser:
-    """One level of a table, checked. LevelTableError names the key at fault."""
+    """Parses and checks one level of a table. Raises LevelTableError that names the invalid key."""
 
     def __init__(
         self,
@@ -57,22 +57,22 @@
         request_classes: Sequence[RequestClass],
         tenants: Sequence[Tenant],
     ) -> None:
-        """`number`: of the level in the file, from 1."""
+        """`number` is the position of the level in the file, from 1."""
         self.place = f"level[{number}]"
         self.request_classes = request_classes
         self.tenants = tenants
         self.section = convert_section(values, LevelSection, self.place)
         self.stay_s = check_range(
-            self.section.least_stay_s, MIN_STAY_S, MAX_SPAN_S, f"{self.place}.least_stay_s"
+            self.section.least_stay_s, MIN_STAY_S, MAX_DURATION_S, f"{self.place}.least_stay_s"
         )
-        self.trial_s = check_range(self.section.trial_s, self.stay_s, MAX_SPAN_S, f"{self.place}.trial_s")
+        self.trial_s = check_range(self.section.trial_s, self.stay_s, MAX_DURATION_S, f"{self.place}.trial_s")
         self.entry = self._parse_entry()
         self.exit = self._parse_exit()
         self._check_hysteresis()
         self.restrictions = self._parse_cuts()
 
     def level(self) -> Level:
-        """The level for the selector."""
+        """Returns the level for the selector."""
         section = self.section
         service_level = ServiceLevel(
             section.name,
@@ -84,35 +84,39 @@
         return Level(
             section.name,
             self.entry.as_thresholds(),
-            self.entry.span_s * 1000,
+            self.entry.window_s * 1000,
             self.exit.as_thresholds(),
-            self.exit.span_s * 1000,
+            self.exit.window_s * 1000,
             self.stay_s * 1000,
             self.trial_s * 1000,
             service_level,
             self.entry.needs_all,
         )
 
-    def check_above(self, lower: "LevelParser") -> None:
-        """Checks that this level restricts no less than `lower` does, and is entered above its exit."""
+    def check_stricter_than(self, milder: "LevelParser") -> None:
+        """Checks this level against the level before it.
+
+        This level must restrict every request at least as much as `milder` does, and its entry thresholds
+        must be above the exit thresholds of `milder`. Raises LevelTableError otherwise."""
         for class_index, request_class in enumerate(self.request_classes):
-            for case in self._cases(class_index, lower):
-                if self._severity(class_index, case) < lower._severity(class_index, case):
+            for requests in self._compared_requests(class_index, milder):
+                if self._severity(class_index, requests) < milder._severity(class_index, requests):
                     raise LevelTableError(
-                        f"{self.place}.cut: {request_class.name}{case.text} is cut less than by {lower.place}"
+                        f"{self.place}.cut: {request_class.name}{requests.description} is restricted less "
+                        f"than in {milder.place}"
                     )
         for fact, value in self.entry.thresholds.items():
-            lower_exit = lower.exit.thresholds.get(fact, -math.inf)
-            if value <= lower_exit:
+            milder_exit = milder.exit.thresholds.get(fact, -math.inf)
+            if value <= milder_exit:
                 raise LevelTableError(
-                    f"{self.place}.entry.{fact}: {value:g} is not above the exit of "
-                    f"{lower.place}, {lower_exit:g}"
+                    f"{self.place}.entry.{fact}: {value:g} is not above the exit threshold of "
+                    f"{milder.place}, {milder_exit:g}"
                 )
 
     def _parse_entry(self) -> Condition:
         place = f"{self.place}.entry"
         values = dict(self.section.entry)
-        span_s = _take_span(values, place)
+        window_s = _pop_window(values, place)
         need = values.pop("need", "any")
         if need not in ("any", "all"):
             raise LevelTableError(f"{place}.need: {need!r} is neither 'any' nor 'all'")
@@ -120,40 +124,42 @@
             minimum, maximum = _check_fact(fact, value, place)
             if not minimum < value <= maximum:
                 raise LevelTableError(
-                    f"{place}.{fact}: {value:g} is not above {minimum:g} and up to {maximum:g}"
+                    f"{place}.{fact}: {value:g} is not above {minimum:g} and at most {maximum:g}"
                 )
         if not values:
-            raise LevelTableError(f"{place}: it names no fact")
-        return Condition(values, span_s, need == "all")
+            raise LevelTableError(f"{place}: the condition names no fact")
+        return Condition(values, window_s, need == "all")
 
     def _parse_exit(self) -> Condition:
         place = f"{self.place}.exit"
         values = dict(self.section.exit)
-        span_s = _take_span(values, place)
+        window_s = _pop_window(values, place)
         for fact, value in values.items():
             minimum, _ = _check_fact(fact, value, place)
             if not value > minimum:
-                raise LevelTableError(f"{place}.{fact}: {value:g} is the least it can be: {NO_WAY_OUT}")
+                raise LevelTableError(
+                    f"{place}.{fact}: {value:g} is not above the fact's minimum: {NEVER_LEFT}"
+                )
         if not values:
-            raise LevelTableError(f"{place}: it names no fact: {NO_WAY_OUT}")
-        return Condition(values, span_s, needs_all=True)
+            raise LevelTableError(f"{place}: the condition names no fact: {NEVER_LEFT}")
+        return Condition(values, window_s, needs_all=True)
 
     def _check_hysteresis(self) -> None:
-        """A level is entered sooner, and at higher values, than it is left."""
-        if self.entry.span_s >= self.exit.span_s:
+        """Checks that the exit window is longer, and the exit thresholds lower, than those of the entry."""
+        if self.entry.window_s >= self.exit.window_s:
             raise LevelTableError(
-                f"{self.place}.exit.for_s: {self.exit.span_s:g} is not longer than its entry's, "
-                f"{self.entry.span_s:g}: a level is entered sooner than it is left"
+                f"{self.place}.exit.for_s: {self.exit.window_s:g} is not longer than for_s of its entry, "
+                f"{self.entry.window_s:g}"
             )
         for fact, value in self.exit.thresholds.items():
             entry = self.entry.thresholds.get(fact, math.inf)
             if value >= entry:
                 raise LevelTableError(
-                    f"{self.place}.exit.{fact}: {value:g} is not below its entry, {entry:g}"
+                    f"{self.place}.exit.{fact}: {value:g} is not below the entry threshold, {entry:g}"
                 )
 
     def _parse_cuts(self) -> tuple[tuple[Restriction, ...], ...]:
-        """The restrictions by request class, the strongest first."""
+        """Returns the restrictions of each request class, the strongest first."""
         by_class: list[list[Restriction]] = [[] for _ in self.request_classes]
         for number, values in enumerate(self.section.cut, 1):
             place = f"{self.place}.cut[{number}]"
@@ -162,13 +168,13 @@
             for class_index in self._classes_of(cut, place):
                 by_class[class_index].append(restriction)
         if not self.section.cut:
-            raise LevelTableError(f"{self.place}.cut: a level that cuts nothing does nothing")
-        return tuple(tuple(sorted(found, key=_severity_of, reverse=True)) for found in by_class)
+            raise LevelTableError(f"{self.place}.cut: the level has no restrictions")
+        return tuple(tuple(sorted(restrictions, key=_severity_of, reverse=True)) for restrictions in by_class)
 
     def _restriction(self, cut: CutSection, place: str) -> Restriction:
         kind = RestrictionKind(cut.do)
         if (cut.share is not None) != (kind is RestrictionKind.SHARE):
-            raise LevelTableError(f'{place}.share: it goes with do = "share", and that needs it')
+            raise LevelTableError(f'{place}.share: required with do = "share", and not allowed otherwise')
         share = 0.0
         if cut.share is not None:
             share = check_range(cut.share, 0.01, 0.99, f"{place}.share")
@@ -182,7 +188,9 @@
         return Restriction(kind, share, rank, tenants)
 
     def _classes_of(self, cut: CutSection, place: str) -> list[int]:
-        """The indexes of the request classes that a cut names; a call must be optional to be omitted."""
+        """Returns the indexes of the request classes that a cut names.
+
+        Raises LevelTableError if the cut omits a call that is not optional."""
         names = [request_class.name for request_class in self.request_classes]
         indexes = indexes_of(cut.products, names, f"{place}.products")
         if RestrictionKind(cut.do) is not RestrictionKind.OMIT:
@@ -190,26 +198,24 @@
         for index in indexes:
             request_class = self.request_classes[index]
             if not (request_class.may_call and request_class.skip_weight_factor):
-                raise LevelTableError(
-                    f"{place}.products: {request_class.name} has no call that may be omitted"
-                )
+                raise LevelTableError(f"{place}.products: {request_class.name} has no optional call")
             if request_class.idempotency is not Idempotency.SAFE:
                 raise LevelTableError(
-                    f"{place}.products: {request_class.name} has an effect: its call is not omitted"
+                    f"{place}.products: {request_class.name} has side effects, so its call is not omitted"
                 )
         return indexes
 
-    def _severity(self, class_index: int, case: _Case) -> tuple[int, float]:
-        """How much is restricted of the case's requests; see `_severity_of`."""
+    def _severity(self, class_index: int, requests: _ComparedRequests) -> tuple[int, float]:
+        """Returns how severely this level restricts `requests`, in the order of `_severity_of`."""
         for restriction in self.restrictions[class_index]:
-            is_of_tenant = restriction.tenants is None or case.tenant in restriction.tenants
-            if case.rank < restriction.criticality_below and is_of_tenant:
+            applies_to_tenant = restriction.tenants is None or requests.tenant in restriction.tenants
+            if requests.rank < restriction.criticality_below and applies_to_tenant:
                 return _severity_of(restriction)
         return 0, 0.0
 
-    def _cases(self, class_index: int, lower: "LevelParser") -> Iterator[_Case]:
-        """Every tenant and rank at which the two levels may differ."""
-        parsers = (self, lower)
+    def _compared_requests(self, class_index: int, milder: "LevelParser") -> Iterator[_ComparedRequests]:
+        """Yields each combination of tenant and rank for which the two levels may differ."""
+        parsers = (self, milder)
         ranks = {
             restriction.criticality_below
             for parser in parsers
@@ -217,25 +223,25 @@
         }
         for tenant in range(max(len(self.tenants), 1)):
             for rank in sorted(ranks | {math.inf}):
-                text = f" of {self.tenants[tenant].name}" if self.tenants else ""
-                text += f" below rank {rank:g}" if rank < math.inf else ""
-                yield _Case(tenant, math.nextafter(rank, -math.inf), text)
+                description = f" of {self.tenants[tenant].name}" if self.tenants else ""
+                description += f" below rank {rank:g}" if rank < math.inf else ""
+                yield _ComparedRequests(tenant, math.nextafter(rank, -math.inf), description)
 
 
 def _severity_of(restriction: Restriction) -> tuple[int, float]:
-    """The kind's severity, then the share that is not admitted."""
+    """Returns the sort key of a restriction: the severity of its kind, then the share that it rejects."""
     return _SEVERITY[restriction.kind], 1.0 - restriction.admitted_share
 
 
-def _take_span(values: dict[str, Any], place: str) -> float:
-    """Removes `for_s` from a condition; its seconds."""
-    span_s = check_number(values.pop("for_s", None), f"{place}.for_s")
-    return check_range(span_s, MIN_SPAN_S, MAX_SPAN_S, f"{place}.for_s")
+def _pop_window(values: dict[str, Any], place: str) -> float:
+    """Removes `for_s` from the keys of a condition and returns it, in s."""
+    window_s = check_number(values.pop("for_s", None), f"{place}.for_s")
+    return check_range(window_s, MIN_WINDOW_S, MAX_DURATION_S, f"{place}.for_s")
 
 
 def _check_fact(fact: str, value: Any, place: str) -> tuple[float, float]:
-    """The range of a known fact, once its threshold is known to be a number."""
+    """Returns the range of a fact. Raises LevelTableError if the fact is unknown or `value` not a number."""
     if fact not in FACTS:
-        raise LevelTableError(f"{place}.{fact}: no such fact; there are {', '.join(FACTS)}")
+        raise LevelTableError(f"{place}.{fact}: unknown fact; the facts are {', '.join(FACTS)}")
     check_number(value, f"{place}.{fact}")
     return FACTS[fact]
--- a/otterrudder/levels/schema.py
+++ b/otterrudder/levels/schema.py
@@ -1,6 +1,6 @@
-"""The keys of a table of levels in TOML, as msgspec reads them. Form: the commented deploy/levels.toml.
+"""The keys of a table of levels in TOML, as msgspec reads them. deploy/levels.toml documents the format.
 
-The fields of the structs are the keys of the file: a renamed field is another format."""
+The fields of the structs are the keys of the file, so renaming a field changes the format."""
 
 from typing import Any, Literal, TypeVar
 
@@ -9,7 +9,7 @@
 from otterrudder.levels.errors import LevelTableError
 from otterrudder.levels.selector import FULL_SERVICE
 
-VERSION = 1  # of the format; a table of another version is refused
+FORMAT_VERSION = 1  # version of the table format; tables of other versions are rejected
 
 Section = TypeVar("Section", bound=msgspec.Struct)
 
@@ -23,7 +23,7 @@
 
 
 class CutSection(msgspec.Struct, forbid_unknown_fields=True):
-    """`[[level.cut]]`: one restriction."""
+    """`[[level.cut]]`: a restriction on the requests of some products."""
 
     do: Literal["omit", "spare", "share", "established", "decline"]
     products: list[str]
@@ -33,7 +33,7 @@
 
 
 class LevelSection(msgspec.Struct, forbid_unknown_fields=True):
-    """`[[level]]`. The tables in it are converted one by one, so that an error names its place."""
+    """`[[level]]`. Nested tables are converted one by one, so that an error names the table's position."""
 
     name: str
     least_stay_s: float
@@ -46,7 +46,7 @@
 
 
 class TableSection(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The top level of the file."""
 
     version: int
     level: list[dict[str, Any]]
@@ -56,7 +56,9 @@
 
 
 def convert_section(values: Any, section: type[Section], place: str) -> Section:
-    """`values` as a `section`, or LevelTableError with the key below `place` and msgspec's message."""
+    """Converts `values` to a `section`.
+
+    Raises LevelTableError with msgspec's message and the path of the key, which starts with `place`."""
     try:
         return msgspec.convert(values, section)
     except msgspec.ValidationError as error:
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -1,20 +1,21 @@
 """Selects the level of reduced service that is in force, one step at a time, from facts about the server.
 
-The level controller calls `step` once a tick. Position 0 is full service; the levels follow, mildest first.
+The level controller calls `step` once per tick. Position 0 is full service; the levels follow, mildest first.
 Guarantees:
 
-- At most one step per call, and none within the minimum stay of the level that is left. Full service goes
-  back to the lowest level only after that level's minimum stay.
-- A level is entered on the mean over its entry window. It is left only when the whole, longer exit window was
-  calm.
-- A level that is entered again soon after it was left is damped: its stay and its calm period grow, up to a
-  maximum factor.
-- A fact that is unknown, or that has not been known for a full window, causes no step.
-- Every level can be left. When all facts but the demand are calm (the demand may be the same callers retrying
-  without a mark), the level is left on trial after a stated time; damping keeps trials rare.
+- Each call changes the level by at most one position, and never before the minimum stay of the present level
+  has passed. Full service returns to the mildest level only after that level's minimum stay.
+- A level is entered if the mean over its entry window reaches the entry thresholds. It is left only if its
+  facts stayed low over the whole exit window, which is longer.
+- A level that is entered again soon after it was left is damped: its minimum stay and the time that its facts
+  must stay low grow, up to a maximum factor.
+- A fact that is unknown, or that has not been known for a full window, never changes the level.
+- Every level can be left. High demand may come only from the same callers, which retry without marking their
+  retries. If all facts except the demand stay low for a configured time, the level is left on trial. Damping
+  keeps trials rare.
 
-Times are ms on the caller's clock. There is no I/O, clock or randomness here: `spread` (0 to 1) differs from
-instance to instance, so that a fleet does not leave a level all at once."""
+Times are ms on the caller's clock. The module does no I/O, reads no clock and uses no randomness: `spread`
+(0 to 1) differs between instances, so that the servers of a fleet do not leave a level at the same time."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
@@ -24,24 +25,24 @@
 from otterrudder.levels.window import SlidingWindow
 
 FULL_SERVICE = "full"  # the name of full service, in tables and log lines
-# Facts of what callers ask for, not of how the server copes: a trial ignores them.
+# Facts that describe the callers' demand and not the state of the server. A trial ignores them.
 DEMAND_FACTS = frozenset({"demand", "retries"})
-MAX_SPREAD = 0.5  # share by which the latest instance of a fleet stays longer than the first
-MAX_COUNTED_RETURNS = 64  # exponent of the damping: keeps the power finite
+MAX_SPREAD = 0.5  # relative difference between the longest and the shortest stay in a fleet
+MAX_COUNTED_RETURNS = 64  # maximum exponent of the damping factor; keeps the power finite
 
 
 class Reason(Enum):
-    """Why the level changed."""
+    """The reason for a change of the level."""
 
     ENTRY = "entry"  # the entry conditions of the next level are met
     EXIT = "exit"  # the exit conditions of this level are met
-    TRIAL = "trial"  # all but the demand has been calm for long enough to try
+    TRIAL = "trial"  # all facts except the demand have stayed low for long enough to try a milder level
     TABLE = "table"  # the table of levels was replaced
 
 
 @dataclass(frozen=True, slots=True)
 class Threshold:
-    """A fact and its limit: reached at or above it to enter, at or below it to leave."""
+    """The limit of a fact: the fact must be at or above it to enter a level, at or below it to leave one."""
 
     fact: str
     value: float
@@ -49,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Damping:
-    """How a level holds longer each time it is entered soon after it was left."""
+    """How much longer a level lasts each time it is entered again soon after it was left."""
 
-    factor: float = 2.0  # on the stay and the calm period, for each return
+    factor: float = 2.0  # multiplies the minimum stay and the exit window, once for each return
     max_factor: float = 8.0
-    forget_ms: float = 120_000.0  # a later return does not count; each such span forgets one return
+    forget_ms: float = 120_000.0  # time after which a return does not count; each such period forgets one
 
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """When a level is entered and left, and the service it sets while it is in force."""
+    """The entry and exit conditions of a level, and the service level that it sets while it is in force."""
 
     name: str
     entry: tuple[Threshold, ...]
@@ -68,12 +69,12 @@
     min_stay_ms: float
     trial_ms: float
     service_level: ServiceLevel
-    needs_all: bool = False  # whether all entry thresholds must be reached; else any one is enough
+    needs_all: bool = False  # whether all entry thresholds must be reached; otherwise one is enough
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """The mean of a fact beside its threshold at the time of a transition."""
+    """The mean of a fact, and its threshold, at the time of a transition."""
 
     fact: str
     value: float
@@ -82,46 +83,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One change of the level in force, and its cause."""
+    """A change of the level in force, with its cause."""
 
     at: float  # ms
     previous: str
     entered: str
     reason: Reason
     readings: tuple[Reading, ...]
-    min_stay_ms: float  # damping included
+    min_stay_ms: float  # including damping
     damping_factor: float
     service_level: ServiceLevel
-    is_reduction: bool  # to less service
+    is_reduction: bool  # whether the new level restricts more than the previous one
 
 
 @dataclass(slots=True)
 class _History:
-    """What is remembered of a level while it is not in force."""
+    """The past of a level, which determines its damping."""
 
-    returns: int = 0  # recent entries soon after the level was left
-    left_at: float | None = None
+    returns: int = 0  # number of recent entries soon after the level was left
+    left_at: float | None = None  # ms; None if the level was never left
 
 
 @dataclass(slots=True)
 class _Stay:
-    """The present stay on a level."""
+    """The present stay on a level. Times are in ms."""
 
-    since: float | None = None  # None until the first step: the clock is not known before
-    below_exit_since: float | None = None
-    trial_since: float | None = None
-    factor: float = 1.0
+    since: float | None = None  # None until the first step, which provides the first time
+    below_exit_since: float | None = None  # since when all facts have met the exit condition
+    trial_since: float | None = None  # the same, without the demand facts
+    factor: float = 1.0  # multiplies the minimum stay and the exit window
 
 
 @dataclass(slots=True)
 class FactWindows:
-    """A sliding window for each fact and span that a level names."""
+    """The sliding windows of the facts that the levels name, one for each fact and length."""
 
     by_span: dict[tuple[str, float], SlidingWindow] = field(default_factory=dict)
 
     @classmethod
     def of_levels(cls, levels: Iterable[Level]) -> "FactWindows":
-        """Empty windows for all entry and exit conditions of `levels`."""
+        """Creates empty windows for all entry and exit conditions of `levels`."""
         windows = cls()
         for level in levels:
             windows._require(level.entry, level.entry_ms)
@@ -129,11 +130,11 @@
         return windows
 
     def get(self, fact: str, span_ms: float) -> SlidingWindow:
-        """The window of a fact and span that a level names."""
+        """Returns the window of a fact with a length of `span_ms`."""
         return self.by_span[fact, span_ms]
 
     def add(self, now: float, facts: Mapping[str, float]) -> None:
-        """Adds the facts of one tick. A fact that is missing or NaN loses its history."""
+        """Adds the facts of one tick. Clears the windows of facts that are missing or NaN."""
         for (fact, _), window in self.by_span.items():
             value = facts.get(fact)
             if value is None or value != value:
@@ -152,7 +153,7 @@
     def __init__(
         self, levels: tuple[Level, ...], damping: Damping, *, spread: float = 0.0, start: str = FULL_SERVICE
     ) -> None:
-        """`levels`: mildest first, at least one; `start`: the name of the level of a fresh process."""
+        """`levels` has at least one level, the mildest first. `start` names the level of a new process."""
         self.levels = levels
         self.damping = damping
         self.spread = spread
@@ -168,17 +169,17 @@
 
     @property
     def service_level(self) -> ServiceLevel:
-        """What the admission controller has to enforce now; full service restricts nothing."""
+        """The service level that the admission controller has to enforce; full service restricts nothing."""
         if not self.position:
             return ServiceLevel(FULL_SERVICE)
         return replace(self._level.service_level, min_duration_ms=self._level.min_stay_ms * self._stay.factor)
 
     def time_in_level(self, now: float) -> float:
-        """How long the level in force has lasted, in ms."""
+        """Returns how long the level in force has lasted, in ms."""
         return now - self._stay.since if self._stay.since is not None else 0.0
 
     def step(self, now: float, facts: Mapping[str, float]) -> Transition | None:
-        """The transition that `facts` at `now` cause, if any. A fact that is left out is not known."""
+        """Evaluates the facts at `now` and returns the transition, if any. A missing fact is unknown."""
         if self._stay.since is None:
             self._stay.since = now
         self._windows.add(now, facts)
@@ -194,11 +195,11 @@
         return None
 
     def replace_levels(self, levels: tuple[Level, ...], damping: Damping, now: float) -> Transition | None:
-        """Takes the levels of another table, also while one is in force.
+        """Replaces the levels, also while one is in force.
 
-        A level of the same name stays in force and its stay goes on. Without one, the level at the same
-        position (or the highest) takes its place. The windows start empty. Returns None when the service
-        level in force is equal to the one before."""
+        If the new levels include the name of the level in force, that level stays in force and its stay
+        continues. Otherwise the level at the same position, or the last level, replaces it. All windows are
+        cleared. Returns None if the service level in force does not change."""
         previous = self.name
         previous_service = self.service_level
         names = [level.name for level in levels]
@@ -222,9 +223,9 @@
         return self.levels[self.position - 1]
 
     def _entry_readings(self, now: float) -> tuple[Reading, ...]:
-        """The readings that call for the next level; empty if it is not to be entered.
+        """Returns the readings that meet the entry condition of the next level, or () if it is not met.
 
-        A whole entry window must have passed since the last transition: earlier samples led to that one."""
+        A whole entry window must have passed since the last transition, because older samples caused it."""
         if self.position == len(self.levels):
             return ()
         level = self.levels[self.position]
@@ -239,13 +240,15 @@
         return tuple(reached) if is_enough else ()
 
     def _stay_before_entry(self, level: Level) -> float:
-        """How long the present level has to last before `level` is entered; damping only delays exits."""
+        """Returns how long the present level must last before `level` is entered, in ms.
+
+        Damping is not included, because it delays only exits."""
         if self.position:
             return self._level.min_stay_ms
         return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
 
     def _update_below_exit(self, now: float) -> None:
-        """Notes since when the whole exit window has been calm, with and without the demand."""
+        """Updates since when the facts have met the exit condition, with and without the demand facts."""
         stay = self._stay
         if not self.position or self.time_in_level(now) < self._level.exit_ms:
             stay.below_exit_since = None
@@ -262,7 +265,7 @@
             stay.trial_since = now
 
     def _is_below_exit(self, threshold: Threshold, now: float) -> bool:
-        """Whether the window's mean is within the exit threshold and no bucket reached the entry's."""
+        """Whether the window's mean meets the exit threshold and no bucket reaches the entry threshold."""
         window = self._windows.get(threshold.fact, self._level.exit_ms)
         if not window.is_full(now) or window.mean() > threshold.value:
             return False
@@ -282,15 +285,15 @@
         )
 
     def _may_leave(self, now: float, below_exit_since: float | None, stay_ms: float) -> bool:
-        """Whether the damped exit window and the damped minimum stay have passed."""
+        """Whether the exit window and the minimum stay, both with damping, have passed."""
         factor = self._stay.factor
-        extra_window_ms = (factor - 1.0) * self._level.exit_ms  # one window has already passed
+        extra_window_ms = (factor - 1.0) * self._level.exit_ms  # one exit window has already passed
         if below_exit_since is None or now - below_exit_since < extra_window_ms:
             return False
         return self.time_in_level(now) >= max(stay_ms, self._level.min_stay_ms) * factor
 
     def _readings(self, thresholds: Iterable[Threshold]) -> tuple[Reading, ...]:
-        """The means over the exit window."""
+        """Returns the means over the exit window, with their thresholds."""
         span_ms = self._level.exit_ms
         return tuple(
             Reading(threshold.fact, self._windows.get(threshold.fact, span_ms).mean(), threshold.value)
@@ -311,14 +314,14 @@
         return self._transition(now, previous, reason, readings, is_reduction)
 
     def _count_return(self, history: _History, now: float) -> None:
-        """Counts an early return to a level; a late one forgets a return for each `forget_ms`."""
+        """Counts an early return to a level. A late return subtracts one for each `forget_ms` since then."""
         if history.left_at is None:
             return
-        spans_since = int((now - history.left_at) / self.damping.forget_ms)
-        history.returns = max(history.returns - spans_since, 0) if spans_since else history.returns + 1
+        periods = int((now - history.left_at) / self.damping.forget_ms)
+        history.returns = max(history.returns - periods, 0) if periods else history.returns + 1
 
     def _stay_factor(self, name: str) -> float:
-        """The factor on stay and calm of a level: its damping and this instance's spread."""
+        """Returns the factor on the minimum stay and exit window of a level: its damping times the spread."""
         if name not in self._history:
             return 1.0
         returns = min(self._history[name].returns, MAX_COUNTED_RETURNS)
--- a/otterrudder/levels/table.py
+++ b/otterrudder/levels/table.py
@@ -1,8 +1,8 @@
-"""The operators' table of levels: TOML to the levels of the selector, checked whole.
+"""Reads and checks the operators' table of levels: TOML to the levels of the selector.
 
-`read_table` takes a file, `parse_table` its text, `build_table` its decoded values; all of them need the
-request classes and tenants of the settings. Form: the commented deploy/levels.toml. Each level states all
-that it restricts, and restricts no request less than the level before it."""
+`read_table` takes a file, `parse_table` its text and `build_table` its decoded values. All of them need the
+request classes and tenants of the settings. deploy/levels.toml documents the format. Each level lists all of
+its restrictions, and restricts every request at least as much as the level before it."""
 
 import tomllib
 from collections.abc import Mapping, Sequence
@@ -13,27 +13,27 @@
 from otterrudder.admission.interface import RequestClass, Tenant
 from otterrudder.levels.errors import LevelTableError, check_range
 from otterrudder.levels.level_parser import LevelParser
-from otterrudder.levels.schema import VERSION, DampingSection, TableSection, convert_section
+from otterrudder.levels.schema import FORMAT_VERSION, DampingSection, TableSection, convert_section
 from otterrudder.levels.selector import FULL_SERVICE, Damping, Level
 
-MAX_LEVELS = 16  # in a table
+MAX_LEVELS = 16  # maximum number of levels in a table
 MAX_FORGET_S = 24 * 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class LevelTable:
-    """A checked table, for a level selector."""
+    """A valid table of levels."""
 
     levels: tuple[Level, ...]
     damping: Damping
     is_shadow: bool
-    start: str
+    start: str  # name of the level of a new process
 
 
 def read_table(
     path: str | Path, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
 ) -> LevelTable:
-    """The table in the file at `path`; LevelTableError names the file and the key."""
+    """Reads the table in the file at `path`. Raises LevelTableError that names the file and the key."""
     try:
         return parse_table(Path(path).read_text("utf-8"), request_classes, tenants)
     except (OSError, UnicodeDecodeError) as error:
@@ -43,7 +43,7 @@
 
 
 def parse_table(text: str, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]) -> LevelTable:
-    """The table in `text`; LevelTableError names the key at fault. Levels are counted from 1."""
+    """Parses the table in `text`. Raises LevelTableError that names the key; it numbers levels from 1."""
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -54,20 +54,20 @@
 def build_table(
     values: Mapping[str, Any], request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
 ) -> LevelTable:
-    """The table in decoded TOML; LevelTableError as in `parse_table`."""
+    """Builds the table from decoded TOML. Raises LevelTableError as `parse_table` does."""
     table = convert_section(values, TableSection, "")
-    if table.version != VERSION:
-        raise LevelTableError(f"version: this program reads {VERSION}, not {table.version}")
+    if table.version != FORMAT_VERSION:
+        raise LevelTableError(f"version: this program reads {FORMAT_VERSION}, not {table.version}")
     if not 1 <= len(table.level) <= MAX_LEVELS:
-        raise LevelTableError(f"level: from 1 to {MAX_LEVELS} levels are wanted, not {len(table.level)}")
+        raise LevelTableError(f"level: a table has 1 to {MAX_LEVELS} levels, not {len(table.level)}")
     damping = _damping_of(convert_section(table.damping, DampingSection, "damping"))
     parsers = [
         LevelParser(number, level, request_classes, tenants) for number, level in enumerate(table.level, 1)
     ]
     levels = tuple(parser.level() for parser in parsers)
     _check_names(levels, table.start)
-    for lower, upper in zip(parsers, parsers[1:], strict=False):
-        upper.check_above(lower)
+    for milder, stricter in zip(parsers, parsers[1:], strict=False):
+        stricter.check_stricter_than(milder)
     return LevelTable(levels, damping, table.mode == "shadow", table.start)
 
 
@@ -82,8 +82,8 @@
     seen: set[str] = set()
     for number, level in enumerate(levels, 1):
         if not level.name or level.name == FULL_SERVICE or level.name in seen:
-            problem = "is taken" if level.name else "is empty"
-            raise LevelTableError(f"level[{number}].name: {level.name!r} {problem}")
+            problem = f"{level.name!r} is already used" if level.name else "the name is empty"
+            raise LevelTableError(f"level[{number}].name: {problem}")
         seen.add(level.name)
     if start not in seen and start != FULL_SERVICE:
-        raise LevelTableError(f"start: no level is named {start!r}")
+        raise LevelTableError(f"start: there is no level named {start!r}")
