--- a/otterrudder/lab/vrrp_search.py
+++ b/otterrudder/lab/vrrp_search.py
@@ -197,7 +197,7 @@
 def _timed(state: ModelState, at: float, n: int) -> ModelState:
     state.now = max(state.now, at)
     router = state.routers[n]
-    router.gate.handle_time(state.now)
+    router.gate.handle_deadline(state.now)
     if router.timer.at <= state.now:
         _carry_out(state, n, router.machine.handle_timer(state.now, router.timer.number))
     return state
--- a/otterrudder/vrrp/admission_gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -99,7 +99,7 @@
         """The state machine has become master, or is not (or no longer) master."""
         return self._handle(now, GateEvent.MASTER if state is State.MASTER else GateEvent.BACKUP)
 
-    def handle_time(self, now: float) -> list[SetAdmission]:
+    def handle_deadline(self, now: float) -> list[SetAdmission]:
         """Plays the deadline if it has passed."""
         return self._handle(now, GateEvent.DEADLINE) if now >= self.deadline else []
 
--- a/otterrudder/vrrp/configuration.py
+++ b/otterrudder/vrrp/configuration.py
@@ -27,7 +27,7 @@
     vrid: int
     address: Address  # this router's primary address
     destination: Address  # of the advertisements, in the checksum's pseudo-header
-    virtual: frozenset[Address]
+    virtual_addresses: frozenset[Address]
     priority: int
     interval_ms: float
     learns_interval: bool
@@ -36,7 +36,7 @@
     accepts: bool
     scope: RequestScope
     peers: tuple[Peer, ...]
-    tracked: tuple[TrackedObject, ...]
+    tracked_objects: tuple[TrackedObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -24,7 +24,7 @@
 )
 from otterrudder.vrrp.tracking import FACTS, TrackedObject
 
-VERSION = 1  # of the format
+FORMAT_VERSION = 1  # of the format
 MAX_GROUPS = 32  # of a process: each has a timer and a gate
 MAX_PEERS = 16  # of a group
 MAX_PORT = 65535
@@ -91,8 +91,10 @@
     """The configuration in decoded TOML; the key file is read beside `path`."""
     name = path.name
     file = convert(values, _File, name, VrrpConfigurationError)
-    if file.version != VERSION:
-        raise VrrpConfigurationError(f"{name}: version: this program reads {VERSION}, not {file.version}")
+    if file.version != FORMAT_VERSION:
+        raise VrrpConfigurationError(
+            f"{name}: version: this program reads {FORMAT_VERSION}, not {file.version}"
+        )
     if not 1 <= len(file.group) <= MAX_GROUPS:
         raise VrrpConfigurationError(
             f"{name}: group: from 1 to {MAX_GROUPS} are wanted, not {len(file.group)}"
@@ -167,14 +169,14 @@
             vrid=section.vrid,
             address=address,
             destination=destination,
-            virtual=virtual,
+            virtual_addresses=virtual,
             priority=section.priority,
             interval_ms=interval_ms,
             learns_interval=section.learns_interval,
             preempts=section.preempt,
             accepts=section.accept,
             peers=peers,
-            tracked=self._tracked(),
+            tracked_objects=self._tracked(),
             preempt_delay_ms=_check_range(
                 section.preempt_delay_ms, 0.0, MAX_DELAY_MS, f"{self.place}.preempt_delay_ms"
             ),
--- a/otterrudder/vrrp/instance.py
+++ b/otterrudder/vrrp/instance.py
@@ -24,7 +24,7 @@
     tracker: PriorityTracker
     timer: Timer = field(default_factory=_no_timer)
     counts: Counter[str] = field(default_factory=Counter)
-    has_listened_again: bool = False  # after a stall: it has waited for one more advertisement
+    has_deferred_takeover: bool = False  # after a stall: it has waited for one more advertisement
 
     @property
     def deadline(self) -> float:
@@ -40,7 +40,7 @@
             door=self.gate.state.value,
             priority=self.state_machine.priority,
             base=self.group.priority,
-            lowered_by=self.tracker.counting_facts,
+            lowered_by=self.tracker.lowering_facts,
             interval_ms=self.state_machine.interval,
             timer_ms=round(self.timer.at - now, 1) if self.timer.at < math.inf else None,
             returns=self.gate.returns,
@@ -59,4 +59,6 @@
         accepts=group.accepts,
     )
     gate = AdmissionGate(group.scope, configuration.hand_over_ms, configuration.hold_down)
-    return VirtualRouterInstance(group, state_machine, gate, PriorityTracker(group.priority, group.tracked))
+    return VirtualRouterInstance(
+        group, state_machine, gate, PriorityTracker(group.priority, group.tracked_objects)
+    )
--- a/otterrudder/vrrp/router.py
+++ b/otterrudder/vrrp/router.py
@@ -28,7 +28,7 @@
 from otterrudder.vrrp.packet import DropReason, PacketError
 from otterrudder.vrrp.state_machine import Action, SendAdvertisement, State, StateChange, Timer
 
-MAX_READS = 64  # datagrams read in one go: a flood must not hold the event loop
+MAX_DATAGRAMS_PER_READ = 64  # datagrams read in one go: a flood must not hold the event loop
 RETRY_MS = 10.0  # after a failed event
 TRACKING_INTERVAL_MS = 100.0  # between readings of the tracked facts
 MAX_LATENESS_SAMPLES = 4096  # of advertisements, kept for measurements
@@ -57,7 +57,7 @@
             for peer in instance.group.peers
         }
         self.counts: Counter[str] = Counter()  # of datagrams of no known group
-        self.lateness_ms: list[float] = []  # of the advertisements sent
+        self.send_lateness_ms: list[float] = []  # of the advertisements sent
         self.sock: socket.socket | None = None
         self.on_change: Callable[[], None] = lambda: None  # called after a gate has changed
         self._wake = anyio.Event()
@@ -148,33 +148,33 @@
         for instance in self.instances:
             if now >= instance.timer.at:
                 self._handle_timer(instance, now)
-            for command in instance.gate.handle_time(now):
+            for command in instance.gate.handle_deadline(now):
                 self._apply(instance, command)
 
     def _handle_timer(self, instance: VirtualRouterInstance, now: float) -> None:
         lateness_ms = now - instance.timer.at
         machine = instance.state_machine
         if machine.state is State.MASTER:
-            self._note_lateness(lateness_ms)
-        elif lateness_ms > machine.interval and not instance.has_listened_again:
-            self._listen_again(instance, now)
+            self._record_lateness(lateness_ms)
+        elif lateness_ms > machine.interval and not instance.has_deferred_takeover:
+            self._defer_takeover(instance, now)
             return
-        instance.has_listened_again = False
+        instance.has_deferred_takeover = False
         self._execute(instance, machine.handle_timer(now, instance.timer.number), now)
 
     @staticmethod
-    def _listen_again(instance: VirtualRouterInstance, now: float) -> None:
+    def _defer_takeover(instance: VirtualRouterInstance, now: float) -> None:
         """This process itself stalled, and may have missed advertisements: waits for one more."""
         machine = instance.state_machine
-        instance.has_listened_again = True
+        instance.has_deferred_takeover = True
         instance.counts["listened once more"] += 1
         instance.timer = Timer(now + machine.interval + machine.skew_time, instance.timer.number)
         machine.timer_at = instance.timer.at
 
-    def _note_lateness(self, lateness_ms: float) -> None:
-        if len(self.lateness_ms) >= MAX_LATENESS_SAMPLES:
-            del self.lateness_ms[: MAX_LATENESS_SAMPLES // 2]
-        self.lateness_ms.append(lateness_ms)
+    def _record_lateness(self, lateness_ms: float) -> None:
+        if len(self.send_lateness_ms) >= MAX_LATENESS_SAMPLES:
+            del self.send_lateness_ms[: MAX_LATENESS_SAMPLES // 2]
+        self.send_lateness_ms.append(lateness_ms)
 
     def _update_priorities(self, now: float) -> None:
         facts = self._read_facts()
@@ -186,13 +186,13 @@
                 "vrrp priority",
                 group=instance.group.name,
                 priority=priority,
-                lowered_by=instance.tracker.counting_facts,
+                lowered_by=instance.tracker.lowering_facts,
             )
             self._execute(instance, instance.state_machine.set_priority(now, priority), now)
 
     def _receive(self, now: float) -> None:
         assert self.sock is not None
-        for _ in range(MAX_READS):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 datagram = datagrams.receive(self.sock)
             except (BlockingIOError, InterruptedError):
@@ -235,7 +235,9 @@
         group = instance.group
         message = self.authenticator.verify(data, str(peer.address), group.vrid, clock.unix())
         advertisement = packet.decode(message, peer.address, group.destination, None)
-        packet.check_group(advertisement, group.vrid, group.virtual, group.interval_ms, group.learns_interval)
+        packet.check_group(
+            advertisement, group.vrid, group.virtual_addresses, group.interval_ms, group.learns_interval
+        )
         return advertisement
 
     def _execute(self, instance: VirtualRouterInstance, actions: list[Action], now: float) -> None:
@@ -276,7 +278,7 @@
     def _send(self, instance: VirtualRouterInstance, priority: int) -> None:
         assert self.sock is not None
         group = instance.group
-        addresses = tuple(sorted(group.virtual, key=int))
+        addresses = tuple(sorted(group.virtual_addresses, key=int))
         advertisement = packet.Advertisement(group.vrid, priority, group.interval_ms, addresses)
         message = packet.encode(advertisement, group.address, group.destination)
         for peer in group.peers:
--- a/otterrudder/vrrp/tracking.py
+++ b/otterrudder/vrrp/tracking.py
@@ -78,6 +78,6 @@
         return max(self.base_priority - lowered_by, MIN_PRIORITY)
 
     @property
-    def counting_facts(self) -> list[str]:
+    def lowering_facts(self) -> list[str]:
         """The facts that lower the priority now."""
         return [fact for fact, state in self._states.items() if state.counts]
--- a/tests/vrrp/test_decisions.py
+++ b/tests/vrrp/test_decisions.py
@@ -236,14 +236,14 @@
     for _ in range(6):
         assert gate.handle_state(at, State.MASTER) == [] and gate.state is GateState.HELD
         held.append(gate.deadline - at)
-        assert gate.handle_time(gate.deadline - 1) == [] and gate.handle_time(gate.deadline) == [
+        assert gate.handle_deadline(gate.deadline - 1) == [] and gate.handle_deadline(gate.deadline) == [
             SetAdmission(scope, True)
         ]
         at += held[-1] + 10.0
         gate.handle_state(at, State.BACKUP)
         at += 10.0
     assert held == [1000.0, 2000.0, 4000.0, 8000.0, 8000.0, 8000.0]
-    assert gate.handle_time(at + 4000.0) == [] and gate.state is GateState.CLOSED
+    assert gate.handle_deadline(at + 4000.0) == [] and gate.state is GateState.CLOSED
     assert gate.handle_state(at + 400_000.0, State.MASTER) == [
         SetAdmission(scope, True)
     ]  # long ago: forgotten
@@ -262,7 +262,7 @@
     for tick in range(4000, 4600):
         priority = track.step(tick * 100.0, {"late": tick % 30 < 12})
         changes, before = changes + (priority != before), priority
-    assert 2 <= changes <= 10 and track.counting_facts == ["late"]
+    assert 2 <= changes <= 10 and track.lowering_facts == ["late"]
     assert (
         track.step(1e6, {"runtime": True}) == 1
         and PriorityTracker(255, [TrackedObject("late", 9)]).step(0.0, {}) == 255
@@ -311,7 +311,7 @@
     keys.chmod(0o600)
     file.write_text(GOOD)
     good = read_configuration(file, PRODUCTS, [])
-    assert good.groups[0].scope == RequestScope() and good.groups[0].tracked[0].fact == "runtime"
+    assert good.groups[0].scope == RequestScope() and good.groups[0].tracked_objects[0].fact == "runtime"
     assert old in GOOD
     file.write_text(GOOD.replace(old, new, 1))
     with pytest.raises(VrrpConfigurationError) as raised:
