--- a/otterrudder/admission/context.py
+++ b/otterrudder/admission/context.py
@@ -17,7 +17,9 @@
 
     OVERLOAD = "overload"  # this server is full, and the others probably are too
     LOCAL = "local"  # this server cannot accept the request, but others may
-    SERVED_ELSEWHERE = "served elsewhere"  # other servers accept such requests now
+    SERVED_ELSEWHERE = (
+        "served elsewhere"  # this server drains or restricts the request, which other servers accept
+    )
 
 
 class AdmissionContext:
--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -32,7 +32,7 @@
 _GAUGES = {
     "core_use": "busy",
     "on_cores": "on_cores",
-}  # names of gauges, and the parameters of `AdmissionController.tick`
+}  # gauge name to parameter of `AdmissionController.tick`
 _STOP_MODES = ("drop", "pause")  # modes in which a running request can be stopped
 
 
--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Server:
-    """A simulated server. `gauges` has the `tick` parameter of each of its gauges; empty for unused ones."""
+    """A simulated server. `gauges` lists the `tick` parameter of each gauge, or "" if it is unused."""
 
     controller: AdmissionController
     gauges: list[str]
