--- a/otterrudder/drill/host.py
+++ b/otterrudder/drill/host.py
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _Server:
-    """A simulated server. `gauges` has the `tick` parameter of each of its gauges; empty for unused ones."""
+    """A simulated server. `gauges` lists the `tick` parameter of each gauge, or "" if it is unused."""
 
     controller: AdmissionController
     gauges: list[str]
 
 
 class Host:
-    """Plays batches of events on the controllers of all servers."""
+    """Handles batches of events with the controllers of all servers."""
 
     def __init__(self) -> None:
         self._servers: dict[int, _Server] = {}
 
-    def play(self, body: bytes) -> bytes:
+    def handle_batch(self, body: bytes) -> bytes:
         """Returns the reply to the body of a frame. Raises FrameError if the body is malformed.
 
         An exception in a controller is reported as a record of the reply."""
