--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -41,16 +41,22 @@
     [
         (("folder", "other = 1\nfolder"), "fleet.toml: : Object contains unknown field `other`"),
         (("version = 1", "version = 2"), "fleet.toml: version: this program reads 1, not 2"),
-        (('"f"', '"a/b"'), "fleet.toml: fleet: a name without a slash is wanted, not 'a/b'"),
+        (
+            ('"f"', '"a/b"'),
+            "fleet.toml: fleet: must be a name without a slash, of 1 to 128 characters, not 'a/b'",
+        ),
         (("2379", "x"), "fleet.toml: store: '127.0.0.1:x' is not an address of the form host:port"),
-        (('["127.0.0.1:2379"]', "[]"), "fleet.toml: store: from 1 to 9 addresses are wanted, not 0"),
-        (('folder = "state"\n', ""), 'fleet.toml: folder: absent = "wait" needs one'),
+        (('["127.0.0.1:2379"]', "[]"), "fleet.toml: store: must have 1 to 9 addresses, not 0"),
+        (('folder = "state"\n', ""), 'fleet.toml: folder: required with absent = "wait"'),
         (
             ("folder", 'absent = "leave-out"\nstart = "folder"\nfolder'),
-            'fleet.toml: start: "folder" goes with',
+            'fleet.toml: start: "folder" is allowed only with',
+        ),
+        (("folder", "bound_ms = 100\nfolder"), "fleet.toml: bound_ms: 100 is not between 400 and 60000"),
+        (
+            ("folder", "lease_ms = 3500\nfolder"),
+            "fleet.toml: lease_ms: 3500 is not a whole number of seconds",
         ),
-        (("folder", "bound_ms = 100\nfolder"), "fleet.toml: bound_ms: 100 is not from 400 to 60000"),
-        (("folder", "lease_ms = 3500\nfolder"), "fleet.toml: lease_ms: 3500 is not whole seconds"),
         (("folder", 'absent = "never"\nfolder'), "fleet.toml: .absent: Invalid enum value 'never'"),
     ],
 )
@@ -421,7 +427,7 @@
     fleet.members["a"] = twin
     fleet.turn()
     assert twin.admission_status(fleet.now) is AdmissionStatus.NAME_TAKEN
-    with pytest.raises(ChangeRejectedError, match="a lives: its lease has not lapsed"):
+    with pytest.raises(ChangeRejectedError, match="a is up: its lease has not expired"):
         remove_member(fleet.view, "a")
     fleet.later(7000.0)
     assert (
@@ -459,14 +465,14 @@
     fleet.turn()
     fleet.open("one", "first")
     assert fleet.do(withdraw(fleet.view, "one", "no more"))
-    with pytest.raises(ChangeRejectedError, match="it is open no more"):
+    with pytest.raises(ChangeRejectedError, match="the change is no longer open"):
         withdraw(fleet.view, "one", "no more")
     fleet.open("two", "second")
     assert finish_change(fleet.view, False) is None
     commit = finish_change(fleet.view, True)
     assert commit and fleet.do(commit)
     end = find_change(fleet.view, "two")
-    assert isinstance(end, FinishedChange) and end.reason == "no word in time from a, b"
+    assert isinstance(end, FinishedChange) and end.reason == "no vote in time from a, b"
 
 
 def test_a_record_that_can_t_be_read_is_a_no_or_alive() -> None:
