--- a/otterrudder/durable/__init__.py
+++ b/otterrudder/durable/__init__.py
@@ -1,8 +1,8 @@
-"""State that outlives the process: files written so that each is whole or as it was before, and read so that
-nothing half written is ever trusted.
+"""State that outlives the process. Files are written atomically, and a damaged or incomplete file is rejected
+when it is read.
 
-Made for the fleet's record of what was voted; later state can be in files of its own beside it. A state
-directory belongs to one process at a time (`StateDirectory.lock`)."""
+The fleet keeps its record of votes here; other state can be stored in separate files of the same directory. A
+state directory is used by one process at a time (see `StateDirectory.lock`)."""
 
 from otterrudder.durable.daemon_thread import run_in_daemon_thread
 from otterrudder.durable.state_directory import (
--- a/otterrudder/durable/daemon_thread.py
+++ b/otterrudder/durable/daemon_thread.py
@@ -1,7 +1,8 @@
-"""Work that blocks on a disk, off the loop, in a thread that the end of the process does not wait for.
+"""Runs blocking disk operations outside the event loop, in threads that do not delay the end of the process.
 
-The worker threads of anyio are joined as the process ends: a disk that never answers would hold a drained
-server until it is killed. This thread is a daemon, and whoever waits for it may be cancelled."""
+The worker threads of anyio are joined when the process ends, so a disk that never answers would keep a
+drained server running until it is killed. The threads of this module are daemon threads, and a task that
+waits for one can be cancelled."""
 
 import asyncio
 import contextlib
@@ -15,8 +16,8 @@
 
 
 async def run_in_daemon_thread(function: Callable[[], _T]) -> _T:
-    """What the function returns or raises. Cancelled, it leaves the function to itself: its work may be done
-    or not, as after a kill."""
+    """Runs a function in a daemon thread, and returns its result or raises its exception. If the caller is
+    cancelled, the function continues on its own, and its work may or may not be completed."""
     loop, done = asyncio.get_running_loop(), anyio.Event()
     results: list[_T] = []
     errors: list[Exception] = []
@@ -26,7 +27,7 @@
             results.append(function())
         except Exception as error:
             errors.append(error)
-        with contextlib.suppress(RuntimeError):  # the loop is closed, and nobody waits
+        with contextlib.suppress(RuntimeError):  # the event loop is closed, and no task waits
             loop.call_soon_threadsafe(done.set)
 
     threading.Thread(target=run, name="disk", daemon=True).start()
--- a/otterrudder/durable/state_directory.py
+++ b/otterrudder/durable/state_directory.py
@@ -1,67 +1,68 @@
-"""A state directory of one process, and the files in it.
+"""The state directory of a process, and the files in it.
 
-A file is written beside its place, synced and renamed, and the directory is synced: after a loss of power it
-is the old one or the new one. Its first line has form, size and checksum of what follows; whatever does not
-match these is an InvalidStateFileError, never a guess. All calls block: whoever has an event loop calls them
-from a thread."""
+A file is written under a temporary name, synced and renamed, and then the directory is synced. After a power
+loss the file has either its old or its new content. The first line of a file has a signature, the format
+version, and the size and checksum of the data; a file that does not match them raises InvalidStateFileError.
+All calls block, so a program with an event loop must call them from a thread."""
 
 import fcntl
 import os
 import zlib
 from pathlib import Path
 
-LOCK_FILE = "lock"  # the file that says whose the directory is
-FORM = b"otterrudder-state"
-VERSION = 1  # of the form
-HEADER_WORDS = 4  # form, version, size, checksum
-MAX_FILE_BYTES = 4 * 1024 * 1024  # a larger file was not written by this program
+LOCK_FILE = "lock"  # locked by the process that uses the directory
+SIGNATURE = b"otterrudder-state"
+VERSION = 1  # of the file format
+HEADER_WORDS = 4  # signature, version, size, checksum
+MAX_FILE_BYTES = 4 * 1024 * 1024  # this program writes no larger file
 FILE_MODE = 0o600
 DIRECTORY_MODE = 0o700
 NO_DESCRIPTOR = -1
 
 
 class InvalidStateFileError(Exception):
-    """A file that is not whole, not ours or of another form, in one line."""
+    """A state file is damaged, has another format version, or was not written by this program."""
 
 
 class DirectoryInUseError(Exception):
-    """Another process has the directory."""
+    """Another process uses the directory."""
 
 
 class StateDirectory:
-    """Locked for as long as the process lives or until `close`: the lock goes with the process, however it
-    ends."""
+    """A directory of state files. The lock is held until `close` or the end of the process, even if the
+    process is killed."""
 
     def __init__(self, path: str | Path) -> None:
         self.path = Path(path)
-        self._lock = NO_DESCRIPTOR
-        self._directory = NO_DESCRIPTOR
+        self._lock_descriptor = NO_DESCRIPTOR
+        self._directory_descriptor = NO_DESCRIPTOR
 
     def lock(self) -> None:
-        """Makes the directory if there is none. DirectoryInUseError: another process has it; OSError: it
-        can't be used."""
+        """Creates the directory if necessary, and locks it. Raises DirectoryInUseError if another process
+        uses it, and OSError if it cannot be used."""
         self.path.mkdir(parents=True, exist_ok=True, mode=DIRECTORY_MODE)
         lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self._directory = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+            self._directory_descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         except BlockingIOError:
             os.close(lock)
-            raise DirectoryInUseError(f"{self.path}: another process has this folder") from None
+            raise DirectoryInUseError(f"{self.path}: another process uses this directory") from None
         except BaseException:
             os.close(lock)
             raise
-        self._lock = lock
+        self._lock_descriptor = lock
 
     def close(self) -> None:
-        """Gives the directory back."""
-        for descriptor in (self._directory, self._lock):
+        """Releases the lock."""
+        for descriptor in (self._directory_descriptor, self._lock_descriptor):
             if descriptor != NO_DESCRIPTOR:
                 os.close(descriptor)
-        self._directory = self._lock = NO_DESCRIPTOR
+        self._directory_descriptor = self._lock_descriptor = NO_DESCRIPTOR
 
     def read(self, name: str) -> bytes | None:
-        """What the file has; None: there is none. Raises InvalidStateFileError and OSError."""
+        """Returns the data in the file, or None if it does not exist. Raises InvalidStateFileError if it is
+        not valid, and OSError."""
         try:
             with open(self.path / name, "rb") as file:
                 content = file.read(MAX_FILE_BYTES + 1)
@@ -70,11 +71,12 @@
         return decode_state_file(content, str(self.path / name))
 
     def quarantine(self, name: str) -> None:
-        """A file that is not trusted is kept under another name, for whoever looks into it."""
+        """Renames an invalid file to `NAME.bad`, so that it is kept for examination."""
         os.replace(self.path / name, self.path / f"{name}.bad")
 
     def write(self, name: str, data: bytes) -> None:
-        """Once it returns, the file outlives a loss of power. OSError: it is as it was before."""
+        """Writes the file so that it survives a power loss once this method returns. Raises OSError; the file
+        then has its previous content."""
         new_path = self.path / f"{name}.new"
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(new_path, flags, FILE_MODE)
@@ -86,23 +88,26 @@
         finally:
             os.close(descriptor)
         os.replace(new_path, self.path / name)
-        os.fsync(self._directory)
+        os.fsync(self._directory_descriptor)
 
 
 def encode_state_file(data: bytes) -> bytes:
-    """The file's content for this state."""
-    return b"%s %d %d %08x\n" % (FORM, VERSION, len(data), zlib.crc32(data)) + data
+    """Returns the content of a file with this data."""
+    return b"%s %d %d %08x\n" % (SIGNATURE, VERSION, len(data), zlib.crc32(data)) + data
 
 
 def decode_state_file(content: bytes, name: str) -> bytes:
-    """The state in a file's content; InvalidStateFileError says what is wrong with it, by the file's name."""
+    """Returns the data in a file's content. Raises InvalidStateFileError, which has the file's name and the
+    error."""
     header, line_end, data = content.partition(b"\n")
     words = header.split(b" ")
-    if not line_end or len(words) != HEADER_WORDS or words[0] != FORM:
-        raise InvalidStateFileError(f"{name}: not a file of this program's state")
+    if not line_end or len(words) != HEADER_WORDS or words[0] != SIGNATURE:
+        raise InvalidStateFileError(f"{name}: not an otterrudder state file")
     _, version, size, checksum = words
     if version != b"%d" % VERSION:
-        raise InvalidStateFileError(f"{name}: form {version[:16]!r}, and this program reads {VERSION}")
+        raise InvalidStateFileError(
+            f"{name}: format version {version[:16]!r}, but this program reads version {VERSION}"
+        )
     if size != b"%d" % len(data) or checksum != b"%08x" % zlib.crc32(data):
-        raise InvalidStateFileError(f"{name}: it is torn: size or checksum do not fit what it holds")
+        raise InvalidStateFileError(f"{name}: damaged: the size or checksum does not match the data")
     return data
--- a/otterrudder/net/__init__.py
+++ b/otterrudder/net/__init__.py
@@ -1,5 +1,6 @@
-"""The server on sockets: the admission controller's decisions for real gateways, runtime and records service.
+"""The server on sockets: applies the admission controller's decisions to gateways, the runtime and the
+records service.
 
-`core` is pure and driven by the `dispatcher`; `runtime`, `records`, `gateway_listener` with
-`gateway_connection`, and `discovery` are the edges, each with its codec; `serve` runs them as one process.
-docs/server.md has the whole picture."""
+`core` performs no I/O and is driven by the `dispatcher`. `runtime`, `records`, `gateway_listener` with
+`gateway_connection`, and `discovery` handle the connections, each with its codec. `serve` runs all of them as
+one process. docs/server.md gives an overview."""
--- a/otterrudder/net/buffer.py
+++ b/otterrudder/net/buffer.py
@@ -1,31 +1,34 @@
-"""A receive buffer that is parsed in place."""
+"""A receive buffer whose content is parsed in place."""
 
-INITIAL_BYTES = 4 * 1024  # nearly all messages fit, and hundreds of connections are quiet
+INITIAL_BYTES = 4 * 1024  # fits nearly all messages; most of the hundreds of connections are quiet
 
 
 class ProtocolError(Exception):
-    """What came is no message, and what follows can't be told from it: the connection has to be closed."""
+    """The input is not a valid message, and the start of the next message cannot be found. The connection
+    must be closed."""
 
 
 class Buffer:
-    """What was received and not yet taken: codecs read `data` from `start` to `end`, and `consume` it.
+    """Bytes that were received and not consumed yet. Codecs read `data` from `start` to `end` and call
+    `consume`.
 
-    It grows up to its maximum with the longest message."""
+    The buffer grows with the longest message, up to `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.data = bytearray(min(max_bytes, INITIAL_BYTES))
         self.start = 0
         self.end = 0
-        self._scanned = 0  # up to there no line end was found
+        self._scanned = 0  # offset in `data` up to which no line terminator was found
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits, not even a part of a message."""
+        """Whether the buffer has no bytes, not even a part of a message."""
         return self.start == self.end
 
     def free_space(self) -> memoryview:
-        """Room for more; empty if one message fills it all, which no good sender's does."""
+        """Returns the space for further input. It is empty if one message fills the whole buffer, which
+        exceeds the protocol's limits."""
         if self.start:
             rest = self.end - self.start
             self.data[:rest] = self.data[self.start : self.end]
@@ -37,8 +40,8 @@
         return memoryview(self.data)[self.end :]
 
     def next_line(self, terminator: bytes) -> memoryview | None:
-        """The next line without its terminator, in place, if it is whole. `consume` it before the next
-        one."""
+        """Returns the next line without its terminator, as a view of the buffer, or None if it is not
+        complete. The caller must `consume` the line before it asks for the next one."""
         at = self.data.find(terminator, max(self._scanned, self.start), self.end)
         if at < 0:
             self._scanned = max(self.end - len(terminator) + 1, self.start)
@@ -46,20 +49,20 @@
         return memoryview(self.data)[self.start : at]
 
     def rescan(self) -> None:
-        """The line that was found last stays: the next look begins at it."""
+        """Makes `next_line` return the last line again, because it was not consumed."""
         self._scanned = self.start
 
     def consume(self, count: int) -> None:
-        """So many bytes are taken."""
+        """Removes the first `count` bytes."""
         self.start += count
         self._scanned = self.start
 
     def append(self, data: bytes) -> None:
-        """Adds bytes as if they were received; ProtocolError: they are more than it may hold."""
+        """Adds bytes as if they had been received. Raises ProtocolError if they exceed `max_bytes`."""
         while data:
             with self.free_space() as space:
                 if not space:
-                    raise ProtocolError("a message that is too long")
+                    raise ProtocolError("message is too long")
                 count = min(len(space), len(data))
                 space[:count] = data[:count]
             self.end += count
--- a/otterrudder/net/control.py
+++ b/otterrudder/net/control.py
@@ -1,9 +1,10 @@
-"""A local, read-only socket for operators' commands: one line of JSON a request, one a reply, then it closes.
+"""A local, read-only control socket for operators' commands. A connection carries one line of JSON as the
+request and one as the reply.
 
     {"v": 1, "ask": "vrrp"}      ->      {"v": 1, "vrrp": [...]}
 
-It lies in $TMPDIR with mode 0600, so nobody but the server's own user reads it. Bounded in connections, bytes
-and time. tests/test_control_stored_bytes.py holds the form."""
+The socket file is in $TMPDIR with mode 0600, so only the server's own user can connect. Connections, bytes
+and time are limited. tests/test_control_stored_bytes.py fixes the format."""
 
 import contextlib
 import json
@@ -18,38 +19,39 @@
 
 from otterrudder.log import log
 
-VERSION = 1  # of the form
+VERSION = 1  # of the format
 MAX_REQUEST_BYTES = 4096
-MAX_CONNECTIONS = 4  # an operator or two
-TIMEOUT_S = 2.0  # for a request to come and its reply to go
+MAX_CONNECTIONS = 4  # for one or two operators
+TIMEOUT_S = 2.0  # for receiving a request and sending its reply
 SOCKET_MODE = 0o600
-READ_BYTES = 65536  # of one read of a reply
+READ_BYTES = 65536  # size of one read of a reply
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be answered; the text is the reply's `error`."""
+    """The request is invalid; the text is sent as the reply's `error`."""
 
 
 def socket_path(name: str) -> Path:
-    """Where the server of that name listens."""
+    """Returns the path of the control socket of the server with this name."""
     return Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / f"otterrudder-{name}.sock"
 
 
 class ControlSocket:
-    """The server's side."""
+    """The server's side of the control socket."""
 
     def __init__(self, name: str, answers: dict[str, Callable[[], object]]) -> None:
-        """`answers`: by the word that is asked for, a function that returns what JSON can hold."""
+        """`answers` maps each word that can be asked for to a function that returns a value for JSON."""
         self.path = socket_path(name)
         self._answers = answers
         self._connections = 0
 
     async def run(self) -> None:
-        """Serves until it is cancelled. If it can't listen, that is logged, and nothing else happens."""
+        """Serves until it is cancelled. If it cannot listen, it logs a warning and returns; the server runs
+        without a control socket."""
         try:
             sock = self._bind()
         except OSError as error:
-            log.warning("no control socket", path=str(self.path), why=str(error))
+            log.warning("cannot listen on the control socket", path=str(self.path), why=str(error))
             return
         try:
             async with anyio.create_task_group() as group:
@@ -61,7 +63,7 @@
             self.path.unlink(missing_ok=True)
 
     def _bind(self) -> socket.socket:
-        self.path.unlink(missing_ok=True)  # of a process that was killed: each name is one server's
+        self.path.unlink(missing_ok=True)  # left by a killed process; server names are unique
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -94,7 +96,7 @@
                 line = await self._read_line(sock)
                 await self._write(sock, self._reply(line) + b"\n")
         except OSError:
-            pass  # the other side has gone
+            pass  # the peer has disconnected
         finally:
             self._connections -= 1
             sock.close()
@@ -105,7 +107,7 @@
             await anyio.wait_readable(sock)
             try:
                 more = sock.recv(MAX_REQUEST_BYTES - len(data))
-            except BlockingIOError:  # a spurious wake-up
+            except BlockingIOError:  # spurious wake-up
                 continue
             if not more:
                 break
@@ -142,12 +144,12 @@
 
 
 def query(name: str, word: str) -> dict[str, object]:
-    """Asks the running server of that name; OSError if none answers."""
+    """Sends a request to the running server with this name. Raises OSError if no server answers."""
     return query_path(socket_path(name), word)
 
 
 def query_path(path: Path, word: str) -> dict[str, object]:
-    """Asks the server that listens there; OSError if none answers."""
+    """Sends a request to the server that listens at the path. Raises OSError if no server answers."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(TIMEOUT_S)
         sock.connect(str(path))
--- a/otterrudder/net/controller_setup.py
+++ b/otterrudder/net/controller_setup.py
@@ -1,4 +1,4 @@
-"""How a server on sockets creates its admission controller from the platform's settings."""
+"""Creation of the admission controller of a server on sockets from the platform's settings."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -9,32 +9,32 @@
 from otterrudder.admission.interface import Idempotency, RequestClass
 from otterrudder.configuration import Configuration
 
-RESPONSES_MEMORY_SHARE = 0.4  # of this process's memory, for idempotency entries with their responses
-ENTRY_BYTES = 5 * 1024  # of an idempotency entry: the longest response, its key and what both hang on
+RESPONSES_MEMORY_SHARE = 0.4  # share of the process's memory for idempotency entries and their responses
+ENTRY_BYTES = 5 * 1024  # maximum size of an idempotency entry: the longest response, the key and overhead
 
 
 def unsupported_settings(settings: dict[str, Any]) -> list[str]:
-    """What the settings allow and the runtime's protocol has no word for: a line that is no command ends the
-    link, so the server keeps it off."""
-    why = "the runtime's protocol has no word for it, so it is kept off"
-    found = []
+    """Returns a message for each feature that the settings enable but the runtime's protocol does not
+    support. The server disables these features, because the runtime ends the link at an unknown command."""
+    reason = "disabled, because the runtime's protocol does not support it"
+    messages = []
     if can_stop_requests(settings):
-        found.append(f"familyInfo.stopMode: work can't be stopped here: {why}")
+        messages.append(f"familyInfo.stopMode: stopping requests is {reason}")
     if any(request_class.skip_weight_factor for request_class in request_classes_of(settings)):
-        found.append(f"familyInfo.classSkipWorth: no call is left out here: {why}")
-    return found
+        messages.append(f"familyInfo.classSkipWorth: skipping downstream calls is {reason}")
+    return messages
 
 
 def served_classes(settings: dict[str, Any]) -> list[RequestClass]:
-    """The request classes as they can be served here, see `unsupported_settings`."""
+    """Returns the request classes without the features that `unsupported_settings` reports."""
     return [replace(request_class, skip_weight_factor=0.0) for request_class in request_classes_of(settings)]
 
 
 def controller_factory(
     configuration: Configuration, request_classes: list[RequestClass]
 ) -> Callable[[float, bool, float], AdmissionController]:
-    """A function that creates the controller once the runtime is up, from the time, whether the runtime is
-    warm, and its uptime in ms."""
+    """Returns a function that creates the controller once the runtime is up. Its arguments are the time,
+    whether the runtime is warm, and the runtime's uptime in ms."""
     max_entries = _max_idempotency_entries(configuration.limits.memory_mb, request_classes)
 
     def create(now: float, is_warm: bool, uptime_ms: float) -> AdmissionController:
@@ -47,7 +47,7 @@
             uptime_ms=uptime_ms,
             request_classes=request_classes,
             can_stop_requests=False,
-            idempotency_entry_kb=0.0,  # responses lie here, not in the runtime's memory
+            idempotency_entry_kb=0.0,  # responses are kept in this process, not in the runtime's memory
             max_idempotency_entries=max_entries,
         )
 
@@ -55,13 +55,15 @@
 
 
 def _max_idempotency_entries(memory_mb: float, request_classes: list[RequestClass]) -> float:
-    """By the worst class: an entry outlives its retention by a deadline, see `IdempotencyTable.retain`."""
-    worst = max(
+    """Returns how many entries fit into the memory share. An entry is kept beyond its retention by a
+    deadline (see `IdempotencyTable.retain`), so the count is divided by the largest ratio of the whole period
+    to the retention among all classes."""
+    max_factor = max(
         (
-            1 + one.deadline_ms / (one.retention_ms or one.deadline_ms)
-            for one in request_classes
-            if one.idempotency is Idempotency.IDEMPOTENT
+            1 + request_class.deadline_ms / (request_class.retention_ms or request_class.deadline_ms)
+            for request_class in request_classes
+            if request_class.idempotency is Idempotency.IDEMPOTENT
         ),
         default=1.0,
     )
-    return memory_mb * 1e6 * RESPONSES_MEMORY_SHARE / ENTRY_BYTES / worst
+    return memory_mb * 1e6 * RESPONSES_MEMORY_SHARE / ENTRY_BYTES / max_factor
--- a/otterrudder/net/discovery.py
+++ b/otterrudder/net/discovery.py
@@ -1,4 +1,5 @@
-"""Keeps this server on the service discovery's endpoint list: a periodic report that nobody answers."""
+"""Periodic reports that keep this server on the endpoint list of the service discovery. Reports are not
+answered."""
 
 import socket
 
@@ -6,11 +7,11 @@
 
 from otterrudder.log import log
 
-REPORT_INTERVAL_S = 0.5  # five may be lost or late before the entry expires at 3 s
+REPORT_INTERVAL_S = 0.5  # an entry expires after 3 s, so five reports may be lost or late
 
 
 class DiscoveryReporter:
-    """Reports the server's state, ready or draining, in one datagram each."""
+    """Sends the server's state, ready or draining, as one datagram per report."""
 
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.address = address
@@ -19,7 +20,7 @@
         self._is_failing = False
 
     async def run(self) -> None:
-        """Reports until it is cancelled."""
+        """Sends reports until it is cancelled."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
@@ -33,9 +34,9 @@
         state = "draining" if self.is_draining else "ready"
         try:
             sock.sendto(f"BEAT {self._name} {state}".encode(), self.address)
-        except OSError as error:  # a refusal of the report before, or no room: the next one follows soon
+        except OSError as error:  # the previous report was refused, or the send buffer is full
             if not self._is_failing:
-                log.warning("service discovery does not answer", why=str(error))
+                log.warning("cannot report to service discovery", why=str(error))
             self._is_failing = True
         else:
             self._is_failing = False
--- a/otterrudder/net/fleet_setup.py
+++ b/otterrudder/net/fleet_setup.py
@@ -1,4 +1,4 @@
-"""Connects the fleet's agent with the server. Imported only where there is a fleet file."""
+"""Connects the fleet's agent to the server. Imported only if a fleet file is configured."""
 
 from dataclasses import replace
 
@@ -16,10 +16,13 @@
 def create_agent(
     fleet: Fleet, configuration: Configuration, dispatcher: Dispatcher, level_spread: float
 ) -> Agent | CellAgent:
-    """The fleet's agent. What it decides goes to the core by the dispatcher, ahead of what arrives.
-    ConfigurationError: the state directory is another process's, or a file of keys can't be read."""
+    """Creates the fleet's agent. The agent passes its decisions to the core through the dispatcher, which
+    handles them before arrivals. Raises ConfigurationError if the state directory is in use by another
+    process or a key file cannot be read."""
     core = dispatcher.core
-    own = replace(local_configuration_of(configuration.settings), products=core.request_classes)
+    local_configuration = replace(
+        local_configuration_of(configuration.settings), products=core.request_classes
+    )
 
     def apply_policy(content: Content) -> None:
         dispatcher.post(
@@ -38,7 +41,9 @@
         return core.controller.load_report() if core.controller else {}
 
     try:
-        agent = make_agent(fleet, configuration.name, own, apply_policy, set_suspended, load_report)
+        agent = make_agent(
+            fleet, configuration.name, local_configuration, apply_policy, set_suspended, load_report
+        )
     except (DirectoryInUseError, OSError) as error:
         raise ConfigurationError(f"fleet: {error}") from None
     dispatcher.batch_hooks.append(agent.pulse)
--- a/otterrudder/net/gateway_connection.py
+++ b/otterrudder/net/gateway_connection.py
@@ -1,6 +1,6 @@
-"""One connection of a gateway: its messages to the request core, and the core's answers back.
+"""A connection of a gateway: passes its messages to the request core and sends the core's answers.
 
-Each connection answers for its own input and output alone."""
+Bad input or slow reading on one connection does not affect the others."""
 
 import math
 import socket
@@ -15,30 +15,30 @@
 from otterrudder.net.messages import ConnectionMessage, HealthStatus, RequestInvalid
 
 MAX_OPEN_REQUESTS = 32
-MAX_UNSENT_BYTES = 512 * 1024  # the 32 longest answers, three times over
-MAX_PROTOCOL_ERRORS = 6  # after so many it is closed: a good gateway makes none
-CLOSE_TIMEOUT_S = 0.5  # to read what it is owed, and to close: many round trips
-IDLE_REASON = "idle"  # a reason for an end
+MAX_UNSENT_BYTES = 512 * 1024  # three times the size of 32 answers of maximum length
+MAX_PROTOCOL_ERRORS = 6  # the connection is closed at this many; a correct gateway makes none
+CLOSE_TIMEOUT_S = 0.5  # for the gateway to read its answers and close: many round trips
+IDLE_REASON = "idle"  # an end reason
 
 
 class ConnectionOwner(Protocol):
-    """Who accepted the connection, as far as the connection knows."""
+    """The part of the listener that a connection uses."""
 
     dispatcher: Dispatcher
     tenants: dict[str, int]  # indices by name
 
     def log_connection_error(self, reason: str) -> None:
-        """Logs it, at a bounded rate."""
+        """Logs an error of a connection, at a limited rate."""
 
     def remove(self, connection: "GatewayConnection") -> None:
-        """The connection has ended."""
+        """Removes a connection that has ended."""
 
 
 class GatewayConnection:
-    """Gives back its socket and its open requests in `run`, on every way out."""
+    """A connection of a gateway. `run` closes its socket and its open requests on every path."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
-        self.open_requests: dict[int, str] = {}  # request ids by rpc id
+        self.open_requests: dict[int, str] = {}  # request ids by JSON-RPC id
         self.stream = sockets.Stream(
             sock,
             sockets.StreamLimits(jsonrpc.MAX_LINE_BYTES, MAX_UNSENT_BYTES, CLOSE_TIMEOUT_S),
@@ -46,10 +46,10 @@
             owes_answers=lambda: bool(self.open_requests),
         )
         self.connected_at = clock.monotonic()
-        self.last_activity = self.connected_at  # when something last came or was answered
-        self.partial_since = math.inf  # when the message that is partly read began to come
-        self.goaway_at = 0.0  # when it was asked to send nothing more; 0: not yet
-        self.has_response = False  # something was answered
+        self.last_activity = self.connected_at  # time of the last input or answer
+        self.partial_since = math.inf  # when the first bytes of an incomplete message arrived
+        self.goaway_at = 0.0  # when `noMore` was sent; 0: not yet
+        self.has_response = False  # whether any message was answered
         self._owner = owner
         self._dispatcher = owner.dispatcher
         self._protocol_errors = 0
@@ -60,8 +60,8 @@
             reason = await self.stream.serve()
             if reason not in (sockets.CLOSED_BY_PEER, IDLE_REASON, sockets.SERVER_SHUTDOWN):
                 self._owner.log_connection_error(reason)
-        except Exception:  # a fault of this connection's is not the others'
-            log.exception("a connection failed")
+        except Exception:  # must not affect other connections
+            log.exception("connection handler failed")
         finally:
             self._owner.remove(self)
             for request_id in self.open_requests.values():
@@ -79,27 +79,29 @@
         self.stream.send(jsonrpc.encode(message))
 
     def send_goaway(self, now: float) -> None:
-        """Asks the gateway to send nothing more here; what crosses this message is answered."""
+        """Sends `noMore`, which asks the gateway to send no more requests here. Requests that cross it are
+        still answered."""
         if not self.goaway_at:
             self.goaway_at = now
             self.stream.send(jsonrpc.GOAWAY)
 
     def is_busy(self) -> bool:
-        """Whether it ends already, or is owed something, sent or not: an answer that it has not read would be
-        lost with it."""
+        """Whether the connection has open requests or unsent answers, or is ending already. A close would
+        lose answers that the gateway has not read."""
         return bool(self.open_requests or self.stream.unsent_bytes or self.stream.end_reason)
 
     def close(self, reason: str, timeout_s: float = CLOSE_TIMEOUT_S) -> bool:
-        """Closes it unless something new comes first; whether it is closing.
+        """Closes the connection unless it has new unread input. Returns whether it is closing.
 
-        A request may lie unread where the loop was busy, or a part of one: what has come is handled first,
-        and who sent something new stays. More of an old partial message is nothing new."""
+        While the event loop was busy, a request or a part of one may have arrived unread. Such input is
+        handled first, and then the connection stays open. More bytes of a partial message that had already
+        begun do not count as new input."""
         partial_since = self.partial_since
         if not self.stream.receive_pending() or partial_since == self.partial_since < math.inf:
             self.stream.close(reason, timeout_s)
         return bool(self.stream.end_reason)
 
-    # What comes.
+    # Input.
 
     def _handle_input(self, buffer: Buffer) -> None:
         self.last_activity = clock.monotonic()
@@ -114,23 +116,23 @@
                 return
         if buffer.is_empty:
             self.partial_since = math.inf
-        elif has_message or self.partial_since == math.inf:  # a rest since the last message does not count
+        elif has_message or self.partial_since == math.inf:  # the idle time before a message does not count
             self.partial_since = self.last_activity
 
     def _handle_message(self, message: jsonrpc.IncomingMessage) -> None:
         rpc_id, method, params = message
         core = self._dispatcher.core
         if method == jsonrpc.INTERRUPT_METHOD:
-            self._interrupt(params)
+            self._handle_interrupt(params)
         elif rpc_id is None:
-            self._send_error(None, jsonrpc.INVALID_REQUEST, "no id")
+            self._send_error(None, jsonrpc.INVALID_REQUEST, "id is missing")
         elif method == jsonrpc.CHECK_METHOD:
             self._post(core.handle_health_check, self, rpc_id)
         elif (class_index := core.class_indices.get(method)) is None:
-            self._send_error(rpc_id, jsonrpc.METHOD_NOT_FOUND, "no such method")
+            self._send_error(rpc_id, jsonrpc.METHOD_NOT_FOUND, "unknown method")
         elif rpc_id in self.open_requests:
-            # An answer under this id would be taken for that of the open request.
-            self._count_error(f"id {rpc_id} is open already")
+            # The gateway would take an error with this id for the answer to the open request.
+            self._count_error(f"id {rpc_id} is already open")
         elif len(self.open_requests) >= MAX_OPEN_REQUESTS:
             reason = f"more than {MAX_OPEN_REQUESTS} open requests"
             self._send_error(rpc_id, jsonrpc.INVALID_REQUEST, reason)
@@ -149,7 +151,7 @@
         self.open_requests[rpc_id] = request_id
         self._post(core.handle_arrival, self, rpc_id, class_index, fields, request_id=request_id)
 
-    def _interrupt(self, params: dict[str, Any]) -> None:
+    def _handle_interrupt(self, params: dict[str, Any]) -> None:
         interrupted = jsonrpc.interrupted_request(params)
         for rpc_id, request_id in self.open_requests.items():
             if request_id == interrupted:
@@ -172,4 +174,4 @@
         if self._protocol_errors == 1:
             self._owner.log_connection_error(reason)
         elif self._protocol_errors >= MAX_PROTOCOL_ERRORS:
-            self.stream.close("too many wrong messages")  # its good requests are still answered
+            self.stream.close("too many invalid messages")  # open requests are still answered
--- a/otterrudder/net/gateway_listener.py
+++ b/otterrudder/net/gateway_listener.py
@@ -1,4 +1,4 @@
-"""The listener for gateways: accepts connections while there is room, and closes them at the shutdown."""
+"""The listener for gateways: accepts connections up to a limit, and closes them at the shutdown."""
 
 import errno
 import math
@@ -16,22 +16,22 @@
 from otterrudder.net.messages import GatewaysMessage
 from otterrudder.net.sockets import SERVER_SHUTDOWN
 
-BACKLOG = 1024  # connections that may wait to be accepted while the loop is busy
-MIN_CONNECTIONS = 8  # taken however few descriptors there are
-SPARE_DESCRIPTORS = 24  # kept for the runtime, service discovery, logs and the loop itself
-MAX_ACCEPTED_AT_ONCE = 16  # before others get their turn: hundreds come at once
-FULL_PAUSE_S = 0.05  # without accepting when there is no room, or no descriptor
-CLOSING_PAUSE_S = 0.002  # without accepting while those that make room close
-SWEEP_INTERVAL_S = 0.1  # between looks for connections to close
-MAX_LOGGED_ERRORS = 5  # lines a second on connections; past that they are counted
-GOAWAY_GRACE_S = 0.1  # at the end of a drain, for what crosses `noMore`: twice the bound of a round trip
-FINAL_WRITE_TIMEOUT_S = 0.05  # after that, for what is owed to be written; both lie ahead of the stop
-# No descriptor or memory for a connection, rather than something wrong with it.
+BACKLOG = 1024  # connections that may wait to be accepted while the event loop is busy
+MIN_CONNECTIONS = 8  # accepted even if fewer descriptors are available
+SPARE_DESCRIPTORS = 24  # reserved for the runtime, service discovery, logs and the event loop
+MAX_ACCEPTED_AT_ONCE = 16  # before other tasks run; hundreds of connections may arrive together
+FULL_PAUSE_S = 0.05  # pause in accepting when the connection limit is reached or descriptors run out
+CLOSING_PAUSE_S = 0.002  # pause in accepting while connections close to make room
+SWEEP_INTERVAL_S = 0.1  # between searches for connections to close
+MAX_LOGGED_ERRORS = 5  # log lines on connections per second; further ones are only counted
+GOAWAY_GRACE_S = 0.1  # at the end of a drain, for requests that cross `noMore`: twice the maximum round trip
+FINAL_WRITE_TIMEOUT_S = 0.05  # after that, for writing pending answers; both end before the stop time
+# Errors that mean a lack of descriptors or memory rather than a fault of the connection.
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class GatewayListener:
-    """Owns the listening socket and the set of connections."""
+    """Owns the listening socket and the gateways' connections."""
 
     def __init__(
         self,
@@ -40,19 +40,19 @@
         max_descriptors: int,
         tenants: dict[str, int],
     ) -> None:
-        """`max_descriptors`: what is left for connections; `tenants`: indices by name. OSError: the address
-        can't be listened on."""
+        """`max_descriptors` is the number of descriptors available for gateways; `tenants` maps names to
+        indices. Raises OSError if the server cannot listen on the address."""
         self.dispatcher = dispatcher
         self.tenants = tenants
         self.max_connections = max(max_descriptors - SPARE_DESCRIPTORS, MIN_CONNECTIONS)
         self.connections: set[GatewayConnection] = set()
         self._idle_ms = math.inf
-        self._is_full = False  # as logged
-        self._is_closing = False  # the drain is over: whoever connects is told `noMore` at once
+        self._is_full = False  # whether "cannot accept connections" was logged
+        self._is_closing = False  # the drain is over: new connections are sent `noMore` at once
         self._close_requested = anyio.Event()
         self._connection_ended = anyio.Event()
         self._error_second = 0
-        self._errors = 0  # in that second
+        self._errors = 0  # number of errors in that second
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
@@ -60,15 +60,15 @@
         self.sock.listen(BACKLOG)
 
     def send(self, message: GatewaysMessage) -> None:
-        """What the admission controller wants done with connections."""
+        """Applies a command of the admission controller to the connections."""
         if isinstance(message, SetIdleTimeout):
             self._idle_ms = message.timeout_ms
         else:
             self._close_requested.set()
 
     async def run(self, group: anyio.abc.TaskGroup) -> None:
-        """Accepts until the drain is over, then closes the connections and returns. The order of the end, and
-        what may come between any two steps: docs/design/closes.md."""
+        """Accepts connections until the drain is over, then closes them and returns. docs/design/closes.md
+        describes the steps of the close and the events that may occur between them."""
         group.start_soon(self._sweep)
         async with anyio.create_task_group() as accepting:
             accepting.start_soon(self._accept, group)
@@ -80,31 +80,31 @@
         with anyio.move_on_after(GOAWAY_GRACE_S):
             await self._accept_remaining(group)
             await self._wait_until_closed()
-        if self.sock.fileno() >= 0:  # more wait than there was room for in that time
+        if self.sock.fileno() >= 0:  # the grace ended before all waiting connections were accepted
             self._accept_some(group)
             self.sock.close()
-        for connection in self.connections:  # nothing is awaited between the last read and the close
+        for connection in self.connections:  # without an await between the last read and the close
             connection.stream.receive_pending()
             connection.stream.close(
                 SERVER_SHUTDOWN, FINAL_WRITE_TIMEOUT_S
-            )  # waits for answers to what was just read
+            )  # waits for the answers to the last input
         with anyio.move_on_after(FINAL_WRITE_TIMEOUT_S):
             await self._wait_until_closed()
 
     def remove(self, connection: GatewayConnection) -> None:
-        """The connection has ended."""
+        """Removes a connection that has ended."""
         self.connections.discard(connection)
         self._connection_ended.set()
 
     def log_connection_error(self, reason: str) -> None:
-        """Logs what is wrong with a connection, at a bounded rate."""
+        """Logs an error of a connection, at a limited rate."""
         second = int(clock.monotonic() / 1000)
         if second != self._error_second:
-            left_out = max(self._errors - MAX_LOGGED_ERRORS, 0)
+            suppressed = max(self._errors - MAX_LOGGED_ERRORS, 0)
             self._error_second = second
             self._errors = 0
-            if left_out:
-                log.warning("more connection errors", lines_left_out=left_out)
+            if suppressed:
+                log.warning("further connection errors were not logged", lines_left_out=suppressed)
         self._errors += 1
         if self._errors <= MAX_LOGGED_ERRORS:
             log.warning("connection error", why=reason)
@@ -128,14 +128,15 @@
                 await anyio.sleep(pause_s)
 
     async def _accept_remaining(self, group: anyio.abc.TaskGroup) -> None:
-        """What waits to be accepted may have been written to, and would be reset with the listener."""
+        """Accepts the waiting connections, which may already carry requests, and closes the listener. Closing
+        the listener first would reset them."""
         while pause_s := self._accept_some(group):
             await anyio.sleep(pause_s)
         self.sock.close()
 
     def _accept_some(self, group: anyio.abc.TaskGroup, max_count: int = BACKLOG) -> float:
-        """Accepts at most so many that wait. Seconds to wait if there is no room for more, for trying at once
-        would only spin; 0 if none waits."""
+        """Accepts up to `max_count` waiting connections. Returns how long to pause in s if the limit is
+        reached, because an immediate retry would spin; otherwise 0."""
         for _ in range(max_count):
             if not self._has_room():
                 break
@@ -145,26 +146,26 @@
                 self._is_full = False
                 return 0.0
             except OSError as error:
-                if error.errno == errno.EMFILE:  # fewer than configured: the links need theirs too
+                if error.errno == errno.EMFILE:  # fewer descriptors than configured; the links also need some
                     self._reduce_max_connections()
                 if error.errno in OUT_OF_RESOURCES:
                     return self._make_room(str(error))
-                continue  # that one connection went before it was accepted
-            self._add(sock, group)
-        return 0.0 if self._has_room() else self._make_room("as many connections as the limit allows")
+                continue  # the connection was closed before it was accepted
+            self._add_connection(sock, group)
+        return 0.0 if self._has_room() else self._make_room("connection limit reached")
 
     def _has_room(self) -> bool:
         return len(self.connections) < self.max_connections
 
     def _reduce_max_connections(self) -> None:
-        fewer = len(self.connections) - connection_reaper.MAX_CLOSED_AT_ONCE
-        self.max_connections = max(min(self.max_connections, fewer), MIN_CONNECTIONS)
+        new_limit = len(self.connections) - connection_reaper.MAX_CLOSED_AT_ONCE
+        self.max_connections = max(min(self.max_connections, new_limit), MIN_CONNECTIONS)
 
-    def _add(self, sock: socket.socket, group: anyio.abc.TaskGroup) -> None:
+    def _add_connection(self, sock: socket.socket, group: anyio.abc.TaskGroup) -> None:
         try:
             connection = GatewayConnection(self, sock)
         except OSError:
-            sock.close()  # reset before it could be set up
+            sock.close()  # the peer reset it before it was set up
             return
         self.connections.add(connection)
         group.start_soon(connection.run)
@@ -172,10 +173,10 @@
             connection.send_goaway(clock.monotonic())
 
     def _make_room(self, reason: str) -> float:
-        """Seconds to wait."""
+        """Closes connections to make room for new ones. Returns how long to pause in accepting, in s."""
         if connection_reaper.make_room(self.connections, self._is_closing):
             return CLOSING_PAUSE_S
         if not self._is_full:
             self._is_full = True
-            log.error("cannot accept", why=reason, connections=len(self.connections))
+            log.error("cannot accept connections", why=reason, connections=len(self.connections))
         return FULL_PAUSE_S
--- a/otterrudder/net/jsonrpc.py
+++ b/otterrudder/net/jsonrpc.py
@@ -1,7 +1,7 @@
-"""The codec of the gateways' protocol: JSON-RPC 2.0, a message a line. No I/O.
+"""The codec of the gateways' protocol: JSON-RPC 2.0 with one message per line. It performs no I/O.
 
-Field names and words of the wire appear here alone; the rest of the server uses `RequestFields` and the types
-of `messages.py`."""
+The field names and words of the protocol appear only in this module. The rest of the server uses
+`RequestFields` and the types of `messages.py`."""
 
 import binascii
 import math
@@ -23,21 +23,21 @@
 )
 from otterrudder.net.requests import RequestFields
 
-MAX_BODY_BYTES = 2048  # of a request
-MAX_LINE_BYTES = 16 * 1024  # a body, its base64 and every field with room to spare
-MAX_RPC_ID = 2**53  # ids count from 1; past that not all readers of JSON can tell them apart
-MAX_CLOCK_SKEW_MS = 3600e3  # between a gateway's clock and this one; past an hour it is no clock
-MAX_TTL_MS = 86400e3  # nobody waits for a day
-MAX_SIZE_KB = 2000.0  # a request's memory lies below
-MAX_KEY_CHARACTERS = 64  # of an idempotency key: all that is retained is bounded
+MAX_BODY_BYTES = 2048  # body of a request
+MAX_LINE_BYTES = 16 * 1024  # leaves ample space for a body in base64 and all fields
+MAX_RPC_ID = 2**53  # ids count from 1; not all JSON readers can distinguish larger ones
+MAX_CLOCK_SKEW_MS = 3600e3  # between a gateway's clock and this server's; a larger difference is invalid
+MAX_TTL_MS = 86400e3  # one day; no caller waits longer
+MAX_SIZE_KB = 2000.0  # exclusive upper bound of a request's memory
+MAX_KEY_CHARACTERS = 64  # length of an idempotency key; keys are retained, so their size is limited
 
-# JSON-RPC error codes; the first four are those of its specification.
+# JSON-RPC error codes. The first four are defined by the specification.
 PARSE_ERROR = -32700
 INVALID_REQUEST = -32600
 METHOD_NOT_FOUND = -32601
 INVALID_PARAMS = -32602
 FAILED = -32000
-REJECTED = -32014  # never ran
+REJECTED = -32014  # the request never ran
 
 CHECK_METHOD = "check"
 INTERRUPT_METHOD = "interrupt"
@@ -49,12 +49,12 @@
 
 
 class InvalidParamsError(ValueError):
-    """A field is missing or wrong; the text names it."""
+    """A field is missing or invalid; the text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidMessage:
-    """A line that is no valid message; it is answered under its id, if it has one."""
+    """A line that is not a valid message. It is answered under its id, or under null if it has none."""
 
     code: int
     reason: str
@@ -64,13 +64,13 @@
 class IncomingMessage(NamedTuple):
     """A request or notification of a gateway."""
 
-    rpc_id: int | None  # None: no answer is wanted
+    rpc_id: int | None  # None: a notification, which gets no answer
     method: str
     params: dict[str, Any]
 
 
 def read_messages(buffer: Buffer) -> Iterator[IncomingMessage | InvalidMessage]:
-    """Takes all whole lines out of the buffer."""
+    """Decodes and consumes all complete lines of the buffer."""
     while (line := buffer.next_line(b"\n")) is not None:
         size = len(line) + 1
         with line:
@@ -81,49 +81,49 @@
 
 
 def _decode_line(line: memoryview) -> IncomingMessage | InvalidMessage | None:
-    """None: an empty line."""
+    """Decodes a line; returns None for an empty one."""
     try:
         document = _decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None if not bytes(line).strip() else InvalidMessage(PARSE_ERROR, "not JSON")
     if not isinstance(document, dict):
-        return InvalidMessage(INVALID_REQUEST, "not a JSON-RPC message; batches are not taken")
+        return InvalidMessage(INVALID_REQUEST, "not a JSON-RPC message; batches are not supported")
     rpc_id = document.get("id")
     method = document.get("method")
     params = document.get("params", {})
     if rpc_id is not None and (type(rpc_id) is not int or not 1 <= rpc_id <= MAX_RPC_ID):
-        return InvalidMessage(INVALID_REQUEST, "id is no whole number above 0")
+        return InvalidMessage(INVALID_REQUEST, "id must be a positive integer")
     if document.get("jsonrpc") != "2.0" or not isinstance(method, str):
         return InvalidMessage(INVALID_REQUEST, "not a JSON-RPC 2.0 request", rpc_id)
     if not isinstance(params, dict):
-        return InvalidMessage(INVALID_PARAMS, "params is no object", rpc_id)
+        return InvalidMessage(INVALID_PARAMS, "params must be an object", rpc_id)
     return IncomingMessage(rpc_id, method, params)
 
 
 def interrupted_request(params: dict[str, Any]) -> object:
-    """The id of the request that an interrupt is about, as it came."""
+    """Returns the request id in the parameters of an interrupt, unchecked."""
     return params.get("call")
 
 
 def read_request(
     params: dict[str, Any], tenants: dict[str, int], unix_ms: float, needs_key: bool
 ) -> RequestFields:
-    """The fields of a request; InvalidParamsError says which is wrong. `tenants`: indices by name;
-    `needs_key`: a request of its class has to have an idempotency key."""
-    tenant_name = _text(params, "org")
-    session_key = _text(params, "row")
-    idempotency_key = _text(params, "dedupe")
+    """Returns the fields of a request. Raises InvalidParamsError, which names the invalid field. `tenants`
+    maps names to indices; `needs_key` is True if requests of the class must have an idempotency key."""
+    tenant_name = _string(params, "org")
+    session_key = _string(params, "row")
+    idempotency_key = _string(params, "dedupe")
     if len(idempotency_key) > MAX_KEY_CHARACTERS or (needs_key and not idempotency_key):
         raise InvalidParamsError("dedupe is missing or too long")
     if params.get("rep", 1) != 1:
-        raise InvalidParamsError("rep is not 1")
-    if "src" in params:  # not used here, but a good gateway knows its own
+        raise InvalidParamsError("rep must be 1")
+    if "src" in params:  # validated but not used
         _number(params, "src", 0, 1e9)
     size_kb = _size_kb(params)
     if tenant_name not in tenants and (tenant_name or tenants):
-        raise InvalidParamsError("org is no tenant of the settings")
+        raise InvalidParamsError("org must name a configured tenant")
     if session_key and not _HEX16.fullmatch(session_key):
-        raise InvalidParamsError("row is not 16 hex digits")
+        raise InvalidParamsError("row must be 16 hex digits")
     body = _body(params)
     return RequestFields(
         request_id=_request_id(params),
@@ -142,48 +142,48 @@
 def _request_id(params: dict[str, Any]) -> str:
     request_id = params.get("call")
     if not isinstance(request_id, str) or not _HEX16.fullmatch(request_id):
-        raise InvalidParamsError("call is not 16 hex digits")
+        raise InvalidParamsError("call must be 16 hex digits")
     return request_id
 
 
 def _size_kb(params: dict[str, Any]) -> float:
     size_kb = _number(params, "heap", 0, MAX_SIZE_KB)
     if not 0 < size_kb < MAX_SIZE_KB:
-        raise InvalidParamsError(f"heap is not above 0 and below {MAX_SIZE_KB:g}")
+        raise InvalidParamsError(f"heap must be above 0 and below {MAX_SIZE_KB:g}")
     return size_kb
 
 
 def _body(params: dict[str, Any]) -> bytes:
     try:
-        body = binascii.a2b_base64(_text(params, "blob"), strict_mode=True)
+        body = binascii.a2b_base64(_string(params, "blob"), strict_mode=True)
     except binascii.Error:
-        raise InvalidParamsError("blob is not base64") from None
+        raise InvalidParamsError("blob must be base64") from None
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidParamsError(f"blob is over {MAX_BODY_BYTES} bytes")
+        raise InvalidParamsError(f"blob must not exceed {MAX_BODY_BYTES} bytes")
     return body
 
 
 def _number(params: dict[str, Any], name: str, minimum: float, maximum: float) -> float:
     value: Any = params.get(name)
-    if type(value) not in (int, float) or not minimum <= value <= maximum:  # NaN is neither
-        raise InvalidParamsError(f"{name} is no number from {minimum:g} to {maximum:g}")
+    if type(value) not in (int, float) or not minimum <= value <= maximum:  # also rejects NaN
+        raise InvalidParamsError(f"{name} must be a number from {minimum:g} to {maximum:g}")
     return float(value)
 
 
-def _text(params: dict[str, Any], name: str) -> str:
+def _string(params: dict[str, Any], name: str) -> str:
     value = params.get(name, "")
     if not isinstance(value, str):
-        raise InvalidParamsError(f"{name} is no string")
+        raise InvalidParamsError(f"{name} must be a string")
     return value
 
 
 def encode(message: ConnectionMessage) -> list[bytes]:
-    """The line of a message, in parts."""
+    """Encodes a message as the parts of a line."""
     return _ENCODERS[type(message)](message)
 
 
 def encode_error(rpc_id: int | None, code: int, reason: str, load: float | None = None) -> list[bytes]:
-    """An error's line; an id of None is JSON's null."""
+    """Encodes an error; an id of None is written as null."""
     number = b"null" if rpc_id is None else b"%d" % rpc_id
     data = b',"data":{%s}' % _load_member(load)[1:] if load is not None else b""
     return [
@@ -229,7 +229,7 @@
 
 
 def _load_member(load: float | None) -> bytes:
-    """With the comma ahead of it."""
+    """Returns the member `load` with a leading comma, or b"" if the load is None."""
     return b"" if load is None else b',"load":%s' % _encode(round(load, 4))
 
 
--- a/otterrudder/net/lines.py
+++ b/otterrudder/net/lines.py
@@ -1,23 +1,24 @@
-"""The framing that the runtime and the records service share: a line of words ended by CR LF, and a body
-where the last word is its length. No I/O.
+"""The framing of the protocols of the runtime and the records service: a line of words that ends with CR LF,
+followed for some messages by a body whose length is the last word of the line. The module performs no I/O.
 
-What the words mean: `runtime_codec.py` and `records_codec.py`."""
+`runtime_codec.py` and `records_codec.py` interpret the words."""
 
 from collections.abc import Callable, Iterator
 
 from otterrudder.net.buffer import Buffer, ProtocolError
 
-MAX_LINE_BYTES = 512  # without a body: an id, a name and some numbers
-MAX_BODY_BYTES = 60 * 1024  # results are 4 KiB at most, replies not much more
-BUFFER_BYTES = 64 * 1024  # of a receive buffer: a body and its line fit
-MAX_DIGITS = 15  # of a whole number
+MAX_LINE_BYTES = 512  # without a body; a line has an id, a name and some numbers
+MAX_BODY_BYTES = 60 * 1024  # results have up to 4 KiB, replies slightly more
+BUFFER_BYTES = 64 * 1024  # receive buffer; holds a body with its line
+MAX_DIGITS = 15  # digits of a whole number
 END_OF_LINE = b"\r\n"
 
 Words = list[str]
 
 
 def read_messages(buffer: Buffer, has_body: Callable[[Words], bool]) -> Iterator[tuple[Words, bytes]]:
-    """Takes all whole messages out of the buffer. `has_body`: whether a body follows the line."""
+    """Yields and consumes all complete messages of the buffer. `has_body` tells from the words of a line
+    whether a body follows."""
     while (line := buffer.next_line(END_OF_LINE)) is not None:
         with line:
             size = len(line) + len(END_OF_LINE)
@@ -32,7 +33,7 @@
         buffer.consume(size)
         yield words, body
     if buffer.end - buffer.start > MAX_LINE_BYTES:
-        raise ProtocolError("a line without end")
+        raise ProtocolError("line is too long")
 
 
 def _split(line: memoryview, size: int) -> Words:
@@ -41,35 +42,36 @@
             return str(line, "ascii").split(" ")
         except UnicodeDecodeError:
             pass
-    raise ProtocolError("a line that is too long or not text")
+    raise ProtocolError("line is too long or not ASCII text")
 
 
 def _body(buffer: Buffer, offset: int, length: int) -> bytes | None:
-    """The body behind a line of `offset` bytes; None: it has not come whole yet."""
+    """Returns the body that follows a line of `offset` bytes, or None if the body is not complete yet."""
     if length > MAX_BODY_BYTES:
-        raise ProtocolError(f"a body of {length} bytes")
+        raise ProtocolError(f"body of {length} bytes is too long")
     start = buffer.start + offset
     end = start + length
     if buffer.end < end + len(END_OF_LINE):
         buffer.rescan()
         return None
     if buffer.data[end : end + len(END_OF_LINE)] != END_OF_LINE:
-        raise ProtocolError("a body that does not end where its length says")
+        raise ProtocolError("body does not end where its length says")
     return bytes(memoryview(buffer.data)[start:end])
 
 
 def whole_number(word: str) -> int:
-    """A whole number from 0; ProtocolError if the word is none."""
+    """Returns the whole number, 0 or greater, that a word represents. Raises ProtocolError if it is not
+    one."""
     if not (word.isascii() and word.isdigit() and len(word) <= MAX_DIGITS):
-        raise ProtocolError(f"{word[:20]!r} is no whole number")
+        raise ProtocolError(f"{word[:20]!r} is not a whole number")
     return int(word)
 
 
 def encode(*words: object) -> list[bytes]:
-    """A line of these words."""
+    """Encodes a line of words."""
     return [" ".join(map(str, words)).encode() + END_OF_LINE]
 
 
 def encode_with_body(body: bytes, *words: object) -> list[bytes]:
-    """A line of these words and the body's length, and the body behind it."""
+    """Encodes a line of words and the length of the body, followed by the body."""
     return [f"{' '.join(map(str, words))} {len(body)}\r\n".encode(), body, END_OF_LINE]
--- a/otterrudder/net/records_codec.py
+++ b/otterrudder/net/records_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the records service's protocol: calls out, replies in. No I/O."""
+"""The codec of the records service's protocol: encodes calls and decodes replies. It performs no I/O."""
 
 import math
 
@@ -10,9 +10,9 @@
 from otterrudder.net.lines import Words
 from otterrudder.net.messages import CancelCall, SendCall
 
-MIN_TIMEOUT_MS = 1  # the service takes whole ms
-REPLY_WORDS = 3  # words of a line that a body follows
-MAX_QUOTED = 40  # characters of a wrong reply in an error
+MIN_TIMEOUT_MS = 1  # the protocol has whole ms
+REPLY_WORDS = 3  # number of words in a line that is followed by a body
+MAX_QUOTED = 40  # characters of an unknown reply that an error message quotes
 
 _OUTCOMES = {
     "DONE": Outcome.OK,
@@ -32,12 +32,12 @@
 
 
 def has_body(words: Words) -> bool:
-    """Whether a body follows this line."""
+    """Whether a body follows the line with these words."""
     return len(words) == REPLY_WORDS and words[1] == "DONE"
 
 
 def decode(words: Words, body: bytes) -> CallReply:
-    """What a line says; ProtocolError: it can't be understood."""
+    """Decodes a line and its body. Raises ProtocolError if the line is not valid."""
     outcome = _OUTCOMES.get(words[1]) if len(words) > 1 else None
     if outcome is None:
         raise ProtocolError(f"unknown reply {' '.join(words)[:MAX_QUOTED]!r}")
@@ -45,11 +45,11 @@
 
 
 def encode_call(call: SendCall) -> list[bytes]:
-    """The line and the body of a call."""
+    """Encodes a call as a line and a body."""
     timeout_ms = max(math.ceil(call.timeout_ms), MIN_TIMEOUT_MS)
     return lines.encode_with_body(call.body, "OP", call.request_id, timeout_ms)
 
 
 def encode_cancel(cancel: CancelCall) -> list[bytes]:
-    """The line that gives a call up."""
+    """Encodes the cancellation of a call."""
     return lines.encode("UNOP", cancel.request_id)
--- a/otterrudder/net/relay.py
+++ b/otterrudder/net/relay.py
@@ -1,4 +1,4 @@
-"""A relay's process: its service on the wire, its control socket, and its end at a signal."""
+"""The process of a relay: runs its service and its control socket until a signal stops it."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
@@ -16,13 +16,13 @@
 
 
 def control_name(role: RelayRole) -> str:
-    """The name of a relay's control socket."""
+    """Returns the name of a relay's control socket."""
     return f"relay-{role.address}"
 
 
 def run(fleet: Fleet, role: RelayRole) -> None:
-    """Serves until SIGTERM or SIGINT. Raises OSError if the address is taken, DescriptorLimitError, and
-    DirectoryInUseError if the folder is another process's."""
+    """Serves until SIGTERM or SIGINT. Raises OSError if the address is in use, DescriptorLimitError if the
+    descriptor limit is too low, and DirectoryInUseError if another process uses the state directory."""
     anyio.run(_serve, fleet, role)
 
 
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -1,4 +1,5 @@
-"""The link to the runtime: held open, made anew when it is lost, each notice handled once and in order."""
+"""The link to the runtime: one connection that is kept open and reconnected when it is lost. Each notice of
+the runtime is handled once and in order."""
 
 import random
 
@@ -12,43 +13,43 @@
 from otterrudder.net.dispatcher import Dispatcher
 from otterrudder.net.messages import CloseLink, RuntimeMessage
 
-FIRST_RETRY_MS = 20.0  # until the first attempt to reconnect: the runtime most likely still runs
-MAX_RETRY_MS = 500.0  # a runtime that comes up is found within that
-MAX_UNSENT_BYTES = 8 << 20  # beyond that the runtime hangs, and a new link tells more
-RESTART_TOLERANCE_MS = 5000.0  # by which a runtime may seem younger before it counts as restarted: a pause
-MOVE_TIMEOUT_S = 0.3  # for the old link to confirm what was read, when the runtime's address changes
+FIRST_RETRY_MS = 20.0  # delay of the first reconnect; the runtime is most likely still running
+MAX_RETRY_MS = 500.0  # maximum delay of a reconnect, so that a started runtime is found soon
+MAX_UNSENT_BYTES = 8 << 20  # beyond that the runtime is assumed to hang, and the link is reconnected
+RESTART_TOLERANCE_MS = 5000.0  # the start time moves by more after a restart, by less after a pause
+MOVE_TIMEOUT_S = 0.3  # for the old link to confirm the commands on it after the runtime's address changed
 LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
-ADDRESS_CHANGED = "the address has changed"
-MAX_QUOTED = 80  # characters of a line that is not understood, in an error
+ADDRESS_CHANGED = "the address has changed"  # an end reason
+MAX_QUOTED = 80  # characters of an invalid line that an error message quotes
 
 
 class RuntimeLink:
-    """Keeps one connection to the runtime, and tells the core what comes on it."""
+    """Keeps one connection to the runtime, and passes its input to the core."""
 
     def __init__(self, dispatcher: Dispatcher, address: tuple[str, int]) -> None:
         self._dispatcher = dispatcher
         self._address = address
-        self._group: anyio.abc.TaskGroup  # while it runs
+        self._group: anyio.abc.TaskGroup  # set while `run` is active
         self._stream: sockets.Stream | None = None
         self._last_notice = 0
-        self._is_replaying = False  # notices missed on earlier links come first
+        self._is_replaying = False  # whether the runtime replays notices missed on earlier links
         self._started_at: float | None = None  # when the runtime started, by this process's clock
-        self._closing_tag = 0  # of the last query on a link that is left for a new address; 0: none
-        self._closing_stream: sockets.Stream | None = None  # that link
+        self._closing_tag = 0  # tag of the last query on a link closing for a new address; 0: none
+        self._closing_stream: sockets.Stream | None = None  # the link that closes for a new address
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The runtime has another address. The core is asked first: what it decides from then on waits for
-        the new link."""
+        """Moves the link to the runtime's new address. The core is informed first, so that its later commands
+        wait for the new link."""
         self._address = address
         self._closing_stream = self._stream
         if self._stream and self._is_replaying:
-            self._stream.abort(ADDRESS_CHANGED)  # nothing was sent on it
+            self._stream.abort(ADDRESS_CHANGED)  # no command was sent on this link
         elif self._stream:
             self._dispatcher.post(self._dispatcher.core.close_runtime_link)
 
     def send(self, message: RuntimeMessage) -> None:
-        """Sends a command of the core; without a link it is dropped, and the core sends what is missing once
-        a link stands."""
+        """Sends a command of the core. Without a link the command is dropped, and the core resends it once a
+        link is established."""
         if not self._stream:
             return
         if isinstance(message, CloseLink):
@@ -57,7 +58,7 @@
             self._stream.send(runtime_codec.encode(message))
 
     async def run(self) -> None:
-        """Keeps the link up until it is cancelled."""
+        """Keeps the link connected until it is cancelled."""
         async with anyio.create_task_group() as self._group:
             await self._maintain_link()
 
@@ -69,17 +70,17 @@
                 stream = sockets.Stream(sock, LIMITS, self._handle_input)
             except OSError as error:
                 if retry_ms == FIRST_RETRY_MS:
-                    log.warning("no link to the runtime", why=str(error))
+                    log.warning("cannot connect to the runtime", why=str(error))
                 retry_ms = min(retry_ms * 2, MAX_RETRY_MS)
             else:
-                has_moved = await self._serve(stream)
+                address_changed = await self._serve(stream)
                 retry_ms = FIRST_RETRY_MS
-                if has_moved:
+                if address_changed:
                     continue
             await anyio.sleep(retry_ms / 1000 * random.uniform(0.5, 1.0))
 
     async def _serve(self, stream: sockets.Stream) -> bool:
-        """Runs one link to its end; whether it ended because the address is another now."""
+        """Runs one link to its end. Returns whether it ended because the address changed."""
         self._stream = stream
         self._is_replaying = True
         self._closing_tag = 0
@@ -87,7 +88,11 @@
         try:
             reason = await stream.serve()
             if reason == ADDRESS_CHANGED:
-                log.info("runtime link moves", address=self._address, last_notice=self._last_notice)
+                log.info(
+                    "runtime link moves to a new address",
+                    address=self._address,
+                    last_notice=self._last_notice,
+                )
             else:
                 log.warning(
                     "runtime link lost",
@@ -101,8 +106,8 @@
         return reason == ADDRESS_CHANGED
 
     def _begin_close(self, message: CloseLink) -> None:
-        """Sends the last query on the old link: its answer confirms that all before it was read. What is
-        decided meanwhile waits for the new link, so that no start is uncertain."""
+        """Sends the last query on the old link. Its answer confirms that all earlier commands were read.
+        Later commands wait for the new link, so that no start is uncertain."""
         stream = self._stream
         if stream and stream is self._closing_stream and not self._closing_tag:
             self._closing_tag = message.tag
@@ -113,14 +118,14 @@
         await anyio.sleep(MOVE_TIMEOUT_S)
         stream.abort(ADDRESS_CHANGED)
 
-    # What comes.
+    # Input.
 
     def _handle_input(self, buffer: Buffer) -> None:
         for words, body in lines.read_messages(buffer, runtime_codec.has_body):
             try:
                 self._handle_message(words, body)
             except (ValueError, IndexError):
-                raise ProtocolError(f"not understood: {' '.join(words)[:MAX_QUOTED]!r}") from None
+                raise ProtocolError(f"invalid line: {' '.join(words)[:MAX_QUOTED]!r}") from None
 
     def _handle_message(self, words: lines.Words, body: bytes) -> None:
         number = runtime_codec.notice_number(words)
@@ -145,13 +150,13 @@
                 self._handle_refused(event)
 
     def _accept_notice(self, number: int) -> bool:
-        """Whether the notice is a new one; ProtocolError: one between was left out."""
+        """Returns whether the notice is new. Raises ProtocolError if an earlier notice was skipped."""
         if number <= self._last_notice:
             log.warning("notice received twice", notice=number, last_notice=self._last_notice)
             return False
         if number > self._last_notice + 1 and not self._is_replaying:
-            raise ProtocolError(f"notice {number} after {self._last_notice}")
-        if number > self._last_notice + 1:  # the runtime keeps a bounded number: what is lost is lost
+            raise ProtocolError(f"notice {number} follows notice {self._last_notice}")
+        if number > self._last_notice + 1:  # the runtime keeps a bounded number of notices for the replay
             log.error("notices are missing", notice=number, last_notice=self._last_notice)
         self._last_notice = number
         return True
@@ -162,8 +167,8 @@
             self._stream.abort(ADDRESS_CHANGED)
 
     def _handle_ready(self, event: runtime_codec.RuntimeReady) -> None:
-        assert self._stream  # that it came on
-        # Not before: a runtime that is not up yet refuses the query, and the replay would never end.
+        assert self._stream  # the stream that `ready` arrived on
+        # Sent after `ready`: a runtime that is not up refuses the query, and the replay would never end.
         self._stream.send(runtime_codec.encode_replay_end())
         started_at = clock.monotonic() - event.uptime_ms
         core = self._dispatcher.core
@@ -178,6 +183,8 @@
 
     def _handle_refused(self, event: runtime_codec.CommandRefused) -> None:
         if event.is_replay_end:
-            raise ProtocolError("the replay has no end")  # the next link asks again
+            raise ProtocolError(
+                "runtime refused the query that ends the replay"
+            )  # the next link sends it again
         log.info("runtime refused a command", command=event.word, call=event.argument)
         self._dispatcher.post(self._dispatcher.core.handle_command_refused, event.command, event.argument)
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -1,4 +1,4 @@
-"""One server's process, from its start to its end: its parts in one task group, and its signals."""
+"""The process of a server: runs its parts in one task group, and handles its signals."""
 
 import gc
 import os
@@ -24,8 +24,8 @@
 
 
 def run(configuration: Configuration, files: ServerFiles) -> int:
-    """Serves until the drain is over, or until SIGTERM comes before the runtime is up; returns the exit code.
-    ConfigurationError comes before that."""
+    """Serves until the drain is over, or until SIGTERM arrives before the runtime is up. Returns the exit
+    code. Raises ConfigurationError before it serves if a file is not valid."""
     optional = OptionalParts(
         files.read_levels(configuration.settings),
         files.read_vrrp(configuration.settings),
@@ -33,7 +33,7 @@
     )
     try:
         anyio.run(_serve, configuration, files, optional)
-    except OSError as error:  # before anything is served: the address is taken, or not ours
+    except OSError as error:  # raised before serving: the address is in use or not available
         log.error("cannot start", why=str(error))
         return 1
     return 0
@@ -42,7 +42,8 @@
 async def handle_signals(
     signals: AsyncIterator[signal.Signals], reloader: Reloader, parts: ServerParts
 ) -> None:
-    """SIGHUP reloads, also one that came before signals were listened for; any other begins the shutdown."""
+    """Reloads at SIGHUP, including one that arrived before the server listened for signals. Any other signal
+    begins the shutdown."""
     if early_sighup.was_received():
         reloader.reload()
     async for number in signals:
@@ -53,23 +54,23 @@
 
 
 async def _serve(configuration: Configuration, files: ServerFiles, optional: OptionalParts) -> None:
-    with anyio.open_signal_receiver(*SIGNALS) as signals:  # before anybody can connect
+    with anyio.open_signal_receiver(*SIGNALS) as signals:  # before gateways can connect
         parts = create_parts(configuration, optional)
         log.info("listening", address=configuration.listen, pid=os.getpid())
         log_levels(parts.dispatcher.core, optional.levels)
         gc.collect()
-        gc.freeze()  # what lives as long as the process is not looked through again and again
+        gc.freeze()  # later collections skip the objects that live as long as the process
         reloader = Reloader(configuration, files, parts)
         async with anyio.create_task_group() as group:
             _start(group, configuration.name, parts)
             group.start_soon(handle_signals, signals, reloader, parts)
             await parts.gateways.run(group)
             group.cancel_scope.cancel()
-        log.info("left", unanswered=parts.dispatcher.core.requests.unanswered_count())
+        log.info("stopped", unanswered=parts.dispatcher.core.requests.unanswered_count())
 
 
 def _start(group: anyio.abc.TaskGroup, name: str, parts: ServerParts) -> None:
-    """Starts all parts but the listener."""
+    """Starts all parts except the listener."""
     for part in (parts.dispatcher, parts.runtime, parts.records, parts.discovery):
         group.start_soon(part.run)
     if parts.router:
--- a/otterrudder/net/server_files.py
+++ b/otterrudder/net/server_files.py
@@ -1,5 +1,5 @@
-"""The files that a server is started with. Each but the fleet's is read again on SIGHUP; one that is not
-valid leaves the old one in force."""
+"""The files that configure a server. All but the fleet's file are read again at SIGHUP. If a file is not
+valid then, its previous content stays in force."""
 
 import os
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
     ConfigurationError,
 )
 
-if TYPE_CHECKING:  # what a server has no file for is not imported
+if TYPE_CHECKING:  # a server imports only the packages that its files need
     from otterrudder.fleet.configuration import Fleet
     from otterrudder.levels import LevelTable
     from otterrudder.vrrp.configuration import VrrpConfiguration
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerFiles:
-    """Paths; None or "" where there is no file."""
+    """The paths of the files; None or "" for a file that is not configured."""
 
     configuration: str | None
     levels: str | None = None
@@ -31,12 +31,13 @@
 
     @classmethod
     def from_environment(cls) -> "ServerFiles":
-        """The files that the environment names; an empty name is none."""
+        """Returns the files that the environment variables name; an empty variable names no file."""
         names = (CONFIGURATION_VARIABLE, LEVELS_VARIABLE, VRRP_VARIABLE, FLEET_VARIABLE)
         return cls(*(os.environ.get(name) or None for name in names))
 
     def read_levels(self, settings: dict[str, Any]) -> "LevelTable | None":
-        """The table of levels, None where there is no file; ConfigurationError says what is wrong with it."""
+        """Reads the table of levels; returns None if no file is configured. Raises ConfigurationError if the
+        file is not valid."""
         if not self.levels:
             return None
         from otterrudder import levels
@@ -47,12 +48,13 @@
             raise ConfigurationError(str(error)) from None
 
     def read_fleet(self) -> "Fleet | None":
-        """The fleet this server is of, None where there is no file; ConfigurationError says what is wrong."""
+        """Reads the fleet that this server belongs to; returns None if no file is configured. Raises
+        ConfigurationError if the file is not valid."""
         if not self.fleet:
             return None
         if self.levels:
             raise ConfigurationError(
-                f"--levels {self.levels}: in a fleet the table of levels is the policy's"
+                f"--levels {self.levels}: in a fleet the policy contains the table of levels"
             )
         from otterrudder.fleet.configuration import InvalidFleetError, read_fleet
 
@@ -61,12 +63,14 @@
         except InvalidFleetError as error:
             raise ConfigurationError(str(error)) from None
         if fleet.relay:
-            raise ConfigurationError(f"--fleet {self.fleet}: relay: this file is a relay's, not a server's")
+            raise ConfigurationError(
+                f"--fleet {self.fleet}: relay: this file configures a relay, not a server"
+            )
         return fleet
 
     def read_vrrp(self, settings: dict[str, Any]) -> "VrrpConfiguration | None":
-        """The VRRP groups with their keys, None where there is no file; ConfigurationError says what is
-        wrong."""
+        """Reads the VRRP groups and their keys; returns None if no file is configured. Raises
+        ConfigurationError if a file is not valid."""
         if not self.vrrp:
             return None
         from otterrudder.vrrp.configuration_reader import VrrpConfigurationError
--- a/otterrudder/net/server_parts.py
+++ b/otterrudder/net/server_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one server, created in order and connected with each other."""
+"""Creation of the parts of a server, and their connection with each other."""
 
 import resource
 import zlib
@@ -18,7 +18,7 @@
 from otterrudder.net.records import RecordsPool
 from otterrudder.net.runtime import RuntimeLink
 
-if TYPE_CHECKING:  # what a server has no file for is not imported
+if TYPE_CHECKING:  # a server imports only the packages that its files need
     from otterrudder.fleet.agent import Agent
     from otterrudder.fleet.cell.agent import CellAgent
     from otterrudder.fleet.configuration import Fleet
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionalParts:
-    """What the files beside the configuration say; None: there is no such file."""
+    """The contents of the files besides the configuration; None for a file that is not configured."""
 
     levels: "LevelTable | None"
     vrrp: "VrrpConfiguration | None"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerParts:
-    """The actors of one server."""
+    """The concurrent parts of a server."""
 
     dispatcher: Dispatcher
     runtime: RuntimeLink
@@ -50,15 +50,16 @@
     agent: "Agent | CellAgent | None"
 
     def begin_shutdown(self, time_left_ms: float) -> None:
-        """Drains, and ends within `time_left_ms`."""
-        if self.router:  # priority 0 first, so that another takes over while this one drains
+        """Begins the drain, which ends within `time_left_ms`."""
+        if self.router:  # announces priority 0 first, so that another server takes over during the drain
             self.router.begin_shutdown()
         self.discovery.is_draining = True
         self.dispatcher.post(self.dispatcher.core.begin_graceful_shutdown, time_left_ms)
 
 
 def create_parts(configuration: Configuration, optional: OptionalParts) -> ServerParts:
-    """Creates them; sockets to listen on are taken. OSError: an address is taken, or not ours."""
+    """Creates the parts and binds the listening sockets. Raises OSError if an address is in use or not
+    available."""
     spread = _level_spread(configuration.name)
     core = _create_core(configuration, optional.levels, spread)
     dispatcher = Dispatcher(core)
@@ -92,7 +93,8 @@
 
 
 def create_control_socket(name: str, parts: ServerParts) -> "ControlSocket | None":
-    """The operators' local socket, which answers for the parts that are there; None if none is."""
+    """Creates the operators' control socket, which reports on VRRP and on the fleet. Returns None if the
+    server has neither."""
     answers: dict[str, Callable[[], object]] = {}
     if parts.router:
         answers["vrrp"] = parts.router.status
@@ -106,14 +108,14 @@
 
 
 def log_levels(core: RequestCore, table: "LevelTable | None") -> None:
-    """Logs which levels there are."""
+    """Logs the levels in the table."""
     if table and (controller := core.service.levels):
         names = [level.name for level in table.levels]
         log.info("levels", service=controller.name, shadow=controller.is_shadow, of=names)
 
 
 def records_address(configuration: Configuration) -> tuple[str, int] | None:
-    """None where there is no records service."""
+    """Returns the address of the records service, or None if none is configured."""
     return parse_address(configuration.records) if configuration.records else None
 
 
@@ -129,13 +131,14 @@
 
 
 def _level_spread(name: str) -> float:
-    """From 0 to 1, each server's own. A fleet shares one table: the spread keeps its servers from leaving a
-    level together."""
+    """Returns a number from 0 to 1 that depends on the server's name. The servers of a fleet share one table
+    of levels, and the spread prevents them from leaving a level at the same time."""
     return zlib.crc32(f"{name}/levels".encode()) / 2**32
 
 
 def _max_descriptors(configuration: Configuration) -> int:
-    """That this process may open: as the platform says, within the limit of the system."""
+    """Returns the number of descriptors that this process may open: the configured number, but not more than
+    the limit of the system."""
     configured = int(configuration.limits.sockets)
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if allowed == resource.RLIM_INFINITY else min(configured, allowed)
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -1,6 +1,6 @@
-"""One connection in this process: its receive buffer, gathered writes, and the one way in which it is closed.
+"""A connection of this process: its receive buffer, gathered writes, and the procedure that closes it.
 
-docs/design/closes.md has the states and what may fall between them."""
+docs/design/closes.md describes the states and the events that may occur between them."""
 
 import os
 import socket
@@ -16,32 +16,32 @@
 from otterrudder.log import log
 from otterrudder.net.buffer import Buffer, ProtocolError
 
-MAX_GATHERED_PARTS = 256  # of one gathered write: below every system's bound of 1,024
-MAX_DISCARDED_BYTES = 64 * 1024  # read after the shutdown: who sends more floods, and is cut off
-DISCARD_READ_BYTES = 16 * 1024  # of one read of these
+MAX_GATHERED_PARTS = 256  # parts of one gathered write; systems allow 1,024
+MAX_DISCARDED_BYTES = 64 * 1024  # discarded after the shutdown; a peer that sends more is cut off
+DISCARD_READ_BYTES = 16 * 1024  # size of one read of discarded input
 
-# Reasons for an end.
-CLOSED_BY_PEER = "closed by the other side"
-SERVER_SHUTDOWN = "the server ends"
-MESSAGE_TOO_LONG = "a message that is too long"
+# End reasons.
+CLOSED_BY_PEER = "closed by the peer"
+SERVER_SHUTDOWN = "server shutdown"
+MESSAGE_TOO_LONG = "message is too long"
 
 
 class State(Enum):
-    """Of a connection, as this process has decided; each leads on to those below it and never back."""
+    """States of a connection on this side. A connection only moves on to states further down the list."""
 
     OPEN = "open"  # read and written
-    CLOSING = "closing"  # input is left unread; what is owed is still written
-    SHUT_DOWN = "shut down"  # all is written and the write side is shut: input is read and discarded
+    CLOSING = "closing"  # input stays unread; pending answers are still written
+    SHUT_DOWN = "shut down"  # all output is written, the write side is shut, and input is discarded
     CLOSED = "closed"
 
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """The bounds of a connection."""
+    """The limits of a connection."""
 
     max_message_bytes: int
     max_unsent_bytes: int
-    close_timeout_s: float = 0.0  # to write the answers and to read what still comes, once it is closing
+    close_timeout_s: float = 0.0  # for writing answers and discarding input while closing
 
 
 def _ignore_input(_: Buffer) -> None: ...
@@ -52,11 +52,11 @@
 
 
 class Stream:
-    """One connection, read and written until either side ends it. Whoever runs `serve` owns it.
+    """A connection that is read and written until either side ends it. The task that runs `serve` owns it.
 
-    `close` is an orderly end: what was received is answered, nothing more is received, and the other side's
-    last bytes are read and discarded, for a close over unread bytes resets the connection and loses what the
-    other side has not read yet. `abort` is for a connection that is of no more use."""
+    `close` ends the connection in order: received messages are answered, no further messages are received,
+    and the peer's last bytes are read and discarded. A close with unread bytes would reset the connection,
+    and the peer would lose answers that it has not read yet. `abort` ends the connection at once."""
 
     def __init__(
         self,
@@ -65,16 +65,16 @@
         handle_input: Callable[[Buffer], None],
         owes_answers: Callable[[], bool] = _owes_nothing,
     ) -> None:
-        """`handle_input` takes what is whole from the buffer; what it raises ends this connection alone.
-        `owes_answers`: whether something that was received is still to be answered."""
+        """`handle_input` consumes the complete messages of the buffer; an exception in it ends only this
+        connection. `owes_answers` returns whether received messages are still to be answered."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
         self.buffer = Buffer(limits.max_message_bytes)
         self.state = State.OPEN
-        self.end_reason = ""  # set once it is closing or closed
+        self.end_reason = ""  # set once the connection is closing or closed
         self.unsent_bytes = 0
-        self.last_progress = clock.monotonic()  # when the other side last read some or all of its output
+        self.last_progress = clock.monotonic()  # when output was last written or began to wait
         self._max_unsent_bytes = limits.max_unsent_bytes
         self._handle_input = handle_input
         self._owes_answers = owes_answers
@@ -84,7 +84,7 @@
         self._output_written = anyio.Event()
 
     async def serve(self) -> str:
-        """Runs the connection to its end, and returns the reason; the socket is closed by then."""
+        """Runs the connection to its end and closes the socket. Returns the end reason."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
@@ -97,14 +97,15 @@
             self.abort(SERVER_SHUTDOWN)
             self._output.clear()
             self.sock.close()
-            # Breaks the reference cycle with the owner: left to the garbage collector, the buffers of a day
-            # of short connections are memory that grows.
+            # Breaks the reference cycle with the owner. Memory would grow with the buffers of many short
+            # connections if they were left to the garbage collector.
             self._handle_input = _ignore_input
             self._owes_answers = _owes_nothing
         return self.end_reason
 
     def send(self, parts: Iterable[bytes]) -> None:
-        """Never waits. A connection whose other side reads too slowly to bound its output is aborted."""
+        """Queues output without waiting. Aborts the connection if its peer reads so slowly that the queued
+        output exceeds the limit."""
         if self.state not in (State.OPEN, State.CLOSING):
             return
         if not self._output:
@@ -117,28 +118,30 @@
             self.abort("reads too slowly")
 
     def receive_pending(self) -> bool:
-        """Handles what lies unread in the system's queue; whether there was anything, an end included.
+        """Handles unread input that the system holds. Returns whether there was any, including the peer's
+        close.
 
-        To be called before a close for silence: a busy loop may have left input unread for long."""
+        Called before a connection is closed for silence, because a busy event loop may not have read its
+        input."""
         return self.state is State.OPEN and self._receive()
 
     def close(self, reason: str, timeout_s: float | None = None) -> None:
-        """Begins the orderly end. `timeout_s`: instead of the limit's."""
+        """Begins the orderly close. `timeout_s` overrides the timeout of the limits."""
         if timeout_s is not None:
             self._close_timeout_s = timeout_s
         if self.state is State.OPEN:
             self.state = State.CLOSING
             self.end_reason = reason
-            anyio.notify_closing(self.sock)  # wakes the reader; the writer goes on waiting
+            anyio.notify_closing(self.sock)  # wakes the reader; the writer keeps waiting
 
     def abort(self, reason: str) -> None:
-        """Ends it at once; unsent and unread bytes are lost."""
+        """Ends the connection at once; unsent and unread bytes are lost."""
         if self.state is not State.CLOSED:
             self.state = State.CLOSED
             self.end_reason = self.end_reason or reason
             self._output_ready.set()
             self._output_written.set()
-            anyio.notify_closing(self.sock)  # wakes reader and writer
+            anyio.notify_closing(self.sock)  # wakes the reader and the writer
 
     async def _read(self) -> None:
         while self.state is State.OPEN:
@@ -151,7 +154,8 @@
             self.receive_pending()
 
     def _receive(self) -> bool:
-        """One read, whose whole messages are handled; whether anything came, an end included."""
+        """Reads once and handles the complete messages. Returns whether there was input, including the peer's
+        close."""
         try:
             with self.buffer.free_space() as space:
                 if not space:
@@ -172,12 +176,13 @@
         except ProtocolError as error:
             self.close(str(error))
         except Exception:
-            log.exception("input could not be handled")
-            self.close("input could not be handled")
+            log.exception("input handler failed")
+            self.close("input handler failed")
         return True
 
     async def _finish_close(self) -> None:
-        """Waits for the answers that are owed; then writing, the shutdown and reading are bounded in time."""
+        """Waits for the answers to received messages, then writes them, shuts the write side and discards
+        input within the timeout."""
         while self._owes_answers() and self.state is State.CLOSING:
             self._output_written = anyio.Event()
             await self._output_written.wait()
@@ -189,12 +194,13 @@
                 await self._discard_input()
 
     async def _discard_input(self) -> None:
-        """Shuts the write side, so the other side closes; one that does not is not waited for."""
+        """Shuts the write side, so that the peer closes, and discards input until it does. The caller limits
+        the time."""
         self.state = State.SHUT_DOWN
-        allowed = MAX_DISCARDED_BYTES
+        remaining_bytes = MAX_DISCARDED_BYTES
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            while allowed > 0 and self.state is State.SHUT_DOWN:
+            while remaining_bytes > 0 and self.state is State.SHUT_DOWN:
                 try:
                     count = len(self.sock.recv(DISCARD_READ_BYTES))
                 except (BlockingIOError, InterruptedError):
@@ -202,9 +208,9 @@
                     continue
                 if not count:
                     return
-                allowed -= count
+                remaining_bytes -= count
         except (OSError, anyio.ClosedResourceError):
-            return  # it has gone
+            return  # the peer has reset the connection
 
     async def _write(self) -> None:
         while self.state in (State.OPEN, State.CLOSING):
@@ -225,10 +231,10 @@
             except anyio.ClosedResourceError:
                 continue
             except OSError:
-                self.abort("closed while it was written to")
+                self.abort("closed during a write")
 
     def _write_some(self) -> None:
-        """One gathered write; what it wrote is dropped."""
+        """Performs one gathered write and removes the written bytes from the queue."""
         count = self.sock.sendmsg(list(islice(self._output, MAX_GATHERED_PARTS)))
         self.last_progress = clock.monotonic()
         self.unsent_bytes -= count
@@ -241,7 +247,7 @@
 
 
 async def connect(address: tuple[str, int]) -> socket.socket:
-    """A connected socket, or OSError."""
+    """Returns a connected socket. Raises OSError if the connection cannot be established."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
--- a/otterrudder/net/vrrp_setup.py
+++ b/otterrudder/net/vrrp_setup.py
@@ -1,4 +1,4 @@
-"""Connects VRRP's router with the server. Imported only where there is a VRRP file."""
+"""Connects the VRRP router to the server. Imported only if a VRRP file is configured."""
 
 from otterrudder import clock
 from otterrudder.net.discovery import DiscoveryReporter
@@ -15,15 +15,16 @@
     records: RecordsPool,
     discovery: DiscoveryReporter,
 ) -> VrrpRouter:
-    """The router with its socket taken (OSError: it is not to be had). What it decides on admission goes to
-    the core by the dispatcher, ahead of what arrives."""
+    """Creates the router and binds its socket. Raises OSError if the address is not available. The router
+    passes its decisions on admission to the core through the dispatcher, which handles them before
+    arrivals."""
     core = dispatcher.core
 
     def set_admission(command: SetAdmission) -> None:
         dispatcher.post(core.set_scope_served, command.scope, command.is_admitted, command.drain_ms)
 
     def tracked_objects() -> dict[str, bool]:
-        """Those that are down are True."""
+        """Returns the tracked objects by name; the value is True if the object is down."""
         levels = core.service.levels
         return dict(
             runtime=not core.delivery.is_linked,
--- a/tests/fleet/test_durable.py
+++ b/tests/fleet/test_durable.py
@@ -57,7 +57,7 @@
 def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
     first, second = StateDirectory(tmp_path), StateDirectory(tmp_path)
     first.lock()
-    with pytest.raises(DirectoryInUseError, match="another process has this folder"):
+    with pytest.raises(DirectoryInUseError, match="another process uses this directory"):
         second.lock()
     first.close()
     second.lock()
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -45,7 +45,11 @@
         assert rude.read_answer()["error"]["code"] == code, line
         rude.close()
     bad.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # no id to answer under
-    assert bad.read_answer() == {"jsonrpc": "2.0", "id": None, "error": {"code": -32600, "message": "no id"}}
+    assert bad.read_answer() == {
+        "jsonrpc": "2.0",
+        "id": None,
+        "error": {"code": -32600, "message": "id is missing"},
+    }
     complete_request(runtime, bad, A)
     bad.send_request(B)
     runtime.expect_command("start", B)
@@ -120,7 +124,7 @@
     with ServerProcess(tmp_path, descriptors=40) as server:  # fewer than the configuration says
         runtime, gateway = server.connect_all()
         many = [socket.create_connection(server.address) for _ in range(60)]
-        server.wait_for_log("cannot accept", lambda: runtime.answer_gauges(1))
+        server.wait_for_log("cannot accept connections", lambda: runtime.answer_gauges(1))
         before = cpu_ticks(server.process.pid)
         runtime.answer_gauges(25)  # about a second of rings
         assert cpu_ticks(server.process.pid) - before < 60  # of 100 a second
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -64,7 +64,7 @@
     server.records.close()
     records.close()  # the next tries are refused: B waits on and tries again until somebody listens
     runtime.answer_gauges(20)
-    server.wait_for_log("records service refuses")
+    server.wait_for_log("cannot connect to the records service")
     complete_request(runtime, gateway, C)
 
 
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -78,7 +78,7 @@
     records.read_line(), records.read_body(1)
     server.runtimes.close()
     runtime.close()
-    server.wait_for_log("no link to the runtime")
+    server.wait_for_log("cannot connect to the runtime")
     records.send(f"{A} DONE", b"row!")
     gateway.send_message("check")
     assert gateway.read_answer()["result"]["pass"] is True
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -44,7 +44,7 @@
             gateway.send_request(os.urandom(8).hex())
             assert gateway.read_answer()["error"]["code"] == -32014
     assert server.wait_for_exit() == 0
-    assert server.has_logged("event=left unanswered=0")
+    assert server.has_logged("event=stopped unanswered=0")
 
 
 def test_a_drain_before_the_runtime_is_up_ends_at_once(server: ServerProcess) -> None:
@@ -103,7 +103,7 @@
         busy = [server.connect_gateway() for _ in range(room)]
         for n, gateway in enumerate(busy):
             gateway.send_request(f"{n:016x}")
-        while not server.has_logged("cannot accept"):  # full, and none may go: those behind wait
+        while not server.has_logged("cannot accept connections"):  # full, and none may go: those behind wait
             server.connections.append(waiting := FakeGateway(server.address))
             waiting.send_request(os.urandom(8).hex())
             busy.append(waiting)
@@ -141,7 +141,7 @@
             told = gateway.read_answer()
             answers[told["id"]] = told
         assert len(answers) == 2
-        assert server.wait_for_exit() == 0 and server.has_logged("event=left unanswered=0")
+        assert server.wait_for_exit() == 0 and server.has_logged("event=stopped unanswered=0")
 
 
 def test_a_runtime_that_comes_up_in_a_drain_finds_nobody() -> None:
@@ -220,4 +220,4 @@
         server.process.terminate()
         runtime.end_run(A)
         assert gateway.read_result() == b"done"
-        assert server.wait_for_exit() == 0 and server.has_logged("event=left unanswered=0")
+        assert server.wait_for_exit() == 0 and server.has_logged("event=stopped unanswered=0")
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -257,9 +257,9 @@
             check=True,
             capture_output=True,
         )
-        before = server.log.read_text().count("vrrp keys taken")
+        before = server.log.read_text().count("vrrp keys reloaded")
         server.process.send_signal(signal.SIGHUP)
-        while server.log.read_text().count("vrrp keys taken") == before:
+        while server.log.read_text().count("vrrp keys reloaded") == before:
             runtime.answer_gauges(1)
     peer.authenticator.keys = read_keys(keys)
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
