--- a/otterrudder/vrrp/__init__.py
+++ b/otterrudder/vrrp/__init__.py
@@ -1,9 +1,12 @@
-"""VRRP awareness: admit only as master. The state machine of RFC 9568 (VRRPv3), carried over UDP.
+"""VRRP: a server admits requests only as master. Implements RFC 9568 (VRRPv3), carried over UDP.
 
-Pure: `packet` and `authentication` (bytes to advertisements and back), `state_machine` (one virtual router),
-`tracking` (facts that lower a priority), `admission_gate` (what a state means for admission). Files:
-`configuration` and its reader, `keys`. `instance` holds the parts of one group, `router` is the actor with
-the socket (`datagrams`). Off unless a file is named. The admission controller carries out the gate's commands
+- Modules without I/O: `packet` and `authentication` encode and decode advertisements, `state_machine` is one
+  virtual router, `tracking` lowers the priority by facts about the server, and `admission_gate` derives from
+  the VRRP state whether requests are admitted.
+- Modules that read files: `configuration_reader` (which returns a `configuration`) and `keys`.
+- `instance` holds the objects of one group. `router` owns the socket (`datagrams`) and all instances.
+
+VRRP is off unless a configuration file is given. The admission controller executes the gate's commands
 (`AdmissionController.drain`, `AdmissionController.resume`).
 
-What the RFC calls the Active Router is the master here, as operators say."""
+The Active Router of the RFC is called master here, which is the usual term among operators."""
--- a/otterrudder/vrrp/admission_gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -1,15 +1,15 @@
-"""The admission gate of a group: from its VRRP state to what the admission controller serves. Pure.
+"""The admission gate of a group: decides from the VRRP state whether its requests are admitted. Does no I/O.
 
-    closed     a backup: its requests are not admitted
-    open       a master: its requests are admitted
-    held       a master again soon after it left: not admitted until the hold-down has passed
-    draining   a backup that was open: answers what it has read, until the hand-over time ends
-    retired    the process shuts down: nothing opens the gate again
+    closed     backup: requests are not admitted
+    open       master: requests are admitted
+    held       master again soon after losing mastership: requests are not admitted until the hold-down ends
+    draining   backup that was open: answers the requests it has read, until the hand-over time ends
+    retired    the process is shutting down: the gate never opens again
 
-`TRANSITIONS` is the whole table; the one in the docs is printed from it
-(`python -m otterrudder.vrrp.admission_gate`). The hold-down grows each time that the group is master again
-within `forget_ms` of leaving, so that a flapping node stays out. The admission controller rejects at once
-what arrives meanwhile."""
+`TRANSITIONS` is the complete table. `python -m otterrudder.vrrp.admission_gate` prints it for the docs. The
+hold-down grows each time the group becomes master again within `forget_ms` of losing mastership, so that a
+flapping node does not serve. While the gate is not open, the admission controller rejects new requests at
+once."""
 
 import math
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 from otterrudder.admission.interface import RequestScope
 from otterrudder.vrrp.state_machine import State
 
-MAX_DOUBLINGS = 32  # of the hold-down: keeps the power finite
+MAX_DOUBLINGS = 32  # maximum number of doublings of the hold-down; keeps the power finite
 
 
 class GateState(Enum):
-    """The states of the gate."""
+    """The states of the gate. The module docstring describes them."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -34,7 +34,7 @@
 
 
 class GateEvent(Enum):
-    """What changes the state of the gate."""
+    """The events that change the state of the gate."""
 
     MASTER = "became master"
     BACKUP = "became backup"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """A command for the admission controller: serve the scope from now on, or drain it within `drain_ms`."""
+    """A command for the admission controller: admit the requests of `scope`, or drain it in `drain_ms`."""
 
     scope: RequestScope
     is_admitted: bool
@@ -52,14 +52,14 @@
 
 
 class HoldDown(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long a flapping master is not admitted: `[hold_down]` of the configuration file."""
+    """`[hold_down]` of the configuration file: how long a flapping master does not admit requests."""
 
-    first_ms: float = 1000.0  # at the first return within forget_ms; doubled at each further one
+    first_ms: float = 1000.0  # hold-down of the first return within forget_ms; doubles with each return
     max_ms: float = msgspec.field(default=60_000.0, name="most_ms")
-    forget_ms: float = 30_000.0  # a later return does not count; each such span forgets one
+    forget_ms: float = 30_000.0  # time after which a return does not count; each such period forgets one
 
 
-# MASTER leads to HELD instead of OPEN while a hold-down runs.
+# While a hold-down is running, MASTER leads to HELD instead of OPEN.
 TRANSITIONS: dict[tuple[GateState, GateEvent], GateState] = {
     (GateState.CLOSED, GateEvent.MASTER): GateState.OPEN,
     (GateState.CLOSED, GateEvent.BACKUP): GateState.CLOSED,
@@ -79,32 +79,32 @@
 
 
 class AdmissionGate:
-    """The gate of one group. It starts closed; `initial_commands` says so to a new admission controller."""
+    """The gate of one group. It starts closed; `initial_commands` closes a new admission controller too."""
 
     def __init__(self, scope: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
         self.scope = scope
         self.hand_over_ms = hand_over_ms
         self.hold_down = hold_down
         self.state = GateState.CLOSED
-        self.deadline = math.inf  # of a held or draining gate
-        self.returns = 0  # recent returns to mastership soon after leaving it
+        self.deadline = math.inf  # ms; when the hold-down or the hand-over ends, inf in other states
+        self.returns = 0  # number of recent returns to mastership soon after losing it
         self._left_at: float | None = None
         self._held_until = 0.0
 
     def initial_commands(self) -> list[SetAdmission]:
-        """Commands for an admission controller that starts now; it admits by itself."""
+        """Returns the commands for a new admission controller, which admits all requests by default."""
         return [] if self.state is GateState.OPEN else [SetAdmission(self.scope, False)]
 
     def handle_state(self, now: float, state: State) -> list[SetAdmission]:
-        """The state machine has become master, or is not (or no longer) master."""
+        """Handles a new state of the VRRP state machine: master or not."""
         return self._handle(now, GateEvent.MASTER if state is State.MASTER else GateEvent.BACKUP)
 
     def handle_deadline(self, now: float) -> list[SetAdmission]:
-        """Plays the deadline if it has passed."""
+        """Handles the end of the hold-down or hand-over if the deadline has passed."""
         return self._handle(now, GateEvent.DEADLINE) if now >= self.deadline else []
 
     def begin_shutdown(self, now: float) -> list[SetAdmission]:
-        """The process shuts down: its own drain answers, so there are no more commands."""
+        """Retires the gate. There are no more commands, because the process drains all requests itself."""
         return self._handle(now, GateEvent.SHUTDOWN)
 
     def _handle(self, now: float, event: GateEvent) -> list[SetAdmission]:
@@ -129,7 +129,10 @@
         return math.inf
 
     def _commands(self, previous: GateState, state: GateState) -> list[SetAdmission]:
-        """Held and closed are drained already, and a retired gate leaves it to the process's own drain."""
+        """Returns the commands for a transition.
+
+        Held and closed gates are already drained, and a retired gate is drained with the process, so only
+        opening and draining need a command."""
         if state is GateState.OPEN:
             return [SetAdmission(self.scope, True)]
         if previous is GateState.OPEN and state is GateState.DRAINING:
@@ -137,7 +140,7 @@
         return []
 
     def _count_return(self, now: float) -> None:
-        """Counts an early return to mastership and starts its hold-down; a late one forgets returns."""
+        """Counts an early return to mastership and starts its hold-down. A late return reduces the count."""
         if self._left_at is None:
             return
         absence_ms = now - self._left_at
@@ -150,7 +153,7 @@
 
 
 def transition_table() -> str:
-    """The transitions as a Markdown table, for the docs."""
+    """Returns the transitions as a Markdown table for the docs."""
     lines = ["| gate | " + " | ".join(event.value for event in GateEvent) + " |"]
     lines.append("| --- |" + " --- |" * len(GateEvent))
     for state in GateState:
--- a/otterrudder/vrrp/authentication.py
+++ b/otterrudder/vrrp/authentication.py
@@ -1,14 +1,15 @@
-"""Authentication of advertisements over UDP: each message ends in a trailer with a MAC.
+"""Authentication of advertisements over UDP: each message ends with a trailer that contains a MAC.
 
-    advertisement | key number (1 byte) | incarnation (8) | counter (8) | MAC (16)
+    advertisement | key number (1 byte) | incarnation (8 bytes) | counter (8 bytes) | MAC (16 bytes)
 
-The MAC is HMAC-SHA256 over the sender's name and all bytes before it, truncated.
+The MAC is a truncated HMAC-SHA256 over the sender's name and all bytes before the MAC.
 
-Replay protection: for each sender the receiver keeps the incarnation (the Unix ms of the process's start) and
-a window of counters within it. A lower incarnation than the last one received, a counter below the window, or
-one that was received before is a replay. A receiver that starts anew has no memory; a message of an earlier
-incarnation is then accepted only until the sender itself is heard. Incarnations come from clocks that may be
-set back: a router that restarts with a lower one is rejected until its clock has passed the old one."""
+Replay protection: for each sender the receiver keeps the incarnation (the start time of the sender's process
+in Unix ms) and a window of received counters. A message is a replay if its incarnation is lower than the last
+one received, or its counter is below the window or was received before. A receiver that restarts has lost
+this state: it accepts a message of an earlier incarnation until it receives one of the present incarnation.
+Incarnations come from clocks that may be set back: a router that restarts with a lower incarnation is
+rejected until its clock has passed the previous one."""
 
 import hmac
 import struct
@@ -17,48 +18,50 @@
 from otterrudder.vrrp.keys import MIN_KEY_BYTES, Key, KeyRing
 from otterrudder.vrrp.packet import DropReason, PacketError
 
-MAC_SIZE = 16  # bytes: half of SHA-256's
+MAC_SIZE = 16  # bytes; half of a SHA-256 hash
 TRAILER_FIELDS = struct.Struct(">BQQ")  # key number, incarnation, counter
 TRAILER_SIZE = TRAILER_FIELDS.size + MAC_SIZE
-REPLAY_WINDOW = 64  # counters below the highest that may still arrive: UDP reorders little
-MAX_SENDERS = 64  # whose counters are kept; peers are configured, so there are fewer
+REPLAY_WINDOW = 64  # counters below the highest one that are still accepted, because UDP may reorder messages
+MAX_SENDERS = 64  # maximum number of senders with replay state; the configured peers are fewer
 
-_UNKNOWN_KEY = Key(0, bytes(MIN_KEY_BYTES))  # so that an unknown number takes as long as a known one
+# Stands in for an unknown key, so that a message with an unknown key number takes as long to verify.
+_UNKNOWN_KEY = Key(0, bytes(MIN_KEY_BYTES))
 
 
 @dataclass(slots=True)
 class _ReplayState:
-    """What was received of one sender."""
+    """The counters that were received from one sender."""
 
     incarnation: int
-    highest: int
-    received: int  # a bit for each counter: bit 0 is the highest, bit 1 the one below
+    highest: int  # the highest counter
+    received: int  # bit mask of received counters; bit 0 is the highest counter, bit 1 the one below it
 
 
 class Authenticator:
-    """Signs what this router sends and verifies what it receives. Times are Unix ms."""
+    """Signs the messages that this router sends and verifies those it receives. Times are Unix ms."""
 
     def __init__(self, keys: KeyRing, incarnation: int) -> None:
-        """`incarnation`: of this process, higher than any before it: the Unix ms of its start."""
+        """`incarnation` is the start time of this process, which must be higher than any earlier one."""
         self.keys = keys
         self.incarnation = incarnation
         self.counter = 0
         self._replay_states: dict[tuple[str, int], _ReplayState] = {}
 
     def sign(self, message: bytes, sender: str) -> bytes:
-        """`message` with its trailer, from `sender` as its peers name it.
+        """Returns `message` with its trailer. `sender` is the name by which the peers know this router.
 
-        The name is under the MAC, so that a message cannot be passed off as another router's. Each call takes
-        a new counter."""
+        The MAC includes the name, so that a message cannot be attributed to another router. Each call uses a
+        new counter."""
         self.counter += 1
         key = self.keys.signing_key
         signed = message + TRAILER_FIELDS.pack(key.number, self.incarnation, self.counter)
         return signed + _mac(key, sender, signed)
 
     def verify(self, data: bytes, sender: str, vrid: int, now_unix_ms: float) -> bytes:
-        """The message in `data` from `sender`, or PacketError. `vrid` keeps the groups of a sender apart.
+        """Returns the message in `data` from `sender`. Raises PacketError if it must be dropped.
 
-        The MAC is compared first and in constant time: a message without a valid one changes no state."""
+        Replay state is kept for each combination of `sender` and `vrid`. The MAC is checked first and in
+        constant time, so a message without a valid MAC changes no state."""
         if len(data) <= TRAILER_SIZE:
             raise PacketError(DropReason.SHORT)
         message = data[:-TRAILER_SIZE]
@@ -72,7 +75,7 @@
         return message
 
     def _check_replay(self, sender: tuple[str, int], incarnation: int, counter: int) -> None:
-        """Notes a counter, or raises PacketError if it is a replay."""
+        """Records a counter. Raises PacketError if the message is a replay."""
         state = self._replay_states.get(sender)
         if state is None and len(self._replay_states) >= MAX_SENDERS:
             raise PacketError(DropReason.SENDER)
--- a/otterrudder/vrrp/configuration.py
+++ b/otterrudder/vrrp/configuration.py
@@ -1,4 +1,4 @@
-"""The VRRP configuration of this router, checked: what the reader makes of the operators' file."""
+"""The VRRP configuration of this router, as `configuration_reader` returns it after all checks."""
 
 from dataclasses import dataclass
 
@@ -8,44 +8,44 @@
 from otterrudder.vrrp.packet import Address
 from otterrudder.vrrp.tracking import TrackedObject
 
-SocketAddress = tuple[str, int]  # host and port
+SocketAddress = tuple[str, int]  # IP address and port
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another router of a group: its primary address, and its UDP socket."""
+    """Another router of a group."""
 
-    address: Address
-    udp: SocketAddress
+    address: Address  # its primary address
+    udp: SocketAddress  # the address of its UDP socket
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A virtual router that this router takes part in, and the requests that it moves."""
+    """A virtual router that this router takes part in, and the requests that depend on its state."""
 
     name: str
     vrid: int
     address: Address  # this router's primary address
-    destination: Address  # of the advertisements, in the checksum's pseudo-header
+    destination: Address  # the destination of the advertisements in the checksum's pseudo-header
     virtual_addresses: frozenset[Address]
-    priority: int
-    interval_ms: float
-    learns_interval: bool
-    preempts: bool
+    priority: int  # 1 to 255, before tracked objects lower it
+    interval_ms: float  # between advertisements
+    learns_interval: bool  # whether to use the master's interval; otherwise other intervals are dropped
+    preempts: bool  # Preempt_Mode
     preempt_delay_ms: float
-    accepts: bool
-    scope: RequestScope
+    accepts: bool  # Accept_Mode
+    scope: RequestScope  # the requests that are admitted only while this router is master
     peers: tuple[Peer, ...]
     tracked_objects: tuple[TrackedObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class VrrpConfiguration:
-    """A whole file, with its keys."""
+    """The contents of a VRRP file and of its key file."""
 
     listen: SocketAddress
-    checks_hops: bool
-    hand_over_ms: float
+    checks_hops: bool  # whether messages with a hop limit below 255 are dropped
+    hand_over_ms: float  # time in which a new backup answers the requests it has read
     hold_down: HoldDown
     groups: tuple[Group, ...]
     keys: KeyRing
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reads the operators' VRRP file: TOML to values, checked whole. Form: the commented deploy/vrrp.toml.
+"""Reads and checks the operators' VRRP file. deploy/vrrp.toml documents the format.
 
 The fields of the msgspec structs are the keys of the file."""
 
@@ -24,18 +24,18 @@
 )
 from otterrudder.vrrp.tracking import FACTS, TrackedObject
 
-FORMAT_VERSION = 1  # of the format
-MAX_GROUPS = 32  # of a process: each has a timer and a gate
-MAX_PEERS = 16  # of a group
+FORMAT_VERSION = 1  # version of the file format; files of other versions are rejected
+MAX_GROUPS = 32  # maximum number of groups of a process; each group has a timer and a gate
+MAX_PEERS = 16  # maximum number of peers of a group
 MAX_PORT = 65535
-MAX_DELAY_MS = 3.6e6  # of any configured delay: an hour
+MAX_DELAY_MS = 3.6e6  # maximum of a configured delay: one hour
 MAX_HAND_OVER_MS = 600_000.0
-MAX_LOWERED_BY = 253  # from the highest priority of a router that is no owner to the lowest
-MULTICAST_ADDRESSES = {4: "224.0.0.18", 6: "ff02::12"}  # VRRP's, by IP version
+MAX_LOWERED_BY = 253  # difference between the highest priority without ownership (254) and the lowest (1)
+MULTICAST_ADDRESSES = {4: "224.0.0.18", 6: "ff02::12"}  # VRRP's multicast addresses by IP version
 
 
 class VrrpConfigurationError(Exception):
-    """What is wrong with a VRRP file, in one line that names the file and the key."""
+    """A VRRP file is invalid. The message is one line that names the file and the key."""
 
 
 class _PeerSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -66,7 +66,7 @@
 
 
 class _File(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The whole file. The tables in it are converted one by one, so that an error names its place."""
+    """The top level of the file. Nested tables are converted one by one, so that an error names the table."""
 
     version: int
     listen: str
@@ -80,7 +80,7 @@
 def read_configuration(
     path: str | Path, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
 ) -> VrrpConfiguration:
-    """The configuration in a file, with its keys; VrrpConfigurationError names the key at fault."""
+    """Reads a VRRP file and its key file. Raises VrrpConfigurationError that names the invalid key."""
     path = Path(path)
     return parse_configuration(load_toml(path, VrrpConfigurationError), path, request_classes, tenants)
 
@@ -88,7 +88,7 @@
 def parse_configuration(
     values: Any, path: Path, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
 ) -> VrrpConfiguration:
-    """The configuration in decoded TOML; the key file is read beside `path`."""
+    """Parses decoded TOML, and reads the key file relative to the folder of `path`."""
     name = path.name
     file = convert(values, _File, name, VrrpConfigurationError)
     if file.version != FORMAT_VERSION:
@@ -97,7 +97,7 @@
         )
     if not 1 <= len(file.group) <= MAX_GROUPS:
         raise VrrpConfigurationError(
-            f"{name}: group: from 1 to {MAX_GROUPS} are wanted, not {len(file.group)}"
+            f"{name}: group: a file has 1 to {MAX_GROUPS} groups, not {len(file.group)}"
         )
     hold_down = _parse_hold_down(file.hold_down, f"{name}: hold_down")
     groups = tuple(
@@ -116,11 +116,11 @@
 
 
 def parse_socket_address(text: str, key: str) -> SocketAddress:
-    """Host and port of `host:port` or `[host]:port`; the host is an IP address."""
+    """Parses `host:port` or `[host]:port`, where the host is an IP address."""
     bracketed_host, _, port = text.rpartition(":")
     host = bracketed_host.removeprefix("[").removesuffix("]")
     if not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise VrrpConfigurationError(f"{key}: {text!r} is no address and port")
+        raise VrrpConfigurationError(f"{key}: {text!r} is not an address and port")
     _parse_address(host, key)
     return host, int(port)
 
@@ -136,12 +136,12 @@
     hold_down = convert(values, HoldDown, place, VrrpConfigurationError)
     _check_range(hold_down.first_ms, 0.0, MAX_DELAY_MS, f"{place}.first_ms")
     _check_range(hold_down.max_ms, 0.0, MAX_DELAY_MS, f"{place}.most_ms")
-    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{place}.forget_ms")  # it is a divisor
+    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{place}.forget_ms")  # not 0: used as a divisor
     return hold_down
 
 
 class _GroupParser:
-    """Parses and checks one `[[group]]`."""
+    """Parses and checks a `[[group]]`."""
 
     def __init__(
         self, values: Any, place: str, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
@@ -152,56 +152,56 @@
         self.section = convert(values, _GroupSection, place, VrrpConfigurationError)
 
     def group(self) -> Group:
-        """The group, or VrrpConfigurationError."""
+        """Returns the group. Raises VrrpConfigurationError if it is invalid."""
         section = self.section
         address = _parse_address(section.address, f"{self.place}.address")
-        virtual = self._virtual()
+        virtual_addresses = self._virtual_addresses()
         destination = _parse_address(
             section.destination or MULTICAST_ADDRESSES[address.version], f"{self.place}.destination"
         )
-        self._check_numbers(is_owner=address in virtual)
+        self._check_numbers(is_owner=address in virtual_addresses)
         interval_ms = self._interval_ms()
         peers = self._peers()
-        self._check_families([address, destination, *virtual, *(peer.address for peer in peers)])
+        self._check_families([address, destination, *virtual_addresses, *(peer.address for peer in peers)])
         self._check_peer_addresses(address, peers)
         return Group(
             name=section.name,
             vrid=section.vrid,
             address=address,
             destination=destination,
-            virtual_addresses=virtual,
+            virtual_addresses=virtual_addresses,
             priority=section.priority,
             interval_ms=interval_ms,
             learns_interval=section.learns_interval,
             preempts=section.preempt,
             accepts=section.accept,
             peers=peers,
-            tracked_objects=self._tracked(),
+            tracked_objects=self._tracked_objects(),
             preempt_delay_ms=_check_range(
                 section.preempt_delay_ms, 0.0, MAX_DELAY_MS, f"{self.place}.preempt_delay_ms"
             ),
             scope=self._scope(),
         )
 
-    def _virtual(self) -> frozenset[Address]:
+    def _virtual_addresses(self) -> frozenset[Address]:
         texts = self.section.virtual
-        virtual = frozenset(_parse_address(text, f"{self.place}.virtual") for text in texts)
-        if not 1 <= len(texts) <= MAX_ADDRESSES or len(virtual) != len(texts):
+        addresses = frozenset(_parse_address(text, f"{self.place}.virtual") for text in texts)
+        if not 1 <= len(texts) <= MAX_ADDRESSES or len(addresses) != len(texts):
             raise VrrpConfigurationError(
-                f"{self.place}.virtual: from 1 to {MAX_ADDRESSES} different addresses are wanted"
+                f"{self.place}.virtual: the list must have 1 to {MAX_ADDRESSES} different addresses"
             )
-        return virtual
+        return addresses
 
     def _check_numbers(self, is_owner: bool) -> None:
         vrid = self.section.vrid
         priority = self.section.priority
         if not 1 <= vrid <= 255:
-            raise VrrpConfigurationError(f"{self.place}.vrid: {vrid} is not from 1 to 255")
+            raise VrrpConfigurationError(f"{self.place}.vrid: {vrid} is not between 1 and 255")
         if not 1 <= priority <= 255:
-            raise VrrpConfigurationError(f"{self.place}.priority: {priority} is not from 1 to 255")
+            raise VrrpConfigurationError(f"{self.place}.priority: {priority} is not between 1 and 255")
         if (priority == OWNER_PRIORITY) != is_owner:
             raise VrrpConfigurationError(
-                f"{self.place}.priority: 255 is for the owner, whose own address is a virtual one"
+                f"{self.place}.priority: 255 is reserved for, and required of, the owner of a virtual address"
             )
 
     def _interval_ms(self) -> float:
@@ -209,7 +209,7 @@
         maximum = MAX_INTERVAL_CS * CENTISECOND_MS
         interval_ms = _check_range(self.section.interval_ms, CENTISECOND_MS, maximum, key)
         if interval_ms % CENTISECOND_MS:
-            raise VrrpConfigurationError(f"{key}: {interval_ms:g} is no whole number of centiseconds")
+            raise VrrpConfigurationError(f"{key}: {interval_ms:g} is not a whole number of centiseconds")
         return interval_ms
 
     def _peers(self) -> tuple[Peer, ...]:
@@ -219,26 +219,30 @@
         )
         if not 1 <= len(peers) <= MAX_PEERS:
             raise VrrpConfigurationError(
-                f"{self.place}.peer: from 1 to {MAX_PEERS} are wanted, not {len(peers)}"
+                f"{self.place}.peer: a group has 1 to {MAX_PEERS} peers, not {len(peers)}"
             )
         return peers
 
     def _check_families(self, addresses: list[Address]) -> None:
         if len({address.version for address in addresses}) > 1:
-            raise VrrpConfigurationError(f"{self.place}: IPv4 and IPv6 in one group: each family has its own")
+            raise VrrpConfigurationError(
+                f"{self.place}: the group mixes IPv4 and IPv6; each needs a group of its own"
+            )
 
     def _check_peer_addresses(self, address: Address, peers: tuple[Peer, ...]) -> None:
         if len({peer.address for peer in peers} | {address}) <= len(peers):
-            raise VrrpConfigurationError(f"{self.place}.peer: an address stands twice, or is one's own")
+            raise VrrpConfigurationError(
+                f"{self.place}.peer: an address is used twice, or is this router's own"
+            )
 
-    def _tracked(self) -> tuple[TrackedObject, ...]:
-        tracked = tuple(
-            _parse_tracked(values, f"{self.place}.track[{number}]")
+    def _tracked_objects(self) -> tuple[TrackedObject, ...]:
+        tracked_objects = tuple(
+            _parse_tracked_object(values, f"{self.place}.track[{number}]")
             for number, values in enumerate(self.section.track, 1)
         )
-        if len({item.fact for item in tracked}) < len(tracked):
-            raise VrrpConfigurationError(f"{self.place}.track: a fact stands twice")
-        return tracked
+        if len({item.fact for item in tracked_objects}) < len(tracked_objects):
+            raise VrrpConfigurationError(f"{self.place}.track: a fact is tracked twice")
+        return tracked_objects
 
     def _scope(self) -> RequestScope:
         return RequestScope(
@@ -253,29 +257,36 @@
     return Peer(address, parse_socket_address(section.udp, f"{place}.udp"))
 
 
-def _parse_tracked(values: Any, place: str) -> TrackedObject:
+def _parse_tracked_object(values: Any, place: str) -> TrackedObject:
     tracked = convert(values, TrackedObject, place, VrrpConfigurationError)
     if tracked.fact not in FACTS:
-        raise VrrpConfigurationError(f"{place}.fact: no such fact; there are {', '.join(sorted(FACTS))}")
+        raise VrrpConfigurationError(f"{place}.fact: unknown fact; the facts are {', '.join(sorted(FACTS))}")
     if not 1 <= tracked.lowers <= MAX_LOWERED_BY:
-        raise VrrpConfigurationError(f"{place}.lowers: {tracked.lowers} is not from 1 to {MAX_LOWERED_BY}")
+        raise VrrpConfigurationError(
+            f"{place}.lowers: {tracked.lowers} is not between 1 and {MAX_LOWERED_BY}"
+        )
     for name in ("fall_ms", "rise_ms", "forget_ms"):
         _check_range(getattr(tracked, name), 0.0, MAX_DELAY_MS, f"{place}.{name}")
     return tracked
 
 
 def _check_groups_are_distinct(groups: Sequence[Group], name: str) -> None:
-    """Names, VRIDs and scopes must not overlap: a request belongs to at most one group."""
+    """Checks that groups have different names and VRIDs, and that a request belongs to at most one group."""
     for number, group in enumerate(groups, 1):
         place = f"{name}: group[{number}]"
         for other_number, other in enumerate(groups[: number - 1], 1):
             if group.name == other.name:
-                raise VrrpConfigurationError(f"{place}.name: {group.name!r} is group[{other_number}]'s")
+                raise VrrpConfigurationError(
+                    f"{place}.name: {group.name!r} is already used by group[{other_number}]"
+                )
             if (group.vrid, group.address.version) == (other.vrid, other.address.version):
-                raise VrrpConfigurationError(f"{place}.vrid: {group.vrid} is group[{other_number}]'s")
+                raise VrrpConfigurationError(
+                    f"{place}.vrid: {group.vrid} is already used by group[{other_number}]"
+                )
             if _scopes_overlap(group.scope, other.scope):
                 raise VrrpConfigurationError(
-                    f"{place}: serves what group[{other_number}] serves: tell products or tenants apart"
+                    f"{place}: its requests overlap with those of group[{other_number}]; set different "
+                    "products or tenants"
                 )
 
 
@@ -284,13 +295,13 @@
 
 
 def _overlap(one: frozenset[int] | None, other: frozenset[int] | None) -> bool:
-    """Whether two sets of indexes have one in common; None is the set of all."""
+    """Whether two sets of indexes have a common element; None is the set of all indexes."""
     return one is None or other is None or bool(one & other)
 
 
 def _check_range(value: float, minimum: float, maximum: float, key: str) -> float:
     if not minimum <= value <= maximum or math.isnan(value):
-        raise VrrpConfigurationError(f"{key}: {value:g} is not from {minimum:g} to {maximum:g}")
+        raise VrrpConfigurationError(f"{key}: {value:g} is not between {minimum:g} and {maximum:g}")
     return value
 
 
@@ -298,17 +309,17 @@
     try:
         return ip_address(text)
     except ValueError:
-        raise VrrpConfigurationError(f"{key}: {text!r} is no IP address") from None
+        raise VrrpConfigurationError(f"{key}: {text!r} is not an IP address") from None
 
 
 def _indexes_of(names: list[str] | None, known: list[str], key: str) -> frozenset[int] | None:
-    """The positions of `names` in `known`; None, for all, where the key is absent."""
+    """Returns the positions of `names` in `known`; None means all, if the key is absent."""
     if names is None:
         return None
     for name in names:
         if name not in known:
-            choices = f"; there are {', '.join(known)}" if known else ""
-            raise VrrpConfigurationError(f"{key}: there is no {name!r}{choices}")
+            choices = f"; known names: {', '.join(known)}" if known else ""
+            raise VrrpConfigurationError(f"{key}: unknown name {name!r}{choices}")
     if not names:
-        raise VrrpConfigurationError(f"{key}: it is empty: leave it out for all")
+        raise VrrpConfigurationError(f"{key}: the list is empty; omit the key to include all")
     return frozenset(known.index(name) for name in names)
--- a/otterrudder/vrrp/datagrams.py
+++ b/otterrudder/vrrp/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket of VRRP: hop limit 255 on sending, and the hop limit of each datagram on receiving."""
+"""The UDP socket of VRRP: sends with hop limit 255 and reports the hop limit of each received datagram."""
 
 import socket
 import struct
@@ -7,23 +7,23 @@
 from otterrudder.vrrp.configuration import SocketAddress
 from otterrudder.vrrp.packet import HOP_LIMIT
 
-IP_RECVTTL = 12  # Linux's number; the standard library has no name for it
-MAX_DATAGRAM = 2048  # bytes: the largest advertisement with its trailer is under 400
-MAX_ANCILLARY = 64  # bytes: one control message with the hop limit
-HOP_LIMIT_SIZE = 4  # bytes of the control message's data
+IP_RECVTTL = 12  # socket option number on Linux; the standard library does not define it
+MAX_DATAGRAM = 2048  # bytes; the largest advertisement with its trailer has fewer than 400
+MAX_ANCILLARY = 64  # bytes; enough for one control message with the hop limit
+HOP_LIMIT_SIZE = 4  # bytes of data in the control message
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A received datagram; `hops`: the hop limit it arrived with, None if unknown."""
+    """A received datagram."""
 
     data: bytes
     source: SocketAddress
-    hops: int | None
+    hops: int | None  # the hop limit on arrival; None if unknown
 
 
 def open_socket(address: SocketAddress) -> socket.socket:
-    """A non-blocking socket bound to `address`; OSError if it cannot be bound."""
+    """Returns a non-blocking socket bound to `address`. Raises OSError if the address cannot be bound."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     try:
@@ -42,7 +42,7 @@
 
 
 def receive(sock: socket.socket) -> Datagram:
-    """The next datagram; OSError of the socket, BlockingIOError if there is none."""
+    """Returns the next datagram. Raises BlockingIOError if there is none, OSError on a socket error."""
     data, ancillary, _, source = sock.recvmsg(MAX_DATAGRAM, MAX_ANCILLARY)
     return Datagram(data, source[:2], _hop_limit(ancillary))
 
--- a/otterrudder/vrrp/instance.py
+++ b/otterrudder/vrrp/instance.py
@@ -1,4 +1,4 @@
-"""One virtual router instance: a group's state machine, admission gate, tracker, timer and counters."""
+"""A virtual router instance: the state machine, admission gate, tracker, timer and counters of a group."""
 
 import math
 from collections import Counter
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class VirtualRouterInstance:
-    """One group as this router takes part in it."""
+    """The state of this router in one group."""
 
     group: Group
     state_machine: StateMachine
@@ -24,15 +24,15 @@
     tracker: PriorityTracker
     timer: Timer = field(default_factory=_no_timer)
     counts: Counter[str] = field(default_factory=Counter)
-    has_deferred_takeover: bool = False  # after a stall: it has waited for one more advertisement
+    has_deferred_takeover: bool = False  # whether it waits for one more advertisement after a stall
 
     @property
     def deadline(self) -> float:
-        """When the timer or the gate is due next, in ms."""
+        """The time in ms at which the timer or the gate is due next."""
         return min(self.timer.at, self.gate.deadline)
 
     def status(self, now: float) -> dict[str, object]:
-        """The instance's state under the keys of the control socket."""
+        """Returns the state of the instance, with the keys that the control socket reports."""
         return dict(
             group=self.group.name,
             vrid=self.group.vrid,
@@ -49,7 +49,7 @@
 
 
 def create_instance(group: Group, configuration: VrrpConfiguration) -> VirtualRouterInstance:
-    """The instance of one group, not started yet."""
+    """Creates the instance of a group. The caller starts its state machine."""
     state_machine = StateMachine(
         group.address,
         group.priority,
--- a/otterrudder/vrrp/keys.py
+++ b/otterrudder/vrrp/keys.py
@@ -1,8 +1,8 @@
 """The shared keys of a VRRP group and their TOML file.
 
-Several keys may be accepted at a time while one signs. So keys change in service: first every router accepts
-the new key, then each signs with it, then the old one is removed, or expires at a stated time. A secret is
-never shown: not in an error, a log line or a repr."""
+A router may accept several keys and signs with one of them, so keys can be rotated without interruption:
+first every router accepts the new key, then every router signs with it, then the old key is removed or
+expires at a configured time. Secrets never appear in an error, a log line or a repr."""
 
 import math
 import os
@@ -17,26 +17,26 @@
 
 from otterrudder.files import convert
 
-MIN_KEY_BYTES = 32  # the size of the hash
-MAX_KEY_FILE_MODE = 0o600  # nobody but its owner reads a key file
+MIN_KEY_BYTES = 32  # the size of a SHA-256 hash
+MAX_KEY_FILE_MODE = 0o600  # only the owner may read a key file
 
 
 class KeyFileError(Exception):
-    """What is wrong with a key file, in one line without any of its secrets."""
+    """A key file is invalid. The message is one line and contains no secret."""
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A shared key and its number on the wire."""
+    """A shared key."""
 
-    number: int  # 1 to 255
+    number: int  # 1 to 255, identifies the key on the wire
     secret: bytes = field(repr=False)
-    until_ms: float = math.inf  # Unix ms; not accepted after that
+    until_ms: float = math.inf  # Unix ms after which the key is not accepted
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRing:
-    """All keys that are accepted, and the number of the one that signs."""
+    """The accepted keys by number, and the number of the key that signs."""
 
     by_number: Mapping[int, Key] = field(repr=False)
     signing_number: int = 0
@@ -54,8 +54,8 @@
     """`[[key]]`."""
 
     number: int
-    secret: str  # hex
-    until: float | None = None  # Unix s
+    secret: str  # hexadecimal
+    until: float | None = None  # Unix seconds
 
 
 class _KeyFile(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -64,25 +64,25 @@
 
 
 def read_keys(path: str | Path) -> KeyRing:
-    """The keys in a TOML file that only its owner can read; KeyFileError without any secret."""
+    """Reads the keys in a TOML file. Raises KeyFileError, also if others than the owner may read the file."""
     name = Path(path).name
     try:
         with open(path, "rb") as file:
             mode = stat.S_IMODE(os.fstat(file.fileno()).st_mode)
             if mode & ~MAX_KEY_FILE_MODE:
                 raise KeyFileError(
-                    f"{name}: mode {mode:04o}: others could read it; {MAX_KEY_FILE_MODE:04o} is wanted"
+                    f"{name}: mode {mode:04o} gives access to other users; set {MAX_KEY_FILE_MODE:04o}"
                 )
             values = tomllib.loads(file.read().decode("utf-8"))
     except OSError as error:
         raise KeyFileError(f"cannot read {path}: {error.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError):  # their messages may quote a line, and so a secret
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError):  # their messages may quote a line with a secret
         raise KeyFileError(f"{name}: not TOML") from None
     return parse_keys(values, name)
 
 
 def parse_keys(values: Any, name: str) -> KeyRing:
-    """The keys in decoded TOML; `name`: of the file, for errors."""
+    """Parses the keys in decoded TOML. `name` is the file name in error messages."""
     file = convert(values, _KeyFile, name, KeyFileError)
     by_number: dict[int, Key] = {}
     for position, section in enumerate(file.key, 1):
@@ -93,14 +93,16 @@
     return KeyRing(by_number, file.signs)
 
 
-def _parse_key(values: Any, place: str, taken: Container[int]) -> Key:
+def _parse_key(values: Any, place: str, used_numbers: Container[int]) -> Key:
     section = convert(values, _KeySection, place, KeyFileError)
-    if not 1 <= section.number <= 255 or section.number in taken:
-        raise KeyFileError(f"{place}.number: {section.number} is taken or not from 1 to 255")
+    if not 1 <= section.number <= 255 or section.number in used_numbers:
+        raise KeyFileError(f"{place}.number: {section.number} is already used or not between 1 and 255")
     try:
         secret = bytes.fromhex(section.secret)
     except ValueError:
-        raise KeyFileError(f"{place}.secret: it is not hex") from None
+        raise KeyFileError(f"{place}.secret: the value is not hexadecimal") from None
     if len(secret) < MIN_KEY_BYTES:
-        raise KeyFileError(f"{place}.secret: {len(secret)} bytes, {MIN_KEY_BYTES} or more are wanted")
+        raise KeyFileError(
+            f"{place}.secret: {len(secret)} bytes are too few, at least {MIN_KEY_BYTES} required"
+        )
     return Key(section.number, secret, math.inf if section.until is None else section.until * 1000)
--- a/otterrudder/vrrp/packet.py
+++ b/otterrudder/vrrp/packet.py
@@ -1,8 +1,8 @@
-"""VRRPv3 advertisements: bytes to values and back, with the receiver's checks of RFC 9568, section 7.1.
+"""Encodes and decodes VRRPv3 advertisements, with the receiver's checks of RFC 9568, section 7.1.
 
-VRRP is carried over UDP here, which hides the source and destination of the IP header. The checksum's
-pseudo-header is made of the addresses that the group configures instead. The unit of time on the wire is the
-centisecond; values here are in ms."""
+VRRP is carried over UDP here, so the source and destination of the IP header are not available. The
+checksum's pseudo-header uses the addresses in the group's configuration instead. The unit of time on the wire
+is the centisecond; values in this module are in ms."""
 
 import struct
 from dataclasses import dataclass
@@ -12,22 +12,22 @@
 VERSION = 3  # VRRPv3
 ADVERTISEMENT_TYPE = 1  # the only type that the RFC defines
 PROTOCOL = 112  # VRRP's IP protocol number, for the pseudo-header
-HOP_LIMIT = 255  # as sent; a message that was routed arrives with a lower one
+HOP_LIMIT = 255  # of sent messages; a message that was routed arrives with a lower value
 CENTISECOND_MS = 10.0
-MAX_INTERVAL_CS = 0xFFF  # centiseconds: the field has 12 bits
-MAX_ADDRESSES = 20  # in an advertisement; the field allows 255
-HEADER_SIZE = 8  # bytes ahead of the addresses
-IPV4_SIZE = 4  # bytes of an address
-IPV6_SIZE = 16
-STOP_PRIORITY = 0  # the master leaves the group
-OWNER_PRIORITY = 255  # the router owns the addresses
+MAX_INTERVAL_CS = 0xFFF  # centiseconds; the field has 12 bits
+MAX_ADDRESSES = 20  # maximum number of addresses in an advertisement; the field allows 255
+HEADER_SIZE = 8  # bytes before the addresses
+IPV4_SIZE = 4  # bytes of an IPv4 address
+IPV6_SIZE = 16  # bytes of an IPv6 address
+STOP_PRIORITY = 0  # sent by a master that stops participating in the group
+OWNER_PRIORITY = 255  # priority of the router that owns the virtual addresses
 
 Address = IPv4Address | IPv6Address
 _HEADER = struct.Struct(">BBBBHH")
 
 
 class DropReason(Enum):
-    """Why a message is dropped; each reason has its own counter, named by its value."""
+    """The reason for dropping a message. The value is also the name of the reason's counter."""
 
     SHORT = "too short"
     VERSION = "another version"
@@ -45,7 +45,7 @@
 
 
 class PacketError(Exception):
-    """A message that has to be dropped, with the reason."""
+    """A received message must be dropped; `reason` says why."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -58,21 +58,23 @@
 
     vrid: int  # 1 to 255
     priority: int  # 0 to 255
-    interval_ms: float  # between the sender's advertisements; whole centiseconds on the wire
-    addresses: tuple[Address, ...]  # all of one family, at least one
+    interval_ms: float  # between the sender's advertisements; a whole number of centiseconds on the wire
+    addresses: tuple[Address, ...]  # at least one, all of the same IP version
 
 
 def checksum(data: bytes) -> int:
-    """The internet checksum (RFC 1071): the one's complement of the one's complement sum of 16-bit words."""
+    """Returns the internet checksum (RFC 1071).
+
+    It is the one's complement of the one's complement sum of all 16-bit words."""
     if len(data) % 2:
         data += b"\0"
-    # The remainder by 0xFFFF is the sum with end-around carry, without a loop over the words.
+    # The remainder modulo 0xFFFF equals the sum with end-around carry, without a loop over the words.
     total = int.from_bytes(data) % 0xFFFF
     return 0xFFFF - total if total or not any(data) else 0
 
 
 def pseudo_header(source: Address, destination: Address, length: int) -> bytes:
-    """The pseudo-header of RFC 793 for IPv4 and of RFC 8200 for IPv6."""
+    """Returns the pseudo-header of RFC 793 for IPv4, or of RFC 8200 for IPv6."""
     addresses = source.packed + destination.packed
     if source.version == 4:
         return addresses + struct.pack(">BBH", 0, PROTOCOL, length)
@@ -80,7 +82,7 @@
 
 
 def encode(advertisement: Advertisement, source: Address, destination: Address) -> bytes:
-    """The message that `source` sends to `destination`; ValueError for values that do not fit the fields."""
+    """Returns the message from `source` to `destination`. Raises ValueError if a value is out of range."""
     interval_cs = round(advertisement.interval_ms / CENTISECOND_MS)
     _check_encodable(advertisement, interval_cs, source, destination)
     addresses = b"".join(address.packed for address in advertisement.addresses)
@@ -102,21 +104,22 @@
     addresses = advertisement.addresses
     if not 1 <= interval_cs <= MAX_INTERVAL_CS:
         raise ValueError(
-            f"an interval of {advertisement.interval_ms:g} ms does not fit 1 to {MAX_INTERVAL_CS} cs"
+            f"the interval of {advertisement.interval_ms:g} ms is not between 1 and {MAX_INTERVAL_CS} "
+            "centiseconds"
         )
     if not 1 <= advertisement.vrid <= 255 or not 0 <= advertisement.priority <= 255:
-        raise ValueError("the group's number is from 1 to 255, a priority from 0 to 255")
+        raise ValueError("the VRID must be between 1 and 255, the priority between 0 and 255")
     if not 1 <= len(addresses) <= MAX_ADDRESSES:
-        raise ValueError(f"from 1 to {MAX_ADDRESSES} addresses, not {len(addresses)}")
+        raise ValueError(f"an advertisement has 1 to {MAX_ADDRESSES} addresses, not {len(addresses)}")
     if len({address.version for address in (*addresses, source, destination)}) > 1:
-        raise ValueError("addresses of both families in one group")
+        raise ValueError("a group must not mix IPv4 and IPv6 addresses")
 
 
 def decode(data: bytes, source: Address, destination: Address, hops: int | None = HOP_LIMIT) -> Advertisement:
-    """The advertisement in a message, or PacketError. `hops`: the hop limit it arrived with; None: unknown.
+    """Returns the advertisement in a message. Raises PacketError if the message must be dropped.
 
-    Checks in the RFC's order: hop limit, version, type, length, checksum. `check_group` has the checks that
-    depend on the group."""
+    `hops` is the hop limit on arrival, None if unknown. The checks are in the order of the RFC: hop limit,
+    version, type, length, checksum. `check_group` does the checks that depend on the group."""
     if hops is not None and hops != HOP_LIMIT:
         raise PacketError(DropReason.HOPS)
     if len(data) < HEADER_SIZE:
@@ -146,7 +149,7 @@
     interval_ms: float,
     learns_interval: bool,
 ) -> None:
-    """The checks that depend on the group's configuration; PacketError says which one failed."""
+    """Checks an advertisement against the group's configuration. Raises PacketError with the failed check."""
     if advertisement.vrid != vrid or not advertisement.vrid:
         raise PacketError(DropReason.VRID)
     if frozenset(advertisement.addresses) != addresses:
--- a/otterrudder/vrrp/router.py
+++ b/otterrudder/vrrp/router.py
@@ -1,14 +1,15 @@
 """The VRRP router: one UDP socket and the virtual router instances of all groups.
 
-Advertisements and timers must keep their times on a busy event loop:
+Advertisements and timers must be on time even if the event loop is busy:
 
-- `poll` runs ahead of each batch of the dispatcher as well as from this router's own task, so an
-  advertisement waits for one piece of work at most, not for a whole batch.
-- Before a timer is played, all that waits in the socket is read: an advertisement that arrived while this
-  process stalled counts before others are taken to be silent. The kernel may have dropped some meanwhile,
-  so a backup that is late by more than an interval waits for one more advertisement before it takes over.
+- `poll` runs before each batch of the dispatcher as well as in this router's own task, so an advertisement
+  waits for one unit of work at most, not for a whole batch.
+- Before a timer is handled, all datagrams in the socket are read, so that an advertisement that arrived while
+  this process was stalled counts before the master is considered down. The kernel may have dropped others
+  meanwhile, so a backup whose timer is late by more than an interval waits for one more advertisement before
+  it takes over.
 
-Each dropped datagram is counted by its reason, by group where one is known. `run` closes the socket."""
+Dropped datagrams are counted by reason, and by group if the group is known. `run` closes the socket."""
 
 import socket
 from collections import Counter
@@ -28,14 +29,14 @@
 from otterrudder.vrrp.packet import DropReason, PacketError
 from otterrudder.vrrp.state_machine import Action, SendAdvertisement, State, StateChange, Timer
 
-MAX_DATAGRAMS_PER_READ = 64  # datagrams read in one go: a flood must not hold the event loop
-RETRY_MS = 10.0  # after a failed event
-TRACKING_INTERVAL_MS = 100.0  # between readings of the tracked facts
-MAX_LATENESS_SAMPLES = 4096  # of advertisements, kept for measurements
+MAX_DATAGRAMS_PER_READ = 64  # keeps a flood of datagrams from blocking the event loop
+RETRY_MS = 10.0  # delay before polling again after a handler failed
+TRACKING_INTERVAL_MS = 100.0  # interval between readings of the tracked facts
+MAX_LATENESS_SAMPLES = 4096  # maximum number of lateness values kept for measurements
 
 
 class VrrpRouter:
-    """This process as a VRRP router: it takes part in each configured group."""
+    """The VRRP router of this process, which takes part in all configured groups."""
 
     def __init__(
         self,
@@ -44,8 +45,8 @@
         set_admission: Callable[[SetAdmission], None],
         read_facts: Callable[[], Mapping[str, bool]],
     ) -> None:
-        """`incarnation`: of this process, see Authenticator; `set_admission` takes the commands for the
-        admission controller; `read_facts` says which of the tracked facts are bad."""
+        """`incarnation` identifies this process, see Authenticator. `set_admission` receives the commands for
+        the admission controller. `read_facts` returns for each tracked fact whether it is bad."""
         self.configuration = configuration
         self.authenticator = Authenticator(configuration.keys, incarnation)
         self._set_admission = set_admission
@@ -56,20 +57,20 @@
             for instance in self.instances
             for peer in instance.group.peers
         }
-        self.counts: Counter[str] = Counter()  # of datagrams of no known group
-        self.send_lateness_ms: list[float] = []  # of the advertisements sent
+        self.counts: Counter[str] = Counter()  # datagrams without a known group, by drop reason
+        self.send_lateness_ms: list[float] = []  # delays of sent advertisements
         self.sock: socket.socket | None = None
-        self.on_change: Callable[[], None] = lambda: None  # called after a gate has changed
+        self.on_change: Callable[[], None] = lambda: None  # called after a gate has changed its state
         self._wake = anyio.Event()
         self._next_tracking = 0.0
         self._is_shut_down = False
 
     def bind(self) -> None:
-        """Opens the socket; OSError if the address cannot be bound."""
+        """Opens the socket. Raises OSError if the address cannot be bound."""
         self.sock = datagrams.open_socket(self.configuration.listen)
 
     def start(self) -> None:
-        """Closes the gates of an admission controller that is about to start, and starts the instances."""
+        """Closes all gates, for an admission controller that is about to start, and starts the instances."""
         now = clock.monotonic()
         for instance in self.instances:
             for command in instance.gate.initial_commands():
@@ -77,7 +78,7 @@
             self._execute(instance, instance.state_machine.start(now), now)
 
     def begin_shutdown(self) -> None:
-        """SIGTERM: priority 0 goes out first, then the server's own drain answers."""
+        """Stops all instances; masters send priority 0. The server then drains its requests itself."""
         now = clock.monotonic()
         self._is_shut_down = True
         for instance in self.instances:
@@ -85,7 +86,7 @@
             self._execute(instance, instance.state_machine.shutdown(now), now)
 
     def replace_keys(self, keys: KeyRing) -> None:
-        """Uses other keys from now on; counters and replay state are kept."""
+        """Replaces the keys. Counters and replay state are kept."""
         self.authenticator.keys = keys
 
     @property
@@ -94,12 +95,12 @@
         return any(instance.gate.state is GateState.OPEN for instance in self.instances)
 
     def status(self) -> list[dict[str, object]]:
-        """The state of each group, for `vrrp show`."""
+        """Returns the state of each group, for `vrrp show`."""
         now = clock.monotonic()
         return [instance.status(now) for instance in self.instances]
 
     async def run(self) -> None:
-        """Receives and keeps the timers until it is cancelled."""
+        """Receives datagrams and runs the timers until it is cancelled."""
         assert self.sock is not None
         sock = self.sock
         try:
@@ -129,16 +130,16 @@
         return min(self._next_tracking, *(instance.deadline for instance in self.instances))
 
     def _run_logged(self, handler: Callable[[float], None]) -> bool:
-        """Runs a handler; an exception is logged and the server goes on. Returns whether there was none."""
+        """Runs a handler and logs an exception, so that the server continues. Returns False if it failed."""
         try:
             handler(clock.monotonic())
         except Exception:
-            log.exception("vrrp: an event failed")
+            log.exception("vrrp event handler failed")
             return False
         return True
 
     def poll(self, now: float) -> None:
-        """Plays all that has arrived and is due by `now`; cheap when nothing is."""
+        """Handles all datagrams and timers that are due at `now`. Returns at once if nothing is due."""
         if now < self._next_deadline():
             return
         self._receive(now)
@@ -164,7 +165,7 @@
 
     @staticmethod
     def _defer_takeover(instance: VirtualRouterInstance, now: float) -> None:
-        """This process itself stalled, and may have missed advertisements: waits for one more."""
+        """Waits for one more advertisement, because this process stalled and may have missed some."""
         machine = instance.state_machine
         instance.has_deferred_takeover = True
         instance.counts["listened once more"] += 1
@@ -183,7 +184,7 @@
             if priority == instance.state_machine.priority or self._is_shut_down:
                 continue
             log.info(
-                "vrrp priority",
+                "vrrp priority changed",
                 group=instance.group.name,
                 priority=priority,
                 lowered_by=instance.tracker.lowering_facts,
@@ -197,13 +198,13 @@
                 datagram = datagrams.receive(self.sock)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # an ICMP error for a datagram sent earlier: the peer is away
+            except OSError as error:  # an ICMP error for an earlier datagram: the peer is unreachable
                 self.counts[f"socket: {error.strerror}"] += 1
                 continue
             self.handle_datagram(now, datagram)
 
     def handle_datagram(self, now: float, datagram: Datagram) -> None:
-        """Plays one datagram. It never raises; without a valid MAC it changes nothing but a counter."""
+        """Handles one datagram. Never raises. Without a valid MAC, only a counter changes."""
         instance: VirtualRouterInstance | None = None
         try:
             instance, peer = self._sender_of(datagram)
@@ -220,16 +221,18 @@
             self._execute(instance, actions, now)
 
     def _sender_of(self, datagram: Datagram) -> tuple[VirtualRouterInstance, Peer]:
-        """The instance and the peer of a datagram, by the group's number in it and its source."""
+        """Returns the instance and the peer of a datagram, by its VRID and its source address.
+
+        Raises PacketError if they are unknown."""
         if self.configuration.checks_hops and datagram.hops != packet.HOP_LIMIT:
             raise PacketError(DropReason.HOPS)
         if len(datagram.data) <= TRAILER_SIZE + packet.HEADER_SIZE:
             raise PacketError(DropReason.SHORT)
         vrid = datagram.data[1]
-        found = self._senders.get((vrid, datagram.source))
-        if found is None:
+        sender = self._senders.get((vrid, datagram.source))
+        if sender is None:
             raise PacketError(DropReason.SENDER)
-        return found
+        return sender
 
     def _decode(self, instance: VirtualRouterInstance, peer: Peer, data: bytes) -> packet.Advertisement:
         group = instance.group
@@ -253,7 +256,7 @@
 
     def _handle_state_change(self, instance: VirtualRouterInstance, change: StateChange, now: float) -> None:
         log.info(
-            "vrrp",
+            "vrrp state changed",
             group=instance.group.name,
             state=change.state.value,
             before=change.previous.value,
@@ -267,7 +270,7 @@
 
     def _apply(self, instance: VirtualRouterInstance, command: SetAdmission) -> None:
         log.info(
-            "vrrp door",
+            "vrrp admission changed",
             group=instance.group.name,
             door=instance.gate.state.value,
             serves=command.is_admitted,
@@ -285,5 +288,5 @@
             try:
                 self.sock.sendto(self.authenticator.sign(message, str(group.address)), peer.udp)
                 instance.counts["sent"] += 1
-            except OSError:  # refused, or no buffer space: the next advertisement follows
+            except OSError:  # refused or no buffer space; the next advertisement will follow
                 instance.counts["unsent"] += 1
--- a/otterrudder/vrrp/state_machine.py
+++ b/otterrudder/vrrp/state_machine.py
@@ -1,14 +1,15 @@
-"""The state machine of one virtual router on one router (RFC 9568, section 6): events in, actions out. Pure.
+"""The state machine of one virtual router (RFC 9568, section 6). It does no I/O: events return actions.
 
-Events: `start`, `shutdown`, `handle_advertisement` (one that passed every check), `handle_timer` (by its
-number), `set_priority`. Actions, in order: `SendAdvertisement`, `Timer` (the only timer, set anew),
-`StateChange`. Times are ms on the caller's clock.
+The events are `start`, `shutdown`, `handle_advertisement` (for advertisements that passed all checks),
+`handle_timer` (with the timer's number) and `set_priority`. Each returns its actions in order:
+`SendAdvertisement`, `Timer` (which replaces the only timer) and `StateChange`. Times are ms on the caller's
+clock.
 
-Two additions to the RFC, both common among routers: a preempt delay (a router that could preempt obeys the
-present master for that long), and a priority that tracked objects lower. A master whose priority falls stays
-master, and keeps advertising, until a better router preempts it.
+There are two additions to the RFC, both common among routers: a preempt delay (a router that could preempt
+the present master waits that long), and a priority that tracked objects lower. A master whose priority
+decreases stays master, and keeps advertising, until a router with a higher priority preempts it.
 
-The RFC's Accept_Mode concerns packets to the virtual addresses; it is only kept as a fact here."""
+Accept_Mode of the RFC concerns packets to the virtual addresses. It is stored here but has no effect."""
 
 import math
 from dataclasses import dataclass
@@ -16,11 +17,11 @@
 
 from otterrudder.vrrp.packet import OWNER_PRIORITY, STOP_PRIORITY, Address
 
-MASTER_DOWN_INTERVALS = 3  # without an advertisement until the master counts as down (RFC, section 6.1)
+MASTER_DOWN_INTERVALS = 3  # missed intervals after which the master is considered down (RFC, section 6.1)
 
 
 class State(Enum):
-    """The states of RFC 9568; MASTER is its Active."""
+    """The states of RFC 9568, which calls MASTER Active."""
 
     INITIALIZE = "initialize"
     BACKUP = "backup"
@@ -29,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAdvertisement:
-    """Advertise now, with this priority and the router's own interval."""
+    """Send an advertisement now, with this priority and the router's own interval."""
 
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """Call `handle_timer` with this number at `at`; replaces the earlier timer. inf: no timer."""
+    """Call `handle_timer` with `number` at the time `at`. Replaces the previous timer."""
 
-    at: float
+    at: float  # ms; inf for no timer
     number: int
 
 
@@ -55,7 +56,7 @@
 
 
 class StateMachine:
-    """A virtual router's state, its timer, and the interval learned from the master."""
+    """The state of a virtual router, its timer, and the interval learned from the master."""
 
     __slots__ = (
         "accepts",
@@ -81,27 +82,27 @@
         preempt_delay_ms: float = 0.0,
         accepts: bool = False,
     ) -> None:
-        """`address`: the router's primary address, which breaks a tie; `priority`: 1 to 255."""
+        """`address` is the router's primary address, which breaks ties. `priority` is from 1 to 255."""
         self.address = address
         self.priority = priority
-        self.own_interval = interval_ms  # as configured
-        self.interval = interval_ms  # the master's, as learned
+        self.own_interval = interval_ms  # the configured interval
+        self.interval = interval_ms  # the interval in use: this router's own as master, else the master's
         self.preempts = preempts
         self.preempt_delay = preempt_delay_ms
         self.accepts = accepts
         self.state = State.INITIALIZE
-        self.preempt_delay_until: float | None = None  # until when a better backup obeys the master
+        self.preempt_delay_until: float | None = None  # until when a higher-priority backup does not preempt
         self.timer_number = 0
         self.timer_at = math.inf
 
     @property
     def skew_time(self) -> float:
-        """Skew_Time: the higher the priority, the sooner the router takes over."""
+        """Skew_Time in ms: the higher the priority, the sooner the router takes over."""
         return (256 - self.priority) * self.interval / 256
 
     @property
     def master_down_interval(self) -> float:
-        """Active_Down_Interval."""
+        """Active_Down_Interval in ms."""
         return MASTER_DOWN_INTERVALS * self.interval + self.skew_time
 
     def start(self, now: float) -> list[Action]:
@@ -109,13 +110,13 @@
         if self.state is not State.INITIALIZE:
             return []
         if self.priority == OWNER_PRIORITY:
-            return self._become_master(now, "owner")
+            return self._become_master(now, "this router owns the address")
         self.interval = self.own_interval
         self.preempt_delay_until = None
         return [self._enter(State.BACKUP, "start"), self._set_timer(now + self.master_down_interval)]
 
     def shutdown(self, now: float) -> list[Action]:
-        """The Shutdown event; a master first sends priority 0, so that another takes over within a skew."""
+        """The Shutdown event. A master sends priority 0, so that a backup takes over after its skew time."""
         if self.state is State.INITIALIZE:
             return []
         actions: list[Action] = []
@@ -126,17 +127,17 @@
         return actions
 
     def handle_timer(self, now: float, number: int) -> list[Action]:
-        """The timer of that number is due; one that was replaced since is ignored."""
+        """Handles the timer with this number. A timer that has been replaced is ignored."""
         if number != self.timer_number or now < self.timer_at or self.state is State.INITIALIZE:
             return []
         if self.state is State.MASTER:
             return self._advertise(now)
-        return self._become_master(now, "the master is silent")
+        return self._become_master(now, "no advertisement from the master")
 
     def handle_advertisement(
         self, now: float, priority: int, interval_ms: float, sender: Address
     ) -> list[Action]:
-        """A valid advertisement of another router."""
+        """Handles a valid advertisement of another router."""
         if self.state is State.BACKUP:
             return self._handle_as_backup(now, priority, interval_ms)
         if self.state is State.MASTER:
@@ -144,7 +145,10 @@
         return []
 
     def set_priority(self, now: float, priority: int) -> list[Action]:
-        """Tracked objects have changed the priority: a master advertises it, a worse backup waits longer."""
+        """Sets the priority after tracked objects changed it.
+
+        A master advertises the new priority. A backup whose priority was lowered waits at least its new
+        skew time before it takes over."""
         if priority == self.priority:
             return []
         is_lower = priority < self.priority
@@ -165,10 +169,10 @@
                 self.preempt_delay_until = None
             self.interval = interval_ms
             return [self._set_timer(now + self.master_down_interval)]
-        return []  # a worse master is ignored: the timer runs out
+        return []  # ignores a lower-priority master, so the timer expires and this router takes over
 
     def _delays_preemption(self, now: float) -> bool:
-        """Whether the preempt delay still runs; the first call starts it."""
+        """Whether the preempt delay is still running. The first call starts it."""
         if self.preempt_delay_until is None:
             self.preempt_delay_until = now + self.preempt_delay
         return now < self.preempt_delay_until
@@ -179,9 +183,9 @@
         if priority != STOP_PRIORITY and (priority, int(sender)) > (self.priority, int(self.address)):
             self.interval = interval_ms
             self.preempt_delay_until = None
-            change = self._enter(State.BACKUP, "a better master")
+            change = self._enter(State.BACKUP, "another master takes precedence")
             return [change, self._set_timer(now + self.master_down_interval)]
-        # A worse master steps down on hearing this router (RFC 9568, section 6.4.3).
+        # The other master steps down when it receives this advertisement (RFC 9568, section 6.4.3).
         return self._advertise(now)
 
     def _become_master(self, now: float, reason: str) -> list[Action]:
--- a/tests/vrrp/test_decisions.py
+++ b/tests/vrrp/test_decisions.py
@@ -1,4 +1,4 @@
-"""VRRP's codec, authentication, state machine, gate, tracking and files, without a socket."""
+"""VRRP without a socket: codec, authentication, state machine, admission gate, tracking and files."""
 
 import os
 from ipaddress import ip_address
@@ -19,10 +19,10 @@
 from otterrudder.vrrp.state_machine import SendAdvertisement, State, StateChange, StateMachine, Timer
 from otterrudder.vrrp.tracking import PriorityTracker, TrackedObject
 
-A, B, GROUP = ip_address("192.0.2.1"), ip_address("192.0.2.2"), ip_address("224.0.0.18")
+ADDRESS_A, ADDRESS_B, MULTICAST = ip_address("192.0.2.1"), ip_address("192.0.2.2"), ip_address("224.0.0.18")
 V4 = st.ip_addresses(v=4)
 V6 = st.ip_addresses(v=6)
-ADVERTS = st.one_of(
+ENCODE_ARGUMENTS = st.one_of(
     *(
         st.tuples(
             st.builds(
@@ -40,40 +40,42 @@
 )
 
 
-@given(ADVERTS)
-def test_what_is_encoded_is_decoded(case: tuple) -> None:
-    advert, source, destination = case
-    data = packet.encode(advert, source, destination)
-    assert packet.decode(data, source, destination) == advert
+@given(ENCODE_ARGUMENTS)
+def test_decode_reverses_encode(arguments: tuple) -> None:
+    advertisement, source, destination = arguments
+    data = packet.encode(advertisement, source, destination)
+    assert packet.decode(data, source, destination) == advertisement
     assert not packet.checksum(packet.pseudo_header(source, destination, len(data)) + data)
 
 
-def test_a_message_of_the_rfcs_form_is_read_byte_by_byte() -> None:
-    head = bytes([0x31, 51, 200, 1]) + (100).to_bytes(2) + b"\0\0" + A.packed
-    checksum = packet.checksum(packet.pseudo_header(B, GROUP, len(head)) + head)
-    whole = head[:6] + checksum.to_bytes(2) + head[8:]
-    assert packet.encode(Advertisement(51, 200, 1000.0, (A,)), B, GROUP) == whole
+def test_encoded_bytes_follow_the_rfc_and_invalid_messages_are_dropped() -> None:
+    unsummed = bytes([0x31, 51, 200, 1]) + (100).to_bytes(2) + b"\0\0" + ADDRESS_A.packed
+    checksum = packet.checksum(packet.pseudo_header(ADDRESS_B, MULTICAST, len(unsummed)) + unsummed)
+    message = unsummed[:6] + checksum.to_bytes(2) + unsummed[8:]
+    assert packet.encode(Advertisement(51, 200, 1000.0, (ADDRESS_A,)), ADDRESS_B, MULTICAST) == message
     messages = {
-        DropReason.SHORT: whole[:7],
-        DropReason.VERSION: b"\x21" + whole[1:],
-        DropReason.TYPE: b"\x32" + whole[1:],
-        DropReason.LENGTH: whole + b"\0",
-        DropReason.CHECKSUM: whole[:2] + b"\xc9" + whole[3:],
+        DropReason.SHORT: message[:7],
+        DropReason.VERSION: b"\x21" + message[1:],
+        DropReason.TYPE: b"\x32" + message[1:],
+        DropReason.LENGTH: message + b"\0",
+        DropReason.CHECKSUM: message[:2] + b"\xc9" + message[3:],
     }
     for reason, data in messages.items():
         with pytest.raises(PacketError) as raised:
-            packet.decode(data, B, GROUP)
+            packet.decode(data, ADDRESS_B, MULTICAST)
         assert raised.value.reason is reason
     with pytest.raises(PacketError) as raised:
-        packet.decode(whole, B, GROUP, 254)
+        packet.decode(message, ADDRESS_B, MULTICAST, 254)
     assert raised.value.reason is DropReason.HOPS
     for reason, (vrid, addresses, interval) in {
-        DropReason.VRID: (50, {A}, 1000),
-        DropReason.ADDRESSES: (51, {B}, 1000),
-        DropReason.INTERVAL: (51, {A}, 900),
+        DropReason.VRID: (50, {ADDRESS_A}, 1000),
+        DropReason.ADDRESSES: (51, {ADDRESS_B}, 1000),
+        DropReason.INTERVAL: (51, {ADDRESS_A}, 900),
     }.items():
         with pytest.raises(PacketError) as raised:
-            packet.check_group(packet.decode(whole, B, GROUP), vrid, frozenset(addresses), interval, False)
+            packet.check_group(
+                packet.decode(message, ADDRESS_B, MULTICAST), vrid, frozenset(addresses), interval, False
+            )
         assert raised.value.reason is reason
 
 
@@ -81,12 +83,12 @@
 KEYS = KeyRing({1: Key(1, SECRET), 2: Key(2, SECRET[::-1]), 3: Key(3, SECRET * 2, until_ms=500.0)}, 1)
 
 
-def test_the_bytes_on_the_wire_are_those_of_earlier_versions() -> None:
-    """Hexadecimal written by the code before its modules were renamed: routers of both must agree."""
+def test_bytes_on_the_wire_are_those_of_earlier_versions() -> None:
+    """The expected bytes are from an earlier version, which must interoperate with this one."""
     keys = KeyRing({1: Key(1, SECRET), 2: Key(2, SECRET[::-1])}, 2)
     authenticator = Authenticator(keys, 1700000000123)
     addresses = (ip_address("192.0.2.1"), ip_address("192.0.2.9"))
-    ipv4 = packet.encode(Advertisement(51, 200, 1000.0, addresses), B, GROUP)
+    ipv4 = packet.encode(Advertisement(51, 200, 1000.0, addresses), ADDRESS_B, MULTICAST)
     assert ipv4.hex() == "3133c8020064dfc4c0000201c0000209"
     source, destination = ip_address("fe80::2"), ip_address("ff02::12")
     ipv6 = packet.encode(Advertisement(7, 0, 40950.0, (ip_address("fe80::1"),)), source, destination)
@@ -103,7 +105,7 @@
 @settings(max_examples=300)
 @given(st.binary(max_size=400))
 @example(Authenticator(KEYS, 5).sign(b"x" * 12, "a"))
-def test_no_bytes_raise_and_nothing_unauthenticated_is_believed(data: bytes) -> None:
+def test_arbitrary_bytes_are_dropped_without_a_change_of_state(data: bytes) -> None:
     authenticator = Authenticator(KEYS, 1)
     try:
         message = authenticator.verify(data, "b", 1, 1000.0)
@@ -111,7 +113,7 @@
         assert not authenticator._replay_states
     else:
         raise AssertionError(message)
-    for source in (A, ip_address("::1")):
+    for source in (ADDRESS_A, ip_address("::1")):
         try:
             packet.decode(data, source, source, 255)
         except PacketError:
@@ -120,51 +122,69 @@
             raise AssertionError(data)
 
 
-def verified(authenticator: Authenticator, data: bytes, sender: str = "a", now: float = 1000.0) -> str:
+def verification_result(
+    authenticator: Authenticator, data: bytes, sender: str = "a", now: float = 1000.0
+) -> str:
     try:
         authenticator.verify(data, sender, 1, now)
     except PacketError as error:
         return error.reason.name
-    return "OPEN"
+    return "VALID"
 
 
-def test_a_mac_is_the_senders_own_and_is_accepted_once() -> None:
+def test_message_is_accepted_once_and_only_from_its_sender() -> None:
     a, b = Authenticator(KEYS, 100), Authenticator(KEYS, 200)
     first, second, third = (a.sign(b"advert", "a") for _ in range(3))
-    assert verified(b, second) == "OPEN" and verified(b, first) == "OPEN"  # out of order is no replay
-    assert verified(b, first) == verified(b, second) == "REPLAY"
-    assert verified(b, third, "c") == "AUTHENTICATION"  # somebody else's, passed off as c's
+    assert verification_result(b, second) == "VALID"
+    assert verification_result(b, first) == "VALID"  # a message out of order is not a replay
+    assert verification_result(b, first) == verification_result(b, second) == "REPLAY"
+    assert verification_result(b, third, "c") == "AUTHENTICATION"  # a message of a, claimed to be from c
     assert (
-        verified(b, third[:-1] + bytes([third[-1] ^ 1])) == "AUTHENTICATION" and verified(b, third) == "OPEN"
+        verification_result(b, third[:-1] + bytes([third[-1] ^ 1])) == "AUTHENTICATION"
+        and verification_result(b, third) == "VALID"
     )
-    old = [a.sign(b"advert", "a") for _ in range(REPLAY_WINDOW + 2)]
+    messages = [a.sign(b"advert", "a") for _ in range(REPLAY_WINDOW + 2)]
     assert (
-        verified(b, old[-1]) == "OPEN" and verified(b, old[0]) == "REPLAY" and verified(b, old[4]) == "OPEN"
+        verification_result(b, messages[-1]) == "VALID"
+        and verification_result(b, messages[0]) == "REPLAY"
+        and verification_result(b, messages[4]) == "VALID"
     )
-    assert verified(b, Authenticator(KEYS, 101).sign(b"x", "a")) == "OPEN"  # its next incarnation
-    assert verified(b, a.sign(b"x", "a")) == "REPLAY"  # and its previous one no more
-    assert verified(b, b"x" * TRAILER_SIZE) == "SHORT"
+    next_incarnation = Authenticator(KEYS, 101)
+    assert verification_result(b, next_incarnation.sign(b"x", "a")) == "VALID"
+    assert verification_result(b, a.sign(b"x", "a")) == "REPLAY"  # the previous incarnation is rejected
+    assert verification_result(b, b"x" * TRAILER_SIZE) == "SHORT"
 
 
-def test_keys_change_in_service_and_lapse() -> None:
-    old, both, new = (
+def test_keys_rotate_without_interruption_and_expire() -> None:
+    old_key, both_keys, new_key = (
         KeyRing({n: KEYS.by_number[n] for n in numbers}, signs)
         for numbers, signs in (((1,), 1), ((1, 2), 1), ((2,), 2))
     )
-    a, b = Authenticator(old, 1), Authenticator(old, 1)
-    signing = KeyRing(both.by_number, 2)
-    for mine, theirs in ((both, old), (both, both), (signing, both), (new, signing), (new, new)):
-        a.keys, b.keys = mine, theirs
-        assert verified(b, a.sign(b"x", "a")) == verified(a, b.sign(b"x", "b"), "b") == "OPEN"
+    a, b = Authenticator(old_key, 1), Authenticator(old_key, 1)
+    new_signs = KeyRing(both_keys.by_number, 2)
+    steps = (
+        (both_keys, old_key),
+        (both_keys, both_keys),
+        (new_signs, both_keys),
+        (new_key, new_signs),
+        (new_key, new_key),
+    )
+    for a_keys, b_keys in steps:
+        a.keys, b.keys = a_keys, b_keys
+        assert (
+            verification_result(b, a.sign(b"x", "a"))
+            == verification_result(a, b.sign(b"x", "b"), "b")
+            == "VALID"
+        )
     a.keys = KeyRing(KEYS.by_number, 3)
     b.keys = KEYS
     assert (
-        verified(b, a.sign(b"x", "a"), now=499.0) == "OPEN"
-        and verified(b, a.sign(b"x", "a")) == "AUTHENTICATION"
+        verification_result(b, a.sign(b"x", "a"), now=499.0) == "VALID"
+        and verification_result(b, a.sign(b"x", "a")) == "AUTHENTICATION"
     )
 
 
-def test_a_key_file_is_private_and_its_secrets_are_never_shown(tmp_path: Path) -> None:
+def test_key_file_must_be_private_and_errors_show_no_secret(tmp_path: Path) -> None:
     file = tmp_path / "keys.toml"
     file.write_text(f'signs = 1\n[[key]]\nnumber = 1\nsecret = "{SECRET.hex()}"\n')
     os.chmod(file, 0o640)
@@ -174,54 +194,57 @@
     keys = read_keys(file)
     assert SECRET.hex() not in repr(keys) + repr(keys.by_number[1])
     assert repr(SECRET) not in repr(keys.by_number[1])
-    for wrong in (SECRET.hex()[:60], SECRET.hex() + "zz", SECRET.hex() + '"\nx = "'):
-        file.write_text(f'signs = 1\n[[key]]\nnumber = 1\nsecret = "{wrong}"\n')
+    for invalid_secret in (SECRET.hex()[:60], SECRET.hex() + "zz", SECRET.hex() + '"\nx = "'):
+        file.write_text(f'signs = 1\n[[key]]\nnumber = 1\nsecret = "{invalid_secret}"\n')
         with pytest.raises(KeyFileError) as raised:
             read_keys(file)
         assert SECRET.hex()[:20] not in str(raised.value) and "keys.toml" in str(raised.value)
 
 
-def machine(priority: int = 100, address=A, **more: object) -> StateMachine:
-    return StateMachine(address, priority, 1000.0, **more)
+def create_machine(priority: int = 100, address=ADDRESS_A, **options: object) -> StateMachine:
+    return StateMachine(address, priority, 1000.0, **options)
 
 
-def test_a_backup_takes_over_when_the_master_is_silent_and_sooner_when_it_resigns() -> None:
-    m = machine()
-    became, timer = m.start(0.0)
+def test_backup_takes_over_from_a_silent_master_and_sooner_from_one_that_stops() -> None:
+    machine = create_machine()
+    change, timer = machine.start(0.0)
     assert (
-        became == StateChange(State.BACKUP, State.INITIALIZE, "start") and timer.at == 3000 + 156 * 1000 / 256
+        change == StateChange(State.BACKUP, State.INITIALIZE, "start") and timer.at == 3000 + 156 * 1000 / 256
     )
-    again = m.handle_advertisement(100.0, 200, 500.0, B)  # learns the interval
-    assert again == [Timer(100.0 + 1500 + 156 * 500 / 256, 2)] and not m.handle_timer(2000.0, 1)
-    assert m.handle_advertisement(200.0, 0, 500.0, B) == [Timer(200.0 + 156 * 500 / 256, 3)]
-    became, send, timer = m.handle_timer(m.timer_at, 3)
-    assert became.state is State.MASTER and send == SendAdvertisement(100) and timer.at == m.timer_at
-    assert m.interval == 1000.0  # its own again
-    assert m.handle_advertisement(700.0, 90, 1000.0, B)[0] == SendAdvertisement(
-        100
-    )  # a worse one is answered at once
-    became, timer = m.handle_advertisement(800.0, 100, 1000.0, B)  # a tie goes to the higher address
-    assert became.state is State.BACKUP and timer.at > 3800.0
-    assert [type(a) for a in m.shutdown(900.0)] == [Timer, StateChange] and m.start(901.0)
-
-
-def test_an_owner_starts_as_master_and_resigns_at_shutdown() -> None:
-    m = machine(255)
-    assert [type(a) for a in m.start(0.0)] == [StateChange, SendAdvertisement, Timer]
-    assert m.shutdown(5.0)[0] == SendAdvertisement(0)
-
-
-def test_a_better_router_waits_its_preempt_delay() -> None:
-    m = machine(200, preempt_delay_ms=5000.0)
-    m.start(0.0)
+    actions = machine.handle_advertisement(100.0, 200, 500.0, ADDRESS_B)  # learns the interval
+    assert actions == [Timer(100.0 + 1500 + 156 * 500 / 256, 2)] and not machine.handle_timer(2000.0, 1)
+    assert machine.handle_advertisement(200.0, 0, 500.0, ADDRESS_B) == [Timer(200.0 + 156 * 500 / 256, 3)]
+    change, send, timer = machine.handle_timer(machine.timer_at, 3)
+    assert change.state is State.MASTER and send == SendAdvertisement(100) and timer.at == machine.timer_at
+    assert machine.interval == 1000.0  # uses its own interval again
+    # A lower-priority master is answered at once.
+    assert machine.handle_advertisement(700.0, 90, 1000.0, ADDRESS_B)[0] == SendAdvertisement(100)
+    # The higher address wins a tie.
+    change, timer = machine.handle_advertisement(800.0, 100, 1000.0, ADDRESS_B)
+    assert change.state is State.BACKUP and timer.at > 3800.0
+    assert [type(action) for action in machine.shutdown(900.0)] == [Timer, StateChange]
+    assert machine.start(901.0)
+
+
+def test_owner_starts_as_master_and_sends_priority_0_at_shutdown() -> None:
+    machine = create_machine(255)
+    assert [type(action) for action in machine.start(0.0)] == [StateChange, SendAdvertisement, Timer]
+    assert machine.shutdown(5.0)[0] == SendAdvertisement(0)
+
+
+def test_higher_priority_router_preempts_after_the_preempt_delay() -> None:
+    machine = create_machine(200, preempt_delay_ms=5000.0)
+    machine.start(0.0)
     for at in range(500, 5500, 500):
-        assert m.handle_advertisement(float(at), 100, 500.0, B)
-    assert m.handle_advertisement(5600.0, 100, 500.0, B) == []  # from now on the worse one is not heard
-    assert m.handle_timer(m.timer_at, m.timer_number)[0].state is State.MASTER
-    assert machine(200, preempts=False).start(0.0) and not machine(200).handle_advertisement(0.0, 1, 1.0, B)
+        assert machine.handle_advertisement(float(at), 100, 500.0, ADDRESS_B)
+    # After the preempt delay, the lower-priority master is ignored.
+    assert machine.handle_advertisement(5600.0, 100, 500.0, ADDRESS_B) == []
+    assert machine.handle_timer(machine.timer_at, machine.timer_number)[0].state is State.MASTER
+    assert create_machine(200, preempts=False).start(0.0)
+    assert not create_machine(200).handle_advertisement(0.0, 1, 1.0, ADDRESS_B)
 
 
-def test_a_gate_holds_down_one_that_flaps_and_lets_it_back_in_the_midst_of_a_drain() -> None:
+def test_gate_holds_down_a_flapping_master_even_while_draining() -> None:
     scope = RequestScope(frozenset({1}))
     gate = AdmissionGate(scope, 3000.0, HoldDown(1000.0, 8000.0, 30_000.0))
     assert gate.initial_commands() == [SetAdmission(scope, False)]
@@ -232,39 +255,38 @@
         gate.handle_state(100.0, State.BACKUP) == [SetAdmission(scope, False, 3000.0)]
         and gate.state is GateState.DRAINING
     )
-    held, at = [], 200.0
+    hold_downs, at = [], 200.0
     for _ in range(6):
         assert gate.handle_state(at, State.MASTER) == [] and gate.state is GateState.HELD
-        held.append(gate.deadline - at)
+        hold_downs.append(gate.deadline - at)
         assert gate.handle_deadline(gate.deadline - 1) == [] and gate.handle_deadline(gate.deadline) == [
             SetAdmission(scope, True)
         ]
-        at += held[-1] + 10.0
+        at += hold_downs[-1] + 10.0
         gate.handle_state(at, State.BACKUP)
         at += 10.0
-    assert held == [1000.0, 2000.0, 4000.0, 8000.0, 8000.0, 8000.0]
+    assert hold_downs == [1000.0, 2000.0, 4000.0, 8000.0, 8000.0, 8000.0]
     assert gate.handle_deadline(at + 4000.0) == [] and gate.state is GateState.CLOSED
-    assert gate.handle_state(at + 400_000.0, State.MASTER) == [
-        SetAdmission(scope, True)
-    ]  # long ago: forgotten
+    # The earlier returns are forgotten after a long absence.
+    assert gate.handle_state(at + 400_000.0, State.MASTER) == [SetAdmission(scope, True)]
     assert gate.begin_shutdown(at + 400_001.0) == [] and gate.handle_state(at + 500_000.0, State.MASTER) == []
 
 
-def test_a_fact_that_flaps_does_not_make_the_priority_flap() -> None:
-    track = PriorityTracker(
+def test_flapping_fact_does_not_make_the_priority_flap() -> None:
+    tracker = PriorityTracker(
         100, [TrackedObject("late", 30, 500.0, 1000.0, 10_000.0), TrackedObject("runtime", 90, 0.0, 0.0)]
     )
-    changes, before = 0, 100
+    changes, previous = 0, 100
     for tick in range(4000):
-        priority = track.step(tick * 100.0, {"late": tick // 3 % 2 == 0, "runtime": False})
-        changes, before = changes + (priority != before), priority
+        priority = tracker.step(tick * 100.0, {"late": tick // 3 % 2 == 0, "runtime": False})
+        changes, previous = changes + (priority != previous), priority
     assert changes == 0  # never bad for long enough
     for tick in range(4000, 4600):
-        priority = track.step(tick * 100.0, {"late": tick % 30 < 12})
-        changes, before = changes + (priority != before), priority
-    assert 2 <= changes <= 10 and track.lowering_facts == ["late"]
+        priority = tracker.step(tick * 100.0, {"late": tick % 30 < 12})
+        changes, previous = changes + (priority != previous), priority
+    assert 2 <= changes <= 10 and tracker.lowering_facts == ["late"]
     assert (
-        track.step(1e6, {"runtime": True}) == 1
+        tracker.step(1e6, {"runtime": True}) == 1
         and PriorityTracker(255, [TrackedObject("late", 9)]).step(0.0, {}) == 255
     )
 
@@ -273,47 +295,64 @@
     RequestClass("look", Idempotency.SAFE, 1, 1, 1),
     RequestClass("pay", Idempotency.NON_IDEMPOTENT, 1, 1, 1),
 ]
-GOOD = (ROOT / "deploy/vrrp.toml").read_text()
-SECOND = GOOD[GOOD.index("[[group]]") :].replace('"intake"', '"pay"').replace("vrid = 51", "vrid = 52")
+VALID = (ROOT / "deploy/vrrp.toml").read_text()
+SECOND_GROUP = (
+    VALID[VALID.index("[[group]]") :].replace('"intake"', '"pay"').replace("vrid = 51", "vrid = 52")
+)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("version = 1", "version = 2", "version: this program reads 1"),
         ("vrid = 51", "vrid = 0", "group[1].vrid: 0 is not"),
         ("vrid = 51", "vird = 51", "unknown field `vird`"),
-        ("priority = 150", "priority = 255", "group[1].priority: 255 is for the owner"),
+        (
+            "priority = 150",
+            "priority = 255",
+            "group[1].priority: 255 is reserved for, and required of, the owner",
+        ),
         ("priority = 150", "priority = 300", "group[1].priority: 300"),
-        ("interval_ms = 1000 ", "interval_ms = 1005 ", "no whole number of centiseconds"),
-        ("interval_ms = 1000 ", "interval_ms = 50000 ", "group[1].interval_ms: 50000 is not from 10"),
+        ("interval_ms = 1000 ", "interval_ms = 1005 ", "is not a whole number of centiseconds"),
+        ("interval_ms = 1000 ", "interval_ms = 50000 ", "group[1].interval_ms: 50000 is not between 10"),
         ('virtual = ["192.0.2.1"]', "virtual = []", "group[1].virtual"),
-        ('virtual = ["192.0.2.1"]', 'virtual = ["x"]', "group[1].virtual: 'x' is no IP address"),
-        ('virtual = ["192.0.2.1"]', 'virtual = ["::1"]', "IPv4 and IPv6 in one group"),
-        ('address = "192.0.2.12"', 'address = "192.0.2.11"', "group[1].peer: an address stands twice"),
-        ('udp = "127.0.0.2:5112"', 'udp = "here:5112"', "peer[1].udp: 'here' is no IP address"),
-        ('listen = "127.0.0.1:5112"', 'listen = "127.0.0.1"', "listen: '127.0.0.1' is no address and port"),
-        ('fact = "late"', 'fact = "tired"', "track[2].fact: no such fact"),
-        ('fact = "late"', 'fact = "runtime"', "group[1].track: a fact stands twice"),
+        ('virtual = ["192.0.2.1"]', 'virtual = ["x"]', "group[1].virtual: 'x' is not an IP address"),
+        ('virtual = ["192.0.2.1"]', 'virtual = ["::1"]', "the group mixes IPv4 and IPv6"),
+        ('address = "192.0.2.12"', 'address = "192.0.2.11"', "group[1].peer: an address is used twice"),
+        ('udp = "127.0.0.2:5112"', 'udp = "here:5112"', "peer[1].udp: 'here' is not an IP address"),
+        (
+            'listen = "127.0.0.1:5112"',
+            'listen = "127.0.0.1"',
+            "listen: '127.0.0.1' is not an address and port",
+        ),
+        ('fact = "late"', 'fact = "tired"', "track[2].fact: unknown fact"),
+        ('fact = "late"', 'fact = "runtime"', "group[1].track: a fact is tracked twice"),
         ("lowers = 100", "lowers = 0", "track[1].lowers: 0"),
         ("first_ms = 1000 ", "first_ms = -1 ", "hold_down.first_ms: -1"),
-        ('# products = ["form-submit"]', 'products = ["lok"]', "group[1].products: there is no 'lok'"),
-        ("forget_ms = 30000 ", "forget_ms = 0 ", "hold_down.forget_ms: 0 is not from 1"),
+        ('# products = ["form-submit"]', 'products = ["lok"]', "group[1].products: unknown name 'lok'"),
+        ("forget_ms = 30000 ", "forget_ms = 0 ", "hold_down.forget_ms: 0 is not between 1"),
         ("[hold_down]", "group = []\n[hold_down]", "group"),
         ('keys = "vrrp-keys.toml"', 'keys = "none.toml"', "cannot read"),
-        (GOOD, GOOD + SECOND, "group[2]: serves what group[1] serves"),
-        (GOOD, GOOD + SECOND.replace("vrid = 52", "vrid = 51"), "group[2].vrid: 51 is group[1]'s"),
+        (VALID, VALID + SECOND_GROUP, "group[2]: its requests overlap with those of group[1]"),
+        (
+            VALID,
+            VALID + SECOND_GROUP.replace("vrid = 52", "vrid = 51"),
+            "group[2].vrid: 51 is already used by group[1]",
+        ),
     ],
 )
-def test_a_bad_file_of_groups_is_named_by_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
+def test_error_of_an_invalid_file_names_the_key(tmp_path: Path, old: str, new: str, message: str) -> None:
     keys, file = tmp_path / "vrrp-keys.toml", tmp_path / "vrrp.toml"
     keys.write_text(f'signs = 1\n[[key]]\nnumber = 1\nsecret = "{SECRET.hex()}"\n')
     keys.chmod(0o600)
-    file.write_text(GOOD)
-    good = read_configuration(file, PRODUCTS, [])
-    assert good.groups[0].scope == RequestScope() and good.groups[0].tracked_objects[0].fact == "runtime"
-    assert old in GOOD
-    file.write_text(GOOD.replace(old, new, 1))
+    file.write_text(VALID)
+    configuration = read_configuration(file, PRODUCTS, [])
+    assert (
+        configuration.groups[0].scope == RequestScope()
+        and configuration.groups[0].tracked_objects[0].fact == "runtime"
+    )
+    assert old in VALID
+    file.write_text(VALID.replace(old, new, 1))
     with pytest.raises(VrrpConfigurationError) as raised:
         read_configuration(file, PRODUCTS, [])
-    assert says in str(raised.value) and "\n" not in str(raised.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -1,5 +1,4 @@
-"""The program as operators start it, with a scripted VRRP peer and a gateway's connection: it admits only
-as master."""
+"""A server process with a scripted VRRP peer and a gateway connection admits requests only as master."""
 
 import json
 import os
@@ -27,10 +26,12 @@
 
 pytestmark = pytest.mark.exclusive
 
-MINE, ITS, VIRTUAL, GROUP = map(ip_address, ("192.0.2.12", "192.0.2.11", "192.0.2.1", "224.0.0.18"))
+PEER_ADDRESS, SERVER_ADDRESS, VIRTUAL_ADDRESS, MULTICAST = map(
+    ip_address, ("192.0.2.12", "192.0.2.11", "192.0.2.1", "224.0.0.18")
+)
 INTERVAL_MS = 100
-TURNS = int(os.environ.get("VRRP_TURNS", "4"))  # forced transitions there and back; 100 take two minutes
-FILE = """
+TRANSITIONS = int(os.environ.get("VRRP_TURNS", "4"))  # forced failovers and failbacks; 100 take two minutes
+VRRP_FILE = """
 version = 1
 listen = "127.0.0.1:{port}"
 keys = "keys.toml"
@@ -50,7 +51,7 @@
 
 
 class ScriptedPeer:
-    """A peer that advertises on request, and reads what it receives."""
+    """A VRRP peer that advertises while `is_advertising` is set, and decodes what it receives."""
 
     def __init__(self, keys: Path) -> None:
         self.authenticator = Authenticator(read_keys(keys), int(time.time() * 1000))
@@ -66,8 +67,10 @@
         self.thread = threading.Thread(target=self._advertise, daemon=True)
 
     def advertise(self, priority: int, interval_ms: float = INTERVAL_MS) -> bytes:
-        advert = packet.Advertisement(7, priority, interval_ms, (VIRTUAL,))
-        data = self.authenticator.sign(packet.encode(advert, MINE, GROUP), str(MINE))
+        advertisement = packet.Advertisement(7, priority, interval_ms, (VIRTUAL_ADDRESS,))
+        data = self.authenticator.sign(
+            packet.encode(advertisement, PEER_ADDRESS, MULTICAST), str(PEER_ADDRESS)
+        )
         self.sock.sendto(data, ("127.0.0.1", self.target_port))
         return data
 
@@ -78,7 +81,7 @@
 
     def receive(self) -> packet.Advertisement:
         data = self.sock.recv(2048)
-        return packet.decode(data[:-TRAILER_SIZE], ITS, GROUP)
+        return packet.decode(data[:-TRAILER_SIZE], SERVER_ADDRESS, MULTICAST)
 
     def close(self) -> None:
         self.is_stopped.set()
@@ -99,7 +102,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         peer.target_port = free.getsockname()[1]
-    (tmp_path / "vrrp.toml").write_text(FILE.format(port=peer.target_port, peer=peer.port))
+    (tmp_path / "vrrp.toml").write_text(VRRP_FILE.format(port=peer.target_port, peer=peer.port))
     monkeypatch.setenv("OTTERRUDDER_VRRP", str(tmp_path / "vrrp.toml"))
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     peer.thread.start()
@@ -108,17 +111,19 @@
     peer.close()
 
 
-def becomes(server: ServerProcess, runtime: FakeRuntime, state: str, times: int) -> None:
-    ends = time.monotonic() + WAIT_S
+def wait_for_state(server: ServerProcess, runtime: FakeRuntime, state: str, times: int) -> None:
+    """Waits until the server has logged the VRRP state `times` times."""
+    deadline = time.monotonic() + WAIT_S
     while server.log.read_text().count(f"state={state}") < times:
-        assert time.monotonic() < ends, server.log.read_text()
+        assert time.monotonic() < deadline, server.log.read_text()
         runtime.answer_gauges(1)
 
 
-def opens(server: ServerProcess, runtime: FakeRuntime, times: int) -> None:
-    ends = time.monotonic() + WAIT_S
+def wait_for_open_gate(server: ServerProcess, runtime: FakeRuntime, times: int) -> None:
+    """Waits until the server has logged an open gate `times` times."""
+    deadline = time.monotonic() + WAIT_S
     while server.log.read_text().count("door=open serves") < times:
-        assert time.monotonic() < ends, server.log.read_text()
+        assert time.monotonic() < deadline, server.log.read_text()
         runtime.answer_gauges(1)
 
 
@@ -126,50 +131,49 @@
     return gateway.send_request(f"{n:016x}", product, **({"dedupe": f"{n:032x}"} if product == "pay" else {}))
 
 
-def test_it_admits_only_as_master_and_hands_over_what_it_read(
+def test_server_admits_only_as_master_and_answers_its_requests_after_a_failover(
     pair: tuple[ServerProcess, ScriptedPeer],
 ) -> None:
     server, peer = pair
     peer.is_advertising.set()
     runtime, gateway = server.connect_all()
     check = gateway.send_message("check")
-    assert gateway.read_answer()["result"]["pass"] is False  # a backup is not to be chosen
+    assert gateway.read_answer()["result"]["pass"] is False  # discovery must not choose a backup
     rpc = send_request(gateway, 1)
     error = gateway.read_answer()
     assert error["id"] == rpc != check and error["error"]["code"] == -32014
     assert "stop" not in error["error"]["data"] and error["error"]["data"]["pushback"] > 0
     peer.is_advertising.clear()
-    becomes(server, runtime, "master", 1)
-    opens(server, runtime, 1)
+    wait_for_state(server, runtime, "master", 1)
+    wait_for_open_gate(server, runtime, 1)
     assert peer.receive().priority == 150
     rpc = send_request(gateway, 2, "pay")
     assert runtime.expect_command("start", f"{2:016x}", "pay")
-    peer.is_advertising.set()  # a better one: it steps down with a request in hand
-    becomes(server, runtime, "backup", 2)
-    time.sleep(0.6)  # past the grace of 400 ms
-    declined = send_request(gateway, 3)
-    assert gateway.read_answer()["id"] == declined  # at once, while 2 still runs
+    peer.is_advertising.set()  # a peer with a higher priority: the server steps down during a run
+    wait_for_state(server, runtime, "backup", 2)
+    time.sleep(0.6)  # longer than the grace period of 400 ms
+    rejected_rpc = send_request(gateway, 3)
+    assert gateway.read_answer()["id"] == rejected_rpc  # at once, while request 2 still runs
     runtime.end_run(f"{2:016x}", b"paid")
     answer = gateway.read_answer()
     assert answer["id"] == rpc and "result" in answer
     repeat = gateway.send_request(f"{4:016x}", "pay", dedupe=f"{2:032x}", rep=1)
-    assert (
-        gateway.read_answer()["id"] == repeat
-    )  # a backup keeps its references; this one came past the grace
+    # A backup keeps idempotency keys, but this repeat arrived after the grace period.
+    assert gateway.read_answer()["id"] == repeat
     peer.is_advertising.clear()
-    opens(server, runtime, 2)
-    again = gateway.send_request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
-    answer = gateway.read_answer()  # known across both: from the first run, nothing starts
-    assert answer["id"] == again and "result" in answer
-    shown = control.query("n3", "vrrp")["vrrp"][0]
-    assert (shown["state"], shown["door"], shown["priority"]) == ("master", "open", 150)
+    wait_for_open_gate(server, runtime, 2)
+    second_repeat = gateway.send_request(f"{5:016x}", "pay", dedupe=f"{2:032x}", rep=1)
+    answer = gateway.read_answer()  # the result of the first run is kept across both state changes
+    assert answer["id"] == second_repeat and "result" in answer
+    status = control.query("n3", "vrrp")["vrrp"][0]
+    assert (status["state"], status["door"], status["priority"]) == ("master", "open", 150)
     assert control.socket_path("n3").stat().st_mode & 0o777 == 0o600
 
 
-def test_sigterm_sends_priority_0_first_and_drains(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
+def test_sigterm_sends_priority_0_before_the_drain(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
     server, peer = pair
     runtime, gateway = server.connect_all()
-    opens(server, runtime, 1)
+    wait_for_open_gate(server, runtime, 1)
     send_request(gateway, 1)
     runtime.expect_command("start", f"{1:016x}")
     server.process.send_signal(signal.SIGTERM)
@@ -180,57 +184,63 @@
     assert server.wait_for_exit() == 0 and not control.socket_path("n3").exists()
 
 
-def test_forced_transitions_leave_each_request_one_answer(pair: tuple[ServerProcess, ScriptedPeer]) -> None:
+def test_each_request_gets_one_answer_across_forced_failovers(
+    pair: tuple[ServerProcess, ScriptedPeer],
+) -> None:
     server, peer = pair
     runtime, gateway = server.connect_all()
-    opens(server, runtime, 1)
+    wait_for_open_gate(server, runtime, 1)
     count, rpcs = 0, []
-    for turn in range(1, TURNS + 1):
-        for _ in range(4):  # some arrive as the mastership goes
+    for turn in range(1, TRANSITIONS + 1):
+        for _ in range(4):  # some arrive while mastership changes
             count += 1
             rpcs.append(send_request(gateway, count, "pay" if count % 2 else "look"))
         peer.is_advertising.set()
-        time.sleep(0.04 * (turn % 5))  # within an advert or two: before, as and after it steps down
+        time.sleep(0.04 * (turn % 5))  # within two intervals: before, while and after it steps down
         count += 1
         rpcs.append(send_request(gateway, count))
-        if turn % 2:  # promoted in the midst of its drain, or only once all is answered
+        if turn % 2:  # it becomes master again while it drains, otherwise after all answers
             peer.is_advertising.clear()
         answers = 0
         while answers < 5:
-            words, _ = _either(server, runtime, gateway)
+            words, _ = _next_start_or_answer(server, runtime, gateway)
             if words:
                 runtime.end_run(words[1])
             else:
                 answers += 1
         peer.is_advertising.clear()
-        ends = time.monotonic() + WAIT_S
+        deadline = time.monotonic() + WAIT_S
         while control.query("n3", "vrrp")["vrrp"][0]["door"] != "open":
-            assert time.monotonic() < ends
+            assert time.monotonic() < deadline
             runtime.answer_gauges(1)
-    assert sorted(gateway.told) == sorted(rpcs)  # each once, none twice
+    assert sorted(gateway.answered_rpcs) == sorted(rpcs)  # each exactly once
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
     print(f"{len(rpcs)} requests, became master {counts['became master']}, backup {counts['became backup']}")
-    assert counts["became master"] > TURNS // 2
+    assert counts["became master"] > TRANSITIONS // 2
+
 
+def _next_start_or_answer(
+    server: ServerProcess, runtime: FakeRuntime, gateway: FakeGateway
+) -> tuple[list[str], bytes]:
+    """Returns the next run that the runtime starts, or an empty list once the gateway receives an answer.
 
-def _either(server: ServerProcess, runtime: FakeRuntime, gateway: FakeGateway) -> tuple[list[str], bytes]:
-    """The runtime's next start, or nothing once the gateway has an answer (kept in `told`)."""
-    gateway.told = getattr(gateway, "told", [])
+    The ids of the answers are kept in `gateway.answered_rpcs`."""
+    gateway.answered_rpcs = getattr(gateway, "answered_rpcs", [])
     while True:
         gateway.sock.setblocking(False)
         try:
-            more = gateway.sock.recv(65536)
-            assert more
-            gateway.data += more
+            received = gateway.sock.recv(65536)
+            assert received
+            gateway.data += received
         except BlockingIOError:
             pass
         finally:
             gateway.sock.settimeout(WAIT_S)
         if b"\n" in gateway.data:
             line, gateway.data = gateway.data.split(b"\n", 1)
-            told = json.loads(line)
-            if "id" in told:
-                gateway.told.append(told["id"])
+            message = json.loads(line)
+            if "id" in message:
+                gateway.answered_rpcs.append(message["id"])
                 return [], b""
             continue
         words = runtime.read_line().decode().split(" ")
@@ -240,19 +250,19 @@
             return words, runtime.read_body(int(words[-1]))
 
 
-def test_what_is_not_authenticated_changes_nothing_and_keys_change_by_sighup(
+def test_unauthenticated_messages_change_nothing_and_sighup_reloads_keys(
     pair: tuple[ServerProcess, ScriptedPeer], tmp_path: Path
 ) -> None:
     server, peer = pair
     runtime, _ = server.connect_all()
-    opens(server, runtime, 1)
+    wait_for_open_gate(server, runtime, 1)
     genuine = peer.advertise(1)
     for data in (b"", b"x" * 40, genuine, genuine[:-1] + bytes([genuine[-1] ^ 1])):
         peer.sock.sendto(data, ("127.0.0.1", peer.target_port))
     keys = tmp_path / "keys.toml"
-    for words in (["--add"], ["--sign", "2"]):
+    for options in (["--add"], ["--sign", "2"]):
         subprocess.run(
-            [sys.executable, "-m", "otterrudder", "vrrp", "keygen", str(keys), *words],
+            [sys.executable, "-m", "otterrudder", "vrrp", "keygen", str(keys), *options],
             cwd=ROOT,
             check=True,
             capture_output=True,
@@ -265,6 +275,6 @@
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
     assert counts["replayed"] == 1 and counts["seal"] == 1 and counts["heard"] == 1
     peer.is_advertising.set()
-    becomes(server, runtime, "backup", 2)
+    wait_for_state(server, runtime, "backup", 2)
     secret = keys.read_text().split('"')[1]
     assert secret not in server.log.read_text() and "Traceback" not in server.log.read_text()
