--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -46,7 +46,7 @@
             ('"f"', '"a/b"'),
             "fleet.toml: fleet: must be a name without a slash, of 1 to 128 characters, not 'a/b'",
         ),
-        (("2379", "x"), "fleet.toml: store: '127.0.0.1:x' is no address and port"),
+        (("2379", "x"), "fleet.toml: store: '127.0.0.1:x' is not an address of the form host:port"),
         (('["127.0.0.1:2379"]', "[]"), "fleet.toml: store: must have 1 to 9 addresses, not 0"),
         (('folder = "state"\n', ""), 'fleet.toml: folder: required with absent = "wait"'),
         (
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -86,14 +86,14 @@
 def test_a_lost_answer_is_an_error_and_a_read_shows_what_took_effect(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
-        engine.tell(lose_answers=1)
+        engine.set_faults(lose_answers=1)
         with pytest.raises(StoreUnavailableError):
             await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
         assert (await client.read(["f/a"], TIMEOUT_MS)).entries["f/a"].value == b"1"
-        engine.tell(down=True)
+        engine.set_faults(down=True)
         with anyio.fail_after(3), pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
-        engine.tell(down=False)
+        engine.set_faults(down=False)
         with anyio.fail_after(3):
             while True:
                 try:
@@ -115,7 +115,7 @@
         with pytest.raises(StoreUnavailableError):
             await client.read(["f/a"], TIMEOUT_MS)
         engine.start()
-        engine.tell(empty=1)
+        engine.set_faults(empty=1)
         with anyio.fail_after(5):
             while True:
                 try:
@@ -168,7 +168,7 @@
                 while len(revisions) < 2:
                     await anyio.sleep(0.02)
             assert revisions[1] >= result.revision
-            engine.tell(cancel_watches=1)
+            engine.set_faults(cancel_watches=1)
         assert len(revisions) == 2
         await client.close()
 
@@ -178,7 +178,7 @@
 def test_a_cancelled_caller_is_cancelled_but_a_closed_channel_raises_an_error(engine: Engine) -> None:
     async def play() -> None:
         client = engine.client()
-        engine.tell(down=True)
+        engine.set_faults(down=True)
         with anyio.move_on_after(0.1) as scope:
             await client.read(["f/a"], 5000.0)
         assert scope.cancelled_caught
@@ -433,7 +433,7 @@
         (3, "ann", "back to version 1"),
     ]
     assert run("gone", "n7") == (3, "otterrudder: n7 is not on the roster\n")
-    engine.tell(down=True)
+    engine.set_faults(down=True)
     code, text = run("status")
     assert code == 4 and text.startswith("otterrudder: the store does not answer")
-    engine.tell(down=False)
+    engine.set_faults(down=False)
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -47,24 +47,33 @@
 @pytest.mark.parametrize(
     ("text", "error"),
     [
-        (SERVER, "server_lease_ms: 3000 is not from 1000 to bound_ms, which is 2000"),
+        (SERVER, "server_lease_ms: 3000 is not between 1000 and bound_ms (2000)"),
         (SERVER + "server_lease_ms = 999", "server_lease_ms: 999 is not"),
         (SERVER + 'bound_ms = 3000\nstart = "folder"', "start: "),
         (
             SERVER + 'bound_ms = 3000\nfolder = "f"',
             "folder: not allowed with relays: a server of a cell saves no state",
         ),
-        ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is no address and port"),
+        ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is not an address of the form host:port"),
         ('bound_ms = 3000\nrelays = ["a:0"]', "relays: 'a:0'"),
-        ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is there twice"),
+        ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is listed twice"),
         (
             'bound_ms = 3000\nrelays = ["a:1"]\n[relay]\ncell = "a"\naddress = "a:1"',
             "relays: only allowed in a server's file",
         ),
-        (RELAY, 'relay.folder: absent = "wait" with one relay needs one'),
-        (RELAY + 'candidates = ["127.0.0.1:3"]', "relay.candidates: this relay's own address"),
-        (RELAY + 'folder = "f"\nlisten = "0.0.0.0"', "relay.listen: '0.0.0.0' is no address and port"),
-        (RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"', "relay.folder: the relays"),
+        (RELAY, 'relay.folder: the folder is required with absent = "wait" and one relay'),
+        (
+            RELAY + 'candidates = ["127.0.0.1:3"]',
+            "relay.candidates: the list does not contain this relay's own address",
+        ),
+        (
+            RELAY + 'folder = "f"\nlisten = "0.0.0.0"',
+            "relay.listen: '0.0.0.0' is not an address of the form host:port",
+        ),
+        (
+            RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"',
+            "relay.folder: not allowed with several relays",
+        ),
         (RELAY + 'folder = "f"\nsessions_most = 0', "relay.sessions_most: 0"),
         (RELAY + 'folder = "f"\nother = 1', ".relay: Object contains unknown field `other`"),
         (RELAY.replace('"a"', '"a/b"') + 'folder = "f"', "relay.cell"),
