--- a/otterrudder/fleet/change/coordinator.py
+++ b/otterrudder/fleet/change/coordinator.py
@@ -21,7 +21,7 @@
 MAX_COUNT_INTERVAL_MS = 2000.0
 COUNT_AGE_SHARE = 1 / 8  # interval between two counts as a fraction of the change's age
 QUEUE_POLL_MS = 2000.0  # interval between reads of the queue without a watch event
-# Latency of the store from which on a coordinator waits the longest before it tries to become leader.
+# A coordinator with at least this latency to the store waits the longest before it tries to become leader.
 MAX_LATENCY_MS = 100.0
 
 _RequestT = TypeVar("_RequestT", Read, Commit)
--- a/otterrudder/fleet/member/local_state.py
+++ b/otterrudder/fleet/member/local_state.py
@@ -22,7 +22,7 @@
         """Whether the directory lacks state that a restart would need."""
         if not self.has_disk:
             return False
-        return not self.saved or _essentials(self.saved) != _essentials(current)
+        return not self.saved or _fields_to_save(self.saved) != _fields_to_save(current)
 
     def must_save(self, current: MemberState) -> bool:
         """Whether the state has to be saved. After a failed write, the state is written again even if it has
@@ -47,7 +47,7 @@
         self.save_at = now + MAX_RETRY_MS
 
 
-def _essentials(state: MemberState) -> tuple[object, ...]:
+def _fields_to_save(state: MemberState) -> tuple[object, ...]:
     """Returns the part of the state whose changes have to be saved. The store's revision is saved along with
     it, but its changes alone cause no write."""
     return state.applied_policy, state.prepared_vote, state.joined, state.waits_for_member
--- a/otterrudder/fleet/member/member.py
+++ b/otterrudder/fleet/member/member.py
@@ -157,7 +157,7 @@
             return
         self.reads.is_stale = True  # the store is read to find out what took effect
         if outcome is None or isinstance(outcome, CommitResult) and not outcome.succeeded:
-            self._fail(now)
+            self._schedule_retry(now)
 
     def _handle_read_result(self, now: float, sent: float, raw: Snapshot) -> None:
         snapshot = FleetSnapshot(self.keys, raw)
@@ -170,7 +170,7 @@
         except InvalidRecordError as error:
             self.trust.distrust_reason = str(error)
         if self.distrust_reason:
-            self._fail(now)
+            self._schedule_retry(now)
         else:
             self.reads.succeed(now)
 
@@ -211,7 +211,7 @@
             snapshot.trial,
         )
 
-    def _fail(self, now: float) -> None:
+    def _schedule_retry(self, now: float) -> None:
         """Schedules a retry after a failed request to the store. While a vote is prepared, the retry comes
         early enough for bound_ms."""
         max_wait_ms = MAX_RETRY_MS
@@ -237,7 +237,7 @@
     def lose_registration(self) -> None:
         """Handles the loss of the lease or of the status key. The store has to be read again before the
         member does anything else."""
-        self.registration.lose()
+        self.registration.handle_loss()
         self.reads.is_stale = True
         self.voting.vote_priority_until = -math.inf
         # The result of a read that was sent before would still show the lost registration.
--- a/otterrudder/fleet/member/parts.py
+++ b/otterrudder/fleet/member/parts.py
@@ -26,7 +26,7 @@
 class MemberParts:
     """Holds the parts of a member and provides the values that other modules read most."""
 
-    # Types of the parts. The model search replaces them by faulty variants.
+    # Types of the parts. The model search replaces them with faulty variants.
     registration_type: type[Registration] = Registration
     voting_type: type[Voting] = Voting
     trust_type: type[StoreTrust] = StoreTrust
@@ -152,8 +152,8 @@
         return self.applied_policy.version if self.admission_status(now).admits else None
 
     def authority_until(self, now: float) -> float:
-        """Returns until when the member may admit requests, or grant leases, if no further answer arrives.
-        Returns -inf if admission is suspended."""
+        """Returns the time until which the member may admit requests, or grant leases, if no further answer
+        arrives. Returns -inf if admission is suspended."""
         if not self.admission_status(now).admits:
             return -math.inf
         until = self.registration.valid_until() if self.rules.depends_on_lease else math.inf
--- a/otterrudder/fleet/member/policy_state.py
+++ b/otterrudder/fleet/member/policy_state.py
@@ -39,7 +39,7 @@
         enough, and None if the read has no effect on the schedule."""
         head = snapshot.policy
         needed_digests = (head.digest if head else "", change.digest if change else "")
-        self._retain_texts(snapshot, needed_digests)
+        self._keep_texts(snapshot, needed_digests)
         if not head or head.version <= self.applied_policy.version:
             return None
         self.newest_version, self.newest_change = head.version, head.change
@@ -57,7 +57,7 @@
         self.rejection = rejection
         return None
 
-    def _retain_texts(self, snapshot: FleetSnapshot, needed_digests: tuple[str, str]) -> None:
+    def _keep_texts(self, snapshot: FleetSnapshot, needed_digests: tuple[str, str]) -> None:
         for digest in filter(None, (self.documents.missing, *needed_digests)):
             if (text := snapshot.text(digest)) is not None:
                 self.documents = self.documents.with_text(digest, text)
--- a/otterrudder/fleet/member/registration.py
+++ b/otterrudder/fleet/member/registration.py
@@ -19,7 +19,7 @@
 
 
 class Registration:
-    """Tracks whether this process holds its name in the store, and until when."""
+    """Tracks whether this process holds its name in the store, and how long it may rely on that."""
 
     __slots__ = (
         "endorsed_until",
@@ -103,7 +103,7 @@
             is_lost = True
         return is_lost
 
-    def lose(self) -> None:
+    def handle_loss(self) -> None:
         """Handles the loss of the status key or of its lease."""
         self.registered, self.is_leader = 0, False
         if self.rules.depends_on_lease:
--- a/otterrudder/fleet/member/voting.py
+++ b/otterrudder/fleet/member/voting.py
@@ -68,5 +68,6 @@
         return self.prepared_vote is not None and self.vote_sent
 
     def valid_until(self, bound_ms: float) -> float:
-        """Returns until when the policy before the change may be applied; inf if no vote binds the member."""
+        """Returns the time until which the member may apply the policy before the change; inf if no vote
+        binds it."""
         return self.confirmed_open_at + bound_ms if self.binds() else math.inf
