--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -27,9 +27,9 @@
 pytestmark = pytest.mark.exclusive
 
 EXPERIMENT = read(Path(__file__).parents[2] / "experiments/fleet-policy.toml")
-CALM = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
-VOTED = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("freeze later", 0),), 2.8)]
-DRAINED = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("drain", 0),), 0.3)]
+NO_FAULTS = [Round(1, "look", (), 0.3), Round(2, "pay", (), 0.3)]
+FROZEN_AFTER_VOTE = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("freeze later", 0),), 2.8)]
+DRAIN = [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("drain", 0),), 0.3)]
 # With few requests, a server that was frozen reads all that wait in one batch.
 SLOW_EXPERIMENT = msgspec.structs.replace(EXPERIMENT, pace_ms=170.0)
 
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize(
     ("mutant", "variant", "rounds", "violation"),
     [
-        ("sleeps through", "wait", VOTED, "wrong version"),
+        ("sleeps through", "wait", FROZEN_AFTER_VOTE, "wrong version"),
         (
             "never aside",
             "wait",
@@ -175,21 +175,21 @@
             [Round(1, "look", (), 0.3), Round(2, "pay", (Fault("kill", 0), Fault("slow link", 0)), 4.8)],
             "wrong version",
         ),
-        ("loses", "wait", CALM, "lost"),
-        ("drops at drain", "wait", DRAINED, "lost"),
-        ("never leaves", "wait", DRAINED, "drain"),
-        ("runs twice", "wait", CALM, "run twice"),
-        ("another result", "wait", CALM, "another result"),
-        ("answers twice", "wait", CALM, "answered twice"),
+        ("loses", "wait", NO_FAULTS, "lost"),
+        ("drops at drain", "wait", DRAIN, "lost"),
+        ("never leaves", "wait", DRAIN, "drain"),
+        ("runs twice", "wait", NO_FAULTS, "run twice"),
+        ("another result", "wait", NO_FAULTS, "another result"),
+        ("answers twice", "wait", NO_FAULTS, "answered twice"),
         ("answers late", "wait", [Round(1, "look", (), 2.8), Round(2, "pay", (), 2.8)], "late"),
-        ("declines repeats", "wait", CALM, "repeat declined"),
+        ("declines repeats", "wait", NO_FAULTS, "repeat declined"),
         ("unlisted", "wait", [Round(1, "look", (), 2.8), Round(2, "pay", (), 2.8)], "unlisted"),
     ],
 )
 def test_the_history_checker_finds_seeded_faults(
     mutant: str, variant: str, rounds: list[Round], violation: str
 ) -> None:
-    experiment = SLOW_EXPERIMENT if rounds is VOTED else EXPERIMENT
+    experiment = SLOW_EXPERIMENT if rounds is FROZEN_AFTER_VOTE else EXPERIMENT
     run = perform_one(experiment, variant, 1, rounds, 2, mutant=mutant)
     assert not run.result.missed, run.result.rounds  # the conditions for the fault have occurred
     assert any(line.startswith(violation) for line in run.broken), (run.broken, run.result.rounds)
