--- a/otterrudder/fleet/change/coordinator.py
+++ b/otterrudder/fleet/change/coordinator.py
@@ -131,7 +131,7 @@
         if outcome is not None:
             self.latency_ms = now - self._sent
         age = now - self._seen_since
-        self._due_at = now + self._pause(age)
+        self._due_at = now + self._read_delay(age)
         ended, self._ended_snapshot = self._ended_snapshot, None
         if isinstance(outcome, CommitResult) and isinstance(effect, Commit):
             # The member learns from its next read whether it is the leader.
@@ -152,7 +152,7 @@
             self._due_at = now  # the member has just become the leader
         self._is_leader = is_leader
 
-    def _pause(self, age_ms: float) -> float:
+    def _read_delay(self, age_ms: float) -> float:
         """Returns the time until the next read, in ms."""
         if self._has_event:
             return 0.0
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -86,7 +86,7 @@
     """Operators switch a fleet from "leave-out" to "wait" by changing the file of each server, draining the
     server and starting it again."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         with tempfile.TemporaryDirectory() as folder:
             cluster = ProcessCluster(Path(folder), 3, ClusterOptions(absent="leave-out"))
             async with cluster.running():
@@ -116,14 +116,14 @@
             assert output.count('"absent": "wait"') == 3
             assert [drain.exit_code for drain in cluster.drains] == [0, 0, 0]
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_a_hanging_disk_does_not_delay_a_drain() -> None:
     """A write that never returned once kept the process from ending, because the shutdown waited for the
     thread that was writing."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         with tempfile.TemporaryDirectory() as folder:
             cluster = ProcessCluster(Path(folder), 2)
             async with cluster.running():
@@ -150,7 +150,7 @@
             violations = check_run(cluster, RunResult()).check.violations
             assert not violations, violations
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_the_baseline_by_hand_leaves_servers_with_the_old_policy() -> None:
@@ -196,7 +196,7 @@
 
 
 def test_a_policy_on_trial_is_rolled_back_without_its_proposer(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         cluster = ProcessCluster(tmp_path, 3)
         async with cluster.running():
             assert await cluster.operators.wait_ended(cluster.operators.propose(1, "look", 5.0), 10.0) == 0
@@ -220,7 +220,7 @@
         )
         assert not check_history(history).violations
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_a_fault_schedule_is_reproducible_by_seed_and_shrinks_to_the_failing_fault() -> None:
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -51,7 +51,7 @@
 
 
 def test_reads_commits_and_leases_match_the_simulated_key_space(engine: Engine) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         client, space = engine.client(), KeySpace()
         writes = [Put("f/head/a", b"1"), Put("f/head/ab", b"2"), Put("f/live/a", b"3"), Put("f/b", b"4")]
         assert (await client.commit([Compare("f/b", "created", 0)], writes, TIMEOUT_MS)).succeeded
@@ -80,11 +80,11 @@
         assert deleted.revision > remaining.revision and read.cluster == remaining.cluster != 0
         await client.close()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_a_lost_answer_is_an_error_and_a_read_shows_what_took_effect(engine: Engine) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         client = engine.client()
         engine.set_faults(lose_answers=1)
         with pytest.raises(StoreUnavailableError):
@@ -103,11 +103,11 @@
                     await anyio.sleep(0.05)
         await client.close()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_the_client_reconnects_to_a_restarted_store_and_sees_a_new_cluster_id(engine: Engine) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         client = engine.client()
         await client.commit([], [Put("f/a", b"1")], TIMEOUT_MS)
         before = await client.read(["f/a"], TIMEOUT_MS)
@@ -126,13 +126,13 @@
         assert not after.entries and after.cluster != before.cluster and after.revision < before.revision
         await client.close()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_the_client_connects_to_a_store_with_a_high_latency(engine: Engine) -> None:
     """The client once gave up a connection attempt after 100 ms."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with anyio.create_task_group() as group:
             link = Link(("127.0.0.1", engine.port))
             link.set_fault(LinkFault(delay_ms=150.0))
@@ -146,11 +146,11 @@
             await client.close()
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_a_watch_yields_events_and_ends_with_an_error(engine: Engine) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         client, revisions = engine.client(), []
 
         async def watch() -> None:
@@ -172,11 +172,11 @@
         assert len(revisions) == 2
         await client.close()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_a_cancelled_caller_is_cancelled_but_a_closed_channel_raises_an_error(engine: Engine) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         client = engine.client()
         engine.set_faults(down=True)
         with anyio.move_on_after(0.1) as scope:
@@ -196,13 +196,13 @@
             await client.close()
         assert len(errors) == 1
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_the_agent_leaves_an_address_at_which_another_store_answers(engine: Engine, tmp_path: Path) -> None:
     other = Engine(tmp_path, 0x99)
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         path = tmp_path / "both.toml"
         stores = f'["127.0.0.1:{engine.port}", "127.0.0.1:{other.port}"]'
         rules = 'absent = "leave-out"\nlease_ms = 3000\n'
@@ -230,7 +230,7 @@
             group.cancel_scope.cancel()
 
     try:
-        anyio.run(play)
+        anyio.run(run_scenario)
     finally:
         other.stop()
 
@@ -285,7 +285,7 @@
         time.sleep(0.6)
         return str(1 / 0) if fails else ""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         keys, client = Keys("f"), engine.client()
         control = ServerControl(lambda text: None, lambda is_suspended: None)
         fleet = read_fleet(engine.folder / "fleet.toml")
@@ -312,7 +312,7 @@
         assert vote.accepted is not fails and max_delay_ms < 400.0, (vote, max_delay_ms)
         assert not fails or "ZeroDivisionError" in vote.reason
 
-    anyio.run(play)
+    anyio.run(run_scenario)
 
 
 def test_the_agent_survives_unexpected_exceptions_and_invalid_records(
@@ -371,7 +371,7 @@
 
     monkeypatch.setattr(ChangeCoordinator, "effects_for", lambda self, now, member: fail_first(now, member))
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(agent.run)
             with anyio.fail_after(5):
@@ -388,7 +388,7 @@
             assert agent.member.admission_status(clock.monotonic()).admits
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
     assert not space.leases  # the agent revoked its lease when it ended
     assert failed == {"watch", "effects", "close"}
 
