--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -21,38 +21,38 @@
     RefusalReason,
 )
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.effects import RenewLease as EffectOfLease
+from otterrudder.fleet.effects import RenewLease as RenewStoreLease
 
 CANDIDATES = ("a", "b", "c")
 
 
-def collector() -> EndorsementCollector:
+def new_collector() -> EndorsementCollector:
     return EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", CANDIDATES))
 
 
-def giver(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
+def new_giver(name: str = "b", candidates: tuple[str, ...] = CANDIDATES) -> EndorsementGiver:
     return EndorsementGiver(0.0, CellIdentity(FLEET, "east", name, candidates))
 
 
-def test_all_peers_are_needed() -> None:
-    asker = collector()
-    requests = asker.requests(100.0)
-    assert [request.peer for request in requests] == ["b", "c"] and asker.requests(100.0) == []
-    asker.handle_endorsement(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
-    assert asker.until() == -math.inf
-    asker.handle_endorsement(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
-    assert asker.until() == 100.0 + 0.9 * ENDORSEMENT_MS
+def test_lease_is_endorsed_only_when_all_peers_have_answered() -> None:
+    collector = new_collector()
+    requests = collector.requests(100.0)
+    assert [request.peer for request in requests] == ["b", "c"] and collector.requests(100.0) == []
+    collector.handle_endorsement(Endorsement(requests[0].message.sequence, "b", ENDORSEMENT_MS))
+    assert collector.until() == -math.inf
+    collector.handle_endorsement(Endorsement(requests[1].message.sequence, "c", ENDORSEMENT_MS))
+    assert collector.until() == 100.0 + 0.9 * ENDORSEMENT_MS
 
 
-def test_an_endorsement_counts_for_its_giver_and_its_request_alone() -> None:
-    asker = EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", ("a", "b")))
-    (request,) = asker.requests(0.0)
-    asker.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
-    asker.handle_endorsement(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
-    assert asker.until() == -math.inf  # the request was answered, by somebody else
-    (request,) = asker.requests(1000.0)
-    asker.handle_endorsement(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
-    assert asker.until() == -math.inf
+def test_answer_from_another_sender_and_refusal_do_not_endorse() -> None:
+    collector = EndorsementCollector(0.0, CellIdentity(FLEET, "east", "a", ("a", "b")))
+    (request,) = collector.requests(0.0)
+    collector.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
+    collector.handle_endorsement(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
+    assert collector.until() == -math.inf  # the request was answered, by somebody else
+    (request,) = collector.requests(1000.0)
+    collector.handle_endorsement(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
+    assert collector.until() == -math.inf
 
 
 @pytest.mark.parametrize(
@@ -67,29 +67,29 @@
         ({"fleet": "g"}, False, False, "is of the cell east"),
     ],
 )
-def test_when_a_relay_endorses(
+def test_conditions_for_an_endorsement(
     change: dict[str, object], leads: bool, store_answers: bool, reason: str
 ) -> None:
-    endorser = giver()
-    endorser.until = -math.inf
+    giver = new_giver()
+    giver.until = -math.inf
     fields = {"sequence": 1, "fleet": FLEET, "cell": "east", "sender": "a", "candidates": CANDIDATES}
     request = EndorsementRequest(**{**fields, **change})  # type: ignore[arg-type]
-    answer = endorser.answer(9000.0, request, leads=leads, store_answers=store_answers)
+    answer = giver.answer(9000.0, request, leads=leads, store_answers=store_answers)
     assert reason in answer.reason and bool(answer.reason) == bool(reason)
-    assert (answer.span_ms, endorser.until) == (
+    assert (answer.span_ms, giver.until) == (
         (0.0, -math.inf) if reason else (ENDORSEMENT_MS, 9000.0 + ENDORSEMENT_MS)
     )
 
 
-def test_a_relay_that_just_started_takes_part_in_nothing() -> None:
-    assert giver().until == ENDORSEMENT_MS and giver("a", ("a",)).until == -math.inf
+def test_restarted_relay_has_no_authority_for_one_endorsement_span() -> None:
+    assert new_giver().until == ENDORSEMENT_MS and new_giver("a", ("a",)).until == -math.inf
     harness = Harness()
     harness.add_cell("east")
     harness.run(ENDORSEMENT_MS - 100.0)
     assert all(relay.authority_until(harness.now) == -math.inf for relay in harness.relays.values())
 
 
-def test_a_cell_serves_on_while_the_store_is_unreachable() -> None:
+def test_cell_keeps_serving_while_the_store_is_unreachable() -> None:
     harness = serving_fleet()
     harness.is_store_unreachable = True
     for _ in range(600):
@@ -97,7 +97,7 @@
         assert set(harness.admitted_versions().values()) == {0}, harness.now
 
 
-def test_servers_wait_for_a_leader_that_registers_again() -> None:
+def test_requests_are_deferred_while_the_leader_registers_again() -> None:
     """The store is back, and the lease has lapsed in it: they were refused, and tried all relays in turn."""
     harness = serving_fleet()
     harness.is_store_unreachable = True
@@ -108,7 +108,7 @@
     session = next(iter(relay.sessions))
     connection = session.connection
     member = relay.member
-    renewal = EffectOfLease(member.lease)
+    renewal = RenewStoreLease(member.lease)
     member.handle_result(harness.now, renewal, harness.now, harness.space.renew(harness.now, member.lease))
     assert not relay.leads()
     relay.handle_message(harness.now, connection, LeaseRenewal(99, 0))
@@ -137,14 +137,14 @@
 
     def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, PeerRequest) and self.lost:
-            consent = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
-            self.lost -= consent.span_ms > 0
+            endorsement = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
+            self.lost -= endorsement.span_ms > 0
         else:
             super()._relay_effect(address, relay, effect)
 
 
 @pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
-def test_a_cell_serves_on_without_the_store_though_endorsements_are_lost(lease_ms: float) -> None:
+def test_cell_keeps_serving_when_endorsements_are_lost(lease_ms: float) -> None:
     """Two of each cell, whenever the store goes, and though it has answered the others until then."""
     for phase_ms in range(13, 1600, 200):
         harness = LossyHarness(rules=replace(RULES, lease_ms=lease_ms), limits=RelayLimits(span_ms=1500.0))
@@ -159,9 +159,9 @@
             assert set(harness.admitted_versions().values()) == {0}, (phase_ms, harness.now)
 
 
-def test_a_cell_serves_on_when_the_store_is_back() -> None:
+def test_cell_keeps_serving_after_the_store_returns() -> None:
     """The leader's lease has lapsed in the store meanwhile. A relay that had consented took the cell first,
-    and could grant nothing before its consent had ended."""
+    and could grant nothing before its endorsement had ended."""
     for outage_ms in range(8000, 12_000, 400):
         harness = serving_fleet()
         harness.is_store_unreachable = True
@@ -174,7 +174,7 @@
         assert leaders == {cell: harness.leader(cell) for cell in ("east", "west")}
 
 
-def test_who_has_endorsed_takes_the_cell_once_that_is_over() -> None:
+def test_endorsing_relay_takes_the_cell_over_after_its_endorsement_ends() -> None:
     harness = serving_fleet()
     harness.is_store_unreachable = True
     harness.run(10_000.0)
@@ -188,7 +188,7 @@
     assert other.leads() and other.authority_until(harness.now) > harness.now
 
 
-def test_a_cell_whose_relays_are_not_all_there_ends_with_the_lease() -> None:
+def test_cell_with_a_missing_relay_stops_when_the_store_lease_ends() -> None:
     harness = serving_fleet()
     harness.is_store_unreachable = True
     leader = harness.leader("east").identity.address
@@ -197,14 +197,14 @@
     assert harness.admitted_versions() == {"east-s0": None, "east-s1": None, "west-s0": 0, "west-s1": 0}
 
 
-def test_no_endorsement_counts_under_leave_out() -> None:
+def test_endorsements_are_not_used_under_leave_out() -> None:
     harness = serving_fleet(rules=replace(RULES, absent="leave-out"))
     harness.is_store_unreachable = True
     harness.run(10_000.0)
     assert set(harness.admitted_versions().values()) == {None}
 
 
-def test_a_cell_of_one_relay_is_a_plain_member() -> None:
+def test_cell_of_one_relay_serves_without_the_store() -> None:
     harness = Harness()
     relays = harness.add_cell("east", 1)
     harness.add_server("s", relays)
@@ -214,7 +214,7 @@
     assert harness.admitted_versions() == {"s": 0}
 
 
-def test_the_leader_comes_back_with_the_store() -> None:
+def test_leader_keeps_its_cell_after_store_outages() -> None:
     """A relay that has consented does not take the cell over, for it could grant nothing with it. While the
     leader registers again a server may be between two tries."""
     harness = serving_fleet()
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -53,7 +53,7 @@
     server.handle_message(now, server.connection, LeaseGrant(sequence, version, change, span))
 
 
-def takes(server: Participant, now: float, version: int, text: str) -> None:
+def receive_valid_text(server: Participant, now: float, version: int, text: str) -> None:
     """A text comes, and is good."""
     server.handle_message(now, server.connection, in_force(version, text, digest_of(text)))
     for effect in server.effects(now):
@@ -61,7 +61,7 @@
             server.handle_validated(now, effect.digest, "")
 
 
-def test_a_lease_counts_from_the_sending() -> None:
+def test_lease_counts_from_the_sending_of_the_request() -> None:
     server = participant()
     assert server.admission_status(0.0) is AdmissionStatus.STARTING and server.admits(0.0) is None
     sequence = connect(server).sequence
@@ -71,7 +71,7 @@
     assert server.admission_status(2700.0) is AdmissionStatus.LEASE_EXPIRED
 
 
-def test_a_lease_is_asked_for_again_after_a_quarter() -> None:
+def test_lease_is_renewed_after_a_quarter_of_its_span() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     assert 0.2 * DEFAULT_LEASE_MS < server.due() < 0.3 * DEFAULT_LEASE_MS
@@ -79,7 +79,7 @@
     assert message == LeaseRenewal(2, 0, "serving")
 
 
-def test_a_lease_goes_on_while_the_relay_is_left() -> None:
+def test_lease_stays_valid_while_the_server_changes_its_relay() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     server.handle_disconnected(100.0, server.connection)
@@ -90,7 +90,7 @@
     assert server.lease.until == 100.0 + 0.9 * DEFAULT_LEASE_MS
 
 
-def test_a_silent_relay_is_left_for_the_next() -> None:
+def test_server_changes_its_relay_after_an_answer_timeout() -> None:
     server = participant()
     connect(server)
     assert server.due() == 0.25 * DEFAULT_LEASE_MS
@@ -102,14 +102,14 @@
     assert server.admits(800.0) is None
 
 
-def test_a_grant_that_was_not_asked_for_counts_for_nothing() -> None:
+def test_unsolicited_grant_is_ignored() -> None:
     server = participant()
     connect(server)
     grant(server, 0.0, 7)
     assert server.admission_status(0.0) is AdmissionStatus.STARTING
 
 
-def test_a_refusal_leads_to_the_next_relay_at_once() -> None:
+def test_refused_server_connects_to_the_next_relay_at_once() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.NOT_LEADER))
@@ -117,7 +117,7 @@
     assert server.relay == "b" and server.refusal == "a: not-leader"
 
 
-def test_tries_grow_rarer_while_all_relays_refuse() -> None:
+def test_retry_delay_grows_while_all_relays_refuse() -> None:
     server, waits, now = participant(), [], 0.0
     for _ in range(20):
         register = connect(server, now)
@@ -131,7 +131,7 @@
     assert all(0 < wait <= MAX_RETRY_MS for wait in waits[1:]) and max(waits) > MAX_RETRY_MS / 2
 
 
-def test_an_unanswered_question_does_not_end_the_stream() -> None:
+def test_refusal_for_an_unanswered_validation_keeps_the_stream() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.UNANSWERED, "this kind was asked"))
@@ -140,10 +140,10 @@
     assert messages_to_relay(server.effects(RETRY_MS)) == [LeaseRenewal(2, 0, "starting")]
 
 
-def test_a_version_that_goes_back_is_not_believed() -> None:
+def test_relay_that_announces_an_older_version_is_not_trusted() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
-    takes(server, 0.0, 1, "one")
+    receive_valid_text(server, 0.0, 1, "one")
     assert server.admits(0.0) == 1
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
@@ -152,34 +152,34 @@
     assert server.lease.until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
-def test_another_change_under_the_same_number_is_not_believed() -> None:
+def test_relay_that_announces_another_change_for_a_version_is_not_trusted() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
-    takes(server, 0.0, 1, "one")
+    receive_valid_text(server, 0.0, 1, "one")
     server.effects(server.due())
     server.handle_message(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
     assert server.relay == "b" and server._relay_mistrust == "a announced a different change as version 1"
 
 
-def test_the_old_version_lasts_for_its_lease_and_no_longer() -> None:
+def test_old_version_is_used_only_until_its_lease_ends() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     server.effects(server.due())
     grant(server, 800.0, 2, 1)  # its text has not come
     assert server.admits(2699.0) == 0 and server.admission_status(2700.0) is AdmissionStatus.OUTDATED
-    takes(server, 2800.0, 1, "one")
+    receive_valid_text(server, 2800.0, 1, "one")
     assert server.admits(2800.0) == 1
 
 
-def test_a_server_that_knew_nothing_admits_nothing_before_the_text() -> None:
+def test_server_without_a_version_admits_nothing_before_the_text_arrives() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
     assert server.admission_status(0.0) is AdmissionStatus.OUTDATED
-    takes(server, 0.0, 1, "one")
+    receive_valid_text(server, 0.0, 1, "one")
     assert server.admits(0.0) == 1
 
 
-def test_a_damaged_text_is_not_taken() -> None:
+def test_text_that_does_not_match_its_digest_is_not_used() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, in_force(1, "damaged", digest_of("one")))
@@ -187,36 +187,36 @@
     assert server._relay_mistrust == "a: the text of version 1 does not match its digest"
 
 
-def test_a_text_that_is_no_good_here_stops_the_server() -> None:
+def test_server_stops_admitting_when_it_rejects_the_policy_in_force() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence, 1)
     server.handle_message(0.0, 1, in_force(1, "one", digest_of("one")))
-    (check,) = server.effects(0.0)
-    assert isinstance(check, ValidateText)
-    server.handle_validated(0.0, check.digest, "values.look: no product")
+    (validation,) = server.effects(0.0)
+    assert isinstance(validation, ValidateText)
+    server.handle_validated(0.0, validation.digest, "values.look: no product")
     assert (
         server.admission_status(0.0) is AdmissionStatus.POLICY_REJECTED
         and server.status_detail == "values.look: no product"
     )
-    takes(server, 10.0, 2, "two")
+    receive_valid_text(server, 10.0, 2, "two")
     assert server.admission_status(10.0) is AdmissionStatus.SERVING
 
 
-def test_a_question_is_answered_once_checked_and_from_memory_after() -> None:
+def test_validation_result_is_reused_for_a_repeated_request() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
-    question = ValidationRequest(digest_of("one"), "one")
-    server.handle_message(0.0, 1, question)
-    assert server.effects(0.0) == [ValidateText(question.digest, "one")]
-    server.handle_message(0.0, 1, question)
+    request = ValidationRequest(digest_of("one"), "one")
+    server.handle_message(0.0, 1, request)
+    assert server.effects(0.0) == [ValidateText(request.digest, "one")]
+    server.handle_message(0.0, 1, request)
     assert server.effects(0.0) == []
-    server.handle_validated(5.0, question.digest, "no")
-    assert messages_to_relay(server.effects(5.0)) == [ValidationResult(question.digest, "no")]
-    server.handle_message(6.0, 1, question)
-    assert messages_to_relay(server.effects(6.0)) == [ValidationResult(question.digest, "no")]
+    server.handle_validated(5.0, request.digest, "no")
+    assert messages_to_relay(server.effects(5.0)) == [ValidationResult(request.digest, "no")]
+    server.handle_message(6.0, 1, request)
+    assert messages_to_relay(server.effects(6.0)) == [ValidationResult(request.digest, "no")]
 
 
-def test_the_first_address_is_tried_again() -> None:
+def test_server_returns_to_the_preferred_relay() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
@@ -232,13 +232,13 @@
     assert server.admits(now) == 0  # the lease goes on
 
 
-def test_the_first_address_is_tried_the_more_rarely_the_more_often_it_was_in_vain() -> None:
-    server, now, homeward = participant(), 0.0, [0.0]
+def test_delay_before_a_return_doubles_after_each_failed_return() -> None:
+    server, now, return_times = participant(), 0.0, [0.0]
     while now < 64 * PREFERRED_RETRY_MS:
         effects = server.effects(now)
         for effect in effects:
             if isinstance(effect, Connect):
-                homeward += [now] if effect.relay == "a" and now else []
+                return_times += [now] if effect.relay == "a" and now else []
                 server.handle_connected(now, effect.connection)
         for message in messages_to_relay(effects):
             if server.relay == "b":
@@ -249,14 +249,14 @@
                 )
         assert not now or server.admission_status(now).admits
         now = max(server.due(), now)
-    waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
+    waits = [later - earlier for earlier, later in itertools.pairwise(return_times)]
     assert len(waits) >= 5
-    for tries, wait in enumerate(waits):
-        expected = PREFERRED_RETRY_MS * 2 ** min(tries, MAX_PREFERRED_DOUBLINGS)
+    for failed_returns, wait in enumerate(waits):
+        expected = PREFERRED_RETRY_MS * 2 ** min(failed_returns, MAX_PREFERRED_DOUBLINGS)
         assert expected * 0.5 <= wait <= expected * 1.5 + DEFAULT_LEASE_MS
 
 
-def test_the_state_of_a_server_is_bounded() -> None:
+def test_participant_state_is_bounded() -> None:
     server = participant()
     connect(server)
     for number in range(20):
@@ -271,7 +271,7 @@
     assert len(server.validation._results) <= MAX_TEXTS + 1
 
 
-def test_a_damaged_question_is_not_answered() -> None:
+def test_validation_request_that_does_not_match_its_digest_is_not_answered() -> None:
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
@@ -279,11 +279,11 @@
     assert server.relay == "b" and "does not match its digest" in server._relay_mistrust
 
 
-def test_a_long_reason_is_cut_to_what_a_relay_takes() -> None:
+def test_long_rejection_is_truncated_to_the_maximum_that_a_relay_accepts() -> None:
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "one"))
     server.effects(0.0)
     server.handle_validated(0.0, digest_of("one"), "x" * 100_000)
-    (verdict,) = messages_to_relay(server.effects(0.0))
-    assert isinstance(verdict, ValidationResult) and decode_from_server(encode(verdict)) == verdict
+    (result,) = messages_to_relay(server.effects(0.0))
+    assert isinstance(result, ValidationResult) and decode_from_server(encode(result)) == result
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -26,7 +26,7 @@
 from otterrudder.fleet.store import CommitResult, Put
 
 
-def test_the_queue_is_in_the_order_of_the_store() -> None:
+def test_queue_has_the_order_of_the_store_revisions() -> None:
     harness = Harness()
     for ident in ("z", "a", "m"):
         harness.enqueue(ident)
@@ -46,7 +46,7 @@
         withdraw_queued(harness.view(), "a")
 
 
-def test_a_full_queue_names_its_bound() -> None:
+def test_error_of_a_full_queue_names_its_limit() -> None:
     harness = Harness()
     entry = encode_record(QueuedChange("x"))
     harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(MAX_QUEUED_CHANGES)))
@@ -54,7 +54,7 @@
         enqueue(harness.view(), QueuedChange("y"), "text")
 
 
-def test_a_change_made_from_an_outdated_policy_ends_with_a_reason() -> None:
+def test_change_based_on_an_outdated_policy_is_rejected_with_a_reason() -> None:
     harness = serving_fleet()
     base = digest_of("policy A")
     harness.propose("A")
@@ -69,7 +69,7 @@
     assert set(harness.admitted_versions().values()) == {3} and not harness.view().queue
 
 
-def test_the_text_of_a_queued_change_is_retained() -> None:
+def test_text_of_a_queued_change_is_retained() -> None:
     harness = serving_fleet()
     for number in range(40):  # more ends than are kept
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
@@ -78,7 +78,7 @@
     assert set(harness.admitted_versions().values()) == {40}
 
 
-def test_the_next_change_is_opened_at_once() -> None:
+def test_next_queued_change_is_opened_at_once() -> None:
     harness = serving_fleet()
     for ident in "ABC":
         harness.enqueue(ident)
@@ -91,7 +91,7 @@
     assert {end.committed for end in harness.view().finished} == {True}
 
 
-def test_what_follows_an_end_is_opened_by_what_was_read_before_it() -> None:
+def test_next_change_is_opened_from_the_snapshot_read_before_the_end() -> None:
     harness = serving_fleet()
     harness.enqueue("A")
     harness.enqueue("B")
@@ -104,7 +104,7 @@
     assert after and after.purpose == "open" and after.compares[1].equals == 99
 
 
-def test_a_coordinator_of_relays_retains_the_leadership_and_follows_watch_events() -> None:
+def test_relay_coordinator_keeps_its_leadership_and_reads_after_watch_events() -> None:
     harness = serving_fleet()
     leaders = [relay for relay in harness.relays.values() if relay.member.is_leader]
     assert len(leaders) == 1
@@ -124,7 +124,7 @@
     assert lead is None or isinstance(lead, Commit) and lead.purpose == "lead"
 
 
-def test_a_policy_is_sent_to_all_sessions_once() -> None:
+def test_policy_is_sent_once_to_each_session() -> None:
     harness = serving_fleet()
     relay = harness.leader("east")
     pushed: list[PolicyUpdate] = []
@@ -141,7 +141,7 @@
     assert len(pushed) == 2 and {message.version for message in pushed} == {1}
 
 
-def test_a_change_that_the_member_has_not_seen_is_not_read_in_a_row() -> None:
+def test_coordinator_does_not_read_in_a_loop_before_the_member_has_read_the_change() -> None:
     harness = serving_fleet()
     (leader,) = [relay for relay in harness.relays.values() if relay.member.is_leader]
     reads: list[float] = []
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("held", [True, False])
-def test_a_coordinator_does_not_ask_for_the_leadership_in_a_row(held: bool) -> None:
+def test_coordinator_waits_between_requests_for_the_leadership(held: bool) -> None:
     """Whether it leads is known to its member, once it has read."""
     coordinator, now = ChangeCoordinator(KEYS, "east", retains_leadership=True), 0.0
     while not (lead := coordinator.effects(now, "", False, False, 1, 1)):
@@ -178,7 +178,7 @@
         harness.run(1000.0)
 
 
-def test_a_text_that_is_queued_again_while_its_end_is_evicted_is_retained() -> None:
+def test_text_queued_again_while_its_finished_change_is_evicted_is_retained() -> None:
     harness = serving_fleet()
     run_changes(harness, MAX_FINISHED_CHANGES)
     harness.propose("last")
@@ -193,7 +193,7 @@
     ]
 
 
-def test_documents_of_dropped_changes_are_evicted_with_their_ends() -> None:
+def test_texts_of_dropped_changes_are_deleted_with_their_records() -> None:
     harness = serving_fleet()
     for number in range(MAX_FINISHED_CHANGES + 8):
         harness.enqueue(f"c{number}", f"text {number}", base="another")
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -33,14 +33,14 @@
 from otterrudder.fleet.state import Rules
 
 
-def test_cells_agree_and_their_servers_switch() -> None:
+def test_change_takes_effect_on_all_servers_of_all_cells() -> None:
     harness = serving_fleet()
     harness.propose("A")
     harness.run(2000.0)
     assert set(harness.admitted_versions().values()) == {1} and harness.view().change is None
 
 
-def test_one_server_of_a_fingerprint_is_asked() -> None:
+def test_one_server_of_each_fingerprint_is_asked() -> None:
     harness = serving_fleet()
     asked: list[str] = []
     deliver = harness._deliver_to_server
@@ -56,7 +56,7 @@
     assert sorted(name.split("-")[0] for name in asked) == ["east", "west"]
 
 
-def test_a_grant_ends_with_the_authority_of_the_relay() -> None:
+def test_grant_does_not_outlive_the_authority_of_the_relay() -> None:
     harness = serving_fleet()
     relay = harness.leader("east")
     until = relay.member.registration.lease_until
@@ -73,7 +73,7 @@
     assert refusals[-1].reason is RefusalReason.NO_AUTHORITY
 
 
-def test_a_grant_ends_by_the_bound_after_a_vote() -> None:
+def test_authority_ends_within_the_bound_after_a_vote() -> None:
     harness = serving_fleet()
     harness.propose("A")
     relay = harness.leader("east")
@@ -84,22 +84,22 @@
     assert relay.member.voting.vote_sent and relay.authority_until(harness.now) <= until
 
 
-def test_no_lease_may_outlast_the_bound() -> None:
+def test_server_lease_longer_than_the_bound_is_an_error() -> None:
     identity = CellIdentity(FLEET, "east", "a", ("a",))
     with pytest.raises(ValueError, match="is longer than the bound"):
         Relay(0.0, identity, RelayStart("a.1"), Rules(bound_ms=2000.0), RelayLimits(span_ms=2001.0))
 
 
-def test_a_full_relay_names_itself() -> None:
+def test_refusal_of_a_full_relay_names_its_address() -> None:
     harness = serving_fleet(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     relay.handle_message(harness.now, 999, registration())
-    (refuse,) = [
+    (refusal,) = [
         message
         for message in messages_to_servers(relay.effects(harness.now))
         if isinstance(message, LeaseRefusal)
     ]
-    assert (refuse.reason, refuse.detail) == (
+    assert (refusal.reason, refusal.detail) == (
         RefusalReason.FULL,
         f"{relay.identity.address} has its 2 sessions",
     )
@@ -116,19 +116,19 @@
         (registration(), RefusalReason.NOT_LEADER),
     ],
 )
-def test_a_relay_refuses_with_a_reason(
+def test_relay_refuses_invalid_requests_with_a_reason(
     message: Registration | LeaseRenewal | ValidationResult, reason: RefusalReason
 ) -> None:
     relay = Harness().add_relay("a", "east")
     relay.handle_message(0.0, 1, message)
     effects = [effect for effect in relay.effects(0.0) if not isinstance(effect, Read | GrantLease)]
-    assert [refuse.reason for refuse in messages_to_servers(effects) if isinstance(refuse, LeaseRefusal)] == [
-        reason
-    ]
+    assert [
+        refusal.reason for refusal in messages_to_servers(effects) if isinstance(refusal, LeaseRefusal)
+    ] == [reason]
     assert EndSession(1) in effects and not relay.sessions
 
 
-def test_a_relay_that_shuts_down_dismisses_its_servers() -> None:
+def test_relay_refuses_its_sessions_during_shutdown() -> None:
     harness = serving_fleet()
     relay = harness.leader("east")
     relay.begin_shutdown()
@@ -148,7 +148,7 @@
     assert sum(isinstance(effect, EndSession) for effect in effects) == 2 and not relay.sessions
 
 
-def test_a_rejection_is_in_the_vote_with_the_server_and_the_key() -> None:
+def test_rejecting_vote_names_the_server_and_the_key() -> None:
     harness = serving_fleet(rejections={"kind of east": "values.look: no product"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
@@ -159,18 +159,18 @@
     }
 
 
-def test_silent_servers_get_no_lease_and_do_not_block() -> None:
+def test_servers_that_do_not_validate_get_no_lease_and_do_not_block_a_change() -> None:
     harness = serving_fleet(silent={"east-s0", "east-s1"})
     harness.propose("A")
     harness.run(OVERDUE_MS + 1500.0)
-    assert RefusalReason.UNANSWERED in {refuse.reason for refuse in harness.refusals}
+    assert RefusalReason.UNANSWERED in {refusal.reason for refusal in harness.refusals}
     harness.run(DEFAULT_LEASE_MS)
     view = harness.view()
     assert view.policy and view.policy.version == 1 and view.change is None
     assert harness.admitted_versions() == {"east-s0": None, "east-s1": None, "west-s0": 1, "west-s1": 1}
 
 
-def test_a_text_in_force_is_not_polled() -> None:
+def test_policy_in_force_is_not_validated_again() -> None:
     harness = serving_fleet()
     harness.propose("A", "policy A")
     harness.run(2000.0)
@@ -184,7 +184,7 @@
     assert harness.validations == [] and harness.admitted_versions()["east-s0"] == 1
 
 
-def test_a_relay_of_a_cell_takes_over() -> None:
+def test_second_relay_takes_the_cell_over() -> None:
     harness = serving_fleet()
     harness.propose("A")
     harness.run(2000.0)
@@ -196,7 +196,7 @@
     assert set(harness.admitted_versions().values()) == {2}
 
 
-def test_who_takes_over_does_not_vote_for_a_moment() -> None:
+def test_relay_delays_its_vote_after_a_takeover() -> None:
     harness = serving_fleet()
     old = harness.leader("east").identity.address
     harness.remove_relay(old)
@@ -212,7 +212,7 @@
     assert harness.view().change is None and harness.now - led_at > TAKEOVER_VOTE_DELAY_MS
 
 
-def test_a_change_that_ends_before_the_vote_leaves_nobody_due() -> None:
+def test_change_that_ends_before_the_vote_leaves_no_timer_due() -> None:
     harness = serving_fleet()
     relay = harness.leader("east")
     relay.member.voting.abstains_until = harness.now + 500.0
@@ -224,7 +224,7 @@
     harness.run(5000.0)
 
 
-def test_who_takes_over_asks_the_servers_that_come_to_it() -> None:
+def test_relay_asks_servers_that_connect_after_a_takeover() -> None:
     """It polls no earlier than it may vote: until then servers are still on their way to it."""
     harness = serving_fleet(rejections={"kind of east": "no"})
     old = harness.leader("east").identity.address
@@ -242,7 +242,7 @@
     assert [end.committed for end in harness.view().finished] == [False]
 
 
-def test_the_same_text_is_polled_again_when_it_is_proposed_again() -> None:
+def test_text_is_validated_again_when_it_is_proposed_again() -> None:
     harness = serving_fleet(rejections={"kind of west": "no", "kind of north": "no"})
     harness.propose("A", "policy!")
     harness.run(2000.0)
@@ -259,7 +259,7 @@
     assert harness.view().finished[-1].reason == "east: east-s2: no"
 
 
-def test_a_fingerprint_that_comes_between_the_poll_and_the_vote_is_asked() -> None:
+def test_new_fingerprint_between_the_poll_and_the_vote_is_asked() -> None:
     harness = serving_fleet(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
     relay = harness.leader("east")
     delayed: list[Read] = []
@@ -292,7 +292,7 @@
     assert [end.committed for end in harness.view().finished] == [False]
 
 
-def test_a_server_is_waited_for_while_its_lease_lasts_though_its_stream_has_ended() -> None:
+def test_disconnected_server_is_waited_for_until_its_lease_ends() -> None:
     harness = serving_fleet(rejections={"kind of east": "no"})
     for name in ("east-s0", "east-s1"):
         server = harness.servers[name]
@@ -306,7 +306,7 @@
     assert [end.committed for end in harness.view().finished] == [False]
 
 
-def test_a_server_that_has_just_started_waits_for_a_read() -> None:
+def test_new_server_gets_its_first_lease_after_a_read_of_the_store() -> None:
     """The change may have been committed before it started, and the relay not know yet."""
     harness = serving_fleet()
     relay = harness.leader("east")
@@ -325,7 +325,7 @@
     assert [message.sequence for message in grants] == [5]
 
 
-def test_a_relay_that_starts_where_another_engine_answers_waits() -> None:
+def test_relay_waits_when_a_different_store_answers() -> None:
     harness = Harness()
     identity = CellIdentity(FLEET, "east", "a", ("a", "b"))
     relay = Relay(0.0, identity, RelayStart("a.1", cluster=harness.space.cluster + 1), RULES)
@@ -336,7 +336,7 @@
     assert relay.member.status_detail.startswith("another engine answers") and relay.due() == 1500.0
 
 
-def test_a_prepared_vote_of_an_earlier_incarnation_is_no_vote() -> None:
+def test_vote_prepared_before_a_restart_is_validated_again() -> None:
     """The vote did not reach the store; the servers that are here now have not been asked."""
     harness = Harness(rejections={"kind of north": "no"})
     relays = harness.add_cell("east", 1)
@@ -363,7 +363,7 @@
     assert [(end.committed, end.reason) for end in harness.view().finished] == [(False, "east: s1: no")]
 
 
-def test_a_server_that_connects_anew_takes_its_own_place() -> None:
+def test_reconnecting_server_replaces_its_own_session() -> None:
     """The relay does not know yet that the stream before has ended."""
     harness = serving_fleet(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_no_drawn_order_of_events_breaks_a_promise(name: str) -> None:
+def test_random_event_orders_break_no_guarantee(name: str) -> None:
     found = walk(VARIANTS[name], 11, WALKS)
     assert not found.violation, (found.violation, found.trail)
     assert found.states == WALKS * WALK_LENGTH
@@ -33,30 +33,30 @@
         ("wait, one relay", CellStage.COMMITTED),
     ],
 )
-def test_no_order_of_events_to_a_depth_breaks_one(name: str, stage: CellStage) -> None:
+def test_no_event_order_up_to_a_depth_breaks_a_guarantee(name: str, stage: CellStage) -> None:
     found = search(VARIANTS[name], 2, 2, stage)
     assert not found.violation and found.depth == 2 and found.states > 300
 
 
 @pytest.mark.parametrize("stage", CellStage)
-def test_each_stage_recovers(stage: CellStage) -> None:
+def test_cells_recover_from_each_stage(stage: CellStage) -> None:
     model = staged(converged(CellVariant(cells=2, servers=3)), stage)
     assert model.violation() == "" and model.recovery_violation() == ""
 
 
 @pytest.mark.parametrize("name", SEEDED_FAULTS)
-def test_each_fault_is_found(name: str) -> None:
+def test_each_seeded_fault_is_found(name: str) -> None:
     found = find_fault(SEEDED_FAULTS[name])
     assert found.violation, f"{found.states} worlds, and none broken"
 
 
 @pytest.mark.parametrize("name", [name for name, what in SEEDED_FAULTS.items() if what.story])
-def test_the_parts_as_they_are_go_through_the_same_story_unharmed(name: str) -> None:
+def test_correct_code_passes_the_scenario_of_each_seeded_fault(name: str) -> None:
     found = find_fault(SEEDED_FAULTS[name], relay=Relay, participant=Participant)
     assert not found.violation, (found.violation, found.trail)
 
 
-def test_a_copied_model_goes_its_own_way() -> None:
+def test_copied_model_is_independent_of_the_original() -> None:
     models = [staged(converged(CellVariant()), CellStage.VOTED)]
     key = models[0].fingerprint()
     for _ in range(3):
--- a/tests/fleet/test_cell_validation_poll.py
+++ b/tests/fleet/test_cell_validation_poll.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_second_server_is_asked_where_the_first_is_silent() -> None:
+def test_another_server_is_asked_after_a_timeout() -> None:
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2")]
     poll = ValidationPoll("d", ValidationCache())
     assert poll.next_requests(0.0, servers) == [1] and poll.due() == REQUEST_RETRY_MS
@@ -23,7 +23,7 @@
     assert not poll.is_overdue(OVERDUE_MS, "old")
 
 
-def test_a_rejection_names_the_server_once() -> None:
+def test_rejection_names_the_server_once() -> None:
     poll = ValidationPoll("d", ValidationCache())
     servers = [Candidate(1, "old", "s1")]
     poll.handle_result("old", "s1", "values.look: no product")
@@ -32,30 +32,30 @@
     assert again.result([Candidate(2, "old", "s2")]) == "s2: values.look: no product"
 
 
-def test_the_cache_is_bounded() -> None:
-    verdicts = ValidationCache()
+def test_result_cache_is_bounded() -> None:
+    cache = ValidationCache()
     for number in range(MAX_CACHED_RESULTS + 1):
-        verdicts.put("k", str(number), "")
-    assert verdicts.get("k", "0") is None and verdicts.get("k", "1") == ""
+        cache.put("k", str(number), "")
+    assert cache.get("k", "0") is None and cache.get("k", "1") == ""
 
 
-def test_each_fingerprint_is_asked_once_and_the_result_is_cached() -> None:
-    verdicts = ValidationCache()
+def test_each_fingerprint_is_asked_once_and_its_result_is_cached() -> None:
+    cache = ValidationCache()
     servers = [Candidate(1, "old", "s1"), Candidate(2, "old", "s2"), Candidate(3, "new", "s3")]
-    poll = ValidationPoll("d", verdicts)
+    poll = ValidationPoll("d", cache)
     assert poll.next_requests(0.0, servers) == [1, 3] and poll.next_requests(1.0, servers) == []
     poll.handle_result("old", "s1", "")
     assert poll.result(servers) is None
     poll.handle_result("new", "s3", "")
     assert poll.result(servers) == "" and poll.due() == math.inf
-    again = ValidationPoll("d", verdicts)
+    again = ValidationPoll("d", cache)
     assert again.next_requests(9.0, servers) == [] and again.result(servers) == ""
 
 
-def test_nothing_is_due_for_a_fingerprint_that_has_answered_or_was_removed() -> None:
+def test_no_request_is_due_for_an_answered_or_removed_fingerprint() -> None:
     poll = ValidationPoll("d", ValidationCache())
-    answered, gone, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
-    poll.next_requests(0.0, [answered, gone, asked])
+    answered, removed, asked = Candidate(1, "x", "s1"), Candidate(2, "y", "s2"), Candidate(3, "z", "s3")
+    poll.next_requests(0.0, [answered, removed, asked])
     poll.handle_result("x", "s1", "")
     poll.next_requests(REQUEST_RETRY_MS, [answered, asked])
     assert poll.due() == 2 * REQUEST_RETRY_MS
--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -24,7 +24,7 @@
     return run.broken, run.check.violations, run.suspensions, run.result.rounds
 
 
-def test_what_cells_promise_holds_under_wait() -> None:
+def test_cells_keep_their_guarantees_under_wait() -> None:
     rounds = [
         CellRound(1, "look", (CellFault("relay halted at point", "a", point="after vote"),), 3.0),
         CellRound(2, "pay", (CellFault("kind refuses"),), 0.5),
@@ -38,7 +38,7 @@
     assert run.quiet_rounds == 1 and run.check.figures["settled"] > 300
 
 
-def test_what_cells_promise_holds_under_leave_out() -> None:
+def test_cells_keep_their_guarantees_under_leave_out() -> None:
     rounds = [
         CALM,
         CellRound(2, "pay", (CellFault("cell cut from store", "a"),), 4.5),
@@ -59,7 +59,7 @@
         ),
     ],
 )
-def test_the_history_checker_finds_what_is_left_out(
+def test_history_checker_finds_a_missing_rule(
     mutants: CellMutants, rounds: list[CellRound], says: str
 ) -> None:
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, mutants=mutants)
@@ -67,7 +67,7 @@
     assert any(line.startswith(says) for line in run.broken), details(run)
 
 
-def test_a_plan_is_its_seed_s_and_deals_all_faults() -> None:
+def test_plan_is_determined_by_its_seed_and_contains_all_faults() -> None:
     plan = draw(3, CELLS, 12, 30, "wait")
     assert plan == draw(3, CELLS, 12, 30, "wait") != draw(4, CELLS, 12, 30, "wait")
     drawn = {(f.kind, f.role, f.point) for this in draw(3, CELLS, 12, 150, "wait") for f in this.faults}
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -59,7 +59,7 @@
     engine.stop()
 
 
-async def until(is_so: Callable[[], object]) -> None:
+async def wait_until(is_so: Callable[[], object]) -> None:
     with anyio.fail_after(WAIT_S):
         while not is_so():
             await anyio.sleep(0.01)
@@ -91,7 +91,7 @@
         self.addresses.append(address)
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
-            await until(lambda: service.relay.authority_until(clock.monotonic()) > clock.monotonic())
+            await wait_until(lambda: service.relay.authority_until(clock.monotonic()) > clock.monotonic())
             yield service
             service.stop()
 
@@ -109,7 +109,7 @@
         for agent in agents:
             group.start_soon(agent.run)
         for agent in agents:
-            await until(lambda agent=agent: admits(agent))
+            await wait_until(lambda agent=agent: admits(agent))
         yield
         group.cancel_scope.cancel()
 
@@ -133,12 +133,12 @@
     return Registration(sequence, **fields)
 
 
-async def next_of(stream: Any) -> Any:
+async def receive_from(stream: Any) -> Any:
     with anyio.fail_after(WAIT_S):
         return decode_from_relay(await stream.read())
 
 
-async def put_in_force(engine: Engine, text: str) -> None:
+async def apply_policy(engine: Engine, text: str) -> None:
     keys, client = Keys("f"), engine.client()
     commit = propose(
         FleetSnapshot(keys, await client.read(coordination_keys(keys), 1000.0)),
@@ -153,7 +153,7 @@
     await client.close()
 
 
-def test_a_full_relay_refuses_and_the_server_goes_to_the_next(engine: Engine) -> None:
+def test_server_refused_by_a_full_relay_connects_to_the_next(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
         async with cells.relay("a", max_sessions=1) as first, cells.relay("b") as second:
@@ -163,17 +163,17 @@
                 assert first.shown()["refused"] == {"full": 1}
                 assert (first.shown()["sessions"], second.shown()["sessions"]) == (1, 1)
             async with raw_stream(first) as stream:
-                await until(lambda: not first.relay.sessions)
+                await wait_until(lambda: not first.relay.sessions)
                 async with running(cells.server("again")):
                     await stream.write(encode(register()))
-                    answer = await next_of(stream)
+                    answer = await receive_from(stream)
                     assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.FULL
                     assert answer.detail == f"{cells.addresses[0]} has its 1 sessions"
 
     anyio.run(play)
 
 
-def test_what_is_no_message_ends_its_stream_alone_with_a_reason(engine: Engine) -> None:
+def test_invalid_message_ends_only_its_own_stream_with_a_reason(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service:
@@ -196,12 +196,12 @@
                         assert await stream.code() is not grpc.StatusCode.OK
                 assert admits(agent) and agent.counts["ended"] == 0
                 assert service.shown()["streams_failed"] == {"invalid_argument": 4}
-                await until(lambda: len(service.relay.sessions) == service.shown()["streams"] == 1)
+                await wait_until(lambda: len(service.relay.sessions) == service.shown()["streams"] == 1)
 
     anyio.run(play)
 
 
-def test_a_distant_server_connects(engine: Engine) -> None:
+def test_server_connects_over_a_slow_link(engine: Engine) -> None:
     """An attempt to connect was given up after 100 ms: a relay beyond that, or a busy one, was lost."""
 
     async def play() -> None:
@@ -219,7 +219,7 @@
     anyio.run(play)
 
 
-def test_a_server_outlives_attempts_to_connect_that_it_gives_up(engine: Engine) -> None:
+def test_server_recovers_from_cancelled_connection_attempts(engine: Engine) -> None:
     """Its part in the fleet ended silently as one was cancelled, and it was suspended for good."""
 
     async def play() -> None:
@@ -241,13 +241,13 @@
                     await anyio.sleep(5.0)
                     for link in links:
                         link.set_fault(LinkFault())
-                    await until(lambda: admits(agent))
+                    await wait_until(lambda: admits(agent))
             group.cancel_scope.cancel()
 
     anyio.run(play)
 
 
-def test_an_unknown_protocol_another_fleet_and_a_renewal_before_all_are_refused(engine: Engine) -> None:
+def test_unknown_protocol_wrong_fleet_and_renewal_before_registration_are_refused(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service:
@@ -258,7 +258,7 @@
             ):
                 async with raw_stream(service) as stream:
                     await stream.write(encode(message))
-                    answer = await next_of(stream)
+                    answer = await receive_from(stream)
                     assert isinstance(answer, LeaseRefusal) and answer.reason is reason
                     with anyio.fail_after(WAIT_S):
                         assert await stream.read() is grpc.aio.EOF
@@ -267,7 +267,7 @@
     anyio.run(play)
 
 
-def test_a_server_that_floods_or_sends_nothing_is_disconnected(
+def test_flooding_server_and_silent_server_are_disconnected(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
@@ -291,7 +291,7 @@
     anyio.run(play)
 
 
-def test_a_slow_reader_is_disconnected_and_its_queue_is_dropped(engine: Engine) -> None:
+def test_slow_reader_is_disconnected_and_its_queue_is_dropped(engine: Engine) -> None:
     """It does not read; texts of the largest size are sent to it until its queue is full."""
 
     async def play() -> None:
@@ -300,7 +300,7 @@
             agent = cells.server("one")
             async with running(agent), raw_stream(service) as stream:
                 await stream.write(encode(register()))
-                await until(lambda: len(service.relay.sessions) == 2)
+                await wait_until(lambda: len(service.relay.sessions) == 2)
                 slow = max(service._streams)
                 data = encode(PolicyUpdate(1, "c", "d", "x" * MAX_TEXT_BYTES))
                 for _ in range(200):
@@ -308,22 +308,22 @@
                         found.send(data)
                         assert found._outgoing.qsize() <= 16
                     await anyio.sleep(0)
-                await until(lambda: slow not in service._streams)
+                await wait_until(lambda: slow not in service._streams)
                 assert service.shown()["streams_failed"] == {"resource_exhausted": 1}
                 assert len(service.relay.sessions) == 1 and admits(agent)
 
     anyio.run(play)
 
 
-def test_a_text_goes_to_all_servers_and_is_encoded_once(engine: Engine) -> None:
+def test_policy_is_sent_to_all_servers_and_encoded_once(engine: Engine) -> None:
     async def play() -> None:
         cells = Cells(engine)
         text = "version = 1\n#" + "x" * (MAX_TEXT_BYTES - 20)
         async with cells.relay("a") as service:
             agents = [cells.server(f"n{number}") for number in range(3)]
             async with running(*agents):
-                await put_in_force(engine, text)
-                await until(lambda: all(agent.participant.known.text == text for agent in agents))
+                await apply_policy(engine, text)
+                await wait_until(lambda: all(agent.participant.known.text == text for agent in agents))
                 assert all(admits(agent) for agent in agents)
                 # one server of the fingerprint was asked, and each validated the text that it switched to
                 assert sum(agent.counts["checked"] for agent in agents) == 3
@@ -335,7 +335,7 @@
     assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
 
 
-def test_a_frozen_server_is_suspended_in_its_first_batch_and_a_slow_validation_blocks_nothing(
+def test_frozen_server_is_suspended_in_its_first_batch_and_slow_validation_does_not_block(
     engine: Engine,
 ) -> None:
     async def play() -> None:
@@ -354,31 +354,31 @@
                 agent.pulse(clock.monotonic() + 60_000.0)
                 agent.pulse(clock.monotonic())
                 assert orders == ["", False, True, False]
-                await put_in_force(engine, "version = 1")
-                await until(lambda: agent.participant.validation.task)
+                await apply_policy(engine, "version = 1")
+                await wait_until(lambda: agent.participant.validation.task)
                 worst, before = 0.0, clock.monotonic()
                 while not agent.counts["checked"]:
                     await anyio.sleep(0.005)
                     now = clock.monotonic()
                     worst, before = max(worst, now - before), now
                 assert worst < 400.0
-                await until(lambda: agent.participant.known.version == 1)
+                await wait_until(lambda: agent.participant.known.version == 1)
                 agent.participant._effects.append(ValidateText("d", "another text"))
                 agent._wakeup.set()
-                await until(lambda: agent.counts["checks_begun"] == 2)
+                await wait_until(lambda: agent.counts["checks_begun"] == 2)
                 began = clock.monotonic()
             assert clock.monotonic() - began < 900.0  # it ends without the thread that checks
 
     anyio.run(play)
 
 
-def test_endorsements_are_requested_by_name_and_garbage_is_no_request(engine: Engine) -> None:
+def test_endorsement_method_refuses_invalid_requests(engine: Engine) -> None:
     async def play() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
             call = channel.unary_unary(ENDORSE_METHOD)
-            ask = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
-            answer = decode_from_peer(await call(encode(ask), timeout=WAIT_S))
+            request = EndorsementRequest(7, "f", "a", "somebody:1", ("somebody:1", service.role.address))
+            answer = decode_from_peer(await call(encode(request), timeout=WAIT_S))
             assert isinstance(answer, Endorsement) and answer.sequence == 7 and not answer.span_ms
             assert answer.reason == f"this relay knows other relays of the cell: {service.role.address}"
             for garbage in (b"garbage", encode(answer)):
@@ -393,7 +393,7 @@
     anyio.run(play)
 
 
-def test_with_certificates_both_sides_show_one(engine: Engine) -> None:
+def test_client_without_a_valid_certificate_is_refused(engine: Engine) -> None:
     """The store's stand-in speaks no TLS, so the relay leads nothing here: what is seen is its refusal."""
     make = "openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -days 1".split()
     names = ["-subj", "/CN=127.0.0.1", "-addext", "subjectAltName=IP:127.0.0.1"]
@@ -401,12 +401,12 @@
     subprocess.run([*make, *names, *files], check=True, capture_output=True)
     tls = '[tls]\nca = "cert"\ncert = "cert"\nkey = "key"\n'
 
-    async def answer_of(service: RelayService, fleet: Fleet) -> Any:
+    async def register_and_receive(service: RelayService, fleet: Fleet) -> Any:
         channel = open_channel(fleet, service.role.address)
         try:
             stream = channel.stream_stream(SESSION_METHOD)()
             await stream.write(encode(register()))
-            return await next_of(stream)
+            return await receive_from(stream)
         finally:
             await channel.close(None)
 
@@ -419,17 +419,17 @@
         service.listen()
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
-            answer = await answer_of(service, fleet)
+            answer = await register_and_receive(service, fleet)
             assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.NOT_LEADER
             for other in (replace(fleet, cert=None, key=None), replace(fleet, ca=None)):
                 with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
-                    await answer_of(service, other)
+                    await register_and_receive(service, other)
             service.stop()
 
     anyio.run(play)
 
 
-def test_an_address_in_use_and_too_few_descriptors_are_errors(
+def test_address_in_use_and_too_few_descriptors_are_errors(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -17,7 +17,7 @@
 from otterrudder.net.server_files import ServerFiles
 
 
-def test_a_fingerprint_covers_each_field_of_a_configuration() -> None:
+def test_fingerprint_covers_each_field_of_the_configuration() -> None:
     request_class = RequestClass("a", Idempotency.SAFE, 1.0, 10.0, 20.0)
     for value, keys in (
         (LocalConfiguration((), ()), fingerprint._configuration_fields(LocalConfiguration((), ()))),
@@ -28,7 +28,7 @@
         assert len(keys) == len(fields(value))
 
 
-def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
+def test_fingerprint_depends_on_the_configuration_and_the_program_version() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
@@ -75,7 +75,7 @@
         ("", "store: from 1 to 9"),
     ],
 )
-def test_files_that_would_break_a_promise_are_refused_by_their_key(
+def test_invalid_configuration_is_rejected_with_the_key_in_the_error(
     tmp_path: Path, text: str, error: str
 ) -> None:
     path = tmp_path / "cells.toml"
@@ -85,7 +85,7 @@
     assert str(raised.value).startswith(f"cells.toml: {error}"), raised.value
 
 
-def test_files_of_cells_are_read(tmp_path: Path) -> None:
+def test_configuration_files_of_cells_are_read(tmp_path: Path) -> None:
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
     server = read_fleet(path)
@@ -105,7 +105,7 @@
     assert shared.relay.candidates == ("127.0.0.1:2", "127.0.0.1:3")
 
 
-def test_the_example_is_a_relay_s_file_and_each_command_needs_its_own(tmp_path: Path) -> None:
+def test_example_relay_file_is_valid_and_commands_reject_the_wrong_kind_of_file(tmp_path: Path) -> None:
     example = ROOT / "deploy/relay.toml"
     assert read_fleet(example).rules.is_shared
     server = tmp_path / "server.toml"
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -18,47 +18,47 @@
 BAD_POLICY = "version = 1\n[products.nothing]\nvalue = 1.0\n"
 
 
-async def the_leader(cluster: CellCluster, cell: str) -> RelayProcess:
+async def wait_for_leader(cluster: CellCluster, cell: str) -> RelayProcess:
     """Once one of them leads and may grant."""
     with anyio.fail_after(WAIT_S):
         while True:
             for relay in cluster.relays:
-                told = await cluster.relay_status(relay) if relay.cell == cell else {}
-                if told.get("leads") and told["authority_left_ms"]:
+                status = await cluster.relay_status(relay) if relay.cell == cell else {}
+                if status.get("leads") and status["authority_left_ms"]:
                     return relay
             await anyio.sleep(0.05)
 
 
-async def until_on(cluster: CellCluster, server: ServerProcess, relays: list[RelayProcess]) -> None:
+async def wait_for_lease(cluster: CellCluster, server: ServerProcess, relays: list[RelayProcess]) -> None:
     """Until the server has a lease from one of these."""
     addresses = {relay.address for relay in relays}
     with anyio.fail_after(WAIT_S):
         while True:
-            told = await cluster.server_status(server)
-            received = told.get("counts", {}).get("received", 0)
-            if told.get("relay") in addresses and told["admits"]:
+            status = await cluster.server_status(server)
+            received = status.get("counts", {}).get("received", 0)
+            if status.get("relay") in addresses and status["admits"]:
                 while (await cluster.server_status(server)).get("counts", {}).get("received", 0) <= received:
                     await anyio.sleep(0.05)
                 return
             await anyio.sleep(0.05)
 
 
-async def asides(cluster: CellCluster) -> list[int]:
+async def suspension_counts(cluster: CellCluster) -> list[int]:
     """How often each server has stood aside: once, at its start."""
     return [(await cluster.server_status(server))["counts"]["asides"] for server in cluster.servers]
 
 
-async def changes(cluster: CellCluster, number: int) -> None:
+async def apply_change(cluster: CellCluster, number: int) -> None:
     """A change is in force on all servers."""
     declines = ("pay", "look")[number % 2]
     assert (
         await cluster.operators.wait_ended(cluster.operators.propose(number, declines, DEADLINE_S), WAIT_S)
         == 0
     )
-    assert await all_shown(cluster) == [declines] * len(cluster.servers)
+    assert await rejected_products(cluster) == [declines] * len(cluster.servers)
 
 
-async def all_shown(cluster: CellCluster) -> list[str]:
+async def rejected_products(cluster: CellCluster) -> list[str]:
     """What each server declines, looked at together."""
     found = [""] * len(cluster.servers)
 
@@ -71,13 +71,13 @@
     return found
 
 
-def test_changes_take_hold_and_servers_serve_on_when_relays_and_the_store_are_lost(tmp_path: Path) -> None:
+def test_servers_keep_serving_and_changes_take_effect_after_relay_and_store_failures(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = CellCluster(tmp_path, 2, CellLayout({"z": 2, "y": 1}))
         async with cluster.running():
-            home = [relay for relay in cluster.relays if relay.cell == "z"]
-            leader = await the_leader(cluster, "z")
-            await changes(cluster, 1)
+            cell_z_relays = [relay for relay in cluster.relays if relay.cell == "z"]
+            leader = await wait_for_leader(cluster, "z")
+            await apply_change(cluster, 1)
 
             # A server's own no names the key, and nothing changes.
             assert (
@@ -86,25 +86,27 @@
                 )
                 == ABORTED
             )
-            told = (tmp_path / "proposers.txt").read_text()
-            assert "products.nothing: no product is named so" in told
-            assert await all_shown(cluster) == ["look", "look"]
+            status = (tmp_path / "proposers.txt").read_text()
+            assert "products.nothing: no product is named so" in status
+            assert await rejected_products(cluster) == ["look", "look"]
 
             # A relay that is told to stop sends its servers on.
             assert await cluster.stop_relay(leader) == 0
-            second = await the_leader(cluster, "z")
+            second = await wait_for_leader(cluster, "z")
             assert second is not leader
-            await changes(cluster, 4)
+            await apply_change(cluster, 4)
 
             # One that is killed is found out by its servers; the other one takes the cell over.
             await cluster.start_relays()
             for server in cluster.servers:
-                await until_on(cluster, server, cluster.relays)
+                await wait_for_lease(cluster, server, cluster.relays)
             cluster.kill_relay(second)
-            assert await the_leader(cluster, "z") is leader
+            assert await wait_for_leader(cluster, "z") is leader
             for server in cluster.servers:
-                await until_on(cluster, server, [relay for relay in cluster.relays if relay is not second])
-            await changes(cluster, 5)
+                await wait_for_lease(
+                    cluster, server, [relay for relay in cluster.relays if relay is not second]
+                )
+            await apply_change(cluster, 5)
 
             # Without the store all serve on: the cell of two by consent, the cell of one by its folder.
             await cluster.start_relays()
@@ -116,21 +118,21 @@
                 while (await cluster.relay_status(leader))["store_lease_left_ms"]:
                     await anyio.sleep(0.05)
             assert (await cluster.relay_status(leader))["consent_left_ms"]
-            alone = next(relay for relay in cluster.relays if relay.cell == "y")
-            assert (await cluster.relay_status(alone))["authority_left_ms"] == -1.0  # it has no end
+            single_relay = next(relay for relay in cluster.relays if relay.cell == "y")
+            assert (await cluster.relay_status(single_relay))["authority_left_ms"] == -1.0  # it has no end
             for server in cluster.servers:
-                await until_on(cluster, server, [*home, *cluster.relays])
+                await wait_for_lease(cluster, server, [*cell_z_relays, *cluster.relays])
             await cluster.store.restart()
-            await the_leader(cluster, "z")
-            await changes(cluster, 6)
-            assert await asides(cluster) == [1, 1]
+            await wait_for_leader(cluster, "z")
+            await apply_change(cluster, 6)
+            assert await suspension_counts(cluster) == [1, 1]
         violations = check_run(cluster, RunResult()).check.violations
         assert not violations, violations
 
     anyio.run(play)
 
 
-def test_a_small_fleet_moves_to_cells_and_back_by_the_stated_steps(tmp_path: Path) -> None:
+def test_fleet_migrates_to_cells_and_back_without_interruption(tmp_path: Path) -> None:
     """docs/fleet.md, "Cells": somebody admits at each moment, and changes take hold between the steps."""
 
     async def move(cluster: CellCluster, server: ServerProcess) -> None:
@@ -148,27 +150,27 @@
         async with cluster.running():
             first, second = cluster.servers
             await cluster.start_relays()
-            leader = await the_leader(cluster, "z")
-            await changes(cluster, 1)
+            leader = await wait_for_leader(cluster, "z")
+            await apply_change(cluster, 1)
             for server in (first, second):
                 cluster.plain_servers.remove(server.number)
                 await move(cluster, server)
                 assert (
                     await cluster.operators.wait_ended(cluster.operators.remove_server(server), WAIT_S) == 0
                 )  # its cell votes in its place
-                await changes(cluster, 2 + server.number)
+                await apply_change(cluster, 2 + server.number)
             status = cluster.operators.run("status")
             assert await cluster.operators.wait_ended(status, WAIT_S) == 0
             assert f"cell, led by {leader.address}" in (tmp_path / "proposers.txt").read_text()
             cluster.plain_servers.add(first.number)
             await move(cluster, first)
-            await changes(cluster, 4)
+            await apply_change(cluster, 4)
             cluster.plain_servers.add(second.number)
             await move(cluster, second)
             for relay in cluster.relays:
                 assert await cluster.stop_relay(relay) == 0
             assert await cluster.operators.wait_ended(cluster.operators.run("gone", "z"), WAIT_S) == 0
-            await changes(cluster, 5)
+            await apply_change(cluster, 5)
         violations = check_run(cluster, RunResult()).check.violations
         assert not violations, violations
         completed = sorted(
