--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -1,6 +1,6 @@
 """The validation of a change by the servers of a cell, from the member's request to the result.
 
-Pure: no I/O and no clock."""
+The module is pure: it does no I/O and reads no clock."""
 
 import math
 from dataclasses import dataclass
--- a/otterrudder/fleet/cell/endorsement.py
+++ b/otterrudder/fleet/cell/endorsement.py
@@ -1,5 +1,5 @@
 """Endorsement of a leader's lease by the other relays of its cell, so that the cell keeps serving while the
-store is unreachable. Pure: no I/O and no clock.
+store is unreachable. The module is pure: it does no I/O and reads no clock.
 
 The relay that leads a cell holds a lease in the store, and its authority ends with that lease, because
 another relay of the cell could have taken the cell over. While the store does not answer, the leader sends a
@@ -26,8 +26,8 @@
 # lost before the endorsement ends.
 RENEWAL_SHARE = 0.25
 # Interval between requests until all relays endorse the lease, as a share of the span. It is short because
-# the store lease is running out, and a relay refuses while the store has answered it recently, or a request
-# may be lost.
+# the store lease is running out, while requests may be lost or refused: a relay refuses if the store has
+# answered it recently.
 FIRST_REQUEST_SHARE = 1 / 12
 
 
--- a/otterrudder/fleet/cell/fingerprint.py
+++ b/otterrudder/fleet/cell/fingerprint.py
@@ -21,7 +21,7 @@
 
 
 # The keys and their order are part of the digest, so they must not change when attributes are renamed: a
-# release that changed them would change every fingerprint, and its servers would be asked again.
+# release that changed them would change every fingerprint, and relays would have to ask its servers again.
 
 
 def _configuration_fields(own: LocalConfiguration) -> dict[str, Any]:
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -1,5 +1,5 @@
 """The participant makes a server's decisions in its cell: the server holds a short lease from a relay and
-admits requests only while it holds one. Pure: no I/O and no clock.
+admits requests only while it holds one. The module is pure: it does no I/O and reads no clock.
 
 These rules are sufficient for a server's safety (docs/design/cells.md has the argument):
 
@@ -83,7 +83,7 @@
         self.span_ms = span_ms
         self.known = Policy()  # policy that the server uses
         self.head = 0  # newest version that a relay has announced
-        self.has_held_lease = False  # since the process started
+        self.has_held_lease = False  # whether the process has held a lease since its start
         self.lease = ServerLease()
         self.requests = PendingRequests()
         self.selector = RelaySelector(now, relays)
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -1,5 +1,5 @@
 """A relay leads a cell under a lease from the store, votes on policy changes for the cell, and grants leases
-to the cell's servers. Pure: no I/O and no clock.
+to the cell's servers. The module is pure: it does no I/O and reads no clock.
 
 The cell is a member of the fleet (`fleet/member/`) whose process is a relay. Several relays of a cell
 share the member's name; the relay whose registration is in the store leads. The relay adds these rules:
--- a/otterrudder/fleet/cell/relay_selector.py
+++ b/otterrudder/fleet/cell/relay_selector.py
@@ -1,6 +1,7 @@
 """Selects the relay that a server connects to, and the time of each connection attempt.
 
-The first address in the list is the preferred relay. Pure: no I/O and no clock."""
+The first address in the list is the preferred relay. The module is pure: it does no I/O and reads no
+clock."""
 
 import math
 
--- a/otterrudder/fleet/cell/server_lease.py
+++ b/otterrudder/fleet/cell/server_lease.py
@@ -1,6 +1,6 @@
 """A server's lease from its relay: when it ends, and the pending requests that may extend it.
 
-Pure: no I/O and no clock."""
+The module is pure: it does no I/O and reads no clock."""
 
 import math
 
--- a/otterrudder/fleet/cell/sessions.py
+++ b/otterrudder/fleet/cell/sessions.py
@@ -1,6 +1,6 @@
 """The sessions of a relay's servers, and the leases of servers whose stream has ended.
 
-Pure: no I/O and no clock."""
+The module is pure: it does no I/O and reads no clock."""
 
 import math
 from collections.abc import Iterator
--- a/otterrudder/fleet/cell/text_validation.py
+++ b/otterrudder/fleet/cell/text_validation.py
@@ -1,6 +1,6 @@
 """The policy texts that a server has received, and its validation of them, one at a time.
 
-Pure: no I/O and no clock."""
+The module is pure: it does no I/O and reads no clock."""
 
 from collections.abc import Iterator
 
--- a/otterrudder/fleet/cell/validation_poll.py
+++ b/otterrudder/fleet/cell/validation_poll.py
@@ -1,7 +1,8 @@
 """Determines whether servers accept a policy: one server of each fingerprint is asked, and its result is
 cached.
 
-Servers with equal fingerprints have the same result. All state is bounded. Pure: no I/O and no clock."""
+Servers with equal fingerprints have the same result. All state is bounded. The module is pure: it does no
+I/O and reads no clock."""
 
 import math
 from collections import OrderedDict
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -1,7 +1,8 @@
-"""A fleet of cells with no latency: relays, servers and a store in one process, in simulated time.
+"""Test harness: a fleet of cells with relays, servers and a store in one process, in simulated time and
+without network latency.
 
-Time goes on to the next moment at which somebody is due; who is due at the same moment over and over fails
-the test."""
+The simulated time advances to the next due time of any relay, server or store lease. A test fails if effects
+keep arising without an advance of the time."""
 
 from dataclasses import dataclass, field, replace
 
@@ -37,12 +38,12 @@
 FLEET = "f"
 KEYS = Keys(FLEET)
 RULES = Rules(bound_ms=3000.0, lease_ms=6000.0, is_shared=True)
-MAX_STEPS = 2000  # at one moment; more: somebody spins
+MAX_STEPS = 2000  # maximum steps at one simulated time; more indicate an endless loop
 
 
 @dataclass
 class Stream:
-    """Between a server and a relay. `connection`: the server's number for it."""
+    """A stream between a server and a relay. `connection`: the server's number of the stream."""
 
     server: str
     connection: int
@@ -51,7 +52,7 @@
 
 @dataclass
 class Harness:
-    """Relays, servers and a store, with the time that all of them share."""
+    """Relays, servers and a store that share one simulated clock."""
 
     rules: Rules = RULES
     limits: RelayLimits = field(default_factory=RelayLimits)
@@ -59,20 +60,20 @@
     space: KeySpace = field(default_factory=KeySpace)
     relays: dict[str, Relay] = field(default_factory=dict)
     servers: dict[str, Participant] = field(default_factory=dict)
-    streams: dict[int, Stream] = field(default_factory=dict)  # by the relay's number
-    stream_count: int = 0  # so far
+    streams: dict[int, Stream] = field(default_factory=dict)  # open streams by the relay's number
+    stream_count: int = 0  # number of streams opened
     is_store_unreachable: bool = False
-    silent: set[str] = field(default_factory=set)  # servers that validate no text
-    rejections: dict[str, str] = field(default_factory=dict)  # by fingerprint: of a text that ends in !
-    validations: list[str] = field(default_factory=list)  # the servers that were asked to validate a text
+    silent: set[str] = field(default_factory=set)  # servers that never finish a validation
+    rejections: dict[str, str] = field(default_factory=dict)  # by fingerprint, for texts that end with "!"
+    validations: list[str] = field(default_factory=list)  # servers that were asked to validate a text
     refusals: list[LeaseRefusal] = field(default_factory=list)
-    disks: dict[str, MemberState] = field(default_factory=dict)  # of cells of one relay
-    incarnations: int = 0  # processes so far
+    disks: dict[str, MemberState] = field(default_factory=dict)  # saved states of relays without peers
+    incarnations: int = 0  # number of processes started
 
     # Processes.
 
     def add_relay(self, address: str, cell: str, candidates: tuple[str, ...] = ()) -> Relay:
-        """A relay starts; one of a cell by itself keeps its state."""
+        """Starts a relay. The only relay of a cell loads the state that it has saved."""
         self.incarnations += 1
         identity = CellIdentity(FLEET, cell, address, candidates or (address,))
         rules = replace(self.rules, is_shared=len(identity.candidates) > 1)
@@ -86,14 +87,14 @@
         return relay
 
     def add_cell(self, cell: str, relays: int = 2) -> tuple[str, ...]:
-        """The relays of a cell start; their addresses."""
+        """Starts the relays of a cell and returns their addresses."""
         addresses = tuple(f"{cell}-{n}" for n in range(relays))
         for address in addresses:
             self.add_relay(address, cell, addresses)
         return addresses
 
     def add_server(self, name: str, relays: tuple[str, ...], fingerprint: str = "plain") -> Participant:
-        """A server starts."""
+        """Starts a server."""
         self.incarnations += 1
         identity = ServerIdentity(FLEET, name, f"{name}.{self.incarnations}", fingerprint)
         server = Participant(self.now, identity, relays, self.limits.span_ms)
@@ -101,14 +102,14 @@
         return server
 
     def remove_server(self, name: str) -> None:
-        """A server dies: its streams end."""
+        """Stops a server abruptly; its streams end."""
         del self.servers[name]
         for number, stream in list(self.streams.items()):
             if stream.server == name:
                 self._end_stream(number)
 
     def remove_relay(self, address: str) -> None:
-        """A relay dies: its streams end."""
+        """Stops a relay abruptly; its streams end."""
         del self.relays[address]
         for number, stream in list(self.streams.items()):
             if stream.relay == address:
@@ -116,27 +117,27 @@
                 self.servers[stream.server].handle_disconnected(self.now, stream.connection)
 
     def leader(self, cell: str) -> Relay:
-        """The one relay that leads the cell."""
-        (found,) = [r for r in self.relays.values() if r.identity.cell == cell and r.leads()]
-        return found
+        """Returns the only relay that leads the cell."""
+        (leader,) = [r for r in self.relays.values() if r.identity.cell == cell and r.leads()]
+        return leader
 
     # The store.
 
     def view(self) -> FleetSnapshot:
-        """All that the store holds."""
+        """Returns a snapshot of the store."""
         return FleetSnapshot(KEYS, self.space.read(coordination_keys(KEYS)))
 
     def commit(self, commit: Commit) -> None:
-        """A commit that has to take effect."""
+        """Commits to the store; the commit has to succeed."""
         assert self.space.commit(commit.compares, commit.writes).succeeded
         self._notify_watches(commit)
 
     def propose(self, ident: str, text: str = "") -> None:
-        """Opens a change."""
+        """Opens a change in the store."""
         self.commit(propose(self.view(), ident, text or f"policy {ident}", ident, "", 0.0, 30_000.0))
 
     def enqueue(self, ident: str, text: str = "", base: str = "") -> None:
-        """Queues a change."""
+        """Queues a change in the store."""
         self.commit(enqueue(self.view(), QueuedChange(ident, base=base), text or f"policy {ident}"))
 
     def _notify_watches(self, commit: Commit) -> None:
@@ -148,14 +149,14 @@
     # Time.
 
     def run(self, span_ms: float) -> None:
-        """Lets the time pass, and all that is due in it happen."""
+        """Advances the simulated time by `span_ms`, with all events that are due in it."""
         until = self.now + span_ms
         while True:
             self._run_until_idle()
             due = self._next_due()
             if due > until:
                 break
-            assert due > self.now, "due now, and nothing to do"
+            assert due > self.now, "a process is due now, but has no effects"
             self.now = due
             self.space.lapse(self.now)
         self.now = until
@@ -170,10 +171,10 @@
         for _ in range(MAX_STEPS):
             if not self._run_effects():
                 return
-        raise AssertionError(f"it never rests at {self.now:g} ms")
+        raise AssertionError(f"effects do not end at {self.now:g} ms")
 
     def _run_effects(self) -> bool:
-        """Whether there were any."""
+        """Performs the current effects; returns whether there were any."""
         is_busy = False
         for address, relay in list(self.relays.items()):
             for effect in relay.effects(self.now):
@@ -249,10 +250,10 @@
         if relay := self.relays.get(stream.relay):
             relay.handle_stream_closed(number)
 
-    # What it shows.
+    # Results.
 
     def admitted_versions(self) -> dict[str, int | None]:
-        """Under which version each server admits now; None: it admits nothing."""
+        """Returns the version under which each server admits now, None if it does not admit."""
         return {name: server.admits(self.now) for name, server in self.servers.items()}
 
 
@@ -263,7 +264,8 @@
     rejections: dict[str, str] | None = None,
     silent: set[str] | None = None,
 ) -> Harness:
-    """Two cells of two relays, two servers each, all admitting under the servers' own files."""
+    """Returns a fleet of two cells with two relays and two servers each, whose servers all admit under
+    version 0, which is their own configuration."""
     harness = Harness(rules, limits, rejections=rejections or {}, silent=silent or set())
     for cell in ("east", "west"):
         relays = harness.add_cell(cell)
@@ -275,22 +277,22 @@
 
 
 def messages_to_relay(effects: list[ParticipantEffect]) -> list[object]:
-    """The messages to a relay among a server's effects."""
+    """Returns the messages to a relay among a server's effects."""
     return [effect.message for effect in effects if isinstance(effect, SendToRelay)]
 
 
 def registration(
     sequence: int = 1, fleet: str = FLEET, name: str = "s", fingerprint: str = "plain"
 ) -> Registration:
-    """The first message of a server."""
+    """Returns the first message of a server."""
     return Registration(sequence, fleet, name, f"{name}.1", fingerprint)
 
 
 def messages_to_servers(relay_effects: list[RelayEffect]) -> list[RelayMessage]:
-    """The messages to servers among a relay's effects."""
+    """Returns the messages to servers among a relay's effects."""
     return [effect.message for effect in relay_effects if isinstance(effect, SendToServer)]
 
 
 def in_force(version: int, text: str, digest: str) -> PolicyUpdate:
-    """The message that brings a version."""
+    """Returns the message that announces a version."""
     return PolicyUpdate(version, f"change {version}", digest, text)
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -1,4 +1,4 @@
-"""The endorsement of a leader's lease by the other relays, and cells while the store is unreachable."""
+"""Tests the endorsement of a leader's lease by the other relays, and cells while the store is unreachable."""
 
 import math
 from dataclasses import replace
@@ -49,7 +49,7 @@
     (request,) = collector.requests(0.0)
     collector.handle_endorsement(Endorsement(request.message.sequence, "c", ENDORSEMENT_MS))
     collector.handle_endorsement(Endorsement(request.message.sequence, "b", ENDORSEMENT_MS))
-    assert collector.until() == -math.inf  # the request was answered, by somebody else
+    assert collector.until() == -math.inf  # another relay has answered the request
     (request,) = collector.requests(1000.0)
     collector.handle_endorsement(Endorsement(request.message.sequence, "b", 0.0, "this relay leads the cell"))
     assert collector.until() == -math.inf
@@ -98,13 +98,14 @@
 
 
 def test_requests_are_deferred_while_the_leader_registers_again() -> None:
-    """The store is back, and the lease has lapsed in it: they were refused, and tried all relays in turn."""
+    """After an outage of the store the leader's lease has lapsed in it. If the leader refused its servers
+    before it had registered again, they would try all relays in turn."""
     harness = serving_fleet()
     harness.is_store_unreachable = True
     harness.run(10_000.0)
     relay = harness.leader("east")
     streams = dict(harness.streams)
-    harness.refusals.clear()  # of their start
+    harness.refusals.clear()  # drop the refusals from the start
     session = next(iter(relay.sessions))
     connection = session.connection
     member = relay.member
@@ -131,27 +132,28 @@
 
 
 class LossyHarness(Harness):
-    """The first consents that are given are lost on their way."""
+    """Loses the first endorsements that relays give."""
 
-    lost = 0
+    endorsements_to_lose = 0
 
     def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
-        if isinstance(effect, PeerRequest) and self.lost:
+        if isinstance(effect, PeerRequest) and self.endorsements_to_lose:
             endorsement = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
-            self.lost -= endorsement.span_ms > 0
+            self.endorsements_to_lose -= endorsement.span_ms > 0
         else:
             super()._relay_effect(address, relay, effect)
 
 
 @pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
 def test_cell_keeps_serving_when_endorsements_are_lost(lease_ms: float) -> None:
-    """Two of each cell, whenever the store goes, and though it has answered the others until then."""
+    """Loses two endorsements of each cell at different phases of the outage. The store has answered the other
+    relays until the outage, so they refuse the first requests."""
     for phase_ms in range(13, 1600, 200):
         harness = LossyHarness(rules=replace(RULES, lease_ms=lease_ms), limits=RelayLimits(span_ms=1500.0))
         for cell in ("east", "west"):
             harness.add_server(f"{cell}-s", harness.add_cell(cell))
         harness.run(10_000.0 + phase_ms)
-        harness.is_store_unreachable, harness.lost = True, 4
+        harness.is_store_unreachable, harness.endorsements_to_lose = True, 4
         for relay in harness.relays.values():
             relay.member.answered_at = harness.now
         for _ in range(240):
@@ -160,8 +162,8 @@
 
 
 def test_cell_keeps_serving_after_the_store_returns() -> None:
-    """The leader's lease has lapsed in the store meanwhile. A relay that had consented took the cell first,
-    and could grant nothing before its endorsement had ended."""
+    """The leader's lease lapses in the store during the outage. If a relay that has endorsed the leader
+    registered first, it could grant no leases until its endorsement had ended."""
     for outage_ms in range(8000, 12_000, 400):
         harness = serving_fleet()
         harness.is_store_unreachable = True
@@ -215,8 +217,8 @@
 
 
 def test_leader_keeps_its_cell_after_store_outages() -> None:
-    """A relay that has consented does not take the cell over, for it could grant nothing with it. While the
-    leader registers again a server may be between two tries."""
+    """A relay that has endorsed the leader must not take the cell over, because it could not grant leases.
+    Servers may be suspended briefly while they wait for a retry and the leader registers again."""
     harness = serving_fleet()
     leaders = [harness.leader(cell) for cell in ("east", "west")]
     for _ in range(5):
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -1,4 +1,4 @@
-"""A server's participant: its lease, its choice of a relay and its validation of texts."""
+"""Tests a server's participant: its lease, its selection of a relay and its validation of texts."""
 
 import itertools
 
@@ -40,7 +40,7 @@
 
 
 def connect(server: Participant, now: float = 0.0) -> Registration:
-    """Its connection comes about; its first message."""
+    """Opens the server's connection and returns its registration."""
     (connect_effect,) = [effect for effect in server.effects(now) if isinstance(effect, Connect)]
     server.handle_connected(now, connect_effect.connection)
     (message,) = messages_to_relay(server.effects(now))
@@ -54,7 +54,7 @@
 
 
 def receive_valid_text(server: Participant, now: float, version: int, text: str) -> None:
-    """A text comes, and is good."""
+    """Delivers a policy text that the server accepts."""
     server.handle_message(now, server.connection, in_force(version, text, digest_of(text)))
     for effect in server.effects(now):
         if isinstance(effect, ValidateText):
@@ -98,7 +98,7 @@
     assert [type(effect) for effect in effects] == [Disconnect, Connect] and server.relay == "b"
     assert server.refusal == "a did not answer in time"
     late = LeaseGrant(1, 0, "", 3000.0)
-    server.handle_message(800.0, 1, late)  # of the stream that was given up
+    server.handle_message(800.0, 1, late)  # arrives on the closed stream
     assert server.admits(800.0) is None
 
 
@@ -165,7 +165,7 @@
     server = participant()
     grant(server, 0.0, connect(server).sequence)
     server.effects(server.due())
-    grant(server, 800.0, 2, 1)  # its text has not come
+    grant(server, 800.0, 2, 1)  # the text of version 1 has not arrived
     assert server.admits(2699.0) == 0 and server.admission_status(2700.0) is AdmissionStatus.OUTDATED
     receive_valid_text(server, 2800.0, 1, "one")
     assert server.admits(2800.0) == 1
@@ -229,7 +229,7 @@
     assert (
         PREFERRED_RETRY_MS / 2 <= now <= 1.5 * PREFERRED_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
     )
-    assert server.admits(now) == 0  # the lease goes on
+    assert server.admits(now) == 0  # the lease is still valid
 
 
 def test_delay_before_a_return_doubles_after_each_failed_return() -> None:
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -1,4 +1,4 @@
-"""QueuedChange changes, and their coordination by relays."""
+"""Tests queued changes and their coordination by relays."""
 
 import pytest
 from cell_harness import FLEET, KEYS, Harness, Stream, serving_fleet
@@ -71,7 +71,7 @@
 
 def test_text_of_a_queued_change_is_retained() -> None:
     harness = serving_fleet()
-    for number in range(40):  # more ends than are kept
+    for number in range(40):  # more changes than finished ones are kept
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
     harness.run(120_000.0)
     assert [end.committed for end in harness.view().finished] == [True] * 32
@@ -154,14 +154,15 @@
 
     harness._relay_effect = watch  # type: ignore[method-assign]
     harness.propose("A")
-    leader.member.reads.retry_at = harness.now + 1000.0  # its own reads are held up
+    leader.member.reads.retry_at = harness.now + 1000.0  # the member's own reads are delayed
     harness.run(900.0)
-    assert len(reads) <= 900.0 / COUNT_MS + 4  # hints: of the change, of two votes
+    assert len(reads) <= 900.0 / COUNT_MS + 4  # + 4: watch events of the change and two votes
 
 
 @pytest.mark.parametrize("held", [True, False])
 def test_coordinator_waits_between_requests_for_the_leadership(held: bool) -> None:
-    """Whether it leads is known to its member, once it has read."""
+    """The member learns only from its next read whether it is the coordinator. Until then the coordinator
+    must not commit again and again."""
     coordinator, now = ChangeCoordinator(KEYS, "east", retains_leadership=True), 0.0
     while not (lead := coordinator.effects(now, "", False, False, 1, 1)):
         now = coordinator.due()
@@ -171,7 +172,7 @@
 
 
 def run_changes(harness: Harness, count: int) -> None:
-    """So many changes of texts of their own have ended."""
+    """Queues `count` changes with different texts and runs until all have finished."""
     for number in range(count):
         harness.enqueue(f"c{number}", f"text {number}")
     while len(harness.view().queue) or harness.view().change:
@@ -182,10 +183,10 @@
     harness = serving_fleet()
     run_changes(harness, MAX_FINISHED_CHANGES)
     harness.propose("last")
-    counted = finish_change(harness.view(), True)  # what somebody has counted, and has not messages_to_relay
-    assert counted
-    harness.enqueue("again", "text 0")  # the oldest end's
-    assert not harness.space.commit(counted.compares, counted.writes).succeeded
+    prepared = finish_change(harness.view(), True)  # a coordinator's commit that it has not sent yet
+    assert prepared
+    harness.enqueue("again", "text 0")  # the text of the oldest finished change
+    assert not harness.space.commit(prepared.compares, prepared.writes).succeeded
     harness.run(5000.0)
     assert [(end.id, end.committed) for end in harness.view().finished][-2:] == [
         ("last", True),
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -1,4 +1,4 @@
-"""A relay: sessions, leases, takeover, and votes that follow the results of its servers."""
+"""Tests a relay: sessions, leases, takeover, and votes that depend on the results of its servers."""
 
 import math
 
@@ -225,7 +225,8 @@
 
 
 def test_relay_asks_servers_that_connect_after_a_takeover() -> None:
-    """It polls no earlier than it may vote: until then servers are still on their way to it."""
+    """A relay that takes over must not finish its poll before it may vote, because servers of the former
+    leader are still connecting to it."""
     harness = serving_fleet(rejections={"kind of east": "no"})
     old = harness.leader("east").identity.address
     new = next(a for a in harness.relays if a.startswith("east") and a != old)
@@ -272,7 +273,7 @@
             begin(address, of, effect)
 
     harness.propose("A", "policy!")
-    harness.run(VOTE_FIRST_MS + 50.0)  # from then on a hint's read goes before the vote
+    harness.run(VOTE_FIRST_MS + 50.0)  # from now on a watch event makes the relay read before it votes
     harness._relay_effect = delay_reads  # type: ignore[method-assign]
     relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
@@ -307,7 +308,8 @@
 
 
 def test_new_server_gets_its_first_lease_after_a_read_of_the_store() -> None:
-    """The change may have been committed before it started, and the relay not know yet."""
+    """The change may have been committed before the server started, without the relay's knowledge. Then the
+    server must not admit under the previous version."""
     harness = serving_fleet()
     relay = harness.leader("east")
     harness.propose("A")
@@ -337,7 +339,8 @@
 
 
 def test_vote_prepared_before_a_restart_is_validated_again() -> None:
-    """The vote did not reach the store; the servers that are here now have not been asked."""
+    """The vote did not reach the store before the restart, and the servers that are connected now have not
+    been asked about the change."""
     harness = Harness(rejections={"kind of north": "no"})
     relays = harness.add_cell("east", 1)
     harness.add_server("s0", relays)
@@ -364,7 +367,8 @@
 
 
 def test_reconnecting_server_replaces_its_own_session() -> None:
-    """The relay does not know yet that the stream before has ended."""
+    """The relay has not noticed yet that the server's earlier stream has ended. It must not refuse the server
+    because all sessions are in use."""
     harness = serving_fleet(limits=RelayLimits(max_sessions=2))
     relay = harness.leader("east")
     harness.streams = {n: s for n, s in harness.streams.items() if not s.server.startswith("east")}
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -1,4 +1,4 @@
-"""The search of cells finds no order of events that breaks a promise, and finds each fault that is put in."""
+"""Tests the model search of cells: no event order breaks a guarantee, and each seeded fault is found."""
 
 from itertools import pairwise
 
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("name", SEEDED_FAULTS)
 def test_each_seeded_fault_is_found(name: str) -> None:
     found = find_fault(SEEDED_FAULTS[name])
-    assert found.violation, f"{found.states} worlds, and none broken"
+    assert found.violation, f"no violation in {found.states} states"
 
 
 @pytest.mark.parametrize("name", [name for name, what in SEEDED_FAULTS.items() if what.story])
--- a/tests/fleet/test_cell_validation_poll.py
+++ b/tests/fleet/test_cell_validation_poll.py
@@ -1,4 +1,4 @@
-"""The poll of servers by their fingerprint, and the cache of results."""
+"""Tests the validation poll of servers by their fingerprint, and the cache of results."""
 
 import math
 
--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -1,5 +1,5 @@
-"""Cells as processes with faults between all of them: what they promise holds, and a relay or a server with
-one rule left out is found from the wire."""
+"""Tests cells as processes with network and process faults: the guarantees hold, and the history checker
+finds a relay or a server in which one rule is disabled."""
 
 from pathlib import Path
 
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("mutants", "rounds", "says"),
+    ("mutants", "rounds", "violation"),
     [
         (CellMutants(server="ignores its lease's end"), CUT_OFF, "wrong version"),
         (
@@ -60,11 +60,11 @@
     ],
 )
 def test_history_checker_finds_a_missing_rule(
-    mutants: CellMutants, rounds: list[CellRound], says: str
+    mutants: CellMutants, rounds: list[CellRound], violation: str
 ) -> None:
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, mutants=mutants)
     assert not run.result.missed, details(run)
-    assert any(line.startswith(says) for line in run.broken), details(run)
+    assert any(line.startswith(violation) for line in run.broken), details(run)
 
 
 def test_plan_is_determined_by_its_seed_and_contains_all_faults() -> None:
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -1,4 +1,4 @@
-"""A relay's streams and a server's client on loopback: bounds, bad input, and who is ended by it."""
+"""Tests a relay's streams and a server's client on the loopback interface: limits and invalid input."""
 
 import asyncio
 import contextlib
@@ -66,7 +66,7 @@
 
 
 class Cells:
-    """Relays and servers in the test's own process, each cell of one relay with a folder."""
+    """Relays and servers in the test's own process. Each cell has one relay with a state directory."""
 
     def __init__(self, engine: Engine, more: str = "") -> None:
         self.engine, self.more = engine, more
@@ -80,7 +80,7 @@
 
     @contextlib.asynccontextmanager
     async def relay(self, cell: str, max_sessions: int = 20) -> AsyncIterator[RelayService]:
-        """Once it leads, until the end of the block."""
+        """Runs a relay for the duration of the context, which is entered once the relay leads its cell."""
         address = f"127.0.0.1:{free_port()}"
         own = f'[relay]\ncell = "{cell}"\naddress = "{address}"\nfolder = "state-{cell}"\n'
         fleet = self.file(cell, f"{own}sessions_most = {max_sessions}")
@@ -104,7 +104,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*agents: CellAgent) -> AsyncIterator[None]:
-    """Once all admit, until the end of the block."""
+    """Runs the servers for the duration of the context, which is entered once all servers admit."""
     async with anyio.create_task_group() as group:
         for agent in agents:
             group.start_soon(agent.run)
@@ -120,7 +120,7 @@
 
 @contextlib.asynccontextmanager
 async def raw_stream(service: RelayService) -> AsyncIterator[Any]:
-    """A stream on which the test sends what it likes."""
+    """Opens a stream on which the test can send any bytes."""
     channel = open_channel(service.fleet, service.role.address)
     try:
         yield channel.stream_stream(SESSION_METHOD)()
@@ -190,7 +190,7 @@
                         with anyio.fail_after(WAIT_S):
                             assert await stream.code() is grpc.StatusCode.INVALID_ARGUMENT
                             assert await stream.details()
-                async with raw_stream(service) as stream:  # more than any message of a server has
+                async with raw_stream(service) as stream:  # larger than the maximum message size
                     await stream.write(bytes(100_000))
                     with anyio.fail_after(WAIT_S):
                         assert await stream.code() is not grpc.StatusCode.OK
@@ -202,7 +202,8 @@
 
 
 def test_server_connects_over_a_slow_link(engine: Engine) -> None:
-    """An attempt to connect was given up after 100 ms: a relay beyond that, or a busy one, was lost."""
+    """If connection attempts were ended after 100 ms, a server could not reach a relay over a slow link, or
+    one that is busy."""
 
     async def play() -> None:
         cells = Cells(engine)
@@ -220,7 +221,8 @@
 
 
 def test_server_recovers_from_cancelled_connection_attempts(engine: Engine) -> None:
-    """Its part in the fleet ended silently as one was cancelled, and it was suspended for good."""
+    """If the cancellation of a connection attempt ended the agent's task, the server would stay suspended
+    forever without an error."""
 
     async def play() -> None:
         cells = Cells(engine)
@@ -284,7 +286,7 @@
                         await stream.write(encode(LeaseRenewal(number + 2, 0)))
                         if number % 8 == 0:
                             await stream.read()
-                with anyio.fail_after(WAIT_S):  # its own writes may fail before the status is read
+                with anyio.fail_after(WAIT_S):  # the client's writes may fail before it reads the status
                     assert await stream.code() is not grpc.StatusCode.OK
             assert service.shown()["streams_failed"] == {"deadline_exceeded": 1, "resource_exhausted": 1}
 
@@ -292,7 +294,7 @@
 
 
 def test_slow_reader_is_disconnected_and_its_queue_is_dropped(engine: Engine) -> None:
-    """It does not read; texts of the largest size are sent to it until its queue is full."""
+    """The server does not read; policies of the maximum size are sent to it until its queue is full."""
 
     async def play() -> None:
         cells = Cells(engine)
@@ -304,9 +306,9 @@
                 slow = max(service._streams)
                 data = encode(PolicyUpdate(1, "c", "d", "x" * MAX_TEXT_BYTES))
                 for _ in range(200):
-                    if found := service._streams.get(slow):
-                        found.send(data)
-                        assert found._outgoing.qsize() <= 16
+                    if slow_stream := service._streams.get(slow):
+                        slow_stream.send(data)
+                        assert slow_stream._outgoing.qsize() <= 16
                     await anyio.sleep(0)
                 await wait_until(lambda: slow not in service._streams)
                 assert service.shown()["streams_failed"] == {"resource_exhausted": 1}
@@ -325,7 +327,7 @@
                 await apply_policy(engine, text)
                 await wait_until(lambda: all(agent.participant.known.text == text for agent in agents))
                 assert all(admits(agent) for agent in agents)
-                # one server of the fingerprint was asked, and each validated the text that it switched to
+                # Each server validates the text once; the one that was asked earlier reuses its result.
                 assert sum(agent.counts["checked"] for agent in agents) == 3
                 assert service.shown()["versions"]
 
@@ -367,7 +369,7 @@
                 agent._wakeup.set()
                 await wait_until(lambda: agent.counts["checks_begun"] == 2)
                 began = clock.monotonic()
-            assert clock.monotonic() - began < 900.0  # it ends without the thread that checks
+            assert clock.monotonic() - began < 900.0  # the agent does not wait for the validating thread
 
     anyio.run(play)
 
@@ -394,7 +396,8 @@
 
 
 def test_client_without_a_valid_certificate_is_refused(engine: Engine) -> None:
-    """The store's stand-in speaks no TLS, so the relay leads nothing here: what is seen is its refusal."""
+    """The test store has no TLS, so the relay never leads its cell. A client with a valid certificate
+    receives the relay's refusal; other clients receive an error."""
     make = "openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -days 1".split()
     names = ["-subj", "/CN=127.0.0.1", "-addext", "subjectAltName=IP:127.0.0.1"]
     files = ["-keyout", str(engine.folder / "key"), "-out", str(engine.folder / "cert")]
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of relays and their servers, and the fingerprint of a server."""
+"""Tests the configuration of relays and their servers, and the fingerprint of a server."""
 
 from dataclasses import fields, replace
 from pathlib import Path
@@ -32,12 +32,12 @@
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
-    kinds = [
+    fingerprints = [
         server_fingerprint(own),
         server_fingerprint(own, "another program"),
         *map(server_fingerprint, others),
     ]
-    assert len(set(kinds)) == len(kinds)
+    assert len(set(fingerprints)) == len(fingerprints)
 
 
 RELAY = 'store = ["127.0.0.1:1"]\nbound_ms = 3000\n[relay]\ncell = "a"\naddress = "127.0.0.1:2"\n'
@@ -93,9 +93,9 @@
         server.relays == ("127.0.0.1:2", "127.0.0.1:3") and not server.stores and not server.state_directory
     )
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\n')
-    alone = read_fleet(path)
-    assert alone.state_directory == tmp_path / "f" and not alone.rules.is_shared
-    assert alone.relay and alone.relay.listen == alone.relay.address
+    single = read_fleet(path)
+    assert single.state_directory == tmp_path / "f" and not single.rules.is_shared
+    assert single.relay and single.relay.listen == single.relay.address
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\nlisten = "0.0.0.0:4"\n')
     role = read_fleet(path).relay
     assert role and (role.address, role.listen) == ("127.0.0.1:2", "0.0.0.0:4")
@@ -117,7 +117,7 @@
         (["relay"], "Missing option"),
         (["status", "--fleet", str(server)], "store: a command needs the store's address"),
     ):
-        found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
-        assert found.exit_code == 2 and output in found.output, found.output
+        result = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
+        assert result.exit_code == 2 and output in result.output, result.output
     with pytest.raises(ConfigurationError, match="this file is a relay's"):
         ServerFiles(None, fleet=str(example)).read_fleet()
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -1,5 +1,5 @@
-"""Relays and servers of cells as processes, with their store: a change takes hold everywhere or nowhere, and
-nobody stops admitting when a relay, or the store, is lost."""
+"""Tests relays and servers of cells as processes, with their store: a change takes effect on all servers or
+on none, and servers keep admitting when a relay or the store fails."""
 
 from pathlib import Path
 
@@ -19,7 +19,7 @@
 
 
 async def wait_for_leader(cluster: CellCluster, cell: str) -> RelayProcess:
-    """Once one of them leads and may grant."""
+    """Waits until a relay leads the cell and may grant leases, and returns it."""
     with anyio.fail_after(WAIT_S):
         while True:
             for relay in cluster.relays:
@@ -30,7 +30,7 @@
 
 
 async def wait_for_lease(cluster: CellCluster, server: ServerProcess, relays: list[RelayProcess]) -> None:
-    """Until the server has a lease from one of these."""
+    """Waits until the server has a lease from one of these relays."""
     addresses = {relay.address for relay in relays}
     with anyio.fail_after(WAIT_S):
         while True:
@@ -44,12 +44,12 @@
 
 
 async def suspension_counts(cluster: CellCluster) -> list[int]:
-    """How often each server has stood aside: once, at its start."""
+    """Returns how often admission was suspended on each server; once is normal, at the start."""
     return [(await cluster.server_status(server))["counts"]["asides"] for server in cluster.servers]
 
 
 async def apply_change(cluster: CellCluster, number: int) -> None:
-    """A change is in force on all servers."""
+    """Proposes a change and checks that it takes effect on all servers."""
     declines = ("pay", "look")[number % 2]
     assert (
         await cluster.operators.wait_ended(cluster.operators.propose(number, declines, DEADLINE_S), WAIT_S)
@@ -59,16 +59,16 @@
 
 
 async def rejected_products(cluster: CellCluster) -> list[str]:
-    """What each server declines, looked at together."""
-    found = [""] * len(cluster.servers)
+    """Returns the product that each server rejects; all servers are queried concurrently."""
+    products = [""] * len(cluster.servers)
 
-    async def look(server: ServerProcess) -> None:
-        found[server.number] = await cluster.rejected_product(server)
+    async def query(server: ServerProcess) -> None:
+        products[server.number] = await cluster.rejected_product(server)
 
     async with anyio.create_task_group() as group:
         for server in cluster.servers:
-            group.start_soon(look, server)
-    return found
+            group.start_soon(query, server)
+    return products
 
 
 def test_servers_keep_serving_and_changes_take_effect_after_relay_and_store_failures(tmp_path: Path) -> None:
@@ -79,24 +79,24 @@
             leader = await wait_for_leader(cluster, "z")
             await apply_change(cluster, 1)
 
-            # A server's own no names the key, and nothing changes.
+            # A server's rejection names the key, and no policy changes.
             assert (
                 await cluster.operators.wait_ended(
                     cluster.operators.propose(2, "", DEADLINE_S, BAD_POLICY), WAIT_S
                 )
                 == ABORTED
             )
-            status = (tmp_path / "proposers.txt").read_text()
-            assert "products.nothing: no product is named so" in status
+            output = (tmp_path / "proposers.txt").read_text()
+            assert "products.nothing: no product is named so" in output
             assert await rejected_products(cluster) == ["look", "look"]
 
-            # A relay that is told to stop sends its servers on.
+            # A relay that is shut down sends its servers to the other relay.
             assert await cluster.stop_relay(leader) == 0
             second = await wait_for_leader(cluster, "z")
             assert second is not leader
             await apply_change(cluster, 4)
 
-            # One that is killed is found out by its servers; the other one takes the cell over.
+            # The servers of a killed relay notice the failure, and the other relay takes the cell over.
             await cluster.start_relays()
             for server in cluster.servers:
                 await wait_for_lease(cluster, server, cluster.relays)
@@ -108,7 +108,8 @@
                 )
             await apply_change(cluster, 5)
 
-            # Without the store all serve on: the cell of two by consent, the cell of one by its folder.
+            # All servers keep serving without the store: the cell of two relays by endorsement, the cell of
+            # one relay by its state directory.
             await cluster.start_relays()
             with anyio.fail_after(WAIT_S):
                 while (await cluster.relay_status(second)).get("consented_left_ms") != 0.0:
@@ -119,7 +120,9 @@
                     await anyio.sleep(0.05)
             assert (await cluster.relay_status(leader))["consent_left_ms"]
             single_relay = next(relay for relay in cluster.relays if relay.cell == "y")
-            assert (await cluster.relay_status(single_relay))["authority_left_ms"] == -1.0  # it has no end
+            assert (await cluster.relay_status(single_relay))[
+                "authority_left_ms"
+            ] == -1.0  # stands for an infinite time
             for server in cluster.servers:
                 await wait_for_lease(cluster, server, [*cell_z_relays, *cluster.relays])
             await cluster.store.restart()
@@ -133,9 +136,10 @@
 
 
 def test_fleet_migrates_to_cells_and_back_without_interruption(tmp_path: Path) -> None:
-    """docs/fleet.md, "Cells": somebody admits at each moment, and changes take hold between the steps."""
+    """Follows the migration steps of docs/fleet.md, "Cells": at least one server admits at any time, and
+    changes take effect between the steps."""
 
-    async def move(cluster: CellCluster, server: ServerProcess) -> None:
+    async def restart_with_new_file(cluster: CellCluster, server: ServerProcess) -> None:
         await cluster.drain(server)
         with anyio.fail_after(WAIT_S):
             while server.is_up:
@@ -154,19 +158,19 @@
             await apply_change(cluster, 1)
             for server in (first, second):
                 cluster.plain_servers.remove(server.number)
-                await move(cluster, server)
+                await restart_with_new_file(cluster, server)
                 assert (
                     await cluster.operators.wait_ended(cluster.operators.remove_server(server), WAIT_S) == 0
-                )  # its cell votes in its place
+                )  # the cell votes for the server from now on
                 await apply_change(cluster, 2 + server.number)
             status = cluster.operators.run("status")
             assert await cluster.operators.wait_ended(status, WAIT_S) == 0
             assert f"cell, led by {leader.address}" in (tmp_path / "proposers.txt").read_text()
             cluster.plain_servers.add(first.number)
-            await move(cluster, first)
+            await restart_with_new_file(cluster, first)
             await apply_change(cluster, 4)
             cluster.plain_servers.add(second.number)
-            await move(cluster, second)
+            await restart_with_new_file(cluster, second)
             for relay in cluster.relays:
                 assert await cluster.stop_relay(relay) == 0
             assert await cluster.operators.wait_ended(cluster.operators.run("gone", "z"), WAIT_S) == 0
