--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -142,7 +142,7 @@
             return -math.inf
         return self.member.authority_until(now)
 
-    def watched(self) -> tuple[str, ...]:
+    def watched_prefixes(self) -> tuple[str, ...]:
         """Returns the key prefixes of the store that this relay needs watches on now."""
         keys = self.member.keys
         return (keys.head, keys.votes, keys.queue) if self.member.is_leader else (keys.head,)
--- a/otterrudder/fleet/cell/service.py
+++ b/otterrudder/fleet/cell/service.py
@@ -208,7 +208,7 @@
 
     def _update_watches(self, group: anyio.abc.TaskGroup) -> None:
         """Starts and cancels watches, so that there is one watch on each prefix that the relay needs."""
-        prefixes = self.relay.watched()
+        prefixes = self.relay.watched_prefixes()
         for prefix in [prefix for prefix in self._watches if prefix not in prefixes]:
             self._watches.pop(prefix).cancel()
         for prefix in prefixes:
--- a/otterrudder/lab/fleet/cell_store.py
+++ b/otterrudder/lab/fleet/cell_store.py
@@ -46,7 +46,7 @@
     for host in state.relays:
         if not host.runs or not host.relay or host.is_receive_cut:
             continue
-        for prefix in host.relay.watched():
+        for prefix in host.relay.watched_prefixes():
             if any(write.key.startswith(prefix) for write in commit.writes):
                 host.relay.handle_watch_event(state.clock(host), prefix)
 
@@ -54,7 +54,7 @@
 def begin_watches(state: CellState, host: RelayHost) -> None:
     """The watches of a relay are begun anew."""
     if host.runs and host.relay:
-        for prefix in host.relay.watched():
+        for prefix in host.relay.watched_prefixes():
             host.relay.handle_watch_event(state.clock(host), prefix)
 
 
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -223,7 +223,7 @@
         relay = host.relay
         if not relay:
             return
-        wanted = frozenset(relay.watched())
+        wanted = frozenset(relay.watched_prefixes())
         if wanted == host.watching:
             return
         begun, host.watching = wanted - host.watching, wanted
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -142,7 +142,7 @@
 
     def _notify_watches(self, commit: Commit) -> None:
         for relay in self.relays.values():
-            for prefix in relay.watched():
+            for prefix in relay.watched_prefixes():
                 if any(write.key.startswith(prefix) for write in commit.writes):
                     relay.handle_watch_event(self.now, prefix)
 
@@ -179,14 +179,14 @@
         for address, relay in list(self.relays.items()):
             for effect in relay.effects(self.now):
                 is_busy = True
-                self._relay_effect(address, relay, effect)
+                self._perform_relay_effect(address, relay, effect)
         for name, server in list(self.servers.items()):
             for server_effect in server.effects(self.now):
                 is_busy = True
-                self._server_effect(name, server, server_effect)
+                self._perform_server_effect(name, server, server_effect)
         return is_busy
 
-    def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
+    def _perform_relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, SendToServer):
             if stream := self.streams.get(effect.connection):
                 self._deliver_to_server(stream, effect.message)
@@ -216,7 +216,7 @@
             self.refusals.append(message)
         self.servers[stream.server].handle_message(self.now, stream.connection, message)
 
-    def _server_effect(self, name: str, server: Participant, effect: ParticipantEffect) -> None:
+    def _perform_server_effect(self, name: str, server: Participant, effect: ParticipantEffect) -> None:
         if isinstance(effect, Connect):
             if effect.relay not in self.relays:
                 server.handle_disconnected(self.now, effect.connection)
--- a/tests/fleet/test_cell_endorsement.py
+++ b/tests/fleet/test_cell_endorsement.py
@@ -136,12 +136,12 @@
 
     endorsements_to_lose = 0
 
-    def _relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
+    def _perform_relay_effect(self, address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, PeerRequest) and self.endorsements_to_lose:
             endorsement = self.relays[effect.peer].handle_endorsement_request(self.now, effect.message)
             self.endorsements_to_lose -= endorsement.span_ms > 0
         else:
-            super()._relay_effect(address, relay, effect)
+            super()._perform_relay_effect(address, relay, effect)
 
 
 @pytest.mark.parametrize("lease_ms", [3000.0, 6000.0])
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -109,8 +109,10 @@
     leaders = [relay for relay in harness.relays.values() if relay.member.is_leader]
     assert len(leaders) == 1
     (leader,) = leaders
-    assert leader.watched() == (KEYS.head, KEYS.votes, KEYS.queue)
-    assert all(relay.watched() == (KEYS.head,) for relay in harness.relays.values() if relay is not leader)
+    assert leader.watched_prefixes() == (KEYS.head, KEYS.votes, KEYS.queue)
+    assert all(
+        relay.watched_prefixes() == (KEYS.head,) for relay in harness.relays.values() if relay is not leader
+    )
     harness.run(30_000.0)
     assert [relay for relay in harness.relays.values() if relay.member.is_leader] == [leader]
     coordinator = ChangeCoordinator(KEYS, "east", retains_leadership=True)
@@ -145,14 +147,14 @@
     harness = serving_fleet()
     (leader,) = [relay for relay in harness.relays.values() if relay.member.is_leader]
     reads: list[float] = []
-    begin = harness._relay_effect
+    perform = harness._perform_relay_effect
 
     def watch(address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, Read) and effect.lane is Lane.COORDINATE:
             reads.append(harness.now)
-        begin(address, relay, effect)
+        perform(address, relay, effect)
 
-    harness._relay_effect = watch  # type: ignore[method-assign]
+    harness._perform_relay_effect = watch  # type: ignore[method-assign]
     harness.propose("A")
     leader.member.reads.retry_at = harness.now + 1000.0  # the member's own reads are delayed
     harness.run(900.0)
--- a/tests/fleet/test_cell_relay.py
+++ b/tests/fleet/test_cell_relay.py
@@ -264,17 +264,17 @@
     harness = serving_fleet(rejections={"kind of north": "no"}, silent={"east-s0", "east-s1"})
     relay = harness.leader("east")
     delayed: list[Read] = []
-    begin = harness._relay_effect
+    perform = harness._perform_relay_effect
 
     def delay_reads(address: str, of: Relay, effect: RelayEffect) -> None:
         if of is relay and isinstance(effect, Read) and effect.lane is Lane.STORE:
             delayed.append(effect)
         else:
-            begin(address, of, effect)
+            perform(address, of, effect)
 
     harness.propose("A", "policy!")
     harness.run(VOTE_FIRST_MS + 50.0)  # from now on a watch event makes the relay read before it votes
-    harness._relay_effect = delay_reads  # type: ignore[method-assign]
+    harness._perform_relay_effect = delay_reads  # type: ignore[method-assign]
     relay.handle_watch_event(harness.now, KEYS.head)
     harness.run(0.0)
     harness.silent.clear()
@@ -286,7 +286,7 @@
     east = tuple(address for address in harness.relays if address.startswith("east"))
     harness.add_server("east-s2", east, "kind of north")
     harness.run(50.0)
-    harness._relay_effect = begin  # type: ignore[method-assign]
+    harness._perform_relay_effect = perform  # type: ignore[method-assign]
     sent_at = harness.now - 50.0
     relay.handle_result(harness.now, delayed[0], sent_at, harness.space.answer(harness.now, delayed[0]))
     harness.run(1000.0)
@@ -345,20 +345,20 @@
     relays = harness.add_cell("east", 1)
     harness.add_server("s0", relays)
     harness.run(5000.0)
-    begin = harness._relay_effect
+    perform = harness._perform_relay_effect
 
     def lose_votes(address: str, relay: Relay, effect: RelayEffect) -> None:
         if isinstance(effect, Commit) and effect.purpose == "vote":
             relay.handle_result(harness.now, effect, harness.now, None)
         else:
-            begin(address, relay, effect)
+            perform(address, relay, effect)
 
-    harness._relay_effect = lose_votes  # type: ignore[method-assign]
+    harness._perform_relay_effect = lose_votes  # type: ignore[method-assign]
     harness.propose("A", "policy!")
     harness.run(100.0)
     assert harness.disks[relays[0]].prepared_vote
     harness.remove_relay(relays[0])
-    harness._relay_effect = begin  # type: ignore[method-assign]
+    harness._perform_relay_effect = perform  # type: ignore[method-assign]
     harness.remove_server("s0")
     harness.add_server("s1", relays, "kind of north")
     harness.add_relay(relays[0], "east")
--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -20,7 +20,7 @@
 REFUSED = [CALM, CellRound(2, "pay", (CellFault("kind refuses"),), 0.5)]
 
 
-def details(run: CellRun) -> tuple[object, ...]:
+def failure_details(run: CellRun) -> tuple[object, ...]:
     return run.broken, run.check.violations, run.suspensions, run.result.rounds
 
 
@@ -32,9 +32,9 @@
         CellRound(4, "pay", (CellFault("relay killed at point", "c", point="before in force"),), 1.0),
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS)
-    assert not run.broken, details(run)
-    assert not run.result.missed, details(run)
-    assert [this.in_force for this in run.result.rounds] == [1, 0, 0, 1], details(run)
+    assert not run.broken, failure_details(run)
+    assert not run.result.missed, failure_details(run)
+    assert [cell_round.in_force for cell_round in run.result.rounds] == [1, 0, 0, 1], failure_details(run)
     assert run.quiet_rounds == 1 and run.check.figures["settled"] > 300
 
 
@@ -44,8 +44,8 @@
         CellRound(2, "pay", (CellFault("cell cut from store", "a"),), 4.5),
     ]
     run = perform_one(EXPERIMENT, "leave-out", 1, rounds, SERVERS)
-    assert not run.broken, details(run)
-    assert [this.in_force for this in run.result.rounds] == [1, 1], details(run)
+    assert not run.broken, failure_details(run)
+    assert [cell_round.in_force for cell_round in run.result.rounds] == [1, 1], failure_details(run)
 
 
 @pytest.mark.parametrize(
@@ -63,15 +63,17 @@
     mutants: CellMutants, rounds: list[CellRound], violation: str
 ) -> None:
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, mutants=mutants)
-    assert not run.result.missed, details(run)
-    assert any(line.startswith(violation) for line in run.broken), details(run)
+    assert not run.result.missed, failure_details(run)
+    assert any(line.startswith(violation) for line in run.broken), failure_details(run)
 
 
 def test_plan_is_determined_by_its_seed_and_contains_all_faults() -> None:
     plan = draw(3, CELLS, 12, 30, "wait")
     assert plan == draw(3, CELLS, 12, 30, "wait") != draw(4, CELLS, 12, 30, "wait")
-    drawn = {(f.kind, f.role, f.point) for this in draw(3, CELLS, 12, 150, "wait") for f in this.faults}
+    drawn = {
+        (f.kind, f.role, f.point) for cell_round in draw(3, CELLS, 12, 150, "wait") for f in cell_round.faults
+    }
     assert set(DECK) <= drawn
     left_out = draw(3, CELLS, 12, 150, "leave-out")
-    assert not any("consent" in fault.point for this in left_out for fault in this.faults)
-    assert all(len(this.faults) == 1 for this in plan if this.is_quiet)
+    assert not any("consent" in fault.point for cell_round in left_out for fault in cell_round.faults)
+    assert all(len(cell_round.faults) == 1 for cell_round in plan if cell_round.is_quiet)
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -154,7 +154,7 @@
 
 
 def test_server_refused_by_a_full_relay_connects_to_the_next(engine: Engine) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a", max_sessions=1) as first, cells.relay("b") as second:
             one, other = cells.server("one"), cells.server("other")
@@ -170,11 +170,11 @@
                     assert isinstance(answer, LeaseRefusal) and answer.reason is RefusalReason.FULL
                     assert answer.detail == f"{cells.addresses[0]} has its 1 sessions"
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_invalid_message_ends_only_its_own_stream_with_a_reason(engine: Engine) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service:
             agent = cells.server("one")
@@ -198,14 +198,14 @@
                 assert service.shown()["streams_failed"] == {"invalid_argument": 4}
                 await wait_until(lambda: len(service.relay.sessions) == service.shown()["streams"] == 1)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_server_connects_over_a_slow_link(engine: Engine) -> None:
     """If connection attempts were ended after 100 ms, a server could not reach a relay over a slow link, or
     one that is busy."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service, anyio.create_task_group() as group:
             link = Link(service.role.endpoint)
@@ -217,14 +217,14 @@
                 assert agent.counts["ended"] == 0
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_server_recovers_from_cancelled_connection_attempts(engine: Engine) -> None:
     """If the cancellation of a connection attempt ended the agent's task, the server would stay suspended
     forever without an error."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service, anyio.create_task_group() as group:
             links = [Link(service.role.endpoint) for _ in range(3)]
@@ -246,11 +246,11 @@
                     await wait_until(lambda: admits(agent))
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_unknown_protocol_wrong_fleet_and_renewal_before_registration_are_refused(engine: Engine) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service:
             for message, reason in (
@@ -266,7 +266,7 @@
                         assert await stream.read() is grpc.aio.EOF
                         assert await stream.code() is grpc.StatusCode.OK
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_flooding_server_and_silent_server_are_disconnected(
@@ -274,7 +274,7 @@
 ) -> None:
     monkeypatch.setattr("otterrudder.fleet.cell.streams.REGISTRATION_TIMEOUT_S", 0.2)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Cells(engine).relay("a") as service:
             async with raw_stream(service) as stream:
                 with anyio.fail_after(WAIT_S):
@@ -290,13 +290,13 @@
                     assert await stream.code() is not grpc.StatusCode.OK
             assert service.shown()["streams_failed"] == {"deadline_exceeded": 1, "resource_exhausted": 1}
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_slow_reader_is_disconnected_and_its_queue_is_dropped(engine: Engine) -> None:
     """The server does not read; policies of the maximum size are sent to it until its queue is full."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         async with cells.relay("a") as service:
             agent = cells.server("one")
@@ -314,11 +314,11 @@
                 assert service.shown()["streams_failed"] == {"resource_exhausted": 1}
                 assert len(service.relay.sessions) == 1 and admits(agent)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_policy_is_sent_to_all_servers_and_encoded_once(engine: Engine) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         text = "version = 1\n#" + "x" * (MAX_TEXT_BYTES - 20)
         async with cells.relay("a") as service:
@@ -331,7 +331,7 @@
                 assert sum(agent.counts["checked"] for agent in agents) == 3
                 assert service.shown()["versions"]
 
-    anyio.run(play)
+    anyio.run(scenario)
     encoder = MessageEncoder()
     first = encoder.encode(PolicyUpdate(1, "c", "d", "text"))
     assert encoder.encode(PolicyUpdate(1, "c", "d", "text")) is first
@@ -340,7 +340,7 @@
 def test_frozen_server_is_suspended_in_its_first_batch_and_slow_validation_does_not_block(
     engine: Engine,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine)
         orders: list[object] = []
 
@@ -371,11 +371,11 @@
                 began = clock.monotonic()
             assert clock.monotonic() - began < 900.0  # the agent does not wait for the validating thread
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_endorsement_method_refuses_invalid_requests(engine: Engine) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Cells(engine).relay("a") as service:
             channel = open_channel(service.fleet, service.role.address)
             call = channel.unary_unary(ENDORSE_METHOD)
@@ -392,7 +392,7 @@
             assert failed.value.code() is grpc.StatusCode.UNIMPLEMENTED
             await channel.close(None)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_client_without_a_valid_certificate_is_refused(engine: Engine) -> None:
@@ -413,7 +413,7 @@
         finally:
             await channel.close(None)
 
-    async def play() -> None:
+    async def scenario() -> None:
         cells = Cells(engine, tls)
         address = f"127.0.0.1:{free_port()}"
         fleet = cells.file("a", f'[relay]\ncell = "a"\naddress = "{address}"\nfolder = "state"\n')
@@ -429,19 +429,19 @@
                     await register_and_receive(service, other)
             service.stop()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_address_in_use_and_too_few_descriptors_are_errors(
     engine: Engine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Cells(engine).relay("a") as service:
             again = RelayService(service.fleet, service.role, Client(service.fleet), None, None)
             with pytest.raises(OSError, match=service.role.address):
                 again.listen()
 
-    anyio.run(play)
+    anyio.run(scenario)
     monkeypatch.setattr("resource.getrlimit", lambda what: (1000, 4096))
     check_descriptors(1000 - SPARE_STREAMS - SPARE_DESCRIPTORS)
     with pytest.raises(DescriptorLimitError, match="relay.sessions_most: 1000 .* RLIMIT_NOFILE allows 1000"):
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -72,7 +72,7 @@
 
 
 def test_servers_keep_serving_and_changes_take_effect_after_relay_and_store_failures(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = CellCluster(tmp_path, 2, CellLayout({"z": 2, "y": 1}))
         async with cluster.running():
             cell_z_relays = [relay for relay in cluster.relays if relay.cell == "z"]
@@ -132,7 +132,7 @@
         violations = check_run(cluster, RunResult()).check.violations
         assert not violations, violations
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_fleet_migrates_to_cells_and_back_without_interruption(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
         cluster.start_server(server)
         await cluster.wait_serving(server)
 
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = CellCluster(tmp_path, 2, CellLayout({"z": 2}))
         cluster.plain_servers = {0, 1}
         async with cluster.running():
@@ -185,4 +185,4 @@
         longest = max(later - earlier for earlier, later in zip(completed, completed[1:], strict=False))
         assert longest < 1000.0, longest
 
-    anyio.run(play)
+    anyio.run(scenario)
