--- a/otterrudder/drill/replies.py
+++ b/otterrudder/drill/replies.py
@@ -1,4 +1,4 @@
-"""The records of a reply on the simulator's wire, one for each command."""
+"""Encodes the records of a reply in the simulator's protocol, one record per command."""
 
 import struct
 from collections.abc import Callable
@@ -22,20 +22,20 @@
 _REJECT = struct.Struct(">HHQBI")
 _TEXT = struct.Struct(">HHH")
 
-Encoder = Callable[[int, Any], bytes]  # the instance and the command
+Encoder = Callable[[int, Any], bytes]  # parameters: the instance and the command
 
 
 def encode_command(instance: int, command: Command) -> bytes:
-    """The record of a command; there is none for `CloseConnections`."""
+    """Returns the record of a command. `CloseConnections` has no record."""
     return _ENCODERS[type(command)](instance, command)
 
 
 def encode_fatal(instance: int, text: str) -> bytes:
-    """The record of a failure of the controller itself."""
+    """Returns the record of an exception in the controller."""
     return _encode_text(_FATAL_CODE, instance, text)
 
 
-def _us(duration_ms: float) -> int:
+def _duration_us(duration_ms: float) -> int:
     return min(max(round(duration_ms * US_PER_MS), 0), MAX_U32)
 
 
@@ -49,7 +49,7 @@
 
 
 def _encode_schedule(instance: int, command: commands.ScheduleTick) -> bytes:
-    return _SCHEDULE.pack(65, instance, _us(command.delay_ms), 0)
+    return _SCHEDULE.pack(65, instance, _duration_us(command.delay_ms), 0)
 
 
 def _encode_advertise(instance: int, command: commands.AdvertiseLoad) -> bytes:
@@ -57,24 +57,26 @@
 
 
 def _encode_health(instance: int, command: commands.SetHealth) -> bytes:
-    return _HEALTH.pack(67, instance, command.is_healthy, True)  # True: answered without a run
+    return _HEALTH.pack(
+        67, instance, command.is_healthy, True
+    )  # True: health checks are answered without a run
 
 
 def _encode_call(instance: int, command: commands.CallDownstream) -> bytes:
-    return _REQUEST_DURATION.pack(70, instance, command.request_id, _us(command.timeout_ms))
+    return _REQUEST_DURATION.pack(70, instance, command.request_id, _duration_us(command.timeout_ms))
 
 
 def _encode_idle_timeout(instance: int, command: commands.SetIdleTimeout) -> bytes:
-    return _IDLE_TIMEOUT.pack(74, instance, _us(command.timeout_ms))
+    return _IDLE_TIMEOUT.pack(74, instance, _duration_us(command.timeout_ms))
 
 
 def _encode_reject(instance: int, command: commands.RejectRequest) -> bytes:
-    retry_after_us = _us(command.retry_after_ms)
+    retry_after_us = _duration_us(command.retry_after_ms)
     return _REJECT.pack(75, instance, command.request_id, command.is_final, retry_after_us)
 
 
 def _encode_retain(instance: int, command: commands.RetainKey) -> bytes:
-    return _REQUEST_DURATION.pack(78, instance, command.request_id, _us(command.retention_ms))
+    return _REQUEST_DURATION.pack(78, instance, command.request_id, _duration_us(command.retention_ms))
 
 
 def _encode_log(instance: int, command: commands.LogMessage) -> bytes:
--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -1,10 +1,10 @@
 """The actor of a server in a cell: performs the effects of the participant, and passes the resulting policy
 and admission status to the dispatcher.
 
-It has the same interface as the plain member's agent (`fleet/agent.py`). The dispatcher calls `pulse` at the
-start of each batch, so a process that was frozen notices the end of its lease before its first admission
-after it resumes. No request waits for a relay: streams run in their own tasks, and texts are validated in a
-thread."""
+It has the same interface as the plain member's agent (`fleet/agent.py`). The dispatcher calls `update_server`
+at the start of each batch, so a process that was frozen notices the end of its lease before its first
+admission after it resumes. No request waits for a relay: streams run in their own tasks, and texts are
+validated in a thread."""
 
 import functools
 import secrets
@@ -50,7 +50,7 @@
 
     # Called in the dispatcher's batch.
 
-    def pulse(self, now: float) -> None:
+    def update_server(self, now: float) -> None:
         """Passes the policy in force and the admission status to the server, before the batch's events are
         handled."""
         participant = self.participant
@@ -68,7 +68,7 @@
                 with anyio.move_on_after(min(max(wait_ms, MIN_SLEEP_MS), MAX_SLEEP_MS) / 1000):
                     await self._wakeup.wait()
 
-    def shown(self) -> dict[str, object]:
+    def control_status(self) -> dict[str, object]:
         """Returns the status that the control socket shows."""
         now = clock.monotonic()
         participant = self.participant
--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -68,7 +68,7 @@
         if not _is_open(member, self.poll.digest):
             # The change is no longer open. If it was committed, the servers can't reject it any more;
             # otherwise its outcome is unknown here.
-            is_in_force = member.policies.head > member.known.version
+            is_in_force = member.policies.newest_version > member.applied_policy.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
         connections = tuple(self.poll.next_requests(now, candidates))
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -324,7 +324,7 @@
         self._grant(now, session, sequence, span)
 
     def _grant(self, now: float, session: Session, sequence: int, span: float) -> None:
-        known = self.member.known
+        known = self.member.applied_policy
         self._push_policy(now, session)
         session.deferred_request = 0
         session.granted_until = now + span
@@ -353,7 +353,7 @@
         if not self.member.prepared_vote:
             return False
         voting = self.member.voting
-        return voting.vote_sent and voting.fresh_at < session.registered_at
+        return voting.vote_sent and voting.confirmed_open_at < session.registered_at
 
     def _authority_detail(self, now: float) -> str:
         if now < self.endorsement_giver.until:
@@ -362,7 +362,7 @@
 
     def _push_policy(self, now: float, session: Session) -> None:
         """Sends the policy in force to a server that uses an older version."""
-        known = self.member.known
+        known = self.member.applied_policy
         if not session.needs_policy(now, known.version):
             return
         session.pushed_version = known.version
@@ -424,8 +424,8 @@
             self._abstain_until(now + TAKEOVER_VOTE_DELAY_MS)
         self._was_leading = leads
         self._answer_deferred_requests(now)
-        if self.member.known is not self._pushed_policy:
-            self._pushed_policy = self.member.known
+        if self.member.applied_policy is not self._pushed_policy:
+            self._pushed_policy = self.member.applied_policy
             for session in self.sessions:
                 self._push_policy(now, session)
 
@@ -439,7 +439,7 @@
 
         It does not register, so that the leader can register again once the store answers."""
         self._abstain_until(self.endorsement_giver.until)
-        self.member.registration.registers_from = self.endorsement_giver.until
+        self.member.registration.register_not_before = self.endorsement_giver.until
 
     def _abstain_until(self, until: float) -> None:
         voting = self.member.voting
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -141,7 +141,7 @@
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         self.logged[text] = self.logged.get(text, 0) + 1
-        if text in ("less service", "more service"):
+        if text in ("service reduced", "service restored"):
             left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
             self.moves.append(Transition(now / 1000, server, left, entered, why))
 
@@ -196,7 +196,7 @@
             below_full=self.downstream.full / max(self.downstream.calls, 1),
             p50_ms=_quantile(statistics.times, 0.5),
             p99_ms=_quantile(statistics.times, 0.99),
-            failed_steps=float(self.logged.get("a command failed", 0)),
+            failed_steps=float(self.logged.get("admission command failed", 0)),
         )
         for n, product in enumerate(statistics.products):
             figures[f"served.{product.name}"] = statistics.served(n)
--- a/otterrudder/net/fleet_setup.py
+++ b/otterrudder/net/fleet_setup.py
@@ -1,4 +1,4 @@
-"""Connects the fleet's agent with the server. Imported only where there is a fleet file."""
+"""Connects the fleet's agent to the server. Imported only if a fleet file is configured."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.policy import Content, local_configuration_of
+from otterrudder.fleet.policy import PolicyContent, local_configuration_of
 from otterrudder.levels import LevelController
 from otterrudder.net.dispatcher import Dispatcher
 
@@ -16,12 +16,15 @@
 def create_agent(
     fleet: Fleet, configuration: Configuration, dispatcher: Dispatcher, level_spread: float
 ) -> Agent | CellAgent:
-    """The fleet's agent. What it decides goes to the core by the dispatcher, ahead of what arrives.
-    ConfigurationError: the state directory is another process's, or a file of keys can't be read."""
+    """Creates the fleet's agent. The agent passes its decisions to the core through the dispatcher, which
+    handles them before arrivals. Raises ConfigurationError if the state directory is in use by another
+    process or a key file cannot be read."""
     core = dispatcher.core
-    own = replace(local_configuration_of(configuration.settings), products=core.request_classes)
+    local_configuration = replace(
+        local_configuration_of(configuration.settings), products=core.request_classes
+    )
 
-    def apply_policy(content: Content) -> None:
+    def apply_policy(content: PolicyContent) -> None:
         dispatcher.post(
             core.update_policy,
             content.levels,
@@ -38,8 +41,10 @@
         return core.controller.load_report() if core.controller else {}
 
     try:
-        agent = make_agent(fleet, configuration.name, own, apply_policy, set_suspended, load_report)
+        agent = make_agent(
+            fleet, configuration.name, local_configuration, apply_policy, set_suspended, load_report
+        )
     except (DirectoryInUseError, OSError) as error:
         raise ConfigurationError(f"fleet: {error}") from None
-    dispatcher.batch_hooks.append(agent.pulse)
+    dispatcher.batch_hooks.append(agent.update_server)
     return agent
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -11,7 +11,7 @@
     RelayMessage,
 )
 from otterrudder.fleet.cell.relay import Relay
-from otterrudder.fleet.change import COUNT_MS, ChangeCoordinator, finish_change
+from otterrudder.fleet.change import COUNT_INTERVAL_MS, ChangeCoordinator, finish_change
 from otterrudder.fleet.effects import Commit, Lane, Read
 from otterrudder.fleet.queue import (
     PolicyInForce,
@@ -42,7 +42,7 @@
     assert open_next(view) is None
     harness.commit(withdraw_queued(view, "a"))
     assert [entry.id for entry in harness.view().queue] == ["m"]
-    with pytest.raises(QueueRejectedError, match="does not wait"):
+    with pytest.raises(QueueRejectedError, match="the change is not in the queue"):
         withdraw_queued(harness.view(), "a")
 
 
@@ -50,7 +50,9 @@
     harness = Harness()
     entry = encode_record(QueuedChange("x"))
     harness.space.commit((), tuple(Put(KEYS.queued(str(n)), entry) for n in range(MAX_QUEUED_CHANGES)))
-    with pytest.raises(QueueRejectedError, match=f"{MAX_QUEUED_CHANGES} changes wait already"):
+    with pytest.raises(
+        QueueRejectedError, match=f"the queue is full: {MAX_QUEUED_CHANGES} changes are already waiting"
+    ):
         enqueue(harness.view(), QueuedChange("y"), "text")
 
 
@@ -158,7 +160,7 @@
     harness.propose("A")
     leader.member.reads.retry_at = harness.now + 1000.0  # the member's own reads are delayed
     harness.run(900.0)
-    assert len(reads) <= 900.0 / COUNT_MS + 4  # + 4: watch events of the change and two votes
+    assert len(reads) <= 900.0 / COUNT_INTERVAL_MS + 4  # + 4: watch events of the change and two votes
 
 
 @pytest.mark.parametrize("held", [True, False])
@@ -170,7 +172,7 @@
         now = coordinator.due()
     assert isinstance(lead, Commit) and lead.purpose == "lead"
     assert coordinator.handle_result(now, lead, CommitResult(held, 9, 1)) is None
-    assert coordinator.due() >= now + COUNT_MS
+    assert coordinator.due() >= now + COUNT_INTERVAL_MS
 
 
 def run_changes(harness: Harness, count: int) -> None:
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -160,8 +160,8 @@
             one, other = cells.server("one"), cells.server("other")
             async with running(one), running(other):
                 assert (one.participant.relay, other.participant.relay) == tuple(cells.addresses)
-                assert first.shown()["refused"] == {"full": 1}
-                assert (first.shown()["sessions"], second.shown()["sessions"]) == (1, 1)
+                assert first.control_status()["refused"] == {"full": 1}
+                assert (first.control_status()["sessions"], second.control_status()["sessions"]) == (1, 1)
             async with raw_stream(first) as stream:
                 await wait_until(lambda: not first.relay.sessions)
                 async with running(cells.server("again")):
@@ -195,8 +195,10 @@
                     with anyio.fail_after(WAIT_S):
                         assert await stream.code() is not grpc.StatusCode.OK
                 assert admits(agent) and agent.counts["ended"] == 0
-                assert service.shown()["streams_failed"] == {"invalid_argument": 4}
-                await wait_until(lambda: len(service.relay.sessions) == service.shown()["streams"] == 1)
+                assert service.control_status()["streams_failed"] == {"invalid_argument": 4}
+                await wait_until(
+                    lambda: len(service.relay.sessions) == service.control_status()["streams"] == 1
+                )
 
     anyio.run(scenario)
 
@@ -288,7 +290,10 @@
                             await stream.read()
                 with anyio.fail_after(WAIT_S):  # the client's writes may fail before it reads the status
                     assert await stream.code() is not grpc.StatusCode.OK
-            assert service.shown()["streams_failed"] == {"deadline_exceeded": 1, "resource_exhausted": 1}
+            assert service.control_status()["streams_failed"] == {
+                "deadline_exceeded": 1,
+                "resource_exhausted": 1,
+            }
 
     anyio.run(scenario)
 
@@ -311,7 +316,7 @@
                         assert slow_stream._outgoing.qsize() <= 16
                     await anyio.sleep(0)
                 await wait_until(lambda: slow not in service._streams)
-                assert service.shown()["streams_failed"] == {"resource_exhausted": 1}
+                assert service.control_status()["streams_failed"] == {"resource_exhausted": 1}
                 assert len(service.relay.sessions) == 1 and admits(agent)
 
     anyio.run(scenario)
@@ -329,7 +334,7 @@
                 assert all(admits(agent) for agent in agents)
                 # Each server validates the text once; the one that was asked earlier reuses its result.
                 assert sum(agent.counts["checked"] for agent in agents) == 3
-                assert service.shown()["versions"]
+                assert service.control_status()["versions"]
 
     anyio.run(scenario)
     encoder = MessageEncoder()
@@ -352,9 +357,9 @@
             agent = cells.server("one", validate)
             agent.control_sender.control = ServerControl(orders.append, orders.append)
             async with running(agent):
-                agent.pulse(clock.monotonic())
-                agent.pulse(clock.monotonic() + 60_000.0)
-                agent.pulse(clock.monotonic())
+                agent.update_server(clock.monotonic())
+                agent.update_server(clock.monotonic() + 60_000.0)
+                agent.update_server(clock.monotonic())
                 assert orders == ["", False, True, False]
                 await apply_policy(engine, "version = 1")
                 await wait_until(lambda: agent.participant.validation.task)
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -31,7 +31,7 @@
 def test_fingerprint_depends_on_the_configuration_and_the_program_version() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
-    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, shares_below=False)]
+    others = [replace(own, servers=4), replace(own, tenants=()), replace(own, has_shared_downstream=False)]
     fingerprints = [
         server_fingerprint(own),
         server_fingerprint(own, "another program"),
@@ -50,17 +50,26 @@
         (SERVER, "server_lease_ms: 3000 is not between 1000 and bound_ms (2000)"),
         (SERVER + "server_lease_ms = 999", "server_lease_ms: 999 is not"),
         (SERVER + 'bound_ms = 3000\nstart = "folder"', "start: "),
-        (SERVER + 'bound_ms = 3000\nfolder = "f"', "folder: a server with relays keeps nothing"),
-        ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is no address and port"),
+        (
+            SERVER + 'bound_ms = 3000\nfolder = "f"',
+            "folder: not allowed with relays: a server of a cell saves no state",
+        ),
+        ('bound_ms = 3000\nrelays = ["a"]', "relays: 'a' is not an address of the form host:port"),
         ('bound_ms = 3000\nrelays = ["a:0"]', "relays: 'a:0'"),
         ('bound_ms = 3000\nrelays = ["a:1", "a:1"]', "relays: an address is listed twice"),
-        ('bound_ms = 3000\nrelays = ["a:1"]\n[relay]\ncell = "a"\naddress = "a:1"', "relays: a server's"),
+        (
+            'bound_ms = 3000\nrelays = ["a:1"]\n[relay]\ncell = "a"\naddress = "a:1"',
+            "relays: only allowed in a server's file",
+        ),
         (RELAY, 'relay.folder: the folder is required with absent = "wait" and one relay'),
         (
             RELAY + 'candidates = ["127.0.0.1:3"]',
             "relay.candidates: the list does not contain this relay's own address",
         ),
-        (RELAY + 'folder = "f"\nlisten = "0.0.0.0"', "relay.listen: '0.0.0.0' is no address and port"),
+        (
+            RELAY + 'folder = "f"\nlisten = "0.0.0.0"',
+            "relay.listen: '0.0.0.0' is not an address of the form host:port",
+        ),
         (
             RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]\nfolder = "f"',
             "relay.folder: not allowed with several relays",
@@ -69,10 +78,10 @@
         (RELAY + 'folder = "f"\nother = 1', ".relay: Object contains unknown field `other`"),
         (RELAY.replace('"a"', '"a/b"') + 'folder = "f"', "relay.cell"),
         (RELAY.replace("127.0.0.1:2", "nowhere") + 'folder = "f"', "relay.address"),
-        ('folder = "g"\n' + RELAY + 'folder = "f"', "folder: a relay's is in its table [relay]"),
+        ('folder = "g"\n' + RELAY + 'folder = "f"', "folder: a relay sets it in the table [relay]"),
         ('start = "folder"\n' + RELAY + 'candidates = ["127.0.0.1:2", "127.0.0.1:3"]', "start: "),
-        (RELAY + 'folder = "f"\n[tls]\nca = "c"', "tls: a relay shows"),
-        ("", "store: from 1 to 9"),
+        (RELAY + 'folder = "f"\n[tls]\nca = "c"', "tls: a relay needs cert and key"),
+        ("", "store: must have 1 to 9"),
     ],
 )
 def test_invalid_configuration_is_rejected_with_the_key_in_the_error(
@@ -119,5 +128,5 @@
     ):
         result = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
         assert result.exit_code == 2 and output in result.output, result.output
-    with pytest.raises(ConfigurationError, match="this file is a relay's"):
+    with pytest.raises(ConfigurationError, match="relay: this file configures a relay, not a server"):
         ServerFiles(None, fleet=str(example)).read_fleet()
--- a/tests/fleet/test_relay_processes.py
+++ b/tests/fleet/test_relay_processes.py
@@ -87,7 +87,7 @@
                 == ABORTED
             )
             output = (tmp_path / "proposers.txt").read_text()
-            assert "products.nothing: no product is named so" in output
+            assert "products.nothing: no product has this name" in output
             assert await rejected_products(cluster) == ["look", "look"]
 
             # A relay that is shut down sends its servers to the other relay.
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import SETTINGS
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 pytestmark = pytest.mark.exclusive
 
@@ -36,7 +36,7 @@
     bad = server.connect_gateway()
     for fields in BAD_FIELDS:
         rude = server.connect_gateway()
-        rude.send_request(**({"call": B, "product": "pay", "dedupe": MARK} | fields))
+        rude.send_request(**({"call": B, "product": "pay", "dedupe": IDEMPOTENCY_KEY} | fields))
         assert rude.read_answer()["error"]["code"] == -32602, fields
         rude.close()
     for line, code in BAD_LINES.items():
@@ -45,7 +45,11 @@
         assert rude.read_answer()["error"]["code"] == code, line
         rude.close()
     bad.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # no id to answer under
-    assert bad.read_answer() == {"jsonrpc": "2.0", "id": None, "error": {"code": -32600, "message": "no id"}}
+    assert bad.read_answer() == {
+        "jsonrpc": "2.0",
+        "id": None,
+        "error": {"code": -32600, "message": "id is missing"},
+    }
     complete_request(runtime, bad, A)
     bad.send_request(B)
     runtime.expect_command("start", B)
@@ -94,7 +98,7 @@
 def test_a_33rd_open_request_is_turned_away(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     for n in range(33):
-        gateway.send_request(f"{n:016x}", "pay", dedupe=MARK)
+        gateway.send_request(f"{n:016x}", "pay", dedupe=IDEMPOTENCY_KEY)
     answer = gateway.read_answer()
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
@@ -120,7 +124,7 @@
     with ServerProcess(tmp_path, descriptors=40) as server:  # fewer than the configuration says
         runtime, gateway = server.connect_all()
         many = [socket.create_connection(server.address) for _ in range(60)]
-        server.wait_for_log("cannot accept", lambda: runtime.answer_gauges(1))
+        server.wait_for_log("cannot accept connections", lambda: runtime.answer_gauges(1))
         before = cpu_ticks(server.process.pid)
         runtime.answer_gauges(25)  # about a second of rings
         assert cpu_ticks(server.process.pid) - before < 60  # of 100 a second
