--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -55,7 +55,7 @@
         handled."""
         participant = self.participant
         admission_status = participant.admission_status(now)
-        self.control_sender.send(participant.known, admission_status, participant.status_detail)
+        self.control_sender.send(participant.applied_policy, admission_status, participant.status_detail)
 
     # The agent's own tasks.
 
@@ -84,9 +84,9 @@
             standing=admission_status.label,
             admits=admission_status.admits,
             why=participant.status_detail or admission_status.description,
-            version=participant.known.version,
-            digest=participant.known.digest,
-            head=participant.head,
+            version=participant.applied_policy.version,
+            digest=participant.applied_policy.digest,
+            head=participant.newest_version,
             lease_left_ms=round(max(participant.lease.until - now, 0.0), 1),
             counts=self.counts | {"asides": self.control_sender.suspensions},
         )
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -58,15 +58,15 @@
     __slots__ = (
         "_effects",
         "_is_open",
-        "_relay_mistrust",
+        "_relay_distrust_reason",
         "_renew_at",
         "_answer_deadline",
         "_rejection",
         "connection",
         "has_held_lease",
-        "head",
+        "newest_version",
         "identity",
-        "known",
+        "applied_policy",
         "lease",
         "refusal",
         "requests",
@@ -81,8 +81,8 @@
         """`relays`: addresses in the order in which they are tried. `span_ms`: span of a full lease."""
         self.identity = identity
         self.span_ms = span_ms
-        self.known = Policy()  # policy that the server uses
-        self.head = 0  # newest version that a relay has announced
+        self.applied_policy = Policy()  # policy that the server uses
+        self.newest_version = 0  # newest version that a relay has announced
         self.has_held_lease = False  # whether the process has held a lease since its start
         self.lease = ServerLease()
         self.requests = PendingRequests()
@@ -90,11 +90,11 @@
         self.validation = TextValidation()
         self.connection = 0  # number of the current connection; 0: none
         self.refusal = ""  # why the last relay granted no lease
-        self._relay_mistrust = ""  # why the last relay was not trusted
+        self._relay_distrust_reason = ""  # why the last relay was not trusted
         self._is_open = False
         self._renew_at = math.inf
         self._answer_deadline = math.inf
-        self._rejection = ""  # why the server rejects the policy in `known`
+        self._rejection = ""  # why the server rejects the policy in `applied_policy`
         self._effects: list[ParticipantEffect] = []
 
     # State.
@@ -107,16 +107,20 @@
             return AdmissionStatus.POLICY_REJECTED
         if now < self.lease.until:
             return AdmissionStatus.SERVING
-        return AdmissionStatus.OUTDATED if self.head > self.known.version else AdmissionStatus.LEASE_EXPIRED
+        return (
+            AdmissionStatus.OUTDATED
+            if self.newest_version > self.applied_policy.version
+            else AdmissionStatus.LEASE_EXPIRED
+        )
 
     def admits(self, now: float) -> int | None:
         """Returns the version under which the server admits; None if it may not admit."""
-        return self.known.version if self.admission_status(now).admits else None
+        return self.applied_policy.version if self.admission_status(now).admits else None
 
     @property
     def status_detail(self) -> str:
         """Details of the admission status, for operators."""
-        return self._rejection or self._relay_mistrust or self.refusal
+        return self._rejection or self._relay_distrust_reason or self.refusal
 
     @property
     def relay(self) -> str:
@@ -160,7 +164,7 @@
             identity.incarnation,
             identity.fingerprint,
             identity.zone,
-            self.known.version,
+            self.applied_policy.version,
         )
         self._send(registration)
 
@@ -204,13 +208,13 @@
         sent_at = self.requests.pop(grant.sequence)
         if sent_at is None:
             return
-        if mistrust := self._mistrust_reason(grant.version, grant.change):
-            self._mistrust_relay(now, mistrust)
+        if distrust := self._distrust_reason(grant.version, grant.change):
+            self._leave_untrusted_relay(now, distrust)
             return
-        self._relay_mistrust = ""
+        self._relay_distrust_reason = ""
         self.refusal = ""
         self.has_held_lease = True
-        self.head = max(self.head, grant.version)
+        self.newest_version = max(self.newest_version, grant.version)
         self._extend_lease(grant.version, sent_at + grant.span_ms * TRUSTED_SHARE)
         self.selector.confirm()
         span = min(grant.span_ms, self.span_ms)  # a lease with a shorter span is renewed earlier
@@ -221,18 +225,20 @@
         self.selector.schedule_return_to_preferred(now, self._jitter("home"))
 
     def _extend_lease(self, version: int, until: float) -> None:
-        self.lease.extend(self.known.version, version, until)
+        self.lease.extend(self.applied_policy.version, version, until)
 
-    def _mistrust_reason(self, version: int, change: str) -> str:
+    def _distrust_reason(self, version: int, change: str) -> str:
         """Returns why a relay that announces this version is not trusted, "" if it is."""
-        if version < self.head:
-            return f"{self.relay} announced version {version}, which is older than version {self.head}"
-        if version == self.known.version and change != self.known.change:
+        if version < self.newest_version:
+            return (
+                f"{self.relay} announced version {version}, which is older than version {self.newest_version}"
+            )
+        if version == self.applied_policy.version and change != self.applied_policy.change:
             return f"{self.relay} announced a different change as version {version}"
         return ""
 
-    def _mistrust_relay(self, now: float, reason: str) -> None:
-        self._relay_mistrust = reason
+    def _leave_untrusted_relay(self, now: float, reason: str) -> None:
+        self._relay_distrust_reason = reason
         self._leave_relay(now)
 
     def _handle_refusal(self, now: float, refusal: LeaseRefusal) -> None:
@@ -249,13 +255,13 @@
     # Policy texts.
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
-        if update.version <= self.known.version:
+        if update.version <= self.applied_policy.version:
             return
         if digest_of(update.text) != update.digest:
             detail = f"{self.relay}: the text of version {update.version} does not match its digest"
-            self._mistrust_relay(now, detail)
+            self._leave_untrusted_relay(now, detail)
             return
-        self.head = max(self.head, update.version)
+        self.newest_version = max(self.newest_version, update.version)
         self.validation.add_update(update)
         self._switch_version()
         self._validate_next()
@@ -263,7 +269,7 @@
     def _handle_validation_request(self, now: float, request: ValidationRequest) -> None:
         if digest_of(request.text) != request.digest:
             detail = f"{self.relay}: the text of a validation request does not match its digest"
-            self._mistrust_relay(now, detail)
+            self._leave_untrusted_relay(now, detail)
             return
         rejection = self.validation.result(request.digest)
         if rejection is not None:
@@ -273,17 +279,17 @@
         self._validate_next()
 
     def _validate_next(self) -> None:
-        if task := self.validation.begin_next(self.known.version):
+        if task := self.validation.begin_next(self.applied_policy.version):
             self._effects.append(task)
 
     def _switch_version(self) -> None:
         """Switches to the newest version whose text has been received and validated."""
         for update in self.validation.validated_updates():
-            if update.version > self.known.version:
-                self.known = Policy(update.version, update.change, update.digest, update.text)
+            if update.version > self.applied_policy.version:
+                self.applied_policy = Policy(update.version, update.change, update.digest, update.text)
                 self._rejection = self.validation.result(update.digest) or ""
                 self.lease.adopt(update.version)
-        self.validation.drop_updates(self.known.version)
+        self.validation.drop_updates(self.applied_policy.version)
 
     # The connection to a relay.
 
@@ -315,7 +321,7 @@
 
     def _renew(self, now: float) -> None:
         admission_status = self.admission_status(now).label
-        self._send(LeaseRenewal(self._begin_request(now), self.known.version, admission_status))
+        self._send(LeaseRenewal(self._begin_request(now), self.applied_policy.version, admission_status))
 
     def _begin_request(self, now: float) -> int:
         """Records a request that is sent now and returns its sequence number."""
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -60,18 +60,18 @@
 class GoesBackAVersion(Participant):
     """Trusts the last relay that sent a message."""
 
-    def _mistrust_reason(self, version: int, change: str) -> str:
-        self.head = version
+    def _distrust_reason(self, version: int, change: str) -> str:
+        self.newest_version = version
         return ""
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
-        if update.version < self.known.version:
-            self.known = replace(self.known, version=update.version - 1)
+        if update.version < self.applied_policy.version:
+            self.applied_policy = replace(self.applied_policy, version=update.version - 1)
         super()._handle_update(now, update)
 
     def _handle_grant(self, now: float, grant: LeaseGrant) -> None:
-        if grant.version < self.known.version and grant.sequence in self.requests:
-            self.known = replace(self.known, version=grant.version, change=grant.change)
+        if grant.version < self.applied_policy.version and grant.sequence in self.requests:
+            self.applied_policy = replace(self.applied_policy, version=grant.version, change=grant.change)
         super()._handle_grant(now, grant)
 
 
@@ -79,8 +79,8 @@
     """Switches to a text as it comes."""
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
-        if update.version > self.known.version:
-            self.head = max(self.head, update.version)
+        if update.version > self.applied_policy.version:
+            self.newest_version = max(self.newest_version, update.version)
             self.validation._updates[update.digest] = update
             self.validation._results[update.digest] = ""
             self._switch_version()
@@ -90,8 +90,8 @@
     """Takes a damaged text for the one that its digest names."""
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
-        if update.version > self.known.version:
-            self.head = max(self.head, update.version)
+        if update.version > self.applied_policy.version:
+            self.newest_version = max(self.newest_version, update.version)
             self.validation._updates[update.digest] = update
             self._switch_version()
             self._validate_next()
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -134,7 +134,7 @@
         for effect in effects:
             _carry_out_server_effect(state, place, host, effect)
     if host.server:
-        host.newest = max(host.newest, host.server.known.version)
+        host.newest = max(host.newest, host.server.applied_policy.version)
     return is_busy
 
 
--- a/otterrudder/lab/fleet/cell_promises.py
+++ b/otterrudder/lab/fleet/cell_promises.py
@@ -16,7 +16,7 @@
 
 
 def _server_violation(state: CellState, host: ServerHost, server: Participant) -> str:
-    known = server.known
+    known = server.applied_policy
     if known.version < host.newest:
         return f"it has gone back from version {host.newest} to {known.version}"
     version = server.admits(state.clock(host))
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -63,11 +63,11 @@
     server = host.server
     assert server
     status = server.admission_status(state.clock(host))
-    if status is AdmissionStatus.POLICY_REJECTED and host.rejection_of(server.known.text):
+    if status is AdmissionStatus.POLICY_REJECTED and host.rejection_of(server.applied_policy.text):
         return ""
     if server.admits(state.clock(host)) == version:
         return ""
-    return f"{host.name} {status.name} {server.known.version}/{version}"
+    return f"{host.name} {status.name} {server.applied_policy.version}/{version}"
 
 
 def _violation_without_store(state: CellState) -> str:
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -193,7 +193,7 @@
 
     def _note(self, host: ServerHost, participant: Participant) -> None:
         """What it goes by from now on."""
-        version = participant.known.version
+        version = participant.applied_policy.version
         if version != host.version:
             until = min(self._events.now, host.lease_until)
             self._history.left(host.version, version, until)
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -148,7 +148,7 @@
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
     assert server.relay == "b"
-    assert server._relay_mistrust == "a announced version 0, which is older than version 1"
+    assert server._relay_distrust_reason == "a announced version 0, which is older than version 1"
     assert server.lease.until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
@@ -158,7 +158,9 @@
     receive_valid_text(server, 0.0, 1, "one")
     server.effects(server.due())
     server.handle_message(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
-    assert server.relay == "b" and server._relay_mistrust == "a announced a different change as version 1"
+    assert (
+        server.relay == "b" and server._relay_distrust_reason == "a announced a different change as version 1"
+    )
 
 
 def test_old_version_is_used_only_until_its_lease_ends() -> None:
@@ -183,8 +185,8 @@
     server = participant()
     connect(server)
     server.handle_message(0.0, 1, in_force(1, "damaged", digest_of("one")))
-    assert server.relay == "b" and server.head == 0
-    assert server._relay_mistrust == "a: the text of version 1 does not match its digest"
+    assert server.relay == "b" and server.newest_version == 0
+    assert server._relay_distrust_reason == "a: the text of version 1 does not match its digest"
 
 
 def test_server_stops_admitting_when_it_rejects_the_policy_in_force() -> None:
@@ -276,7 +278,7 @@
     connect(server)
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
     assert not [effect for effect in server.effects(0.0) if isinstance(effect, ValidateText)]
-    assert server.relay == "b" and "does not match its digest" in server._relay_mistrust
+    assert server.relay == "b" and "does not match its digest" in server._relay_distrust_reason
 
 
 def test_long_rejection_is_truncated_to_the_maximum_that_a_relay_accepts() -> None:
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -330,7 +330,9 @@
             agents = [cells.server(f"n{number}") for number in range(3)]
             async with running(*agents):
                 await apply_policy(engine, text)
-                await wait_until(lambda: all(agent.participant.known.text == text for agent in agents))
+                await wait_until(
+                    lambda: all(agent.participant.applied_policy.text == text for agent in agents)
+                )
                 assert all(admits(agent) for agent in agents)
                 # Each server validates the text once; the one that was asked earlier reuses its result.
                 assert sum(agent.counts["checked"] for agent in agents) == 3
@@ -369,7 +371,7 @@
                     now = clock.monotonic()
                     worst, before = max(worst, now - before), now
                 assert worst < 400.0
-                await wait_until(lambda: agent.participant.known.version == 1)
+                await wait_until(lambda: agent.participant.applied_policy.version == 1)
                 agent.participant._effects.append(ValidateText("d", "another text"))
                 agent._wakeup.set()
                 await wait_until(lambda: agent.counts["checks_begun"] == 2)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -67,7 +67,7 @@
     __slots__ = ()
 
     def admits(self, now: float) -> int | None:
-        return self.known.version if self.has_held_lease else None
+        return self.applied_policy.version if self.has_held_lease else None
 
 
 class GrantsPastAuthority(Relay):
