--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -98,7 +98,7 @@
                 self._begin(group, effect)
             return self.participant.due() - clock.monotonic()
         except Exception:  # an error here must not end the server; the next call decides again
-            log.exception("fleet agent: unexpected error", of="effects")
+            log.exception("the fleet agent failed", of="effects")
             return ERROR_RETRY_MS
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: ParticipantEffect) -> None:
@@ -134,7 +134,7 @@
         except* (StreamClosedError, InvalidMessageError) as errors:
             log.info("stream to the relay ended", relay=effect.relay, why=str(errors.exceptions[0]))
         except* Exception:
-            log.exception("fleet agent: unexpected error", of="stream")
+            log.exception("the fleet agent failed", of="stream")
         finally:
             self._streams.pop(connection, None)
             self._scopes.pop(connection, None)
--- a/otterrudder/fleet/cell/cell_validation.py
+++ b/otterrudder/fleet/cell/cell_validation.py
@@ -67,7 +67,7 @@
             return NO_STEP
         if not _is_open(member, self.poll.digest):
             # The change is no longer open. If it was committed, the servers can't reject it any more;
-            # otherwise its outcome is unknown here.
+            # otherwise this relay does not know the outcome.
             is_in_force = member.policies.newest_version > member.applied_policy.version
             return ValidationStep(is_finished=True, result="" if is_in_force else None)
         candidates = list(sessions.candidates(now))
--- a/otterrudder/fleet/cell/messages.py
+++ b/otterrudder/fleet/cell/messages.py
@@ -117,7 +117,7 @@
     fleet: str
     cell: str
     sender: str
-    candidates: tuple[str, ...]  # all relays of the cell, sorted
+    candidates: tuple[str, ...]  # addresses of all relays of the cell, sorted
 
 
 class Endorsement(_Message, frozen=True, tag="Consent"):
--- a/otterrudder/fleet/cell/participant.py
+++ b/otterrudder/fleet/cell/participant.py
@@ -311,7 +311,7 @@
         self._try_next_relay(now)
 
     def _return_to_preferred(self, now: float) -> None:
-        """Connects to the first address again; the current lease stays valid meanwhile."""
+        """Connects to the first address again; the current lease stays valid in the meantime."""
         self._disconnect()
         self.selector.return_to_preferred(now)
 
--- a/otterrudder/fleet/cell/relay.py
+++ b/otterrudder/fleet/cell/relay.py
@@ -324,11 +324,11 @@
         self._grant(now, session, sequence, span)
 
     def _grant(self, now: float, session: Session, sequence: int, span: float) -> None:
-        known = self.member.applied_policy
+        policy = self.member.applied_policy
         self._push_policy(now, session)
         session.deferred_request = 0
         session.granted_until = now + span
-        self._send(session.connection, LeaseGrant(sequence, known.version, known.change, span))
+        self._send(session.connection, LeaseGrant(sequence, policy.version, policy.change, span))
 
     def _is_reregistering(self, now: float) -> bool:
         """Whether this relay has lost its store lease, but the endorsements still keep other relays from
@@ -362,12 +362,12 @@
 
     def _push_policy(self, now: float, session: Session) -> None:
         """Sends the policy in force to a server that uses an older version."""
-        known = self.member.applied_policy
-        if not session.needs_policy(now, known.version):
+        policy = self.member.applied_policy
+        if not session.needs_policy(now, policy.version):
             return
-        session.pushed_version = known.version
+        session.pushed_version = policy.version
         session.pushed_at = now
-        update = PolicyUpdate(known.version, known.change, known.digest, known.text)
+        update = PolicyUpdate(policy.version, policy.change, policy.digest, policy.text)
         self._send(session.connection, update)
 
     def _refuse(self, connection: int, sequence: int, reason: RefusalReason, detail: str = "") -> None:
