--- a/tests/fleet/test_cells_processes.py
+++ b/tests/fleet/test_cells_processes.py
@@ -1,5 +1,5 @@
-"""Cells as processes with faults between all of them: what they promise holds, and a relay or a server with
-one rule left out is found from the wire."""
+"""Tests cells as processes with network and process faults: the guarantees hold, and the history checker
+finds a relay or a server in which one rule is disabled."""
 
 from pathlib import Path
 
@@ -20,11 +20,11 @@
 REFUSED = [CALM, CellRound(2, "pay", (CellFault("kind refuses"),), 0.5)]
 
 
-def details(run: CellRun) -> tuple[object, ...]:
+def failure_details(run: CellRun) -> tuple[object, ...]:
     return run.broken, run.check.violations, run.suspensions, run.result.rounds
 
 
-def test_what_cells_promise_holds_under_wait() -> None:
+def test_cells_keep_their_guarantees_under_wait() -> None:
     rounds = [
         CellRound(1, "look", (CellFault("relay halted at point", "a", point="after vote"),), 3.0),
         CellRound(2, "pay", (CellFault("kind refuses"),), 0.5),
@@ -32,24 +32,24 @@
         CellRound(4, "pay", (CellFault("relay killed at point", "c", point="before in force"),), 1.0),
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS)
-    assert not run.broken, details(run)
-    assert not run.result.missed, details(run)
-    assert [this.in_force for this in run.result.rounds] == [1, 0, 0, 1], details(run)
+    assert not run.broken, failure_details(run)
+    assert not run.result.missed, failure_details(run)
+    assert [cell_round.in_force for cell_round in run.result.rounds] == [1, 0, 0, 1], failure_details(run)
     assert run.quiet_rounds == 1 and run.check.figures["settled"] > 300
 
 
-def test_what_cells_promise_holds_under_leave_out() -> None:
+def test_cells_keep_their_guarantees_under_leave_out() -> None:
     rounds = [
         CALM,
         CellRound(2, "pay", (CellFault("cell cut from store", "a"),), 4.5),
     ]
     run = perform_one(EXPERIMENT, "leave-out", 1, rounds, SERVERS)
-    assert not run.broken, details(run)
-    assert [this.in_force for this in run.result.rounds] == [1, 1], details(run)
+    assert not run.broken, failure_details(run)
+    assert [cell_round.in_force for cell_round in run.result.rounds] == [1, 1], failure_details(run)
 
 
 @pytest.mark.parametrize(
-    ("mutants", "rounds", "says"),
+    ("mutants", "rounds", "violation"),
     [
         (CellMutants(server="ignores its lease's end"), CUT_OFF, "wrong version"),
         (
@@ -59,19 +59,21 @@
         ),
     ],
 )
-def test_the_history_checker_finds_what_is_left_out(
-    mutants: CellMutants, rounds: list[CellRound], says: str
+def test_history_checker_finds_a_missing_rule(
+    mutants: CellMutants, rounds: list[CellRound], violation: str
 ) -> None:
     run = perform_one(EXPERIMENT, "wait", 1, rounds, SERVERS, mutants=mutants)
-    assert not run.result.missed, details(run)
-    assert any(line.startswith(says) for line in run.broken), details(run)
+    assert not run.result.missed, failure_details(run)
+    assert any(line.startswith(violation) for line in run.broken), failure_details(run)
 
 
-def test_a_plan_is_its_seed_s_and_deals_all_faults() -> None:
+def test_plan_is_determined_by_its_seed_and_contains_all_faults() -> None:
     plan = draw(3, CELLS, 12, 30, "wait")
     assert plan == draw(3, CELLS, 12, 30, "wait") != draw(4, CELLS, 12, 30, "wait")
-    drawn = {(f.kind, f.role, f.point) for this in draw(3, CELLS, 12, 150, "wait") for f in this.faults}
+    drawn = {
+        (f.kind, f.role, f.point) for cell_round in draw(3, CELLS, 12, 150, "wait") for f in cell_round.faults
+    }
     assert set(DECK) <= drawn
     left_out = draw(3, CELLS, 12, 150, "leave-out")
-    assert not any("consent" in fault.point for this in left_out for fault in this.faults)
-    assert all(len(this.faults) == 1 for this in plan if this.is_quiet)
+    assert not any("consent" in fault.point for cell_round in left_out for fault in cell_round.faults)
+    assert all(len(cell_round.faults) == 1 for cell_round in plan if cell_round.is_quiet)
