--- a/otterrudder/cli/__init__.py
+++ b/otterrudder/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: serve (also without a command), check, levels, migrate, vrrp, fleet, lab and version.
+"""The command line: serve (the default), check, levels, migrate, vrrp, fleet, lab and version.
 
-Each group has a module of its own, imported when the group is called: `serve` neither pays for the lab's
-libraries nor needs them."""
+The module of a command is imported only when the command is used, so `serve` does not load the libraries of
+the lab and works without them."""
 
 import importlib
 import sys
@@ -13,7 +13,7 @@
 
 
 class _LazyCommand(NamedTuple):
-    """The module of a command, and its line in the help, known without importing the module."""
+    """The module of a command, and the command's line in the help, which must not import the module."""
 
     module: str
     help_line: str
@@ -22,16 +22,16 @@
 COMMANDS = {
     "serve": _LazyCommand("serve", "Serve until SIGTERM, then drain and exit."),
     "check": _LazyCommand("serve", "Check the configuration."),
-    "levels": _LazyCommand("levels", "Tables of reduced service: check, show, replay."),
-    "migrate": _LazyCommand("migrate", "Write a configuration of the old shape in the new one."),
-    "vrrp": _LazyCommand("vrrp", "VRRP groups: show, check, decode, keygen."),
-    "fleet": _LazyCommand("fleet", "A fleet: its members, and its policy."),
-    "lab": _LazyCommand("lab", "Experiments in simulated time (needs the extra 'lab')."),
+    "levels": _LazyCommand("levels", "Check, show and replay tables of levels of reduced service."),
+    "migrate": _LazyCommand("migrate", "Convert a configuration from the old format to the new one."),
+    "vrrp": _LazyCommand("vrrp", "Show VRRP groups; check, decode and create VRRP files and messages."),
+    "fleet": _LazyCommand("fleet", "Show and change a fleet's members and policy."),
+    "lab": _LazyCommand("lab", "Run experiments in simulated time (needs the extra 'lab')."),
 }
 
 
 class _LazyGroup(click.Group):
-    """A group that imports the module of a command when the command is looked up."""
+    """A command group that imports the module of a command when the command is looked up."""
 
     def list_commands(self, context: click.Context) -> list[str]:
         return [*COMMANDS, *super().list_commands(context)]
@@ -55,10 +55,10 @@
 )
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A server with session-based admission and scheduling, behind other people's gateways.
+    """A server with session-based admission and scheduling, behind external gateways.
 
-    Without a command it serves. The environment's NODE_CONFIG names the configuration file (JSON).
-    SIGHUP takes new addresses from it while service goes on; run check on a new file first."""
+    Without a command it serves. The environment variable NODE_CONFIG names the configuration file (JSON).
+    SIGHUP reloads addresses from that file without interrupting service; run check on a new file first."""
     if context.invoked_subcommand is None:
         from otterrudder.cli.serve import serve
 
--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -1,6 +1,7 @@
-"""`otterrudder fleet`: members and status of a fleet; its policy is in policy.py, its relays in relay.py.
+"""`otterrudder fleet`: shows the members and status of a fleet, and removes members.
 
-Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
+policy.py has the commands for its policy, relay.py those for its relays. Exit codes: 0 success, 2 bad input,
+3 aborted or rejected, 4 undecided."""
 
 import json
 import sys
@@ -29,14 +30,14 @@
 from otterrudder.fleet.records import FleetSnapshot
 from otterrudder.net import control
 
-LIVE_INTERVAL_S = 1.0  # of `status --live`
+LIVE_INTERVAL_S = 1.0  # interval between updates of `status --live`
 
 JsonObject = dict[str, Any]
 
 
 @click.group()
 def fleet() -> None:
-    """A fleet of servers: its members, and the one policy in force."""
+    """Show and change the members of a fleet of servers, and its policy."""
 
 
 fleet.add_command(policy)
@@ -46,10 +47,10 @@
 @fleet.command()
 @FLEET_OPTION
 @JSON_OPTION
-@click.option("--live", is_flag=True, help="Look again each second until interrupted.")
-@click.option("--here", metavar="NAME", help="Ask the server NAME on this machine instead of the store.")
+@click.option("--live", is_flag=True, help="Update every second until interrupted.")
+@click.option("--here", metavar="NAME", help="Query the server NAME on this machine instead of the store.")
 def status(file: str, as_json: bool, live: bool, here: str | None) -> None:
-    """Show members, cells with their leaders, versions, votes, and who an open change waits for."""
+    """Show members, cells with their leaders, versions, votes, and the pending votes of an open change."""
     if here:
         _show_server_status(here)
         return
@@ -72,7 +73,7 @@
 
 
 def _status_report(snapshot: FleetSnapshot) -> JsonObject:
-    """The output of `status --json`; its keys are what scripts read."""
+    """Returns the output of `status --json`. Scripts depend on its keys."""
     return dict(
         fleet=snapshot.keys.fleet,
         store_id=f"{snapshot.raw.cluster:x}",
@@ -146,12 +147,14 @@
 
 
 def _status_lines(report: JsonObject) -> list[str]:
-    """The report for reading."""
+    """Returns the lines of the report for operators."""
     lines = [f"{report['fleet']}, on the store {report['store_id']}: {_policy_text(report['policy'])}"]
     if trial := report["trial"]:
-        lines.append(f"on trial: goes back if {trial['conditions']}; now {trial['now']}")
+        lines.append(f"on trial: rolls back if {trial['conditions']}; now {trial['now']}")
     if change := report["change"]:
-        pending = f", waits for {', '.join(change['owed'])}" if change["owed"] else ", all have voted"
+        pending = (
+            f", waits for votes of {', '.join(change['owed'])}" if change["owed"] else ", all have voted"
+        )
         lines.append(f"open: version {change['version']} by {change['author'] or 'unnamed'}{pending}")
     if report["waiting"]:
         lines.append(f"waiting: {report['waiting']}, see fleet policy queue")
@@ -161,7 +164,7 @@
 
 def _policy_text(policy_report: JsonObject | None) -> str:
     if not policy_report:
-        return "no policy yet: each server goes by its own files"
+        return "no policy yet: each server uses its own files"
     author = policy_report["author"] or "unnamed"
     note = policy_report["note"] or "no note"
     return f"version {policy_report['version']} in force since {policy_report['at']} ({author}: {note})"
@@ -189,10 +192,10 @@
 @FLEET_OPTION
 @click.argument("name")
 def gone(file: str, name: str) -> None:
-    """Remove the server or cell NAME, which is gone for good: no change waits for it any more.
+    """Remove the server or cell NAME permanently, so that changes no longer wait for its vote.
 
-    Its state directory must never serve again, nor any relay of the cell lead. One that comes back joins
-    anew, with what is in force then."""
+    The state directory of a removed server must never be used again, and no relay of a removed cell may lead.
+    A server or cell that returns joins as a new member, with the policy then in force."""
     with_store(file, lambda store: _remove_member(store, name))
 
 
@@ -204,6 +207,6 @@
             exit_with(ABORTED, error)
         result = await store.commit(commit)
         if result and result.succeeded or name not in (await store.read()).rosters:
-            click.echo(f"{name} is off the roster")
+            click.echo(f"{name} was removed from the roster")
             return
-    exit_with(UNDECIDED, f"{name} is still on the roster: it changes under way, try again")
+    exit_with(UNDECIDED, f"{name} is still on the roster, which changed at the same time; try again")
--- a/otterrudder/cli/fleet_change.py
+++ b/otterrudder/cli/fleet_change.py
@@ -1,4 +1,4 @@
-"""A change of policy as an operator's command sees it: proposed or queued, and followed to its end."""
+"""Proposes or queues a change of policy for an operator's command, and follows it until it has ended."""
 
 import asyncio
 import time
@@ -18,13 +18,13 @@
 from otterrudder.fleet.records import Change, FinishedChange, FleetSnapshot, QueuedChange
 from otterrudder.fleet.store import StoreUnavailableError
 
-POLL_S = 0.1  # of an open change
-QUEUE_POLL_S = 0.5
+POLL_S = 0.1  # interval between reads of an open change
+QUEUE_POLL_S = 0.5  # interval between reads of a queued change
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A change as the operator asked for it."""
+    """A change of policy that an operator requests."""
 
     change_id: str
     text: str
@@ -33,29 +33,29 @@
     deadline_ms: float
     trial_ms: float = 0.0
     conditions: tuple[tuple[str, float], ...] = ()
-    is_first: bool = False  # it may come into force where the fleet has no members yet
-    base: str = ""  # of a queued one: the digest of the policy it was made from; "": any
+    is_first: bool = False  # whether it may come into force while the fleet has no members
+    base: str = ""  # for a queued change: the digest of the policy it is based on; "" for any
 
 
 async def follow(store: CommandStore, request: ChangeRequest) -> FinishedChange:
-    """Proposes a change and follows it to its end, whoever finishes it."""
+    """Proposes a change and follows it until it has ended. Other processes may finish it."""
     return await _follow_open(store, request, await _open_change(store, request))
 
 
 async def follow_queued(store: CommandStore, request: ChangeRequest) -> FinishedChange:
-    """Queues a change and follows it to its end, whoever opens and finishes it."""
+    """Queues a change and follows it until it has ended. Other processes may open and finish it."""
     snapshot = await _enqueue(store, request)
     shown_position = -1
     answered_at = time.monotonic()
     while find_change(snapshot, request.change_id) is None:
         position = queue_position(snapshot, request.change_id)
         if position is None:
-            exit_with(UNDECIDED, "it neither waits nor is open: see fleet policy history")
+            exit_with(UNDECIDED, "the change is neither queued nor open: see fleet policy history")
         if position != shown_position:
             shown_position = position
             click.echo(_position_line(request.change_id, position))
         commit = open_next(snapshot)
-        if commit and not position:  # where no relay leads, nobody else opens it
+        if commit and not position:  # without a leading relay, no other process opens the change
             await store.commit(commit)
         else:
             await asyncio.sleep(QUEUE_POLL_S)
@@ -65,7 +65,7 @@
         except StoreUnavailableError as error:
             if _ms_since(answered_at) > request.deadline_ms:
                 exit_with(
-                    UNDECIDED, f"the store does not answer ({error}); {request.change_id} keeps its place"
+                    UNDECIDED, f"the store does not answer ({error}); {request.change_id} stays in the queue"
                 )
             await asyncio.sleep(POLL_S)
     return await follow(store, request)
@@ -81,21 +81,22 @@
         if isinstance(change, FinishedChange):
             return change
         if not isinstance(change, Change):
-            exit_with(UNDECIDED, "the store knows this change no more: see fleet policy history")
+            exit_with(UNDECIDED, "the change is no longer in the store: see fleet policy history")
         _show_votes(snapshot, shown_voters)
         age_ms = _ms_since(began)
         if commit := finish_change(snapshot, age_ms >= request.deadline_ms):
-            await store.commit(commit)  # with or without an answer: the next read shows what is so
+            await store.commit(commit)  # the next read shows the outcome, even if there is no answer
         else:
             await asyncio.sleep(POLL_S)
         try:
             snapshot = await store.read()
         except StoreUnavailableError as error:
             if age_ms > request.deadline_ms:
-                pending = ", ".join(count_votes(snapshot).pending) or "nobody's vote"
+                pending = ", ".join(count_votes(snapshot).pending) or "none"
                 exit_with(
                     UNDECIDED,
-                    f"the store does not answer ({error}); pending: {pending}. Members finish the change",
+                    f"the store does not answer ({error}); pending votes: {pending}. The members will "
+                    "finish the change",
                 )
             await asyncio.sleep(POLL_S)
 
@@ -116,9 +117,9 @@
 
 
 async def _open_change(store: CommandStore, request: ChangeRequest) -> FleetSnapshot:
-    """Proposes the change; the snapshot in which it is open, or has ended already.
+    """Proposes the change. Returns a snapshot in which it is open or has ended.
 
-    Whether it got through is found out by reading, never by a missing answer."""
+    A read shows whether the proposal succeeded, because a missing answer does not mean that it failed."""
     for _ in range(MAX_COMMIT_ATTEMPTS):
         snapshot = await store.read()
         if find_change(snapshot, request.change_id):
@@ -141,12 +142,12 @@
         await store.commit(commit)
     snapshot = await store.read()
     if not find_change(snapshot, request.change_id):
-        exit_with(UNDECIDED, "the proposal did not get through")
+        exit_with(UNDECIDED, "the change could not be proposed; try again")
     return snapshot
 
 
 async def _enqueue(store: CommandStore, request: ChangeRequest) -> FleetSnapshot:
-    """Queues the change; the snapshot in which it waits, is open or has ended, found out by reading."""
+    """Queues the change. Returns a snapshot in which it is queued or open, or has ended."""
     entry = QueuedChange(
         request.change_id,
         author=request.author,
@@ -168,15 +169,15 @@
         except QueueRejectedError as error:
             exit_with(ABORTED, error)
         await store.commit(commit)
-    return exit_with(UNDECIDED, "it did not get into the queue")
+    return exit_with(UNDECIDED, "the change could not be queued; try again")
 
 
 def _refuse_empty_store(snapshot: FleetSnapshot, request: ChangeRequest) -> None:
-    """A store whose content was lost looks like one without members."""
+    """Exits if the store has no members, unless the request allows it: the store may have lost its data."""
     if snapshot.rosters or snapshot.policy or request.is_first:
         return
     exit_with(
         ABORTED,
-        f"nobody is of {snapshot.keys.fleet} yet on the store {snapshot.raw.cluster:x}: is it "
-        "the right one? --first puts a policy in force for servers to come",
+        f"{snapshot.keys.fleet} has no members yet on the store {snapshot.raw.cluster:x}: is it "
+        "the right store? --first sets a policy for future members",
     )
--- a/otterrudder/cli/fleet_store.py
+++ b/otterrudder/cli/fleet_store.py
@@ -1,6 +1,6 @@
-"""What the fleet's commands share: one client of the store for a command, and how a command ends.
+"""Functions shared by the fleet commands: access to the store, and exiting with an exit code.
 
-Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
+Exit codes: 0 success, 2 bad input, 3 aborted or rejected, 4 undecided."""
 
 import asyncio
 import sys
@@ -18,10 +18,10 @@
 from otterrudder.fleet.records import FleetSnapshot, InvalidRecordError, Keys
 from otterrudder.fleet.store import CommitResult, StoreUnavailableError
 
-ABORTED = 3
-UNDECIDED = 4
+ABORTED = 3  # exit code: the command was aborted or rejected and changed nothing
+UNDECIDED = 4  # exit code: the outcome is unknown
 REQUEST_TIMEOUT_MS = 2000.0
-MAX_COMMIT_ATTEMPTS = 5  # each after reading what became of the last one
+MAX_COMMIT_ATTEMPTS = 5  # each attempt first reads the outcome of the previous one
 Result = TypeVar("Result")
 
 FLEET_OPTION = click.option(
@@ -32,11 +32,11 @@
     metavar="FILE",
     help="TOML file of the fleet (or OTTERRUDDER_FLEET).",
 )
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="As JSON, for scripts.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON, for scripts.")
 
 
 class CommandStore:
-    """The store's client of one command."""
+    """The access of one command to the fleet's store."""
 
     def __init__(self, file: str) -> None:
         try:
@@ -44,16 +44,18 @@
         except InvalidFleetError as error:
             exit_bad_input(error)
         if not self.fleet.stores:
-            exit_bad_input(f"{file}: store: a command needs the store's address, also where servers do not")
+            exit_bad_input(f"{file}: store: a command needs the store's address, even if the servers do not")
         from otterrudder.fleet.client import Client
 
         self.keys = Keys(self.fleet.name)
         self.client = Client(self.fleet)
-        self.store_id = self.fleet.store_id  # of the trusted engine; 0: the first that answers
+        self.store_id = self.fleet.store_id  # the trusted store's id; 0 until the first store has answered
 
     async def read(self, *more_keys: str) -> FleetSnapshot:
-        """A snapshot of the fleet; StoreUnavailableError also if another engine answers than the file names,
-        or than answered before."""
+        """Returns a snapshot of the fleet.
+
+        Raises StoreUnavailableError if the store does not answer, or if its id differs from the one in the
+        fleet file or in an earlier answer."""
         keys = (*coordination_keys(self.keys), *more_keys)
         snapshot = await self.client.read(keys, REQUEST_TIMEOUT_MS)
         self.store_id = self.store_id or snapshot.cluster
@@ -64,7 +66,7 @@
         return FleetSnapshot(self.keys, snapshot)
 
     async def commit(self, commit: Commit) -> CommitResult | None:
-        """Commits; None: no answer came, and the commit may have taken effect."""
+        """Commits to the store. Returns None if there was no answer; the commit may still have succeeded."""
         reach_failpoint(f"before {commit.purpose}")
         try:
             return await self.client.commit(commit.compares, commit.writes, REQUEST_TIMEOUT_MS)
@@ -75,7 +77,7 @@
 
 
 def with_store(file: str, command: Callable[[CommandStore], Coroutine[Any, Any, Result]]) -> Result:
-    """Runs a command with a client of the store; exits if the store is unavailable or its content invalid."""
+    """Runs a command with access to the store. Exits if the store is unavailable or has invalid records."""
 
     async def run() -> Result:
         store = CommandStore(file)
@@ -89,20 +91,20 @@
     except StoreUnavailableError as error:
         exit_with(UNDECIDED, f"the store does not answer: {error}")
     except InvalidRecordError as error:
-        exit_with(UNDECIDED, f"the store holds what is no record of this fleet: {error}")
+        exit_with(UNDECIDED, f"the store has an invalid record: {error}")
 
 
 def read_snapshot(file: str) -> FleetSnapshot:
-    """Runs a command that reads the fleet's snapshot and no more."""
+    """Reads a snapshot of the fleet."""
     return with_store(file, lambda store: store.read())
 
 
 def exit_with(code: int, reason: object) -> NoReturn:
-    """Prints one line on standard error and exits."""
+    """Prints `reason` on standard error and exits with `code`."""
     click.echo(f"otterrudder: {reason}", err=True)
     sys.exit(code)
 
 
 def conditions_text(conditions: tuple[tuple[str, float], ...]) -> str:
-    """A trial's conditions, as operators write them."""
+    """Returns the conditions of a trial as text, such as `given_up > 0.05 or waits > 0.4`."""
     return " or ".join(f"{fact} > {threshold:g}" for fact, threshold in conditions)
--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -1,4 +1,4 @@
-"""`otterrudder lab`: experiments in simulated time and with processes. Needs the extra `lab`."""
+"""`otterrudder lab`: runs experiments in simulated time and with real processes. Needs the extra `lab`."""
 
 import json
 import signal
@@ -29,45 +29,61 @@
 if TYPE_CHECKING:
     from otterrudder.lab.scale.simulated import Choice
 
-EXPERIMENTS = Path("experiments")  # of a checkout
+EXPERIMENTS = Path("experiments")  # folder in a checkout
 RESULTS = Path("out")
 SCALE_PARTS = ["simulated", "processes"]
-INTERRUPTED = 130  # exit code of a command that a signal ended
+INTERRUPTED = 130  # exit code of a command that was ended by a signal
 DEFAULT_FIGURES = ["value", "worst_10s", "moves_per_min", "stay_breaks", "level_mean"]
 
 
 @click.group()
 def lab() -> None:
-    """Experiments in simulated time (needs the extra 'lab'). All figures are simulated."""
+    """Run experiments in simulated time (needs the extra 'lab'). All figures are simulated."""
 
 
 @lab.command("fleet-search")
-@click.option("--walks", type=click.IntRange(1), default=200, show_default=True, help="By variant and size.")
+@click.option(
+    "--walks",
+    type=click.IntRange(1),
+    default=200,
+    show_default=True,
+    help="Random walks per variant and size.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--depth", type=click.IntRange(0, 8), default=0, help="Every order to this depth as well.")
-@click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
+@click.option(
+    "--depth", type=click.IntRange(0, 8), default=0, help="Also search all event orders to this depth."
+)
+@click.option(
+    "--workers", type=click.IntRange(1), default=None, help="Worker processes. Default: one per core."
+)
 def fleet_search(walks: int, seed: int, depth: int, workers: int | None) -> None:
-    """Search the states of a fleet of a few members; exits with 1 if an invariant breaks or a seeded fault
-    is not found."""
+    """Search the states of a fleet of a few members. Exits with 1 if an invariant is violated or a seeded
+    fault is not found."""
     from otterrudder.lab.fleet.report import searched
 
     sys.exit(0 if searched(walks, seed, depth, workers, click.echo) else 1)
 
 
 @lab.command("cell-search")
-@click.option("--walks", type=click.IntRange(1), default=200, show_default=True, help="By variant.")
+@click.option(
+    "--walks", type=click.IntRange(1), default=200, show_default=True, help="Random walks per variant."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--depth", type=click.IntRange(0, 6), default=0, help="Every order to this depth as well.")
-@click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
-@click.option("--variant", "names", multiple=True, help="This one alone; may be given again.")
+@click.option(
+    "--depth", type=click.IntRange(0, 6), default=0, help="Also search all event orders to this depth."
+)
+@click.option(
+    "--workers", type=click.IntRange(1), default=None, help="Worker processes. Default: one per core."
+)
+@click.option("--variant", "names", multiple=True, help="Run only this variant. May be repeated.")
 def cell_search(walks: int, seed: int, depth: int, workers: int | None, names: tuple[str, ...]) -> None:
-    """Search the states of cells of a few relays and servers; exits with 1 if an invariant breaks or a seeded
-    fault is not found."""
+    """Search the states of cells of a few relays and servers. Exits with 1 if an invariant is violated or a
+    seeded fault is not found."""
     from otterrudder.lab.fleet.cell_report import CellSearchPlan, cells_searched, variant_names
 
     if unknown := set(names) - set(variant_names()):
         exit_bad_input(
-            f"no such variant: {', '.join(sorted(unknown))}; there are: {'; '.join(variant_names())}"
+            f"unknown variants: {', '.join(sorted(unknown))}; known variants: {'; '.join(variant_names())}"
         )
     plan = CellSearchPlan(walks, seed, depth, names)
     sys.exit(0 if cells_searched(plan, workers, click.echo) else 1)
@@ -75,28 +91,36 @@
 
 @lab.command("fleet-simulation")
 @click.option("--servers", type=click.IntRange(2, 8200), default=200, show_default=True)
-@click.option("--plans", type=click.IntRange(1), default=100, show_default=True, help="Of faults, by rule.")
-@click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
+@click.option(
+    "--plans", type=click.IntRange(1), default=100, show_default=True, help="Fault schedules per rule."
+)
+@click.option(
+    "--workers", type=click.IntRange(1), default=None, help="Worker processes. Default: one per core."
+)
 def fleet_simulation(servers: int, plans: int, workers: int | None) -> None:
-    """Play changes of policy in fleets of SERVERS, in simulated time, through schedules of faults."""
+    """Simulate changes of policy in fleets of SERVERS members under schedules of faults."""
     from otterrudder.lab.fleet.report import played
 
     sys.exit(0 if played(servers, plans, workers, click.echo) else 1)
 
 
 def _raise_interrupt_on_signals() -> None:
-    """Lets a signal end the command as Ctrl-C does, so that a cluster ends its children first. Also where a
-    shell ignores the signal, and where the terminal goes: servers would read their files again on SIGHUP."""
+    """Makes SIGINT, SIGTERM and SIGHUP raise KeyboardInterrupt, so that a cluster ends its child processes.
+
+    SIGINT is included because a shell may ignore it. SIGHUP is included for a closed terminal, because it
+    would only make the servers reload their files."""
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.default_int_handler)
 
 
 def _exit_without_fleet_extra(error: ModuleNotFoundError) -> NoReturn:
-    exit_bad_input(f"this needs {error.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt")
+    exit_bad_input(
+        f"this command needs {error.name}: pip install 'otterrudder[fleet]', or -r requirements-fleet.txt"
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class ProcessesChoice:
+class ProcessesOptions:
     """The options of `lab processes`."""
 
     file: Path
@@ -106,25 +130,27 @@
     variants: tuple[str, ...]
     folder: Path | None
 
-    def seeds(self, of_file: list[int]) -> list[int]:
-        """The seeds to play."""
+    def seeds(self, file_seeds: list[int]) -> list[int]:
+        """Returns the seeds to run, given those of the experiment file."""
         if self.seed is not None:
             return [self.seed]
-        return of_file[:1] if self.is_quick else of_file
+        return file_seeds[:1] if self.is_quick else file_seeds
 
     def results(self, name: str) -> Path:
-        """Where the results go."""
+        """Returns the folder for the results of the experiment `name`."""
         return self.folder or RESULTS / name
 
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, help="This seed instead of the file's.")
-@click.option("--servers", type=click.IntRange(1, 24), help="So many instead of the file's.")
-@click.option("--quick", is_flag=True, help="The file's quick form: about a minute.")
-@click.option("--variant", "names", multiple=True, help="This one alone; may be given again.")
-@click.option("--shrink", is_flag=True, help="Shrink a run that broke a claim to the fewest faults.")
-@click.option("--out", "folder", type=click.Path(path_type=Path), help="Where results go; else out/NAME.")
+@click.option("--seed", type=int, help="Seed instead of the file's.")
+@click.option("--servers", type=click.IntRange(1, 24), help="Number of servers instead of the file's.")
+@click.option("--quick", is_flag=True, help="Run the file's quick form, in about a minute.")
+@click.option("--variant", "names", multiple=True, help="Run only this variant. May be repeated.")
+@click.option("--shrink", is_flag=True, help="Reduce a run that violated a claim to the fewest faults.")
+@click.option(
+    "--out", "folder", type=click.Path(path_type=Path), help="Folder for the results. Default: out/NAME."
+)
 def processes(
     file: Path,
     seed: int | None,
@@ -134,79 +160,89 @@
     shrink: bool,
     folder: Path | None,
 ) -> None:
-    """Play an experiment FILE with processes of the program and faults between them; exits with 1 if a claim
-    does not hold. Needs the extra `fleet` as well."""
+    """Run the experiment FILE with processes of the program and faults between them. Exits with 1 if a claim
+    does not hold. Also needs the extra `fleet`."""
     try:
         from otterrudder.lab.processes.cell_experiment import is_of_cells
     except ModuleNotFoundError as error:
         _exit_without_fleet_extra(error)
-    choice = ProcessesChoice(file, seed, servers, quick, names, folder)
+    options = ProcessesOptions(file, seed, servers, quick, names, folder)
     if not is_of_cells(file):
-        sys.exit(0 if _play_members(choice, shrink) else 1)
+        sys.exit(0 if _run_with_members(options, shrink) else 1)
     if shrink:
-        exit_bad_input("--shrink: schedules of cells are not shrunk")
-    sys.exit(0 if _play_cells(choice) else 1)
+        exit_bad_input("--shrink is not supported for experiments with cells")
+    sys.exit(0 if _run_with_cells(options) else 1)
 
 
-def _play_members(choice: ProcessesChoice, is_shrinking: bool) -> bool:
-    """Plays an experiment with plain members; whether all claims hold."""
+def _run_with_members(options: ProcessesOptions, is_shrinking: bool) -> bool:
+    """Runs an experiment in which servers are members. Returns whether all claims hold."""
     from otterrudder.lab.processes import experiment as experiments
 
     try:
-        experiment = experiments.only(experiments.read(choice.file), choice.variants)
+        experiment = experiments.only(experiments.read(options.file), options.variants)
     except InvalidInputError as error:
         exit_bad_input(error)
     _raise_interrupt_on_signals()
-    servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
-    changes = experiment.quick_changes if choice.is_quick else experiment.changes
-    runs = experiments.perform(experiment, choice.seeds(experiment.seeds), servers, changes, click.echo)
-    experiments.write(runs, choice.results(experiment.name), experiment.name)
+    servers = options.servers or (experiment.quick_servers if options.is_quick else experiment.servers)
+    changes = experiment.quick_changes if options.is_quick else experiment.changes
+    runs = experiments.perform(experiment, options.seeds(experiment.seeds), servers, changes, click.echo)
+    experiments.write(runs, options.results(experiment.name), experiment.name)
     click.echo(experiments.table(runs))
     broken_runs = [run for run in runs if run.broken]
     for run in broken_runs:
-        _print_broken(run.variant, run.seed, run.broken)
+        _print_violated_claims(run.variant, run.seed, run.broken)
     for run in broken_runs if is_shrinking else ():
-        click.echo(f"{run.variant}, seed {run.seed}, cut down:")
+        click.echo(f"{run.variant}, seed {run.seed}, reduced schedule:")
         for round_ in experiments.shrink_run(experiment, run, click.echo):
             click.echo(f"  {round_}")
     return not broken_runs
 
 
-def _play_cells(choice: ProcessesChoice) -> bool:
-    """Plays an experiment with cells; whether all claims hold."""
+def _run_with_cells(options: ProcessesOptions) -> bool:
+    """Runs an experiment in which cells are members. Returns whether all claims hold."""
     from otterrudder.lab.processes import cell_experiment as experiments
 
     try:
-        experiment = experiments.only(experiments.read(choice.file), choice.variants)
+        experiment = experiments.only(experiments.read(options.file), options.variants)
     except InvalidInputError as error:
         exit_bad_input(error)
     _raise_interrupt_on_signals()
-    servers = choice.servers or (experiment.quick_servers if choice.is_quick else experiment.servers)
-    rounds = experiment.quick_rounds if choice.is_quick else experiment.rounds
-    results = choice.results(experiment.name)
-    seeds = choice.seeds(experiment.seeds)
+    servers = options.servers or (experiment.quick_servers if options.is_quick else experiment.servers)
+    rounds = experiment.quick_rounds if options.is_quick else experiment.rounds
+    results = options.results(experiment.name)
+    seeds = options.seeds(experiment.seeds)
     runs = experiments.perform(experiment, seeds, servers, rounds, click.echo, results / "logs")
     experiments.write(runs, results)
     click.echo(experiments.table(runs))
     for run in runs:
-        _print_broken(run.variant, run.seed, run.broken)
+        _print_violated_claims(run.variant, run.seed, run.broken)
     return not any(run.broken for run in runs)
 
 
-def _print_broken(variant: str, seed: int, claims: list[str]) -> None:
+def _print_violated_claims(variant: str, seed: int, claims: list[str]) -> None:
     for claim in claims:
         click.echo(f"does not hold: {variant}, seed {seed}: {claim}", err=True)
 
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--part", type=click.Choice(SCALE_PARTS), help="This part alone; else both.")
-@click.option("--quick", is_flag=True, help="Small sizes, for counts and their laws: under 40 s a part.")
-@click.option("--seed", type=int, help="This seed instead of the file's (simulated).")
-@click.option("--servers", type=click.IntRange(2), help="So many instead of the file's sizes (simulated).")
-@click.option("--case", "names", multiple=True, help="This case alone; may be given again (simulated).")
-@click.option("--minutes", type=click.FloatRange(min=0.1), help="Of load, instead of the file's (simulated).")
-@click.option("--json", "is_json", is_flag=True, help="JSON in place of the table (simulated).")
+@click.option("--part", type=click.Choice(SCALE_PARTS), help="Run only this part. Default: both.")
+@click.option(
+    "--quick",
+    is_flag=True,
+    help="Use small sizes, enough for counts and their growth. At most 40 s per part.",
+)
+@click.option("--seed", type=int, help="Seed instead of the file's (simulated part).")
+@click.option(
+    "--servers", type=click.IntRange(2), help="Number of servers instead of the file's (simulated part)."
+)
+@click.option("--case", "names", multiple=True, help="Run only this case. May be repeated (simulated part).")
+@click.option(
+    "--minutes",
+    type=click.FloatRange(min=0.1),
+    help="Minutes of load instead of the file's (simulated part).",
+)
+@click.option("--json", "is_json", is_flag=True, help="Print JSON instead of the table (simulated part).")
 @click.option("--out", "folder", type=click.Path(path_type=Path), default=Path("out/capacity"))
 def scale(
     file: Path,
@@ -219,10 +255,10 @@
     is_json: bool,
     folder: Path,
 ) -> None:
-    """Measure what agreement costs by the number of servers, by FILE; exits with 1 if a claim does not hold.
+    """Measure the cost of agreement by the number of servers, as FILE says. Exits with 1 if a claim fails.
 
-    Simulated: whole fleets by cells in simulated time. On processes: hollow servers, real relays and the
-    fake store; needs the extra `fleet` as well."""
+    The simulated part runs whole fleets of cells in simulated time. The part on processes runs hollow
+    servers, real relays and the fake store; it also needs the extra `fleet`."""
     all_hold = True
     if part in (None, "simulated"):
         from otterrudder.lab.scale.simulated import Choice
@@ -234,7 +270,7 @@
 
 
 def _scale_simulated(file: Path, choice: "Choice") -> bool:
-    """Plays the simulated part; whether all verdicts hold."""
+    """Runs the simulated part. Returns whether all claims hold."""
     from otterrudder.lab.scale.simulated import perform
 
     try:
@@ -247,7 +283,7 @@
 
 
 def _scale_processes(file: Path, quick: bool, folder: Path) -> bool:
-    """Plays the part on processes; whether all claims hold."""
+    """Runs the part on processes. Returns whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
         from otterrudder.lab.scale.processes.bench import NotInTimeError
@@ -264,19 +300,24 @@
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--out", "folder", type=click.Path(path_type=Path), help="Where results go; else out/NAME.")
-@click.option("--quick", is_flag=True, help="Two seeds, four minutes a day at the most.")
-@click.option("--seeds", metavar="1,2,3", help="These seeds instead of the file's.")
-@click.option("--workers", type=click.IntRange(1), default=None, help="Processes; else one a core.")
-@click.option("--figures", default=",".join(DEFAULT_FIGURES), show_default=True, help="Shown in the table.")
+@click.option(
+    "--out", "folder", type=click.Path(path_type=Path), help="Folder for the results. Default: out/NAME."
+)
+@click.option("--quick", is_flag=True, help="Run two seeds, with at most four minutes per day.")
+@click.option("--seeds", metavar="1,2,3", help="Seeds instead of the file's.")
+@click.option(
+    "--workers", type=click.IntRange(1), default=None, help="Worker processes. Default: one per core."
+)
+@click.option("--figures", default=",".join(DEFAULT_FIGURES), show_default=True, help="Figures in the table.")
 def run(
     file: Path, folder: Path | None, quick: bool, seeds: str | None, workers: int | None, figures: str
 ) -> None:
-    """Play an experiment FILE: results.json, a CSV and charts; exits with 1 if a claim does not hold."""
+    """Run the experiment FILE and write results.json, a CSV file and charts. Exits with 1 if a claim does not
+    hold."""
     try:
         numbers = [int(seed) for seed in seeds.split(",")] if seeds else None
     except ValueError:
-        exit_bad_input(f"--seeds: {seeds!r} is no list of whole numbers")
+        exit_bad_input(f"--seeds: {seeds!r} is not a list of integers")
     try:
         experiment = read_experiment(file, numbers, quick)
     except InvalidInputError as error:
@@ -293,7 +334,7 @@
 
 
 def _show_progress(done: int, total: int, run: Run, _: Result) -> None:
-    """A line that is overwritten on a terminal; else one for each tenth."""
+    """Prints the progress: on a terminal one line that is overwritten, otherwise a line per 10 percent."""
     is_last = done == total
     if sys.stderr.isatty():
         click.echo(f"\r{done}/{total} {run.case} {run.variant} {run.seed}\x1b[K", err=True, nl=is_last)
@@ -304,7 +345,7 @@
 @lab.command("list")
 @click.argument("folder", type=click.Path(path_type=Path), default=EXPERIMENTS)
 def list_experiments(folder: Path) -> None:
-    """List the experiments in FOLDER, with their titles and how many runs each has."""
+    """List the experiments in FOLDER, with their titles and numbers of runs."""
     files = sorted(folder.glob("*.toml"))
     if not files:
         exit_bad_input(f"no experiments in {folder}")
@@ -317,7 +358,7 @@
 
 
 class ExperimentSummary(NamedTuple):
-    """An experiment in the list."""
+    """The line of an experiment in the list."""
 
     title: str
     runs: int
@@ -328,7 +369,7 @@
     title = str(values.get("title", ""))
     if is_scale(values):
         return ExperimentSummary(title, len(settings_of(read_scale(file))))
-    if "site" not in values and "servers" in values:  # played by `lab processes`
+    if "site" not in values and "servers" in values:  # run by `lab processes`
         runs = len(values.get("seeds", ())) * len(values.get("variant", ()))
         return ExperimentSummary(f"{title}, on processes", runs)
     experiment = read_experiment(file)
@@ -338,14 +379,14 @@
 @lab.command()
 @click.argument("results", type=click.Path(path_type=Path))
 def show(results: Path) -> None:
-    """Show the verdicts of a results.json (or the folder it is in)."""
+    """Show the verdicts in RESULTS, which is a results.json or its folder."""
     path = results / "results.json" if results.is_dir() else results
     try:
         lines = _verdict_lines(json.loads(path.read_text()))
     except OSError as error:
         exit_bad_input(f"cannot read {path}: {error}")
     except (ValueError, KeyError, TypeError):
-        exit_bad_input(f"{path}: no results of the lab")
+        exit_bad_input(f"{path}: not a results file of the lab")
     for line in lines:
         click.echo(line)
 
@@ -367,8 +408,8 @@
 @click.option("--out", "folder", type=click.Path(path_type=Path), default=Path("out/demo"), show_default=True)
 @click.option("--file", type=click.Path(path_type=Path), default=EXPERIMENTS / "demo.toml", show_default=True)
 def demo(folder: Path, file: Path) -> None:
-    """Play a short evening that crosses the levels, reported as it happens, with a chart. Then a change of
-    policy across six processes, if the extra `fleet` is installed."""
+    """Simulate a short evening in which levels change, report it as it happens, and draw a chart. Then change
+    the policy across six processes, if the extra `fleet` is installed."""
     try:
         outcome = show_demo(file, folder, click.echo)
     except InvalidInputError as error:
@@ -377,7 +418,9 @@
     try:
         from otterrudder.lab.processes.demo import show as show_fleet
     except ModuleNotFoundError as missing:
-        click.echo(f"a change across processes needs {missing.name}: pip install 'otterrudder[fleet]'")
+        click.echo(
+            f"the change of policy across processes needs {missing.name}: pip install 'otterrudder[fleet]'"
+        )
     else:
         click.echo("")
         _raise_interrupt_on_signals()
--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -1,4 +1,4 @@
-"""`otterrudder migrate`: writes a configuration of the old deployment's shape in the new one's."""
+"""`otterrudder migrate`: converts a configuration of the old deployment to the format of the new one."""
 
 import copy
 import json
@@ -13,56 +13,54 @@
 from otterrudder.configuration import ConfigurationError, check_configuration, decode_file
 from otterrudder.files import merged
 
-ABSENT = object()  # no value, not even null
+ABSENT = object()  # the key is missing, which differs from a null value
 
 
 @dataclass(frozen=True, slots=True)
 class Restatement:
-    """A setting that the new shape states in another way."""
+    """A setting that has another value in the new deployment."""
 
-    path: str  # dotted, in the settings
+    path: str  # the dotted path in the settings
     value: object
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSetting:
-    """A setting that only the operators of the new deployment know."""
+    """A setting whose value only the operators of the new deployment know."""
 
     path: str
-    reason: str  # and what applies until it is stated
+    reason: str  # what the setting is for, and what applies until it is set
 
 
 RESTATEMENTS = (
     Restatement(
         "familyInfo.below",
         "common",
-        "every server calls one shared dependency, at the address `records`",
+        "all servers call one shared dependency, at the address `records`",
     ),
-    Restatement("familyInfo.stopMode", "pause", "work is paused and taken up again; it keeps its memory"),
-    Restatement("familyInfo.say", "silent", "callers heed no free value"),
-    Restatement("familyInfo.passesDeadline", True, "a request says how long its caller waits"),
-    Restatement(
-        "clients.marksRetry", False, "retries carry no mark: the rejected requests stand in for them"
-    ),
-    Restatement("report.source", "pull", "callers ask for the load"),
+    Restatement("familyInfo.stopMode", "pause", "a run can be paused and resumed; it keeps its memory"),
+    Restatement("familyInfo.say", "silent", "callers ignore load signals"),
+    Restatement("familyInfo.passesDeadline", True, "a request contains the time that its caller waits"),
+    Restatement("clients.marksRetry", False, "retries are not marked; rejected requests are counted instead"),
+    Restatement("report.source", "pull", "callers poll the load"),
 )
 OPERATOR_SETTINGS = (
     OperatorSetting(
         "familyInfo.callsOut",
-        "this server's share of the shared dependency; unstated, one call at a time",
+        "this server's share of the shared dependency; until it is set, one call at a time",
     ),
     OperatorSetting(
         "servers",
-        "the servers that share the tenants' allowances; the old figure stands until it is stated",
+        "the number of servers that share the tenants' allowances; the old value applies until it is set",
     ),
-    OperatorSetting("familyInfo.callers", "how many gateways come; the old figure stands until it is stated"),
+    OperatorSetting("familyInfo.callers", "the number of gateways; the old value applies until it is set"),
 )
 
 
 @dataclass(slots=True)
 class Migration:
-    """The settings of the new shape, with lines on what was restated and what could not be carried over."""
+    """The settings in the new format, with lines on restated settings and on those not carried over."""
 
     settings: dict[str, Any]
     restated: list[str] = field(default_factory=list)
@@ -70,7 +68,7 @@
 
 
 def migrate_settings(old: dict[str, Any], stated: dict[str, Any]) -> Migration:
-    """Migrates the settings. `stated`: the operators' settings for the new deployment, which win."""
+    """Migrates the settings. `stated` has the operators' settings, which take precedence."""
     migration = Migration(copy.deepcopy(old))
     _migrate_classes(migration)
     _restate(migration, stated)
@@ -89,11 +87,11 @@
             continue
         request_class["effect"] = "unsafe"
         migration.restated.append(
-            f'classes[{index}].effect: "keyed" -> "unsafe": a repeat carries no idempotency key here'
+            f'classes[{index}].effect: "keyed" -> "unsafe": repeats have no idempotency key here'
         )
         if request_class.pop("windowUs", None):
             migration.not_carried_over.append(
-                f"classes[{index}].windowUs: without a key there is no retention; no response is replayed"
+                f"classes[{index}].windowUs: without an idempotency key, responses are not kept or replayed"
             )
 
 
@@ -113,21 +111,21 @@
     if not settings.get("tier") and len(tiers) <= 1:
         return
     migration.not_carried_over.append(
-        "tiers: servers of a downstream tier are unknown here; only the one tier is kept"
+        "tiers: downstream tiers are not supported here; only the first tier is kept"
     )
     settings["tiers"] = tiers[:1]
     settings["tier"] = 0
 
 
 def _get(settings: object, path: str, absent: object) -> object:
-    """The value at a dotted path of nested tables, or `absent`."""
+    """Returns the value at a dotted path of nested tables, or `absent` if there is none."""
     for key in path.split("."):
         settings = settings.get(key, absent) if isinstance(settings, dict) else absent
     return settings
 
 
 def _with_value(settings: dict[str, Any], path: str, value: object) -> dict[str, Any]:
-    """A copy of the settings with `value` at a dotted path of nested tables."""
+    """Returns a copy of the settings with `value` at a dotted path of nested tables."""
     change: Any = value
     for key in reversed(path.split(".")):
         change = {key: change}
@@ -136,25 +134,25 @@
 
 @click.command()
 @click.argument("old", type=click.Path())
-@click.option("--out", metavar="FILE", help="Where to write the new file; it must not exist yet.")
-@click.option("--shape", metavar="FILE", help="JSON object of settings known of the new deployment.")
-@click.option("--dry-run", is_flag=True, help="Print what would be done and write nothing.")
+@click.option("--out", metavar="FILE", help="The new file, which must not exist yet.")
+@click.option("--shape", metavar="FILE", help="JSON object with known settings of the new deployment.")
+@click.option("--dry-run", is_flag=True, help="Print the changes and write nothing.")
 def migrate(old: str, out: str | None, shape: str | None, dry_run: bool) -> None:
-    """Write configuration OLD in the new shape, and list what could not be carried over."""
+    """Convert the configuration OLD to the new format, and list what could not be carried over."""
     if not out and not dry_run:
-        exit_bad_input("migrate: name the new file with --out, or ask for --dry-run")
+        exit_bad_input("migrate: --out or --dry-run is required")
     try:
         document = check_configuration(decode_file(old), old).document
         stated = decode_file(shape) if shape else {}
         if not isinstance(stated, dict):
-            exit_bad_input(f"{shape}: an object of settings is wanted")
+            exit_bad_input(f"{shape}: not a JSON object")
         migration = migrate_settings(document["settings"], stated)
         new = check_configuration(document | {"settings": migration.settings}, f"{old}, migrated")
     except ConfigurationError as error:
         exit_bad_input(error)
     if not new.records:
         migration.not_carried_over.append(
-            "records: the old file names no address; the shared dependency's has to be added"
+            "records: the old file has no address of the shared dependency; it has to be added"
         )
     _print_lines("restated", migration.restated)
     _print_lines("not carried over", migration.not_carried_over)
@@ -175,7 +173,7 @@
 
 
 def _write_new_file(path: Path, text: str) -> None:
-    """Writes the file whole or not at all, and never over an existing one."""
+    """Writes the file atomically, and never overwrites an existing one."""
     temporary = path.with_name(path.name + ".part")
     try:
         with temporary.open("x") as file:
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -1,6 +1,6 @@
-"""`otterrudder fleet policy`: shows, changes, queues and takes back the one policy of a fleet.
+"""`otterrudder fleet policy`: shows, changes and rolls back the policy of a fleet.
 
-Exit codes: 0 done, 2 bad input, 3 aborted or refused, 4 undecided."""
+Exit codes: 0 success, 2 bad input, 3 aborted or rejected, 4 undecided."""
 
 import contextlib
 import difflib
@@ -48,42 +48,44 @@
 
 
 class NamedPolicy(NamedTuple):
-    """A committed policy for showing: "version N" and its text."""
+    """A committed policy."""
 
-    name: str
+    name: str  # "version N"
     text: str
 
 
 AUTHOR_OPTION = click.option(
-    "--author", default=lambda: os.environ.get("USER", ""), help="Who asks for the change."
+    "--author", default=lambda: os.environ.get("USER", ""), help="The author of the change."
 )
-NOTE_OPTION = click.option("--note", default="", help="Why, for the history.")
+NOTE_OPTION = click.option("--note", default="", help="The reason for the change, kept in the history.")
 DEADLINE_OPTION = click.option(
     "--deadline",
     "deadline_s",
     type=click.FloatRange(1, 3600),
     default=30.0,
     show_default=True,
-    help="Seconds until a change that waits is given up.",
+    help="Seconds until a change that still waits for votes is aborted.",
 )
 
 
 @click.group()
 def policy() -> None:
-    """The one policy of the fleet: show it, change it, take it back."""
+    """Show, change and roll back the policy of the fleet."""
 
 
 @policy.command()
 @click.argument("policy_file", type=click.Path(path_type=Path))
 def check(policy_file: Path) -> None:
-    """Check POLICY_FILE; against NODE_CONFIG's products if that is set."""
+    """Check POLICY_FILE, and also its products if NODE_CONFIG is set."""
     _check_policy(_read_text(policy_file), policy_file)
-    click.echo(f"{policy_file}: good")
+    click.echo(f"{policy_file}: valid")
 
 
 @policy.command()
 @FLEET_OPTION
-@click.option("--version", "version", type=int, help="An earlier one of the last that were committed.")
+@click.option(
+    "--version", "version", type=int, help="Print this version, one of the last that were committed."
+)
 def show(file: str, version: int | None) -> None:
     """Print the policy in force, or an earlier one."""
     click.echo(_committed_policy(file, version).text, nl=False)
@@ -93,7 +95,7 @@
 @FLEET_OPTION
 @click.argument("policy_file", type=click.Path(path_type=Path))
 def diff(file: str, policy_file: Path) -> None:
-    """Show what POLICY_FILE would change; exits with 1 if anything."""
+    """Show the difference between the policy in force and POLICY_FILE. Exits with 1 if they differ."""
     present = _committed_policy(file, None, text_if_none="")
     lines = list(
         difflib.unified_diff(
@@ -111,7 +113,7 @@
 @FLEET_OPTION
 @JSON_OPTION
 def history(file: str, as_json: bool) -> None:
-    """Show how the last changes ended, the newest last."""
+    """Show the outcomes of the last changes, the newest last."""
     changes = read_snapshot(file).finished
     if as_json:
         click.echo(json.dumps([stored_fields(change) for change in changes], indent=1))
@@ -128,25 +130,25 @@
 @policy.command()
 @FLEET_OPTION
 @click.argument("policy_file", type=click.Path(path_type=Path))
-@click.option("--trial", "trial_s", type=click.FloatRange(1, 86_400), help="Seconds on trial.")
+@click.option("--trial", "trial_s", type=click.FloatRange(1, 86_400), help="Duration of a trial, in seconds.")
 @click.option(
     "--if",
     "conditions",
     multiple=True,
     metavar="'FIGURE > NUMBER'",
-    help="In the mean of the fleet during the trial: it goes back by itself. May be given again.",
+    help="Roll back if the mean over the fleet exceeds NUMBER during the trial. May be repeated.",
 )
 @AUTHOR_OPTION
 @NOTE_OPTION
 @DEADLINE_OPTION
-@click.option("--first", is_flag=True, help="Also where the fleet has no members yet.")
-@click.option("--queue", "queued", is_flag=True, help="Wait for the turn instead of being refused.")
+@click.option("--first", is_flag=True, help="Apply the policy even if the fleet has no members yet.")
+@click.option("--queue", "queued", is_flag=True, help="Wait in the queue if another change is open.")
 @click.option(
     "--base",
     "base_version",
     type=int,
     metavar="VERSION",
-    help="With --queue: give up if another version than this one is in force at its turn.",
+    help="With --queue: abort if another version is in force when the change is opened.",
 )
 def apply(
     file: str,
@@ -160,16 +162,16 @@
     queued: bool,
     base_version: int | None,
 ) -> None:
-    """Bring POLICY_FILE into force on all servers, or on none.
+    """Apply POLICY_FILE on all servers or on none.
 
-    Prints each vote as it comes. Interrupted, the change goes on by itself: `fleet status` shows it. On trial
-    the servers report their figures, and go back everywhere if one is too high, whoever has failed by then.
-    With --queue it waits behind what is open and what came before; its deadline counts from its turn, and
-    interrupted it keeps its place."""
+    Prints votes as they arrive. If the command is interrupted, the change continues; `fleet status` shows it.
+    During a trial the servers report their figures, and all servers roll back if a figure is too high, even
+    if some servers have failed. With --queue the change waits for the open change and for those queued before
+    it. Its deadline starts when it is opened, and it stays in the queue if the command is interrupted."""
     if (trial_s is None) != (not conditions):
-        exit_bad_input("--trial and --if go together")
+        exit_bad_input("--trial and --if must be used together")
     if base_version is not None and not queued:
-        exit_bad_input("--base goes with --queue")
+        exit_bad_input("--base requires --queue")
     text = _read_text(policy_file)
     _check_policy(text, policy_file)
     base = "" if base_version is None else digest_of(_committed_policy(file, base_version).text)
@@ -189,16 +191,16 @@
 
 @policy.command()
 @FLEET_OPTION
-@click.option("--to", "version", type=int, help="This version; else the one before the one in force.")
+@click.option("--to", "version", type=int, help="The version. Default: the one before the one in force.")
 @AUTHOR_OPTION
 @NOTE_OPTION
 @DEADLINE_OPTION
 def back(file: str, version: int | None, author: str, note: str, deadline_s: float) -> None:
-    """Go back to an earlier policy: a change like any other, with a new number."""
+    """Roll back to an earlier policy, by a change with a new version number."""
     if version is None:
         committed = [change.version for change in read_snapshot(file).finished if change.committed]
         if len(committed) < 2:
-            exit_with(ABORTED, "there is no earlier policy to go back to")
+            exit_with(ABORTED, "there is no earlier policy to roll back to")
         version = committed[-2]
     text = _committed_policy(file, version).text
     note = note or f"back to version {version}"
@@ -210,39 +212,39 @@
 
 
 def _parse_conditions(texts: tuple[str, ...]) -> tuple[tuple[str, float], ...]:
-    """The conditions of a trial, each as `given_up > 0.05`."""
+    """Parses the conditions of a trial, which have the form `given_up > 0.05`."""
     conditions = []
     for text in texts:
         fact, _, threshold = (part.strip() for part in text.partition(">"))
         try:
             conditions.append((fact, float(threshold)))
         except ValueError:
-            exit_bad_input(f"--if {text!r}: wanted is FIGURE > NUMBER")
+            exit_bad_input(f"--if {text!r}: the form is FIGURE > NUMBER")
         if fact not in FACTS:
-            exit_bad_input(f"--if {text!r}: figures are {', '.join(FACTS)}")
+            exit_bad_input(f"--if {text!r}: unknown figure; the figures are {', '.join(FACTS)}")
     return tuple(conditions)
 
 
 def _change(file: str, request: ChangeRequest, follow_change: Follow) -> None:
-    """Makes a change; exits by how it ended."""
+    """Makes a change and prints its outcome. Exits with ABORTED if it was not committed."""
     change = with_store(file, lambda store: follow_change(store, request))
     if not change.committed:
         exit_with(ABORTED, f"aborted, nothing has changed: {change.reason}")
     left_out = ""
     if change.left_out:
-        left_out = f", without {', '.join(change.left_out)}: suspended until they know"
+        left_out = f", without {', '.join(change.left_out)}: suspended until they receive it"
     click.echo(f"version {change.version} is in force{left_out}")
     if request.trial_ms:
         conditions = conditions_text(request.conditions)
         seconds = request.trial_ms / 1000
-        click.echo(f"on trial for {seconds:g} s: the fleet goes back by itself if {conditions}")
+        click.echo(f"on trial for {seconds:g} s: the fleet rolls back automatically if {conditions}")
 
 
 @policy.command("queue")
 @FLEET_OPTION
 @JSON_OPTION
 def queue_command(file: str, as_json: bool) -> None:
-    """Show the open change and those that wait, in their order."""
+    """Show the open change and the queued changes in order."""
     snapshot = read_snapshot(file)
     opened: list[Change] = [snapshot.change] if snapshot.change else []
     if as_json:
@@ -259,7 +261,7 @@
 @FLEET_OPTION
 @click.argument("change_id", metavar="IDENT")
 def withdraw_command(file: str, change_id: str) -> None:
-    """Withdraw the change IDENT, open or waiting (`fleet policy queue` names it)."""
+    """Withdraw the open or queued change IDENT (`fleet policy queue` shows the idents)."""
     with_store(file, lambda store: _withdraw(store, change_id))
 
 
@@ -272,31 +274,31 @@
             exit_with(ABORTED, error)
     change = find_change(await store.read(), change_id)
     if not isinstance(change, FinishedChange):
-        exit_with(UNDECIDED, "it is open still")
+        exit_with(UNDECIDED, "the change is still open")
     if change.committed:
         exit_with(ABORTED, f"too late: version {change.version} is in force")
     click.echo("withdrawn: nothing has changed")
 
 
 async def _withdraw_from_queue(store: CommandStore, change_id: str) -> FleetSnapshot:
-    """The snapshot in which it does not wait any more, or is next."""
+    """Withdraws a queued change. Returns a snapshot in which it is no longer queued, or is the next one."""
     for _ in range(MAX_COMMIT_ATTEMPTS):
         snapshot = await store.read()
         if not queue_position(snapshot, change_id):
             return snapshot
         with contextlib.suppress(QueueRejectedError):
             await store.commit(withdraw_queued(snapshot, change_id))
-    return exit_with(UNDECIDED, "it waits still")
+    return exit_with(UNDECIDED, "the change is still queued")
 
 
 def _has_ended_unopened(snapshot: FleetSnapshot, change_id: str) -> bool:
-    """Whether it left the queue before its turn."""
+    """Whether the change left the queue without being opened."""
     change = find_change(snapshot, change_id)
     return isinstance(change, FinishedChange) and not change.version
 
 
 def _committed_policy(file: str, version: int | None, text_if_none: str | None = None) -> NamedPolicy:
-    """The policy in force, or an earlier one. `text_if_none`: what stands for it if there was never one."""
+    """Returns the policy in force, or an earlier one. `text_if_none` replaces a missing first policy."""
     return with_store(file, lambda store: _read_policy(store, version, text_if_none))
 
 
@@ -312,7 +314,7 @@
         if text_if_none is not None and not head:
             return NamedPolicy("no policy", text_if_none)
         known = ", ".join(map(str, sorted(digests))) or "none"
-        exit_with(ABORTED, f"no version {version}: there are {known}")
+        exit_with(ABORTED, f"there is no version {version}; known versions: {known}")
     digest = digests[version]
     text = (await store.read(store.keys.text(digest))).text(digest)
     if text is None:
@@ -328,7 +330,7 @@
 
 
 def _check_policy(text: str, path: Path) -> None:
-    """Checks a policy against this machine's configuration, or by the names that the file itself uses."""
+    """Checks a policy against the configuration of this machine, if NODE_CONFIG names one."""
     try:
         if config := os.environ.get(CONFIGURATION_VARIABLE):
             local = local_configuration_of(read_configuration(config).settings)
@@ -340,7 +342,7 @@
 
 
 def _tables_with_names(values: dict[str, Any]) -> list[dict[str, object]]:
-    """Tables of a policy that name products and tenants: the cuts of its levels, and its own keys."""
+    """Returns the tables of a policy that name products and tenants."""
     levels = tables_under(values.get("levels"), "level")
     tables = [cut for level in levels for cut in tables_under(level, "cut")]
     own_keys = [key for key in ("products", "tenants") if isinstance(values.get(key), dict)]
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -1,6 +1,6 @@
-"""`otterrudder fleet relay`: the process that leads a cell, and the status of a running one.
+"""`otterrudder fleet relay`: runs a relay, which can lead a cell, and shows the status of a running relay.
 
-Exit codes: 0 done, 1 it cannot start, 2 bad input."""
+Exit codes: 0 success, 1 the relay cannot start, 2 bad input."""
 
 import json
 import sys
@@ -21,7 +21,7 @@
     "file",
     envvar=FLEET_VARIABLE,
     metavar="FILE",
-    help="TOML file of the relay, with a table [relay] (or OTTERRUDDER_FLEET).",
+    help="TOML file with a table [relay] (or OTTERRUDDER_FLEET).",
 )
 
 
@@ -29,7 +29,7 @@
 @RELAY_FILE_OPTION
 @click.pass_context
 def relay(context: click.Context, file: str | None) -> None:
-    """Lead a cell, or stand by: serve until SIGTERM, then send the servers to another relay and exit."""
+    """Run a relay, which leads its cell or stands by, until SIGTERM. Then redirect its servers and exit."""
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
@@ -49,7 +49,7 @@
 @relay.command()
 @RELAY_FILE_OPTION
 def status(file: str | None) -> None:
-    """Show the status of the relay of FILE on this machine, as JSON."""
+    """Show the status of the relay on this machine that uses FILE, as JSON."""
     from otterrudder.net.relay import control_name
 
     _, role = _read(file)
@@ -69,5 +69,5 @@
     except InvalidFleetError as error:
         exit_bad_input(error)
     if not fleet.relay:
-        exit_bad_input(f"{file}: relay: the file has no such table, so it is no relay's")
+        exit_bad_input(f"{file}: relay: the file has no such table, so it does not describe a relay")
     return fleet, fleet.relay
--- a/otterrudder/cli/serve.py
+++ b/otterrudder/cli/serve.py
@@ -1,4 +1,4 @@
-"""`otterrudder serve` and `otterrudder check`: the server, and its configuration."""
+"""`otterrudder serve` and `otterrudder check`: runs the server, and checks its configuration."""
 
 import os
 import sys
@@ -25,7 +25,7 @@
     "levels",
     envvar=LEVELS_VARIABLE,
     metavar="FILE",
-    help="TOML table of levels of reduced service (or OTTERRUDDER_LEVELS). Absent: off.",
+    help="TOML file with levels of reduced service (or OTTERRUDDER_LEVELS). Default: no levels.",
 )
 
 VRRP_OPTION = click.option(
@@ -33,7 +33,7 @@
     "vrrp",
     envvar=VRRP_VARIABLE,
     metavar="FILE",
-    help="TOML file of VRRP groups (or OTTERRUDDER_VRRP). Absent: off.",
+    help="TOML file with VRRP groups (or OTTERRUDDER_VRRP). Default: no VRRP.",
 )
 
 
@@ -42,12 +42,12 @@
     "fleet",
     envvar=FLEET_VARIABLE,
     metavar="FILE",
-    help="TOML file of the fleet that this server belongs to (or OTTERRUDDER_FLEET). Absent: off.",
+    help="TOML file of the fleet that this server belongs to (or OTTERRUDDER_FLEET). Default: no fleet.",
 )
 
 
 def _read_named_configuration() -> tuple[Configuration, str | None]:
-    """The configuration that NODE_CONFIG names, and its path; exits if it is unusable."""
+    """Returns the configuration that NODE_CONFIG names, and its path. Exits if it is invalid."""
     path = os.environ.get(CONFIGURATION_VARIABLE)
     try:
         return read_configuration(path), path
@@ -60,7 +60,7 @@
 @VRRP_OPTION
 @FLEET_OPTION
 def serve(levels: str | None, vrrp: str | None, fleet: str | None) -> None:
-    """Serve until SIGTERM, then drain and exit. SIGHUP takes new addresses and levels from their files."""
+    """Serve until SIGTERM, then drain and exit. SIGHUP reloads addresses and levels from their files."""
     configuration, path = _read_named_configuration()
     log.configure_logging(configuration.name)
     try:
@@ -74,7 +74,7 @@
 @VRRP_OPTION
 @FLEET_OPTION
 def check(levels: str | None, vrrp: str | None, fleet: str | None) -> None:
-    """Check the configuration, and the other files if given."""
+    """Check the configuration, and the files given by options."""
     configuration, path = _read_named_configuration()
     settings = configuration.settings
     try:
@@ -91,6 +91,6 @@
         parts.append(f"{len(vrrp_configuration.groups)} VRRP groups")
     if fleet_configuration:
         parts.append(f"of the fleet {fleet_configuration.name}")
-    click.echo(f"{configuration.name}: the configuration is good: {', '.join(parts)}")
+    click.echo(f"{configuration.name}: the configuration is valid: {', '.join(parts)}")
     for line in unsupported_settings(settings):
         click.echo(f"{configuration.name}: {line}")
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -1,4 +1,4 @@
-"""`otterrudder vrrp`: the groups of a running server, and tools for VRRP files, keys and messages."""
+"""`otterrudder vrrp`: shows the groups of a running server, and handles VRRP files, keys and messages."""
 
 import json
 import os
@@ -23,21 +23,21 @@
 from otterrudder.vrrp.keys import MAX_KEY_FILE_MODE, MIN_KEY_BYTES
 from otterrudder.vrrp.packet import PacketError
 
-MAX_KEYS = 2  # in a file after `keygen --add`: the one that signs and the new one
+MAX_KEYS = 2  # number of keys after `keygen --add`: the one that signs and the new one
 MAX_KEY_NUMBER = 255
 
 
 @dataclass(frozen=True, slots=True)
 class NumberedSecret:
-    """A key as it stands in a key file."""
+    """An entry of a key file."""
 
     number: int
-    secret: str  # hex
+    secret: str  # hexadecimal
 
 
 @dataclass(slots=True)
 class KeyFileContent:
-    """What `keygen` reads, changes and writes."""
+    """The contents of a key file, which `keygen` reads, changes and writes."""
 
     signing_number: int
     keys: list[NumberedSecret]
@@ -48,31 +48,31 @@
         return [key.number for key in self.keys]
 
     def add_key(self) -> None:
-        """Adds a new key; of the others the signing one is kept."""
+        """Adds a new key, and removes all others except the signing key."""
         number = max(self.numbers, default=0) % MAX_KEY_NUMBER + 1
         signing = [key for key in self.keys if key.number == self.signing_number][-1:]
         new = NumberedSecret(number, secrets.token_hex(MIN_KEY_BYTES))
         self.keys = [*signing, new][-MAX_KEYS:]
 
     def text(self) -> str:
-        """The file's text."""
+        """Returns the text of the key file."""
         sections = (f'\n[[key]]\nnumber = {key.number}\nsecret = "{key.secret}"\n' for key in self.keys)
         return f"signs = {self.signing_number}\n" + "".join(sections)
 
 
 @click.group()
 def vrrp() -> None:
-    """VRRP: the groups of a running server, and tools for their files."""
+    """Show the VRRP groups of a running server, and handle VRRP files, keys and messages."""
 
 
 @vrrp.command()
 @click.argument("name", required=False)
-@click.option("--json", "as_json", is_flag=True, help="As JSON, for scripts.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, for scripts.")
 def show(name: str | None, as_json: bool) -> None:
     """Show groups, states, timers and counters of the server NAME (default NODE_NAME) on this machine."""
     name = name or os.environ.get("NODE_NAME")
     if not name:
-        exit_bad_input("name the server, or set NODE_NAME")
+        exit_bad_input("the server's name is missing: give NAME or set NODE_NAME")
     try:
         answer = control.query(name, "vrrp")
     except (OSError, ValueError) as error:
@@ -103,7 +103,7 @@
 @vrrp.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check FILE and its key file; products and tenants too if NODE_CONFIG is set."""
+    """Check FILE and its key file, and also products and tenants if NODE_CONFIG is set."""
     try:
         values = tomllib.loads(file.read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -114,13 +114,13 @@
         exit_bad_input(error)
     keys = configuration.keys
     click.echo(
-        f"{file}: good: {len(configuration.groups)} groups, keys {sorted(keys.by_number)}, "
-        f"{keys.signing_number} signs"
+        f"{file}: valid: {len(configuration.groups)} groups, keys {sorted(keys.by_number)}, "
+        f"signing key {keys.signing_number}"
     )
 
 
 def _names(values: dict[str, Any]) -> tuple[list[RequestClass], list[Tenant]]:
-    """The request classes and tenants that the file is checked against."""
+    """Returns the request classes and tenants that the file is checked against."""
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
         return request_classes_of(settings), tenants_of(settings)
@@ -132,7 +132,8 @@
 @click.option("--source", default="0.0.0.0", help="The sender's address, for the checksum.")
 @click.option("--destination", default="224.0.0.18", help="The destination address, for the checksum.")
 def decode(data: str, source: str, destination: str) -> None:
-    """Decode an advertisement: DATA in hex, with or without its trailer ('-': bytes from standard input)."""
+    """Decode an advertisement, with or without its trailer. DATA is hexadecimal; '-' reads raw bytes from
+    standard input."""
     message = sys.stdin.buffer.read() if data == "-" else _parse_hex(data)
     source_address = _parse_address(source)
     destination_address = _parse_address(destination)
@@ -151,7 +152,7 @@
 
 
 def _advertisement_size(message: bytes, source: packet.Address) -> int:
-    """The bytes ahead of the trailer, by the count of addresses in the header."""
+    """Returns the number of bytes before the trailer, computed from the address count in the header."""
     if len(message) < packet.HEADER_SIZE:
         return len(message)
     address_size = packet.IPV4_SIZE if source.version == 4 else packet.IPV6_SIZE
@@ -160,11 +161,11 @@
 
 def _trailer_line(trailer: bytes) -> str:
     if len(trailer) != TRAILER_SIZE:
-        return f"{len(trailer)} bytes behind it are no authentication trailer"
+        return f"{len(trailer)} more bytes, which are not an authentication trailer"
     number, incarnation, counter = TRAILER_FIELDS.unpack_from(trailer)
     return (
-        f"signed with key {number}, incarnation {incarnation}, message {counter} "
-        "(the MAC is not checked here)"
+        f"signed with key {number}, incarnation {incarnation}, counter {counter} "
+        "(this command does not verify the MAC)"
     )
 
 
@@ -172,7 +173,7 @@
     try:
         return bytes.fromhex(text)
     except ValueError:
-        exit_bad_input("DATA is not hex")
+        exit_bad_input("DATA is not hexadecimal")
 
 
 def _parse_address(text: str) -> packet.Address:
@@ -184,13 +185,14 @@
 
 @vrrp.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--add", is_flag=True, help="Add a key to FILE that does not sign yet.")
-@click.option("--sign", type=int, metavar="NUMBER", help="Let this key of FILE sign from now on.")
+@click.option("--add", is_flag=True, help="Add a key to FILE, without signing with it yet.")
+@click.option("--sign", type=int, metavar="NUMBER", help="Make this key of FILE the signing key.")
 def keygen(file: Path, add: bool, sign: int | None) -> None:
-    """Write a new key FILE, mode 0600; --add and --sign are the two steps of a key change (docs/vrrp.md)."""
+    """Write a new key FILE with mode 0600. --add and --sign are the two steps of a key rotation (see
+    docs/vrrp.md)."""
     is_change = add or sign is not None
     if not is_change and file.exists():
-        exit_bad_input(f"{file} is there already: --add adds a key to it")
+        exit_bad_input(f"{file} already exists; use --add to add a key to it")
     content = _read_key_file(file) if is_change else KeyFileContent(1, [])
     if add or not content.keys:
         content.add_key()
@@ -199,7 +201,7 @@
             exit_bad_input(f"{file}: there is no key {sign}")
         content.signing_number = sign
     _write_key_file(file, content)
-    click.echo(f"{file}: keys {sorted(content.numbers)}, {content.signing_number} signs")
+    click.echo(f"{file}: keys {sorted(content.numbers)}, signing key {content.signing_number}")
 
 
 def _read_key_file(file: Path) -> KeyFileContent:
@@ -208,11 +210,11 @@
         keys = [NumberedSecret(key["number"], key["secret"]) for key in values["key"]]
         return KeyFileContent(values["signs"], keys)
     except (OSError, ValueError, KeyError, TypeError):
-        exit_bad_input(f"{file}: no key file")
+        exit_bad_input(f"{file}: not a valid key file")
 
 
 def _write_key_file(file: Path, content: KeyFileContent) -> None:
-    """Replaces the file at once; it is never readable by others."""
+    """Replaces the file atomically. It is never readable by other users."""
     temporary = file.with_name(file.name + ".new")
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     with open(os.open(temporary, flags, MAX_KEY_FILE_MODE), "w") as out:
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -403,17 +403,17 @@
         )
         return told.returncode, told.stdout + told.stderr
 
-    assert run("status") == (0, "f, on the store e7cd: no policy yet: each server goes by its own files\n")
+    assert run("status") == (0, "f, on the store e7cd: no policy yet: each server uses its own files\n")
     assert run("policy", "back")[0] == 3
     code, text = run("policy", "apply", str(first))
-    assert code == 3 and "nobody is of f yet on the store e7cd: is it the right one?" in text
+    assert code == 3 and "f has no members yet on the store e7cd: is it the right store?" in text
     assert run("policy", "apply", str(first), "--first", "--note", "one") == (0, "version 1 is in force\n")
     code, text = run("policy", "diff", str(second))
     assert code == 1 and "-value = 2.0\n+value = 3.0" in text
     assert run("policy", "apply", str(second), "--trial", "5")[0] == 2  # without a condition
     assert "figures are" in run("policy", "apply", str(second), "--trial", "5", "--if", "luck > 1")[1]
     code, text = run("policy", "apply", str(second), "--trial", "5", "--if", "given_up > 0.05")
-    assert code == 0 and "on trial for 5 s: the fleet goes back by itself if given_up > 0.05" in text
+    assert code == 0 and "on trial for 5 s: the fleet rolls back automatically if given_up > 0.05" in text
     assert json.loads(run("status", "--json")[1])["trial"]["now"] == "not known yet"
     assert run("policy", "back")[0] == 0
     assert run("policy", "show") == (0, first.read_text())
--- a/tests/net/test_server_configuration.py
+++ b/tests/net/test_server_configuration.py
@@ -84,7 +84,7 @@
 
 def test_check_and_version_print_what_they_found(server: ServerProcess) -> None:
     for word, told in (
-        ("check", b"n3: the configuration is good"),
+        ("check", b"n3: the configuration is valid"),
         ("version", b"otterrudder "),
         ("--help", b"NODE_CONFIG"),
     ):
