--- a/otterrudder/admission/factory.py
+++ b/otterrudder/admission/factory.py
@@ -1,6 +1,6 @@
-"""From the settings object that a server is given at its start to an admission controller.
+"""Creates an admission controller from the settings object that a server is given at its start.
 
-The settings' durations are microseconds; a key that is absent or null has its default."""
+Durations in the settings are microseconds. A key that is absent or null has its default."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -29,28 +29,31 @@
 }
 _LOAD_SIGNALS = {"min_rank": LoadSignal.CRITICALITY, "tokens": LoadSignal.CREDIT}
 _DOWNSTREAM_KINDS = {"common": DownstreamKind.SHARED, "next_hop": DownstreamKind.TIER}
-_GAUGES = {"core_use": "busy", "on_cores": "on_cores"}  # the parameters of `AdmissionController.tick`
-_STOP_MODES = ("drop", "pause")  # in which a running request can be stopped
+_GAUGES = {
+    "core_use": "busy",
+    "on_cores": "on_cores",
+}  # gauge name to parameter of `AdmissionController.tick`
+_STOP_MODES = ("drop", "pause")  # modes in which a running request can be stopped
 
 
 def create_controller(
     now: float, instance: int, seed: int, settings: Settings, **overrides: Any
 ) -> AdmissionController:
-    """A started controller. `overrides` are fields of `ControllerSettings` that this start knows better."""
-    controller_settings = replace(controller_settings_of(settings), **overrides)
+    """Creates and starts a controller. `overrides` replaces fields of its `ControllerSettings`."""
+    controller_settings = replace(parse_controller_settings(settings), **overrides)
     controller = AdmissionController(now, controller_settings, instance=instance, seed=seed)
     controller.start()
     return controller
 
 
-def controller_settings_of(settings: Settings) -> ControllerSettings:
-    """The controller's settings by the settings object."""
+def parse_controller_settings(settings: Settings) -> ControllerSettings:
+    """Returns the controller's settings from the settings object."""
     family = _section(settings, "familyInfo")
     rules = _section(settings, "rules")
     return ControllerSettings(
-        request_classes=request_classes_of(settings),
-        tenants=tenants_of(settings),
-        limits=limits_of(settings),
+        request_classes=parse_request_classes(settings),
+        tenants=parse_tenants(settings),
+        limits=parse_limits(settings),
         cores=family.get("cores") or 1,
         memory_kb=family.get("memoryKb") or 0.0,
         run_memory_factor=family.get("runFactor") or 1.0,
@@ -59,21 +62,21 @@
         max_concurrency_per_core=rules.get("fallMultiple") or 1.0,
         is_cold_start=bool(family.get("freshStart")),
         slow_start_from=rules.get("coldFrom") or 0.0,
-        slow_start_ms=_ms(rules, "coldUs"),
-        clock_tick_ms=_ms(settings, "tickUs", DEFAULT_CLOCK_TICK_US),
-        drain_grace_ms=_ms(rules, "drainGraceUs"),
+        slow_start_ms=_duration_ms(rules, "coldUs"),
+        clock_tick_ms=_duration_ms(settings, "tickUs", DEFAULT_CLOCK_TICK_US),
+        drain_grace_ms=_duration_ms(rules, "drainGraceUs"),
         callers=family.get("callers") or 1,
         load_signal=_LOAD_SIGNALS.get(family.get("say", ""), LoadSignal.NONE),
-        max_idle_timeout_ms=_ms(family, "callerIdleUs"),
+        max_idle_timeout_ms=_duration_ms(family, "callerIdleUs"),
         are_retries_marked=_section(settings, "clients").get("marksRetry") is not False,
-        downstream=downstream_kind_of(settings),
-        downstream_quota_window_ms=_ms(family, "depWindowUs"),
-        downstream_linger_ms=_ms(family, "lingerUs"),
+        downstream=parse_downstream_kind(settings),
+        downstream_quota_window_ms=_duration_ms(family, "depWindowUs"),
+        downstream_linger_ms=_duration_ms(family, "lingerUs"),
     )
 
 
-def request_classes_of(settings: Settings) -> list[RequestClass]:
-    """The request classes; a request names its class by the index."""
+def parse_request_classes(settings: Settings) -> list[RequestClass]:
+    """Returns the request classes. A request refers to its class by the index in this list."""
     family = _section(settings, "familyInfo")
     may_call = family.get("classCalls") or []
     skip_weight_factors = family.get("classSkipWorth") or []
@@ -82,9 +85,11 @@
             name=fields.get("name") or str(index),
             idempotency=_IDEMPOTENCY.get(fields.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             priority_weight=fields.get("worth") or 0.0,
-            latency_objective_ms=_ms(fields, "promiseUs", fields.get("hardLimitUs") or DEFAULT_DEADLINE_US),
-            deadline_ms=_ms(fields, "hardLimitUs", DEFAULT_DEADLINE_US),
-            retention_ms=_ms(fields, "windowUs"),
+            latency_objective_ms=_duration_ms(
+                fields, "promiseUs", fields.get("hardLimitUs") or DEFAULT_DEADLINE_US
+            ),
+            deadline_ms=_duration_ms(fields, "hardLimitUs", DEFAULT_DEADLINE_US),
+            retention_ms=_duration_ms(fields, "windowUs"),
             late_weight_factor=fields.get("lateWorth") or 0.0,
             may_call=bool(may_call[index]) if index < len(may_call) else False,
             skip_weight_factor=(
@@ -95,8 +100,10 @@
     ]
 
 
-def tenants_of(settings: Settings) -> list[Tenant]:
-    """The tenants; a request names its tenant by the index. A quota is divided evenly among the servers."""
+def parse_tenants(settings: Settings) -> list[Tenant]:
+    """Returns the tenants. A request refers to its tenant by the index in this list.
+
+    Each quota is divided evenly among the servers."""
     servers = max(settings.get("servers") or 1, 1)
     return [
         Tenant(
@@ -108,28 +115,28 @@
     ]
 
 
-def limits_of(settings: Settings) -> Limits:
-    """The limits that a server starts with."""
+def parse_limits(settings: Settings) -> Limits:
+    """Returns the limits that a server starts with."""
     limits = _section(settings, "limits")
     return Limits(
-        max_retry_after_ms=_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
+        max_retry_after_ms=_duration_ms(limits, "maxRetryAfterUs") if limits.get("retryAfter") else 0.0,
         downstream_call_quota=_section(settings, "familyInfo").get("callsOut") or 0.0,
         over_quota_weight_factor=settings.get("overShareWorth") or 0.0,
     )
 
 
-def downstream_kind_of(settings: Settings) -> DownstreamKind:
-    """What lies behind the server."""
+def parse_downstream_kind(settings: Settings) -> DownstreamKind:
+    """Returns the kind of downstream of the server."""
     return _DOWNSTREAM_KINDS.get(_section(settings, "familyInfo").get("below", ""), DownstreamKind.NONE)
 
 
 def can_stop_requests(settings: Settings) -> bool:
-    """Whether a running request can be stopped."""
+    """Returns whether a running request can be stopped."""
     return _section(settings, "familyInfo").get("stopMode") in _STOP_MODES
 
 
 def gauge_names(settings: Settings) -> list[str]:
-    """The parameters of `tick` in the order in which gauges come; empty for one that is not used."""
+    """Returns the parameter of `tick` for each gauge, in order. The name of an unused gauge is empty."""
     return [_GAUGES.get(name, "") for name in _section(settings, "familyInfo").get("gauges") or []]
 
 
@@ -137,6 +144,6 @@
     return settings.get(name) or {}
 
 
-def _ms(table: Settings, name: str, default_us: float = 0) -> float:
+def _duration_ms(table: Settings, name: str, default_us: float = 0) -> float:
     value_us = table.get(name)
     return (default_us if value_us is None else value_us) / 1000
--- a/otterrudder/fleet/cell/relay_status.py
+++ b/otterrudder/fleet/cell/relay_status.py
@@ -1,4 +1,4 @@
-"""What a relay shows of itself on the control socket."""
+"""The status of a relay that its control socket returns."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,22 +6,22 @@
 
 from otterrudder.fleet.cell.relay import Relay
 
-ENDLESS = -1.0  # in place of a time that has no end
+UNLIMITED_MS = -1.0  # stands for an infinite time
 
 
 @dataclass(frozen=True, slots=True)
 class TransportCounts:
-    """What the relay's actor has counted."""
+    """Counters of the relay's actor."""
 
-    streams: int  # that are open
-    received: int  # messages of servers
-    streams_failed: Mapping[str, int]  # by status
-    worst_answer_ms: float  # of the store
-    store: Mapping[str, int]  # requests to the store
+    streams: int  # open streams
+    received: int  # messages received from servers
+    streams_failed: Mapping[str, int]  # streams that the relay ended with an error, by gRPC status
+    worst_answer_ms: float  # longest time that the store took to answer
+    store: Mapping[str, int]  # store requests by kind
 
 
 def relay_status(relay: Relay, transport: TransportCounts, now: float) -> dict[str, object]:
-    """The keys are those that `fleet relay status` shows."""
+    """Returns the status; its keys are those of the output of `fleet relay status`."""
     member = relay.member
     admission_status = member.admission_status(now)
     return dict(
@@ -31,13 +31,13 @@
         leads=relay.leads(),
         standing=admission_status.label,
         why=member.status_detail or admission_status.description,
-        version=member.known.version,
-        digest=member.known.digest,
+        version=member.applied_policy.version,
+        digest=member.applied_policy.digest,
         settles=member.is_leader,
         store_lease_left_ms=_left_ms(member.registration.lease_until - now),
         authority_left_ms=_left_ms(relay.authority_until(now) - now),
         consent_left_ms=_left_ms(member.registration.endorsed_until - now),
-        consented_left_ms=_left_ms(relay.given_endorsement.until - now),
+        consented_left_ms=_left_ms(relay.endorsement_giver.until - now),
         sessions=len(relay.sessions),
         sessions_most=relay.sessions.max_sessions,
         streams=transport.streams,
@@ -45,7 +45,7 @@
         kinds=Counter(session.fingerprint for session in relay.sessions),
         versions=Counter(session.version for session in relay.sessions),
         standings=Counter(session.status for session in relay.sessions),
-        refused={reason.value: count for reason, count in relay.refused.items() if count},
+        refused={reason.value: count for reason, count in relay.refusal_counts.items() if count},
         streams_failed=transport.streams_failed,
         worst_answer_ms=transport.worst_answer_ms,
         counts=transport.store,
@@ -53,4 +53,4 @@
 
 
 def _left_ms(span_ms: float) -> float:
-    return round(max(span_ms, 0.0), 1) if span_ms < float("inf") else ENDLESS
+    return round(max(span_ms, 0.0), 1) if span_ms < float("inf") else UNLIMITED_MS
--- a/tests/fleet/test_cell_participant.py
+++ b/tests/fleet/test_cell_participant.py
@@ -23,7 +23,12 @@
     encode,
 )
 from otterrudder.fleet.cell.participant import Participant
-from otterrudder.fleet.cell.relay_selector import HOME_RETRY_MS, MAX_HOME_DOUBLINGS, MAX_RETRY_MS, RETRY_MS
+from otterrudder.fleet.cell.relay_selector import (
+    MAX_PREFERRED_DOUBLINGS,
+    MAX_RETRY_MS,
+    PREFERRED_RETRY_MS,
+    RETRY_MS,
+)
 from otterrudder.fleet.cell.server_lease import MAX_PENDING_REQUESTS
 from otterrudder.fleet.cell.text_validation import MAX_TEXTS
 from otterrudder.fleet.records import digest_of
@@ -91,7 +96,7 @@
     assert server.due() == 0.25 * DEFAULT_LEASE_MS
     effects = server.effects(server.due())
     assert [type(effect) for effect in effects] == [Disconnect, Connect] and server.relay == "b"
-    assert server.refusal == "a does not answer"
+    assert server.refusal == "a did not answer in time"
     late = LeaseGrant(1, 0, "", 3000.0)
     server.handle_message(800.0, 1, late)  # of the stream that was given up
     assert server.admits(800.0) is None
@@ -142,7 +147,8 @@
     assert server.admits(0.0) == 1
     server.effects(server.due())
     grant(server, 800.0, 2, 0)
-    assert server.relay == "b" and server._relay_mistrust == "a tells of version 0, older than 1"
+    assert server.relay == "b"
+    assert server._relay_mistrust == "a announced version 0, which is older than version 1"
     assert server.lease.until == 0.9 * DEFAULT_LEASE_MS and server.admits(800.0) == 1
 
 
@@ -152,7 +158,7 @@
     takes(server, 0.0, 1, "one")
     server.effects(server.due())
     server.handle_message(800.0, 1, LeaseGrant(2, 1, "another", 3000.0))
-    assert server.relay == "b" and server._relay_mistrust == "a tells of another version 1"
+    assert server.relay == "b" and server._relay_mistrust == "a announced a different change as version 1"
 
 
 def test_the_old_version_lasts_for_its_lease_and_no_longer() -> None:
@@ -178,7 +184,7 @@
     connect(server)
     server.handle_message(0.0, 1, in_force(1, "damaged", digest_of("one")))
     assert server.relay == "b" and server.head == 0
-    assert server._relay_mistrust == "a: the text of version 1 is damaged"
+    assert server._relay_mistrust == "a: the text of version 1 does not match its digest"
 
 
 def test_a_text_that_is_no_good_here_stops_the_server() -> None:
@@ -216,17 +222,19 @@
     server.handle_message(0.0, 1, LeaseRefusal(1, RefusalReason.FULL))
     grant(server, 0.0, connect(server).sequence)
     now = 0.0
-    while server.relay == "b" and now < 2 * HOME_RETRY_MS:
+    while server.relay == "b" and now < 2 * PREFERRED_RETRY_MS:
         now = server.due()
         for message in messages_to_relay(server.effects(now)):
             grant(server, now, message.sequence)
-    assert HOME_RETRY_MS / 2 <= now <= 1.5 * HOME_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
+    assert (
+        PREFERRED_RETRY_MS / 2 <= now <= 1.5 * PREFERRED_RETRY_MS + DEFAULT_LEASE_MS and server.relay == "a"
+    )
     assert server.admits(now) == 0  # the lease goes on
 
 
 def test_the_first_address_is_tried_the_more_rarely_the_more_often_it_was_in_vain() -> None:
     server, now, homeward = participant(), 0.0, [0.0]
-    while now < 64 * HOME_RETRY_MS:
+    while now < 64 * PREFERRED_RETRY_MS:
         effects = server.effects(now)
         for effect in effects:
             if isinstance(effect, Connect):
@@ -244,7 +252,7 @@
     waits = [later - earlier for earlier, later in itertools.pairwise(homeward)]
     assert len(waits) >= 5
     for tries, wait in enumerate(waits):
-        expected = HOME_RETRY_MS * 2 ** min(tries, MAX_HOME_DOUBLINGS)
+        expected = PREFERRED_RETRY_MS * 2 ** min(tries, MAX_PREFERRED_DOUBLINGS)
         assert expected * 0.5 <= wait <= expected * 1.5 + DEFAULT_LEASE_MS
 
 
@@ -268,7 +276,7 @@
     connect(server)
     server.handle_message(0.0, 1, ValidationRequest(digest_of("one"), "damaged"))
     assert not [effect for effect in server.effects(0.0) if isinstance(effect, ValidateText)]
-    assert server.relay == "b" and "damaged" in server._relay_mistrust
+    assert server.relay == "b" and "does not match its digest" in server._relay_mistrust
 
 
 def test_a_long_reason_is_cut_to_what_a_relay_takes() -> None:
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -6,20 +6,20 @@
 
 import pytest
 from line_connection import listen
-from server_process import MARK, A, B, C, ServerProcess, complete_request
+from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess, complete_request
 
 pytestmark = pytest.mark.exclusive
 
 
 def test_a_new_configuration_moves_runtime_records_and_registry(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    gateway.send_request(A, "pay", dedupe=MARK), runtime.expect_command("start", A)
+    gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
     gateway.send_request(C), runtime.expect_command("start", C)
     runtime.send_notice(f"wants {C}", b"?")
     old_records = server.accept_call(C, b"?")
     for bad in ("{", '{"name": "n3"}'):  # half written, or lacking the rest: the old one stays in force
         server.reload(bad)
-        server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
+        server.wait_for_log("configuration not reloaded", lambda: runtime.answer_gauges(1))
         server.log.write_text("")
     old_reports = server.move_addresses()
     while True:  # its last question proves what it has read; nothing else comes on it
@@ -29,7 +29,7 @@
         assert words[0] == "gauges"
         runtime.send(f"load {words[1]} 0.2 1 0.1 5")
     new = server.accept_runtime()
-    assert new.synced == 1
+    assert new.synced_notice == 1
     gateway.send_request(B), new.expect_command("start", B)  # not A again: its start was read
     new.send_notice(f"wants {B}", b"?")
     server.accept_call(B, b"?").send(f"{B} DONE", b"!")
@@ -74,15 +74,17 @@
         gateway.send_request(A)
         error = gateway.read_answer()["error"]
         assert error["code"] == -32014
-        gateway.send_request(B, "pay", dedupe=MARK), runtime.expect_command("start", B, "pay")
+        gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", B, "pay")
         file.write_text("version = 1\nlevel = 7")
         server.process.send_signal(signal.SIGHUP)
-        server.wait_for_log("levels not taken", lambda: runtime.answer_gauges(1))
+        server.wait_for_log("levels not reloaded", lambda: runtime.answer_gauges(1))
         file.write_text(table.format(start="no-pay", product="pay"))
         server.process.send_signal(signal.SIGHUP)
         server.wait_for_log("entered=no-pay", lambda: runtime.answer_gauges(1))
         gateway.send_request(A), runtime.expect_command("start", A, "look")
-        gateway.send_request(C, "pay", dedupe=MARK, rep=1)  # what runs is never declined by a level
+        gateway.send_request(
+            C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1
+        )  # what runs is never declined by a level
         runtime.answer_gauges()
         runtime.end_run(B, b"paid")
         assert gateway.read_result() == gateway.read_result() == b"paid"
@@ -138,11 +140,11 @@
             server.log.write_text("")
             server.configuration.write_bytes(bad.encode("utf-8", "surrogatepass"))
             server.process.send_signal(signal.SIGHUP)
-            server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
+            server.wait_for_log("configuration not reloaded", lambda: runtime.answer_gauges(1))
         server.configuration.unlink()
         server.log.write_text("")
         server.process.send_signal(signal.SIGHUP)
-        server.wait_for_log("configuration not taken", lambda: runtime.answer_gauges(1))
+        server.wait_for_log("configuration not reloaded", lambda: runtime.answer_gauges(1))
         gateway.send_request(A)
         runtime.expect_command("start", A)
         runtime.end_run(A)
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -267,9 +267,9 @@
             check=True,
             capture_output=True,
         )
-        before = server.log.read_text().count("vrrp keys taken")
+        before = server.log.read_text().count("vrrp keys reloaded")
         server.process.send_signal(signal.SIGHUP)
-        while server.log.read_text().count("vrrp keys taken") == before:
+        while server.log.read_text().count("vrrp keys reloaded") == before:
             runtime.answer_gauges(1)
     peer.authenticator.keys = read_keys(keys)
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
