--- a/otterrudder/cli/fleet.py
+++ b/otterrudder/cli/fleet.py
@@ -22,7 +22,7 @@
     conditions_text,
     exit_with,
     read_snapshot,
-    with_store,
+    run_with_store,
 )
 from otterrudder.cli.policy import policy
 from otterrudder.cli.relay import relay
@@ -196,7 +196,7 @@
 
     The state directory of a removed server must never be used again, and no relay of a removed cell may lead.
     A server or cell that returns joins as a new member, with the policy then in force."""
-    with_store(file, lambda store: _remove_member(store, name))
+    run_with_store(file, lambda store: _remove_member(store, name))
 
 
 async def _remove_member(store: CommandStore, name: str) -> None:
--- a/otterrudder/cli/fleet_change.py
+++ b/otterrudder/cli/fleet_change.py
@@ -37,12 +37,12 @@
     base: str = ""  # for a queued change: the digest of the policy it is based on; "" for any
 
 
-async def follow(store: CommandStore, request: ChangeRequest) -> FinishedChange:
+async def propose_and_follow(store: CommandStore, request: ChangeRequest) -> FinishedChange:
     """Proposes a change and follows it until it has ended. Other processes may finish it."""
-    return await _follow_open(store, request, await _open_change(store, request))
+    return await _follow_open(store, request, await _propose_change(store, request))
 
 
-async def follow_queued(store: CommandStore, request: ChangeRequest) -> FinishedChange:
+async def queue_and_follow(store: CommandStore, request: ChangeRequest) -> FinishedChange:
     """Queues a change and follows it until it has ended. Other processes may open and finish it."""
     snapshot = await _enqueue(store, request)
     shown_position = -1
@@ -68,7 +68,7 @@
                     UNDECIDED, f"the store does not answer ({error}); {request.change_id} stays in the queue"
                 )
             await asyncio.sleep(POLL_S)
-    return await follow(store, request)
+    return await propose_and_follow(store, request)
 
 
 async def _follow_open(
@@ -116,7 +116,7 @@
     return (time.monotonic() - start_s) * 1000
 
 
-async def _open_change(store: CommandStore, request: ChangeRequest) -> FleetSnapshot:
+async def _propose_change(store: CommandStore, request: ChangeRequest) -> FleetSnapshot:
     """Proposes the change. Returns a snapshot in which it is open or has ended.
 
     A read shows whether the proposal succeeded, because a missing answer does not mean that it failed."""
@@ -124,7 +124,7 @@
         snapshot = await store.read()
         if find_change(snapshot, request.change_id):
             return snapshot
-        _refuse_empty_store(snapshot, request)
+        _reject_empty_store(snapshot, request)
         try:
             commit = propose(
                 snapshot,
@@ -163,7 +163,7 @@
         is_queued = queue_position(snapshot, request.change_id) is not None
         if is_queued or find_change(snapshot, request.change_id):
             return snapshot
-        _refuse_empty_store(snapshot, request)
+        _reject_empty_store(snapshot, request)
         try:
             commit = enqueue(snapshot, entry, request.text)
         except QueueRejectedError as error:
@@ -172,7 +172,7 @@
     return exit_with(UNDECIDED, "the change could not be queued; try again")
 
 
-def _refuse_empty_store(snapshot: FleetSnapshot, request: ChangeRequest) -> None:
+def _reject_empty_store(snapshot: FleetSnapshot, request: ChangeRequest) -> None:
     """Exits if the store has no members, unless the request allows it: the store may have lost its data."""
     if snapshot.rosters or snapshot.policy or request.is_first:
         return
--- a/otterrudder/cli/fleet_store.py
+++ b/otterrudder/cli/fleet_store.py
@@ -76,7 +76,7 @@
             reach_failpoint(f"after {commit.purpose}")
 
 
-def with_store(file: str, command: Callable[[CommandStore], Coroutine[Any, Any, Result]]) -> Result:
+def run_with_store(file: str, command: Callable[[CommandStore], Coroutine[Any, Any, Result]]) -> Result:
     """Runs a command with access to the store. Exits if the store is unavailable or has invalid records."""
 
     async def run() -> Result:
@@ -96,7 +96,7 @@
 
 def read_snapshot(file: str) -> FleetSnapshot:
     """Reads a snapshot of the fleet."""
-    return with_store(file, lambda store: store.read())
+    return run_with_store(file, lambda store: store.read())
 
 
 def exit_with(code: int, reason: object) -> NoReturn:
--- a/otterrudder/cli/levels.py
+++ b/otterrudder/cli/levels.py
@@ -77,7 +77,7 @@
 @CONFIG_OPTION
 def show(file: str, config: str | None) -> None:
     """Describe when each level of FILE is entered and left, and what it restricts."""
-    request_classes, tenants = _names(file, config)
+    request_classes, tenants = _classes_and_tenants(file, config)
     for number, level in enumerate(_read_table(file, config).levels, 1):
         for line in _description(number, level, request_classes, tenants):
             click.echo(line)
@@ -143,18 +143,18 @@
 
 
 def _read_table(file: str, config: str | None) -> LevelTable:
-    request_classes, tenants = _names(file, config)
+    request_classes, tenants = _classes_and_tenants(file, config)
     try:
         return read_table(file, request_classes, tenants)
     except LevelTableError as error:
         exit_bad_input(error)
 
 
-def _names(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
+def _classes_and_tenants(file: str, config: str | None) -> tuple[list[RequestClass], list[Tenant]]:
     """Returns the request classes and tenants that a table is checked against."""
     path = config or os.environ.get(CONFIGURATION_VARIABLE)
     if not path:
-        return _names_in_table(file)
+        return _names_used_in_file(file)
     try:
         settings = read_configuration(path).settings
     except ConfigurationError as error:
@@ -162,7 +162,7 @@
     return parse_request_classes(settings), parse_tenants(settings)
 
 
-def _names_in_table(file: str) -> tuple[list[RequestClass], list[Tenant]]:
+def _names_used_in_file(file: str) -> tuple[list[RequestClass], list[Tenant]]:
     try:
         values = tomllib.loads(Path(file).read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/otterrudder/cli/migrate.py
+++ b/otterrudder/cli/migrate.py
@@ -74,7 +74,7 @@
     _restate(migration, stated)
     _drop_other_tiers(migration)
     for setting in OPERATOR_SETTINGS:
-        if _get(stated, setting.path, ABSENT) is ABSENT:
+        if _value_at(stated, setting.path, ABSENT) is ABSENT:
             migration.not_carried_over.append(f"{setting.path}: {setting.reason}")
     settings = _with_value(migration.settings, "familyInfo.callsOut", 0.0)
     migration.settings = merge_tables(settings, stated)
@@ -97,8 +97,8 @@
 
 def _restate(migration: Migration, stated: dict[str, Any]) -> None:
     for item in RESTATEMENTS:
-        before = _get(migration.settings, item.path, None)
-        if before == item.value or _get(stated, item.path, ABSENT) is not ABSENT:
+        before = _value_at(migration.settings, item.path, None)
+        if before == item.value or _value_at(stated, item.path, ABSENT) is not ABSENT:
             continue
         change = f"{json.dumps(before)} -> {json.dumps(item.value)}"
         migration.restated.append(f"{item.path}: {change}: {item.reason}")
@@ -117,7 +117,7 @@
     settings["tier"] = 0
 
 
-def _get(settings: object, path: str, absent: object) -> object:
+def _value_at(settings: object, path: str, absent: object) -> object:
     """Returns the value at a dotted path of nested tables, or `absent` if there is none."""
     for key in path.split("."):
         settings = settings.get(key, absent) if isinstance(settings, dict) else absent
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -16,7 +16,7 @@
 import click
 
 from otterrudder.cli.common import exit_bad_input, names_used_in, tables_under
-from otterrudder.cli.fleet_change import ChangeRequest, follow, follow_queued
+from otterrudder.cli.fleet_change import ChangeRequest, propose_and_follow, queue_and_follow
 from otterrudder.cli.fleet_store import (
     ABORTED,
     FLEET_OPTION,
@@ -27,7 +27,7 @@
     conditions_text,
     exit_with,
     read_snapshot,
-    with_store,
+    run_with_store,
 )
 from otterrudder.configuration import CONFIGURATION_VARIABLE, ConfigurationError, read_configuration
 from otterrudder.fleet.change import ChangeRejectedError, find_change, withdraw
@@ -44,7 +44,7 @@
 from otterrudder.levels.facts import FACTS
 
 CHANGE_ID_BYTES = 8
-Follow = Callable[[CommandStore, ChangeRequest], Coroutine[Any, Any, FinishedChange]]
+FollowChange = Callable[[CommandStore, ChangeRequest], Coroutine[Any, Any, FinishedChange]]
 
 
 class NamedPolicy(NamedTuple):
@@ -186,7 +186,7 @@
         first,
         base,
     )
-    _change(file, request, follow_queued if queued else follow)
+    _make_change(file, request, queue_and_follow if queued else propose_and_follow)
 
 
 @policy.command()
@@ -204,7 +204,9 @@
         version = committed[-2]
     text = _committed_policy(file, version).text
     note = note or f"back to version {version}"
-    _change(file, ChangeRequest(_new_change_id(), text, author, note, deadline_s * 1000), follow)
+    _make_change(
+        file, ChangeRequest(_new_change_id(), text, author, note, deadline_s * 1000), propose_and_follow
+    )
 
 
 def _new_change_id() -> str:
@@ -225,9 +227,9 @@
     return tuple(conditions)
 
 
-def _change(file: str, request: ChangeRequest, follow_change: Follow) -> None:
+def _make_change(file: str, request: ChangeRequest, follow_change: FollowChange) -> None:
     """Makes a change and prints its outcome. Exits with ABORTED if it was not committed."""
-    change = with_store(file, lambda store: follow_change(store, request))
+    change = run_with_store(file, lambda store: follow_change(store, request))
     if not change.committed:
         exit_with(ABORTED, f"aborted, nothing has changed: {change.reason}")
     left_out = ""
@@ -262,7 +264,7 @@
 @click.argument("change_id", metavar="IDENT")
 def withdraw_command(file: str, change_id: str) -> None:
     """Withdraw the open or queued change IDENT (`fleet policy queue` shows the idents)."""
-    with_store(file, lambda store: _withdraw(store, change_id))
+    run_with_store(file, lambda store: _withdraw(store, change_id))
 
 
 async def _withdraw(store: CommandStore, change_id: str) -> None:
@@ -299,7 +301,7 @@
 
 def _committed_policy(file: str, version: int | None, text_if_none: str | None = None) -> NamedPolicy:
     """Returns the policy in force, or an earlier one. `text_if_none` replaces a missing first policy."""
-    return with_store(file, lambda store: _read_policy(store, version, text_if_none))
+    return run_with_store(file, lambda store: _read_policy(store, version, text_if_none))
 
 
 async def _read_policy(store: CommandStore, version: int | None, text_if_none: str | None) -> NamedPolicy:
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -109,7 +109,7 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         exit_bad_input(f"cannot read {file}: {error}")
     try:
-        configuration = parse_configuration(values, file, *_names(values))
+        configuration = parse_configuration(values, file, *_classes_and_tenants(values))
     except (VrrpConfigurationError, ConfigurationError) as error:
         exit_bad_input(error)
     keys = configuration.keys
@@ -119,7 +119,7 @@
     )
 
 
-def _names(values: dict[str, Any]) -> tuple[list[RequestClass], list[Tenant]]:
+def _classes_and_tenants(values: dict[str, Any]) -> tuple[list[RequestClass], list[Tenant]]:
     """Returns the request classes and tenants that the file is checked against."""
     if path := os.environ.get(CONFIGURATION_VARIABLE):
         settings = read_configuration(path).settings
--- a/otterrudder/levels/level_parser.py
+++ b/otterrudder/levels/level_parser.py
@@ -58,14 +58,16 @@
         tenants: Sequence[Tenant],
     ) -> None:
         """`number` is the position of the level in the file, from 1."""
-        self.place = f"level[{number}]"
+        self.location = f"level[{number}]"
         self.request_classes = request_classes
         self.tenants = tenants
-        self.section = convert_section(values, LevelSection, self.place)
+        self.section = convert_section(values, LevelSection, self.location)
         self.stay_s = check_range(
-            self.section.least_stay_s, MIN_STAY_S, MAX_DURATION_S, f"{self.place}.least_stay_s"
+            self.section.least_stay_s, MIN_STAY_S, MAX_DURATION_S, f"{self.location}.least_stay_s"
+        )
+        self.trial_s = check_range(
+            self.section.trial_s, self.stay_s, MAX_DURATION_S, f"{self.location}.trial_s"
         )
-        self.trial_s = check_range(self.section.trial_s, self.stay_s, MAX_DURATION_S, f"{self.place}.trial_s")
         self.entry = self._parse_entry()
         self.exit = self._parse_exit()
         self._check_hysteresis()
@@ -102,106 +104,106 @@
             for requests in self._compared_requests(class_index, milder):
                 if self._severity(class_index, requests) < milder._severity(class_index, requests):
                     raise LevelTableError(
-                        f"{self.place}.cut: {request_class.name}{requests.description} is restricted less "
-                        f"than in {milder.place}"
+                        f"{self.location}.cut: {request_class.name}{requests.description} is restricted less "
+                        f"than in {milder.location}"
                     )
         for fact, value in self.entry.thresholds.items():
             milder_exit = milder.exit.thresholds.get(fact, -math.inf)
             if value <= milder_exit:
                 raise LevelTableError(
-                    f"{self.place}.entry.{fact}: {value:g} is not above the exit threshold of "
-                    f"{milder.place}, {milder_exit:g}"
+                    f"{self.location}.entry.{fact}: {value:g} is not above the exit threshold of "
+                    f"{milder.location}, {milder_exit:g}"
                 )
 
     def _parse_entry(self) -> Condition:
-        place = f"{self.place}.entry"
+        location = f"{self.location}.entry"
         values = dict(self.section.entry)
-        window_s = _pop_window(values, place)
+        window_s = _pop_window(values, location)
         need = values.pop("need", "any")
         if need not in ("any", "all"):
-            raise LevelTableError(f"{place}.need: {need!r} is neither 'any' nor 'all'")
+            raise LevelTableError(f"{location}.need: {need!r} is neither 'any' nor 'all'")
         for fact, value in values.items():
-            minimum, maximum = _check_fact(fact, value, place)
+            minimum, maximum = _check_fact(fact, value, location)
             if not minimum < value <= maximum:
                 raise LevelTableError(
-                    f"{place}.{fact}: {value:g} is not above {minimum:g} and at most {maximum:g}"
+                    f"{location}.{fact}: {value:g} is not above {minimum:g} and at most {maximum:g}"
                 )
         if not values:
-            raise LevelTableError(f"{place}: the condition names no fact")
+            raise LevelTableError(f"{location}: the condition names no fact")
         return Condition(values, window_s, need == "all")
 
     def _parse_exit(self) -> Condition:
-        place = f"{self.place}.exit"
+        location = f"{self.location}.exit"
         values = dict(self.section.exit)
-        window_s = _pop_window(values, place)
+        window_s = _pop_window(values, location)
         for fact, value in values.items():
-            minimum, _ = _check_fact(fact, value, place)
+            minimum, _ = _check_fact(fact, value, location)
             if not value > minimum:
                 raise LevelTableError(
-                    f"{place}.{fact}: {value:g} is not above the fact's minimum: {NEVER_LEFT}"
+                    f"{location}.{fact}: {value:g} is not above the fact's minimum: {NEVER_LEFT}"
                 )
         if not values:
-            raise LevelTableError(f"{place}: the condition names no fact: {NEVER_LEFT}")
+            raise LevelTableError(f"{location}: the condition names no fact: {NEVER_LEFT}")
         return Condition(values, window_s, needs_all=True)
 
     def _check_hysteresis(self) -> None:
         """Checks that the exit window is longer, and the exit thresholds lower, than those of the entry."""
         if self.entry.window_s >= self.exit.window_s:
             raise LevelTableError(
-                f"{self.place}.exit.for_s: {self.exit.window_s:g} is not longer than for_s of its entry, "
+                f"{self.location}.exit.for_s: {self.exit.window_s:g} is not longer than for_s of its entry, "
                 f"{self.entry.window_s:g}"
             )
         for fact, value in self.exit.thresholds.items():
             entry = self.entry.thresholds.get(fact, math.inf)
             if value >= entry:
                 raise LevelTableError(
-                    f"{self.place}.exit.{fact}: {value:g} is not below the entry threshold, {entry:g}"
+                    f"{self.location}.exit.{fact}: {value:g} is not below the entry threshold, {entry:g}"
                 )
 
     def _parse_cuts(self) -> tuple[tuple[Restriction, ...], ...]:
         """Returns the restrictions of each request class, the strongest first."""
         by_class: list[list[Restriction]] = [[] for _ in self.request_classes]
         for number, values in enumerate(self.section.cut, 1):
-            place = f"{self.place}.cut[{number}]"
-            cut = convert_section(values, CutSection, place)
-            restriction = self._restriction(cut, place)
-            for class_index in self._classes_of(cut, place):
+            location = f"{self.location}.cut[{number}]"
+            cut = convert_section(values, CutSection, location)
+            restriction = self._restriction(cut, location)
+            for class_index in self._classes_of(cut, location):
                 by_class[class_index].append(restriction)
         if not self.section.cut:
-            raise LevelTableError(f"{self.place}.cut: the level has no restrictions")
+            raise LevelTableError(f"{self.location}.cut: the level has no restrictions")
         return tuple(tuple(sorted(restrictions, key=_severity_of, reverse=True)) for restrictions in by_class)
 
-    def _restriction(self, cut: CutSection, place: str) -> Restriction:
+    def _restriction(self, cut: CutSection, location: str) -> Restriction:
         kind = RestrictionKind(cut.do)
         if (cut.share is not None) != (kind is RestrictionKind.SHARE):
-            raise LevelTableError(f'{place}.share: required with do = "share", and not allowed otherwise')
+            raise LevelTableError(f'{location}.share: required with do = "share", and not allowed otherwise')
         share = 0.0
         if cut.share is not None:
-            share = check_range(cut.share, 0.01, 0.99, f"{place}.share")
+            share = check_range(cut.share, 0.01, 0.99, f"{location}.share")
         rank = math.inf
         if cut.rank_below is not None:
-            rank = check_range(cut.rank_below, 0.001, 1.0, f"{place}.rank_below")
+            rank = check_range(cut.rank_below, 0.001, 1.0, f"{location}.rank_below")
         tenants = None
         if cut.tenants is not None:
             names = [tenant.name for tenant in self.tenants]
-            tenants = frozenset(indexes_of(cut.tenants, names, f"{place}.tenants"))
+            tenants = frozenset(indexes_of(cut.tenants, names, f"{location}.tenants"))
         return Restriction(kind, share, rank, tenants)
 
-    def _classes_of(self, cut: CutSection, place: str) -> list[int]:
+    def _classes_of(self, cut: CutSection, location: str) -> list[int]:
         """Returns the indexes of the request classes that a cut names.
 
         Raises LevelTableError if the cut omits a call that is not optional."""
         names = [request_class.name for request_class in self.request_classes]
-        indexes = indexes_of(cut.products, names, f"{place}.products")
+        indexes = indexes_of(cut.products, names, f"{location}.products")
         if RestrictionKind(cut.do) is not RestrictionKind.OMIT:
             return indexes
         for index in indexes:
             request_class = self.request_classes[index]
             if not (request_class.may_call and request_class.skip_weight_factor):
-                raise LevelTableError(f"{place}.products: {request_class.name} has no optional call")
+                raise LevelTableError(f"{location}.products: {request_class.name} has no optional call")
             if request_class.idempotency is not Idempotency.SAFE:
                 raise LevelTableError(
-                    f"{place}.products: {request_class.name} has side effects, so its call is not omitted"
+                    f"{location}.products: {request_class.name} has side effects, so its call is not omitted"
                 )
         return indexes
 
@@ -233,15 +235,15 @@
     return _SEVERITY[restriction.kind], 1.0 - restriction.admitted_share
 
 
-def _pop_window(values: dict[str, Any], place: str) -> float:
+def _pop_window(values: dict[str, Any], location: str) -> float:
     """Removes `for_s` from the keys of a condition and returns it, in s."""
-    window_s = check_number(values.pop("for_s", None), f"{place}.for_s")
-    return check_range(window_s, MIN_WINDOW_S, MAX_DURATION_S, f"{place}.for_s")
+    window_s = check_number(values.pop("for_s", None), f"{location}.for_s")
+    return check_range(window_s, MIN_WINDOW_S, MAX_DURATION_S, f"{location}.for_s")
 
 
-def _check_fact(fact: str, value: Any, place: str) -> tuple[float, float]:
+def _check_fact(fact: str, value: Any, location: str) -> tuple[float, float]:
     """Returns the range of a fact. Raises LevelTableError if the fact is unknown or `value` not a number."""
     if fact not in FACTS:
-        raise LevelTableError(f"{place}.{fact}: unknown fact; the facts are {', '.join(FACTS)}")
-    check_number(value, f"{place}.{fact}")
+        raise LevelTableError(f"{location}.{fact}: unknown fact; the facts are {', '.join(FACTS)}")
+    check_number(value, f"{location}.{fact}")
     return FACTS[fact]
--- a/otterrudder/levels/schema.py
+++ b/otterrudder/levels/schema.py
@@ -55,13 +55,13 @@
     damping: dict[str, Any] = {}
 
 
-def convert_section(values: Any, section: type[Section], place: str) -> Section:
+def convert_section(values: Any, section: type[Section], location: str) -> Section:
     """Converts `values` to a `section`.
 
-    Raises LevelTableError with msgspec's message and the path of the key, which starts with `place`."""
+    Raises LevelTableError with msgspec's message and the path of the key, which starts with `location`."""
     try:
         return msgspec.convert(values, section)
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `")
-        key = ".".join(filter(None, (place, path.rstrip("`").lstrip("$").lstrip("."))))
+        key = ".".join(filter(None, (location, path.rstrip("`").lstrip("$").lstrip("."))))
         raise LevelTableError(f"{key}: {message}" if key else message) from None
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -132,11 +132,11 @@
         raise VrrpConfigurationError(str(error)) from None
 
 
-def _parse_hold_down(values: Any, place: str) -> HoldDown:
-    hold_down = convert(values, HoldDown, place, VrrpConfigurationError)
-    _check_range(hold_down.first_ms, 0.0, MAX_DELAY_MS, f"{place}.first_ms")
-    _check_range(hold_down.max_ms, 0.0, MAX_DELAY_MS, f"{place}.most_ms")
-    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{place}.forget_ms")  # not 0: used as a divisor
+def _parse_hold_down(values: Any, location: str) -> HoldDown:
+    hold_down = convert(values, HoldDown, location, VrrpConfigurationError)
+    _check_range(hold_down.first_ms, 0.0, MAX_DELAY_MS, f"{location}.first_ms")
+    _check_range(hold_down.max_ms, 0.0, MAX_DELAY_MS, f"{location}.most_ms")
+    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{location}.forget_ms")  # not 0: used as a divisor
     return hold_down
 
 
@@ -144,20 +144,20 @@
     """Parses and checks a `[[group]]`."""
 
     def __init__(
-        self, values: Any, place: str, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
+        self, values: Any, location: str, request_classes: Sequence[RequestClass], tenants: Sequence[Tenant]
     ) -> None:
-        self.place = place
+        self.location = location
         self.request_class_names = [request_class.name for request_class in request_classes]
         self.tenant_names = [tenant.name for tenant in tenants]
-        self.section = convert(values, _GroupSection, place, VrrpConfigurationError)
+        self.section = convert(values, _GroupSection, location, VrrpConfigurationError)
 
     def group(self) -> Group:
         """Returns the group. Raises VrrpConfigurationError if it is invalid."""
         section = self.section
-        address = _parse_address(section.address, f"{self.place}.address")
+        address = _parse_address(section.address, f"{self.location}.address")
         virtual_addresses = self._virtual_addresses()
         destination = _parse_address(
-            section.destination or MULTICAST_ADDRESSES[address.version], f"{self.place}.destination"
+            section.destination or MULTICAST_ADDRESSES[address.version], f"{self.location}.destination"
         )
         self._check_numbers(is_owner=address in virtual_addresses)
         interval_ms = self._interval_ms()
@@ -178,17 +178,17 @@
             peers=peers,
             tracked_objects=self._tracked_objects(),
             preempt_delay_ms=_check_range(
-                section.preempt_delay_ms, 0.0, MAX_DELAY_MS, f"{self.place}.preempt_delay_ms"
+                section.preempt_delay_ms, 0.0, MAX_DELAY_MS, f"{self.location}.preempt_delay_ms"
             ),
             scope=self._scope(),
         )
 
     def _virtual_addresses(self) -> frozenset[Address]:
         texts = self.section.virtual
-        addresses = frozenset(_parse_address(text, f"{self.place}.virtual") for text in texts)
+        addresses = frozenset(_parse_address(text, f"{self.location}.virtual") for text in texts)
         if not 1 <= len(texts) <= MAX_ADDRESSES or len(addresses) != len(texts):
             raise VrrpConfigurationError(
-                f"{self.place}.virtual: the list must have 1 to {MAX_ADDRESSES} different addresses"
+                f"{self.location}.virtual: the list must have 1 to {MAX_ADDRESSES} different addresses"
             )
         return addresses
 
@@ -196,16 +196,17 @@
         vrid = self.section.vrid
         priority = self.section.priority
         if not 1 <= vrid <= 255:
-            raise VrrpConfigurationError(f"{self.place}.vrid: {vrid} is not between 1 and 255")
+            raise VrrpConfigurationError(f"{self.location}.vrid: {vrid} is not between 1 and 255")
         if not 1 <= priority <= 255:
-            raise VrrpConfigurationError(f"{self.place}.priority: {priority} is not between 1 and 255")
+            raise VrrpConfigurationError(f"{self.location}.priority: {priority} is not between 1 and 255")
         if (priority == OWNER_PRIORITY) != is_owner:
             raise VrrpConfigurationError(
-                f"{self.place}.priority: 255 is reserved for, and required of, the owner of a virtual address"
+                f"{self.location}.priority: 255 is reserved for, and required of, the owner of a virtual "
+                "address"
             )
 
     def _interval_ms(self) -> float:
-        key = f"{self.place}.interval_ms"
+        key = f"{self.location}.interval_ms"
         maximum = MAX_INTERVAL_CS * CENTISECOND_MS
         interval_ms = _check_range(self.section.interval_ms, CENTISECOND_MS, maximum, key)
         if interval_ms % CENTISECOND_MS:
@@ -214,78 +215,80 @@
 
     def _peers(self) -> tuple[Peer, ...]:
         peers = tuple(
-            _parse_peer(values, f"{self.place}.peer[{number}]")
+            _parse_peer(values, f"{self.location}.peer[{number}]")
             for number, values in enumerate(self.section.peer, 1)
         )
         if not 1 <= len(peers) <= MAX_PEERS:
             raise VrrpConfigurationError(
-                f"{self.place}.peer: a group has 1 to {MAX_PEERS} peers, not {len(peers)}"
+                f"{self.location}.peer: a group has 1 to {MAX_PEERS} peers, not {len(peers)}"
             )
         return peers
 
     def _check_families(self, addresses: list[Address]) -> None:
         if len({address.version for address in addresses}) > 1:
             raise VrrpConfigurationError(
-                f"{self.place}: the group mixes IPv4 and IPv6; each needs a group of its own"
+                f"{self.location}: the group mixes IPv4 and IPv6; each needs a group of its own"
             )
 
     def _check_peer_addresses(self, address: Address, peers: tuple[Peer, ...]) -> None:
         if len({peer.address for peer in peers} | {address}) <= len(peers):
             raise VrrpConfigurationError(
-                f"{self.place}.peer: an address is used twice, or is this router's own"
+                f"{self.location}.peer: an address is used twice, or is this router's own"
             )
 
     def _tracked_objects(self) -> tuple[TrackedObject, ...]:
         tracked_objects = tuple(
-            _parse_tracked_object(values, f"{self.place}.track[{number}]")
+            _parse_tracked_object(values, f"{self.location}.track[{number}]")
             for number, values in enumerate(self.section.track, 1)
         )
         if len({item.fact for item in tracked_objects}) < len(tracked_objects):
-            raise VrrpConfigurationError(f"{self.place}.track: a fact is tracked twice")
+            raise VrrpConfigurationError(f"{self.location}.track: a fact is tracked twice")
         return tracked_objects
 
     def _scope(self) -> RequestScope:
         return RequestScope(
-            _indexes_of(self.section.products, self.request_class_names, f"{self.place}.products"),
-            _indexes_of(self.section.tenants, self.tenant_names, f"{self.place}.tenants"),
+            _indexes_of(self.section.products, self.request_class_names, f"{self.location}.products"),
+            _indexes_of(self.section.tenants, self.tenant_names, f"{self.location}.tenants"),
         )
 
 
-def _parse_peer(values: Any, place: str) -> Peer:
-    section = convert(values, _PeerSection, place, VrrpConfigurationError)
-    address = _parse_address(section.address, f"{place}.address")
-    return Peer(address, parse_socket_address(section.udp, f"{place}.udp"))
+def _parse_peer(values: Any, location: str) -> Peer:
+    section = convert(values, _PeerSection, location, VrrpConfigurationError)
+    address = _parse_address(section.address, f"{location}.address")
+    return Peer(address, parse_socket_address(section.udp, f"{location}.udp"))
 
 
-def _parse_tracked_object(values: Any, place: str) -> TrackedObject:
-    tracked = convert(values, TrackedObject, place, VrrpConfigurationError)
+def _parse_tracked_object(values: Any, location: str) -> TrackedObject:
+    tracked = convert(values, TrackedObject, location, VrrpConfigurationError)
     if tracked.fact not in FACTS:
-        raise VrrpConfigurationError(f"{place}.fact: unknown fact; the facts are {', '.join(sorted(FACTS))}")
+        raise VrrpConfigurationError(
+            f"{location}.fact: unknown fact; the facts are {', '.join(sorted(FACTS))}"
+        )
     if not 1 <= tracked.lowers <= MAX_LOWERED_BY:
         raise VrrpConfigurationError(
-            f"{place}.lowers: {tracked.lowers} is not between 1 and {MAX_LOWERED_BY}"
+            f"{location}.lowers: {tracked.lowers} is not between 1 and {MAX_LOWERED_BY}"
         )
     for name in ("fall_ms", "rise_ms", "forget_ms"):
-        _check_range(getattr(tracked, name), 0.0, MAX_DELAY_MS, f"{place}.{name}")
+        _check_range(getattr(tracked, name), 0.0, MAX_DELAY_MS, f"{location}.{name}")
     return tracked
 
 
 def _check_groups_are_distinct(groups: Sequence[Group], name: str) -> None:
     """Checks that groups have different names and VRIDs, and that a request belongs to at most one group."""
     for number, group in enumerate(groups, 1):
-        place = f"{name}: group[{number}]"
+        location = f"{name}: group[{number}]"
         for other_number, other in enumerate(groups[: number - 1], 1):
             if group.name == other.name:
                 raise VrrpConfigurationError(
-                    f"{place}.name: {group.name!r} is already used by group[{other_number}]"
+                    f"{location}.name: {group.name!r} is already used by group[{other_number}]"
                 )
             if (group.vrid, group.address.version) == (other.vrid, other.address.version):
                 raise VrrpConfigurationError(
-                    f"{place}.vrid: {group.vrid} is already used by group[{other_number}]"
+                    f"{location}.vrid: {group.vrid} is already used by group[{other_number}]"
                 )
             if _scopes_overlap(group.scope, other.scope):
                 raise VrrpConfigurationError(
-                    f"{place}: its requests overlap with those of group[{other_number}]; set different "
+                    f"{location}: its requests overlap with those of group[{other_number}]; set different "
                     "products or tenants"
                 )
 
--- a/otterrudder/vrrp/keys.py
+++ b/otterrudder/vrrp/keys.py
@@ -93,16 +93,16 @@
     return KeyRing(by_number, file.signs)
 
 
-def _parse_key(values: Any, place: str, used_numbers: Container[int]) -> Key:
-    section = convert(values, _KeySection, place, KeyFileError)
+def _parse_key(values: Any, location: str, used_numbers: Container[int]) -> Key:
+    section = convert(values, _KeySection, location, KeyFileError)
     if not 1 <= section.number <= 255 or section.number in used_numbers:
-        raise KeyFileError(f"{place}.number: {section.number} is already used or not between 1 and 255")
+        raise KeyFileError(f"{location}.number: {section.number} is already used or not between 1 and 255")
     try:
         secret = bytes.fromhex(section.secret)
     except ValueError:
-        raise KeyFileError(f"{place}.secret: the value is not hexadecimal") from None
+        raise KeyFileError(f"{location}.secret: the value is not hexadecimal") from None
     if len(secret) < MIN_KEY_BYTES:
         raise KeyFileError(
-            f"{place}.secret: {len(secret)} bytes are too few, at least {MIN_KEY_BYTES} required"
+            f"{location}.secret: {len(secret)} bytes are too few, at least {MIN_KEY_BYTES} required"
         )
     return Key(section.number, secret, math.inf if section.until is None else section.until * 1000)
