--- a/otterrudder/cli/__init__.py
+++ b/otterrudder/cli/__init__.py
@@ -13,7 +13,7 @@
 
 
 class _LazyCommand(NamedTuple):
-    """The module of a command, and the command's line in the help, which must not import the module."""
+    """The module of a command, and its line in the help, which is shown without importing the module."""
 
     module: str
     help_line: str
--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -107,8 +107,8 @@
 def _raise_interrupt_on_signals() -> None:
     """Makes SIGINT, SIGTERM and SIGHUP raise KeyboardInterrupt, so that a cluster ends its child processes.
 
-    SIGINT is included because a shell may ignore it. SIGHUP is included for a closed terminal, because it
-    would only make the servers reload their files."""
+    SIGINT is set too, because a shell may start the command with SIGINT ignored. SIGHUP is set for a closed
+    terminal, because the servers would only reload their files on it."""
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.default_int_handler)
 
@@ -358,7 +358,7 @@
 
 
 class ExperimentSummary(NamedTuple):
-    """The line of an experiment in the list."""
+    """The title of an experiment and its number of runs, for the list of experiments."""
 
     title: str
     runs: int
--- a/otterrudder/cli/policy.py
+++ b/otterrudder/cli/policy.py
@@ -43,7 +43,7 @@
 )
 from otterrudder.levels.facts import FACTS
 
-CHANGE_ID_BYTES = 8
+CHANGE_ID_BYTES = 8  # length of a random change id
 FollowChange = Callable[[CommandStore, ChangeRequest], Coroutine[Any, Any, FinishedChange]]
 
 
@@ -300,7 +300,7 @@
 
 
 def _committed_policy(file: str, version: int | None, text_if_none: str | None = None) -> NamedPolicy:
-    """Returns the policy in force, or an earlier one. `text_if_none` replaces a missing first policy."""
+    """Returns the policy in force, or an earlier one. `text_if_none` is returned if there was never one."""
     return run_with_store(file, lambda store: _read_policy(store, version, text_if_none))
 
 
@@ -332,7 +332,9 @@
 
 
 def _check_policy(text: str, path: Path) -> None:
-    """Checks a policy against the configuration of this machine, if NODE_CONFIG names one."""
+    """Checks a policy against the configuration that NODE_CONFIG names.
+
+    Without NODE_CONFIG, all products and tenants that the policy names are accepted."""
     try:
         if config := os.environ.get(CONFIGURATION_VARIABLE):
             local = local_configuration_of(read_configuration(config).settings)
@@ -344,7 +346,7 @@
 
 
 def _tables_with_names(values: dict[str, Any]) -> list[dict[str, object]]:
-    """Returns the tables of a policy that name products and tenants."""
+    """Returns the tables of a policy that name products or tenants: the cuts of levels and its own keys."""
     levels = tables_under(values.get("levels"), "level")
     tables = [cut for level in levels for cut in tables_under(level, "cut")]
     own_keys = [key for key in ("products", "tenants") if isinstance(values.get(key), dict)]
--- a/otterrudder/cli/relay.py
+++ b/otterrudder/cli/relay.py
@@ -29,7 +29,9 @@
 @RELAY_FILE_OPTION
 @click.pass_context
 def relay(context: click.Context, file: str | None) -> None:
-    """Run a relay, which leads its cell or stands by, until SIGTERM. Then redirect its servers and exit."""
+    """Run a relay until SIGTERM, then redirect its servers to another relay and exit.
+
+    A relay leads its cell or is on standby."""
     if context.invoked_subcommand is not None:
         return
     fleet, role = _read(file)
--- a/otterrudder/cli/vrrp.py
+++ b/otterrudder/cli/vrrp.py
@@ -92,7 +92,7 @@
 def _group_lines(group: dict[str, Any]) -> list[str]:
     lowered = f", lowered by {', '.join(group['lowered_by'])}" if group["lowered_by"] else ""
     return [
-        f"{group['group']} (vrid {group['vrid']}): {group['state']}, door {group['door']}, priority "
+        f"{group['group']} (vrid {group['vrid']}): {group['state']}, gate {group['door']}, priority "
         f"{group['priority']} of {group['base']}{lowered}",
         f"  interval {group['interval_ms']:g} ms, timer in {group['timer_ms']} ms, "
         f"returns {group['returns']}",
--- a/otterrudder/levels/level_parser.py
+++ b/otterrudder/levels/level_parser.py
@@ -166,14 +166,14 @@
         for number, values in enumerate(self.section.cut, 1):
             location = f"{self.location}.cut[{number}]"
             cut = convert_section(values, CutSection, location)
-            restriction = self._restriction(cut, location)
+            restriction = self._parse_restriction(cut, location)
             for class_index in self._classes_of(cut, location):
                 by_class[class_index].append(restriction)
         if not self.section.cut:
             raise LevelTableError(f"{self.location}.cut: the level has no restrictions")
         return tuple(tuple(sorted(restrictions, key=_severity_of, reverse=True)) for restrictions in by_class)
 
-    def _restriction(self, cut: CutSection, location: str) -> Restriction:
+    def _parse_restriction(self, cut: CutSection, location: str) -> Restriction:
         kind = RestrictionKind(cut.do)
         if (cut.share is not None) != (kind is RestrictionKind.SHARE):
             raise LevelTableError(f'{location}.share: required with do = "share", and not allowed otherwise')
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -54,7 +54,9 @@
 
     factor: float = 2.0  # multiplies the minimum stay and the exit window, once for each return
     max_factor: float = 8.0
-    forget_ms: float = 120_000.0  # time after which a return does not count; each such period forgets one
+    forget_ms: float = (
+        120_000.0  # time after which a return does not count; each such period forgets one return
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +87,7 @@
 class Transition:
     """A change of the level in force, with its cause."""
 
-    at: float  # ms
+    at: float  # time of the change, in ms
     previous: str
     entered: str
     reason: Reason
@@ -110,7 +112,7 @@
 
     since: float | None = None  # None until the first step, which provides the first time
     below_exit_since: float | None = None  # since when all facts have met the exit condition
-    trial_since: float | None = None  # the same, without the demand facts
+    trial_since: float | None = None  # since when all but the demand facts have met the exit condition
     factor: float = 1.0  # multiplies the minimum stay and the exit window
 
 
--- a/otterrudder/vrrp/admission_gate.py
+++ b/otterrudder/vrrp/admission_gate.py
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """A command for the admission controller: admit the requests of `scope`, or drain it in `drain_ms`."""
+    """A command for the admission controller: admit the requests of `scope`, or stop and drain them."""
 
     scope: RequestScope
     is_admitted: bool
-    drain_ms: float = 0.0
+    drain_ms: float = 0.0  # time in which the requests that were read are answered
 
 
 class HoldDown(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -56,7 +56,9 @@
 
     first_ms: float = 1000.0  # hold-down of the first return within forget_ms; doubles with each return
     max_ms: float = msgspec.field(default=60_000.0, name="most_ms")
-    forget_ms: float = 30_000.0  # time after which a return does not count; each such period forgets one
+    forget_ms: float = (
+        30_000.0  # time after which a return does not count; each such period forgets one return
+    )
 
 
 # While a hold-down is running, MASTER leads to HELD instead of OPEN.
@@ -79,7 +81,7 @@
 
 
 class AdmissionGate:
-    """The gate of one group. It starts closed; `initial_commands` closes a new admission controller too."""
+    """The admission gate of one group. It is closed at the start."""
 
     def __init__(self, scope: RequestScope, hand_over_ms: float, hold_down: HoldDown) -> None:
         self.scope = scope
--- a/otterrudder/vrrp/configuration.py
+++ b/otterrudder/vrrp/configuration.py
@@ -29,11 +29,11 @@
     destination: Address  # the destination of the advertisements in the checksum's pseudo-header
     virtual_addresses: frozenset[Address]
     priority: int  # 1 to 255, before tracked objects lower it
-    interval_ms: float  # between advertisements
+    interval_ms: float  # interval between advertisements
     learns_interval: bool  # whether to use the master's interval; otherwise other intervals are dropped
-    preempts: bool  # Preempt_Mode
+    preempts: bool  # Preempt_Mode of the RFC
     preempt_delay_ms: float
-    accepts: bool  # Accept_Mode
+    accepts: bool  # Accept_Mode of the RFC
     scope: RequestScope  # the requests that are admitted only while this router is master
     peers: tuple[Peer, ...]
     tracked_objects: tuple[TrackedObject, ...]
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -274,7 +274,7 @@
 
 
 def _check_groups_are_distinct(groups: Sequence[Group], name: str) -> None:
-    """Checks that groups have different names and VRIDs, and that a request belongs to at most one group."""
+    """Checks that names, and VRIDs per IP version, differ and that a request belongs to at most one group."""
     for number, group in enumerate(groups, 1):
         location = f"{name}: group[{number}]"
         for other_number, other in enumerate(groups[: number - 1], 1):
--- a/tests/vrrp/test_decisions.py
+++ b/tests/vrrp/test_decisions.py
@@ -211,12 +211,12 @@
     assert (
         change == StateChange(State.BACKUP, State.INITIALIZE, "start") and timer.at == 3000 + 156 * 1000 / 256
     )
-    actions = machine.handle_advertisement(100.0, 200, 500.0, ADDRESS_B)  # learns the interval
+    actions = machine.handle_advertisement(100.0, 200, 500.0, ADDRESS_B)  # the backup learns the interval
     assert actions == [Timer(100.0 + 1500 + 156 * 500 / 256, 2)] and not machine.handle_timer(2000.0, 1)
     assert machine.handle_advertisement(200.0, 0, 500.0, ADDRESS_B) == [Timer(200.0 + 156 * 500 / 256, 3)]
     change, send, timer = machine.handle_timer(machine.timer_at, 3)
     assert change.state is State.MASTER and send == SendAdvertisement(100) and timer.at == machine.timer_at
-    assert machine.interval == 1000.0  # uses its own interval again
+    assert machine.interval == 1000.0  # a master uses its own interval
     # A lower-priority master is answered at once.
     assert machine.handle_advertisement(700.0, 90, 1000.0, ADDRESS_B)[0] == SendAdvertisement(100)
     # The higher address wins a tie.
@@ -280,7 +280,7 @@
     for tick in range(4000):
         priority = tracker.step(tick * 100.0, {"late": tick // 3 % 2 == 0, "runtime": False})
         changes, previous = changes + (priority != previous), priority
-    assert changes == 0  # never bad for long enough
+    assert changes == 0  # the fact is never bad for long enough
     for tick in range(4000, 4600):
         priority = tracker.step(tick * 100.0, {"late": tick % 30 < 12})
         changes, previous = changes + (priority != previous), priority
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -153,7 +153,7 @@
     wait_for_state(server, runtime, "backup", 2)
     time.sleep(0.6)  # longer than the grace period of 400 ms
     rejected_rpc = send_request(gateway, 3)
-    assert gateway.read_answer()["id"] == rejected_rpc  # at once, while request 2 still runs
+    assert gateway.read_answer()["id"] == rejected_rpc  # rejected at once, while request 2 still runs
     runtime.end_run(f"{2:016x}", b"paid")
     answer = gateway.read_answer()
     assert answer["id"] == rpc and "result" in answer
@@ -213,7 +213,7 @@
         while control.query("n3", "vrrp")["vrrp"][0]["door"] != "open":
             assert time.monotonic() < deadline
             runtime.answer_gauges(1)
-    assert sorted(gateway.answered_rpcs) == sorted(rpcs)  # each exactly once
+    assert sorted(gateway.answered_rpcs) == sorted(rpcs)  # each request is answered exactly once
     counts = control.query("n3", "vrrp")["vrrp"][0]["counts"]
     print(f"{len(rpcs)} requests, became master {counts['became master']}, backup {counts['became backup']}")
     assert counts["became master"] > TRANSITIONS // 2
