--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -13,11 +13,11 @@
 from otterrudder.files import load_toml
 
 try:
-    from otterrudder.lab.day import Result
-    from otterrudder.lab.demo import show as show_demo
+    from otterrudder.lab.day import SimulationResult
+    from otterrudder.lab.demo import run_demo
     from otterrudder.lab.plan import Run, read_experiment
-    from otterrudder.lab.report import figures_table, table, write
-    from otterrudder.lab.runner import perform
+    from otterrudder.lab.report import figures_table, verdict_lines, write_results
+    from otterrudder.lab.runner import run_experiment
     from otterrudder.lab.scale.experiment import is_scale, read_scale
     from otterrudder.lab.scale.play import settings_of
     from otterrudder.lab.site import InvalidInputError
@@ -283,16 +283,16 @@
         exit_bad_input(error)
     click.echo(f"{experiment.title}: {len(experiment.runs)} runs (simulated: {experiment.model})")
 
-    outcome = perform(experiment, workers or 0, _show_progress)
-    for line in figures_table(outcome, figures.split(",")) + table(outcome):
+    outcome = run_experiment(experiment, workers or 0, _show_progress)
+    for line in figures_table(outcome, figures.split(",")) + verdict_lines(outcome):
         click.echo(line)
-    for written in write(outcome, folder or RESULTS / experiment.name):
+    for written in write_results(outcome, folder or RESULTS / experiment.name):
         click.echo(f"wrote {written}")
     click.echo(f"{len(experiment.runs)} runs in {outcome.took_s:.1f} s")
     sys.exit(0 if outcome.holds else 1)
 
 
-def _show_progress(done: int, total: int, run: Run, _: Result) -> None:
+def _show_progress(done: int, total: int, run: Run, _: SimulationResult) -> None:
     """A line that is overwritten on a terminal; else one for each tenth."""
     is_last = done == total
     if sys.stderr.isatty():
@@ -370,7 +370,7 @@
     """Play a short evening that crosses the levels, reported as it happens, with a chart. Then a change of
     policy across six processes, if the extra `fleet` is installed."""
     try:
-        outcome = show_demo(file, folder, click.echo)
+        outcome = run_demo(file, folder, click.echo)
     except InvalidInputError as error:
         exit_bad_input(error)
     all_hold = outcome.holds
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class SimulationResult:
     """Figures of one day, and what charts need. Times in s."""
 
     figures: dict[str, float]
@@ -145,7 +145,7 @@
             left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
             self.moves.append(Transition(now / 1000, server, left, entered, why))
 
-    def play(self) -> Result:
+    def play(self) -> SimulationResult:
         """Plays the whole day; the same for the same arguments on every machine."""
         for server in self.servers:
             server.start(warm=True)
@@ -178,7 +178,7 @@
         if self.engine.now < self.length_ms:
             self.engine.after(CHECK_INTERVAL_MS, self._check)
 
-    def _result(self) -> Result:
+    def _result(self) -> SimulationResult:
         statistics = self.statistics
         checker = self.checker
         length_s = self.length_ms / 1000
@@ -203,7 +203,7 @@
         ended = sum(statistics.ends.values()) or 1
         figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.ends.items()}
         figures |= self._of_levels(length_s) | self._of_sessions(length_s)
-        return Result(figures, self.moves, checker.broken, self._series())
+        return SimulationResult(figures, self.moves, checker.broken, self._series())
 
     def _worst(self, span: int) -> float:
         seconds = len(self.statistics.seconds)
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -7,7 +7,7 @@
 
 from otterrudder.lab.day import Day
 from otterrudder.lab.plan import Experiment, Run, read_experiment
-from otterrudder.lab.report import write
+from otterrudder.lab.report import write_results
 from otterrudder.lab.runner import Outcome, play
 
 LINE_S = 10  # of the day to a line
@@ -48,7 +48,7 @@
             )
 
 
-def show(path: Path, folder: Path, narrate: Callable[[str], None]) -> Outcome:
+def run_demo(path: Path, folder: Path, narrate: Callable[[str], None]) -> Outcome:
     """Plays the first variant aloud and the others quietly; leaves the charts in `folder`."""
     experiment: Experiment = read_experiment(path)
     narrate(experiment.title)
@@ -65,6 +65,6 @@
             f"{result.figures[f'served.{dearest}']:.3f}, tries a txn {result.figures['tries']:.2f}, "
             f"rules broken {result.figures['broken']:.0f}"
         )
-    for written in write(outcome, folder):
+    for written in write_results(outcome, folder):
         narrate(f"wrote {written}")
     return outcome
--- a/otterrudder/lab/fleet/cell_store.py
+++ b/otterrudder/lab/fleet/cell_store.py
@@ -15,7 +15,7 @@
 
 def write(state: CellState, commit: Commit) -> Outcome:
     """A commit at the store, which is recorded, and watch events to all relays that can receive them."""
-    state.store.engine.lapse(state.now)
+    state.store.engine.expire_leases(state.now)
     before = state.snapshot()
     done = state.store.engine.commit(commit.compares, commit.writes)
     if done.succeeded:
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -208,7 +208,7 @@
 
     def write(self, commit: Commit) -> Outcome:
         """A commit at the store, entered in the history, and a watch event to all who can hear it."""
-        self.store.lapse(self.now)
+        self.store.expire_leases(self.now)
         before = self.snapshot()
         result = self.store.commit(commit.compares, commit.writes)
         if result.succeeded:
@@ -235,9 +235,9 @@
     def pass_time(self, span_ms: float = STEP_MS) -> None:
         """Leases lapse as time goes on."""
         self.now += span_ms
-        self.store.lapse(self.now)
+        self.store.expire_leases(self.now)
         if self.original:
-            self.original.lapse(self.now)
+            self.original.expire_leases(self.now)
 
     def switch_store(self, other: KeySpace | None) -> None:
         """Another engine answers from now on, or (None) the store itself again. Watches end, so all read.
--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -19,7 +19,7 @@
     engine.has_history = False
     engine.cluster = COPY_ID
     engine.granted += COPY_LEASES * (restores + 1)
-    engine.lapse(now)
+    engine.expire_leases(now)
     return engine
 
 
@@ -42,9 +42,9 @@
 
     def lapse(self, now: float) -> None:
         """Leases whose end has passed lapse, in the store itself as well."""
-        self.engine.lapse(now)
+        self.engine.expire_leases(now)
         if self.primary:
-            self.primary.lapse(now)
+            self.primary.expire_leases(now)
 
     def back_up(self) -> None:
         """Somebody keeps the state as it is now."""
--- a/otterrudder/lab/indexed.py
+++ b/otterrudder/lab/indexed.py
@@ -23,7 +23,7 @@
         under = (key for name in names if name.endswith("/") for key in self._folders.get(name, ()))
         return Snapshot(self.cluster, self.revision, {key: self.keys[key] for key in (*plain, *under)})
 
-    def lapse(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Leases whose end has passed go, with the keys that depend on them."""
         ends = self._ends
         while ends and ends[0][0] <= now:
--- a/otterrudder/lab/keyspace.py
+++ b/otterrudder/lab/keyspace.py
@@ -52,7 +52,7 @@
             self.writes,
         )
 
-    def lapse(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Leases whose end has passed go, with the keys that hang on them."""
         for lease in [lease for lease, (_, ends) in self.leases.items() if ends <= now]:
             self.revoke(lease)
@@ -113,7 +113,7 @@
 
     def answer(self, now: float, effect: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
         """A request to the store, at that time."""
-        self.lapse(now)
+        self.expire_leases(now)
         if isinstance(effect, Read):
             return self.read(effect.names)
         if isinstance(effect, Commit):
@@ -127,7 +127,7 @@
         self.compacted = max(self.compacted, min(revision, self.revision))
         self.history = [event for event in self.history if event.revision > self.compacted]
 
-    def since(self, prefix: str, revision: int) -> list[Event] | None:
+    def events_since(self, prefix: str, revision: int) -> list[Event] | None:
         """Events under a prefix from a revision on; None: they are compacted away."""
         if revision <= self.compacted:
             return None
@@ -144,13 +144,13 @@
         created = before.created if before else self.revision
         entry = Entry(write.value, created, self.revision, write.lease)
         self.keys[write.key] = entry
-        self._note(write.key, entry)
+        self._record_event(write.key, entry)
 
     def _delete(self, key: str) -> None:
         del self.keys[key]
-        self._note(key, None)
+        self._record_event(key, None)
 
-    def _note(self, key: str, entry: Entry | None) -> None:
+    def _record_event(self, key: str, entry: Entry | None) -> None:
         if not self.has_history:
             return
         self.history.append(Event(self.revision, key, entry))
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -106,7 +106,7 @@
     def publish(self, before: int) -> None:
         """Saves, and hands what was written since a revision to the watchers."""
         self.save()
-        written = self.space.since("", before + 1) or []
+        written = self.space.events_since("", before + 1) or []
         now = clock()
         for event in written:
             self.report.written_ms[event.key] = now
@@ -138,7 +138,7 @@
     def expire_leases(self) -> None:
         """Deletes the keys of leases that have expired."""
         before = self.space.revision
-        self.space.lapse(clock())
+        self.space.expire_leases(clock())
         if self.space.revision != before:
             self.publish(before)
 
@@ -283,12 +283,12 @@
         await engine.delay_response()
         create = first.create_request
         watcher = Watcher(create.key, create.range_end)
-        if create.start_revision and engine.space.since("", create.start_revision) is None:
+        if create.start_revision and engine.space.events_since("", create.start_revision) is None:
             yield rpc_pb2.WatchResponse(
                 header=engine.header(), created=True, canceled=True, compact_revision=engine.space.compacted
             )
             return
-        missed = engine.space.since("", create.start_revision) if create.start_revision else None
+        missed = engine.space.events_since("", create.start_revision) if create.start_revision else None
         for written in missed or []:
             if watcher.covers(written):
                 watcher.queue.put_nowait(written)
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 from otterrudder.lab.claims import Verdict, evaluate
-from otterrudder.lab.day import Bare, Day, Result
+from otterrudder.lab.day import Bare, Day, SimulationResult
 from otterrudder.lab.plan import Experiment, Run
 from otterrudder.lab.tunables import tuned
 from otterrudder.levels import LevelSelector
 
-Progress = Callable[[int, int, Run, Result], None]
+Progress = Callable[[int, int, Run, SimulationResult], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     """All that an experiment has shown."""
 
     experiment: Experiment
-    results: list[tuple[Run, Result]]
+    results: list[tuple[Run, SimulationResult]]
     verdicts: list[Verdict]
     broken: list[str]  # rules that any run has broken
     took_s: float
@@ -31,17 +31,17 @@
         return not self.broken and all(verdict.holds for verdict in self.verdicts)
 
 
-def play(run: Run) -> Result:
+def play(run: Run) -> SimulationResult:
     """One day; the same for the same run on every machine."""
     kind = Bare if run.bare else LevelSelector
     with tuned(run.module):
         return Day(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).play()
 
 
-def perform(experiment: Experiment, workers: int = 0, progress: Progress | None = None) -> Outcome:
+def run_experiment(experiment: Experiment, workers: int = 0, progress: Progress | None = None) -> Outcome:
     """Plays all runs on `workers` processes (0: one a core; 1: in this one)."""
     began = time.monotonic()
-    results: list[tuple[Run, Result]] = []
+    results: list[tuple[Run, SimulationResult]] = []
     for run, result in _played(experiment.runs, workers or os.cpu_count() or 1):
         results.append((run, result))
         if progress:
@@ -56,7 +56,7 @@
     return Outcome(experiment, results, verdicts, broken, time.monotonic() - began)
 
 
-def _played(runs: list[Run], workers: int) -> Iterable[tuple[Run, Result]]:
+def _played(runs: list[Run], workers: int) -> Iterable[tuple[Run, SimulationResult]]:
     if workers == 1:
         for run in runs:
             yield run, play(run)
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -21,7 +21,7 @@
         super().__init__()
         self.touched: list[str] = []
 
-    def _note(self, key: str, entry: object) -> None:
+    def _record_event(self, key: str, entry: object) -> None:
         self.touched.append(key)
 
 
@@ -74,7 +74,7 @@
 
     def lapse(self, now: float) -> None:
         """Leases that have ended go."""
-        self.keys.lapse(now)
+        self.keys.expire_leases(now)
         self._tell()
 
     def revoke(self, lease: int) -> None:
--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -157,7 +157,7 @@
                 break
             assert due > self.now, "due now, and nothing to do"
             self.now = due
-            self.space.lapse(self.now)
+            self.space.expire_leases(self.now)
         self.now = until
 
     def _next_due(self) -> float:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -156,7 +156,7 @@
 
     def turn(self, *cut: str) -> None:
         """All that is wanted now is carried out; who is cut off hears nothing."""
-        self.space.lapse(self.now)
+        self.space.expire_leases(self.now)
         for _ in range(30):
             for name, member in self.members.items():
                 for effect in member.effects(self.now):
@@ -313,7 +313,7 @@
     late, renewal, told = effects
     assert isinstance(told, Commit) and told.purpose == "tell"  # it waits for nothing, and nothing for it
     shown = fleet.space.read(late.names)  # type: ignore[union-attr]
-    fleet.space.lapse(fleet.now)
+    fleet.space.expire_leases(fleet.now)
     assert shown.entries[KEYS.status("a")]
     member.handle_result(fleet.now, renewal, sent, fleet.space.renew(fleet.now, renewal.lease))  # type: ignore
     lease = member.effects(fleet.now)[0]
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -16,7 +16,7 @@
 from otterrudder.lab.day import Bare, Day
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.plan import read_experiment
-from otterrudder.lab.runner import perform, play
+from otterrudder.lab.runner import play, run_experiment
 from otterrudder.lab.shapes import Part
 from otterrudder.lab.site import InvalidInputError, site_of
 from otterrudder.levels import read_table
@@ -124,6 +124,6 @@
     experiment = read_experiment(ROOT / "experiments/demo.toml", [1, 2], quick=True)
     for run in experiment.runs:
         object.__setattr__(run, "length_s", 20.0)
-    alone, beside = (perform(experiment, workers) for workers in (1, 2))
+    alone, beside = (run_experiment(experiment, workers) for workers in (1, 2))
     assert [r.figures for _, r in alone.results] == [r.figures for _, r in beside.results]
     assert play(experiment.runs[0]).figures == alone.results[0][1].figures
