--- a/tests/fleet/cell_harness.py
+++ b/tests/fleet/cell_harness.py
@@ -158,7 +158,7 @@
                 break
             assert due > self.now, "a process is due now, but has no effects"
             self.now = due
-            self.space.lapse(self.now)
+            self.space.expire_leases(self.now)
         self.now = until
 
     def _next_due(self) -> float:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -161,7 +161,7 @@
     def run_due(self, *cut: str) -> None:
         """Carries out all effects that are due now. The members named by `cut` get no answers from the
         store."""
-        self.space.lapse(self.now)
+        self.space.expire_leases(self.now)
         for _ in range(30):
             for name, member in self.members.items():
                 for effect in member.effects(self.now):
@@ -321,7 +321,7 @@
     late, renewal, report = effects
     assert isinstance(report, Commit) and report.purpose == "tell"  # a report is independent of other effects
     old_snapshot = fleet.space.read(late.names)  # type: ignore[union-attr]
-    fleet.space.lapse(fleet.now)
+    fleet.space.expire_leases(fleet.now)
     assert old_snapshot.entries[KEYS.status("a")]
     member.handle_result(fleet.now, renewal, sent, fleet.space.renew(fleet.now, renewal.lease))  # type: ignore
     lease = member.effects(fleet.now)[0]
