--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -113,5 +113,5 @@
     ):
         found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
         assert found.exit_code == 2 and output in found.output, found.output
-    with pytest.raises(ConfigurationError, match="this file is a relay's"):
+    with pytest.raises(ConfigurationError, match="this file configures a relay"):
         ServerFiles(None, fleet=str(example)).read_fleet()
