--- a/tests/fake_gateway.py
+++ b/tests/fake_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway that a test plays, written from the protocol."""
+"""A gateway for tests, written from the specification of the protocol."""
 
 import base64
 import json
@@ -10,10 +10,11 @@
 
 
 class FakeGateway(LineConnection):
-    """One connection to a server; ids of its messages count from 1."""
+    """A gateway's connection to a server. The ids of its messages count from 1."""
 
     def __init__(self, address: tuple[str, int], receive_buffer: int = 0) -> None:
-        """`receive_buffer`: bytes that the system may hold for it unread, if it is to be few."""
+        """`receive_buffer` is the size in bytes of the socket's receive buffer; 0 keeps the system's
+        default."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -23,7 +24,7 @@
         self.last_id = 0
 
     def message(self, method: str, **params: object) -> bytes:
-        """The next message's line, not sent."""
+        """Encodes the next message without sending it."""
         self.last_id += 1
         document = {"jsonrpc": "2.0", "id": self.last_id, "method": method, "params": params}
         return json.dumps(document).encode() + b"\n"
@@ -31,7 +32,7 @@
     def request_message(
         self, call: str, product: str = "look", body: bytes = b"ask", **params: object
     ) -> bytes:
-        """The next request's line, not sent; `params` replace its fields."""
+        """Encodes the next request without sending it. `params` replace its fields."""
         fields = {
             "call": call,
             "recv": round(time.time() * 1000),
@@ -45,24 +46,24 @@
         return self.message(product, **(fields | params))
 
     def send_message(self, method: str, **params: object) -> int:
-        """Sends a message, and returns its id."""
+        """Sends a message and returns its id."""
         self.sock.sendall(self.message(method, **params))
         return self.last_id
 
     def send_request(self, call: str, product: str = "look", body: bytes = b"ask", **params: object) -> int:
-        """Sends a request, and returns its id."""
+        """Sends a request and returns its id."""
         self.sock.sendall(self.request_message(call, product, body, **params))
         return self.last_id
 
     def read_answer(self) -> dict[str, Any]:
-        """The next answer; notifications are passed over."""
+        """Returns the next answer; skips notifications."""
         while True:
             line = self.read_line()
-            assert line, "the server closed"
+            assert line, "the server closed the connection"
             document: dict[str, Any] = json.loads(line)
             if "id" in document:
                 return document
 
     def read_result(self) -> bytes:
-        """The response that the next answer carries."""
+        """Returns the response in the next answer."""
         return base64.b64decode(self.read_answer()["result"]["blob"])
--- a/tests/fake_runtime.py
+++ b/tests/fake_runtime.py
@@ -1,4 +1,4 @@
-"""A runtime that a test plays, written from the protocol."""
+"""A runtime for tests, written from the specification of the protocol."""
 
 import socket
 import time
@@ -9,7 +9,7 @@
 
 
 class FakeRuntime(LineConnection):
-    """One link of a server. Answers gauges queries by itself, and hands on all other commands."""
+    """The runtime's end of a link. It answers gauges queries, and the test handles all other commands."""
 
     def __init__(
         self,
@@ -17,9 +17,10 @@
         ready: str = "hot 60000",
         missed: tuple[tuple[str, bytes | None], ...] = (),
     ) -> None:
-        """`ready`: warmth and uptime, "" for a runtime that is not up yet; `missed`: notices to replay."""
+        """`ready` has the words after `ready`, or "" for a runtime that is not up yet; `missed` are the
+        notices to replay."""
         super().__init__(sock)
-        self.synced_notice = int(self.read_line().split()[1])  # the last notice that the server knows
+        self.synced_notice = int(self.read_line().split()[1])  # last notice that the server has
         self.last_notice = self.synced_notice
         self.ignores_gauges = False
         if ready:
@@ -28,7 +29,7 @@
             self.send_notice(text, body)
 
     def read_command(self) -> tuple[list[str], bytes]:
-        """The words and the body of the next command but gauges queries."""
+        """Returns the words and the body of the next command that is not a gauges query."""
         deadline = time.monotonic() + WAIT_S
         while time.monotonic() < deadline:
             words = self.read_line().decode().split(" ")
@@ -37,27 +38,27 @@
                     self.send(f"load {words[1]} {GAUGES}")
             else:
                 return words, self.read_body(int(words[-1])) if words[0] in ("start", "give") else b""
-        raise AssertionError("nothing but questions for gauges")
+        raise AssertionError("received only gauges queries")
 
     def expect_command(self, *words: str) -> tuple[list[str], bytes]:
-        """The next command, which must begin with these words."""
-        got, body = self.read_command()
-        assert tuple(got[: len(words)]) == words, got
-        return got, body
+        """Returns the next command and checks that it begins with these words."""
+        command, body = self.read_command()
+        assert tuple(command[: len(words)]) == words, command
+        return command, body
 
     def answer_gauges(self, count: int = 3) -> None:
-        """Nothing but gauges queries comes, so many of them."""
+        """Answers `count` commands, which must all be gauges queries."""
         for _ in range(count):
             words = self.read_line().decode().split(" ")
             assert words[0] == "gauges", words
             self.send(f"load {words[1]} {GAUGES}")
 
     def send_notice(self, text: str, body: bytes | None = None) -> None:
-        """The notice's number goes behind its word."""
+        """Sends a notice; its number is inserted after the first word."""
         self.last_notice += 1
         word, rest = text.split(" ", 1)
         self.send(f"{word} {self.last_notice} {rest}", body)
 
-    def end_run(self, request_id: str, body: bytes = b"done", how: str = "complete") -> None:
-        """The run has ended so, with this response."""
-        self.send_notice(f"end {request_id} {how} 12.5", body)
+    def end_run(self, request_id: str, body: bytes = b"done", outcome: str = "complete") -> None:
+        """Reports the end of a run with this outcome and response."""
+        self.send_notice(f"end {request_id} {outcome} 12.5", body)
--- a/tests/fleet/test_durable.py
+++ b/tests/fleet/test_durable.py
@@ -1,4 +1,5 @@
-"""A file of state is whole or as before, wherever its writing is cut off; a folder is one process's."""
+"""State files: an interrupted write leaves the old or the new content, and a state directory is used by one
+process at a time."""
 
 import os
 import signal
@@ -27,20 +28,20 @@
 
 
 @given(st.binary(max_size=200), st.data())
-def test_no_cut_or_changed_file_is_believed(data: bytes, draw: st.DataObject) -> None:
+def test_truncated_or_changed_file_is_rejected(data: bytes, random_data: st.DataObject) -> None:
     whole = encode_state_file(data)
     assert decode_state_file(whole, "f") == data
-    cut = draw.draw(st.integers(0, len(whole) - 1))
+    cut = random_data.draw(st.integers(0, len(whole) - 1))
     with pytest.raises(InvalidStateFileError):
         decode_state_file(whole[:cut], "f")
-    at, bit = draw.draw(st.integers(0, len(whole) - 1)), draw.draw(st.integers(0, 7))
+    at, bit = random_data.draw(st.integers(0, len(whole) - 1)), random_data.draw(st.integers(0, 7))
     changed = bytearray(whole)
     changed[at] ^= 1 << bit
     with pytest.raises(InvalidStateFileError):
         assert decode_state_file(bytes(changed), "f") != data
 
 
-def test_a_writer_that_is_killed_leaves_the_old_or_the_new(tmp_path: Path) -> None:
+def test_killed_writer_leaves_old_or_new_content(tmp_path: Path) -> None:
     for _ in range(12):
         writer = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path)], stdout=subprocess.PIPE)
         assert writer.stdout and writer.stdout.readline() == b"going\n"
@@ -48,13 +49,13 @@
         writer.wait()
         writer.stdout.close()
         folder = StateDirectory(tmp_path)
-        folder.lock()  # the lock went with the process
+        folder.lock()  # the end of the process released the lock
         data = folder.read("state")
         folder.close()
         assert data and len(set(data)) == 1 and len(data) >= 1000
 
 
-def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
+def test_directory_in_use_cannot_be_locked_again(tmp_path: Path) -> None:
     first, second = StateDirectory(tmp_path), StateDirectory(tmp_path)
     first.lock()
     with pytest.raises(DirectoryInUseError, match="another process uses this directory"):
@@ -64,13 +65,13 @@
     second.close()
 
 
-def test_what_can_t_be_written_leaves_what_was(tmp_path: Path) -> None:
+def test_failed_write_keeps_old_content(tmp_path: Path) -> None:
     folder = StateDirectory(tmp_path)
     folder.lock()
     assert folder.read("state") is None
     folder.write("state", b"old")
     (tmp_path / "state.new").unlink(missing_ok=True)
-    os.mkdir(tmp_path / "state.new")  # as good as a full disk: it can't be opened for writing
+    os.mkdir(tmp_path / "state.new")  # opening it for writing fails, like a write to a full disk
     with pytest.raises(OSError):
         folder.write("state", b"new")
     assert folder.read("state") == b"old"
--- a/tests/line_connection.py
+++ b/tests/line_connection.py
@@ -1,23 +1,23 @@
-"""One end of a connection in a test: blocking, read by lines and by lengths."""
+"""A blocking connection for tests that reads lines and bodies of known length."""
 
 import socket
 
-# Bound of any single wait of a test, in s: for failures alone, nothing is timed by it.
-WAIT_S = 20.0
+WAIT_S = 20.0  # limit of each wait in a test; reached only by a failing test
 READ_BYTES = 65536
 
 
 class LineConnection:
-    """The framing of the runtime's and the records service's protocols; gateways' lines end otherwise."""
+    """One end of a connection with the framing of the runtime's and the records service's protocols. Gateways
+    use another line terminator."""
 
     def __init__(self, sock: socket.socket, terminator: bytes = b"\r\n") -> None:
         sock.settimeout(WAIT_S)
         self.sock = sock
         self.terminator = terminator
-        self.data = b""  # read and not yet taken
+        self.data = b""  # received and not consumed yet
 
     def read_line(self) -> bytes:
-        """The next line without its end; b"" at the end of the stream."""
+        """Returns the next line without its terminator, or b"" at the end of the stream."""
         while self.terminator not in self.data:
             try:
                 more = self.sock.recv(READ_BYTES)
@@ -30,17 +30,17 @@
         return line
 
     def read_body(self, size: int) -> bytes:
-        """A body of so many bytes with its end, which must come."""
+        """Reads a body of `size` bytes and its terminator."""
         while len(self.data) < size + 2:
             more = self.sock.recv(READ_BYTES)
-            assert more, "ended in a body"
+            assert more, "the connection ended within a body"
             self.data += more
         body, end, self.data = self.data[:size], self.data[size : size + 2], self.data[size + 2 :]
         assert end == b"\r\n"
         return body
 
     def send(self, text: str, body: bytes | None = None) -> None:
-        """Sends a line; with a body, its length goes behind the line's words."""
+        """Sends a line, or a line with the body's length as the last word and the body."""
         if body is None:
             self.sock.sendall(text.encode() + b"\r\n")
         else:
@@ -51,7 +51,7 @@
 
 
 def listen() -> socket.socket:
-    """A listening socket on a free port."""
+    """Returns a listening socket on a free port."""
     sock = socket.create_server(("127.0.0.1", 0))
     sock.settimeout(WAIT_S)
     return sock
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""The server's process for tests of this folder."""
+"""A fixture that starts the server's process."""
 
 from collections.abc import Iterator
 from pathlib import Path
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs, and the buffer that they read from, without a socket."""
+"""The codecs and their receive buffer, without sockets."""
 
 import base64
 import json
@@ -14,13 +14,14 @@
 )
 
 
-def fed(pieces: list[bytes], read, room: int = 4096) -> list:
-    buffer, got = Buffer(room), []
+def decode_all(pieces: list[bytes], read, max_bytes: int = 4096) -> list:
+    """Appends the pieces to a buffer one by one, and returns the decoded messages."""
+    buffer, messages = Buffer(max_bytes), []
     for piece in pieces:
         buffer.append(piece)
-        got += read(buffer)
+        messages += read(buffer)
     assert buffer.start == buffer.end
-    return got
+    return messages
 
 
 GATEWAY = b'{"jsonrpc":"2.0","id":7,"method":"look","params":{"call":"00000000000000aa"}}\n{"x"}\n\r\n[1]\n'
@@ -37,24 +38,26 @@
 
 
 READERS = {
-    GATEWAY: lambda b: [m if isinstance(m, tuple) else m.code for m in jsonrpc.read_messages(b)],
-    RUNTIME: lambda b: list(lines.read_messages(b, runtime_codec.has_body)),
-    RECORDS: lambda b: list(lines.read_messages(b, records_codec.has_body)),
-}  # fmt: skip
+    GATEWAY: lambda buffer: [
+        message if isinstance(message, tuple) else message.code for message in jsonrpc.read_messages(buffer)
+    ],
+    RUNTIME: lambda buffer: list(lines.read_messages(buffer, runtime_codec.has_body)),
+    RECORDS: lambda buffer: list(lines.read_messages(buffer, records_codec.has_body)),
+}
 
 
 @pytest.mark.parametrize("data", READERS, ids=["gateway", "runtime", "records"])
-def test_every_split_of_a_stream_gives_the_same_messages(data: bytes) -> None:
-    whole = fed([data], READERS[data])
+def test_messages_do_not_depend_on_how_the_stream_is_split(data: bytes) -> None:
+    whole = decode_all([data], READERS[data])
     assert len(whole) == {GATEWAY: 3, RUNTIME: 6, RECORDS: 2}[data]
     for at in range(len(data)):
-        assert fed([data[:at], data[at:]], READERS[data]) == whole, at
-    assert fed([data[n : n + 1] for n in range(len(data))], READERS[data]) == whole
+        assert decode_all([data[:at], data[at:]], READERS[data]) == whole, at
+    assert decode_all([data[n : n + 1] for n in range(len(data))], READERS[data]) == whole
 
 
-def test_a_buffer_begins_small_and_grows_to_its_room_and_no_further() -> None:
+def test_buffer_grows_up_to_its_maximum() -> None:
     line = b'{"jsonrpc":"2.0","id":7,"method":"look","params":{"x":"%s"}}\n' % (b"y" * 9000)
-    assert fed([line[:5000], line[5000:]], READERS[GATEWAY], 16384)[0][2] == {"x": "y" * 9000}
+    assert decode_all([line[:5000], line[5000:]], READERS[GATEWAY], 16384)[0][2] == {"x": "y" * 9000}
     buffer = Buffer(16384)
     assert len(buffer.data) == 4096
     with pytest.raises(ProtocolError):
@@ -62,12 +65,12 @@
     assert len(buffer.data) == 16384
 
 
-def test_messages_are_what_was_sent() -> None:
-    assert fed([GATEWAY], READERS[GATEWAY])[0] == (7, "look", {"call": "00000000000000aa"})
-    said = fed([RUNTIME], READERS[RUNTIME])
-    assert said[1] == (["end", "1", "9b1f03aa5c7e2d41", "complete", "12", "8"], b"re\r\nsult")
-    assert said[3] == (["wants", "3", "9b1f03aa5c7e2d41", "0"], b"")
-    assert fed([RECORDS], READERS[RECORDS])[0] == (["9b1f03aa5c7e2d41", "DONE", "5"], b"DONE ")
+def test_decoded_messages_have_the_sent_content() -> None:
+    assert decode_all([GATEWAY], READERS[GATEWAY])[0] == (7, "look", {"call": "00000000000000aa"})
+    messages = decode_all([RUNTIME], READERS[RUNTIME])
+    assert messages[1] == (["end", "1", "9b1f03aa5c7e2d41", "complete", "12", "8"], b"re\r\nsult")
+    assert messages[3] == (["wants", "3", "9b1f03aa5c7e2d41", "0"], b"")
+    assert decode_all([RECORDS], READERS[RECORDS])[0] == (["9b1f03aa5c7e2d41", "DONE", "5"], b"DONE ")
 
 
 @pytest.mark.parametrize(
@@ -81,14 +84,14 @@
         b"x" * 600 + b"\r\n",
     ],
 )
-def test_lines_that_can_not_be_followed_break_the_link(data: bytes) -> None:
+def test_invalid_framing_raises_protocol_error(data: bytes) -> None:
     with pytest.raises(ProtocolError):
-        fed([data], READERS[RUNTIME])
+        decode_all([data], READERS[RUNTIME])
 
 
-def test_answers_are_json_with_their_bodies_unchanged() -> None:
+def test_encoded_answers_are_valid_json_with_unchanged_bodies() -> None:
     body = bytes(range(256))
-    told = [
+    answers = [
         json.loads(b"".join(parts))
         for parts in (
             jsonrpc.encode(RequestCompleted(1, body, 0.25)),
@@ -101,9 +104,9 @@
             jsonrpc.GOAWAY,
         )
     ]
-    assert base64.b64decode(told[0]["result"]["blob"]) == body and told[0]["result"]["load"] == 0.25
-    assert told[1]["result"] == {"blob": ""}
-    assert [t["error"].get("data") for t in told[2:5]] == [
+    assert base64.b64decode(answers[0]["result"]["blob"]) == body and answers[0]["result"]["load"] == 0.25
+    assert answers[1]["result"] == {"blob": ""}
+    assert [answer["error"].get("data") for answer in answers[2:5]] == [
         {"stop": 1, "pushback": 13, "load": 3.0}, {}, {"load": 0.0}]  # fmt: skip
-    assert told[5]["id"] is None and told[5]["error"]["message"] == 'a "why"'
-    assert told[6]["result"] == {"pass": True, "load": 1.5} and told[7]["method"] == "noMore"
+    assert answers[5]["id"] is None and answers[5]["error"]["message"] == 'a "why"'
+    assert answers[6]["result"] == {"pass": True, "load": 1.5} and answers[7]["method"] == "noMore"
--- a/tests/net/test_core_random.py
+++ b/tests/net/test_core_random.py
@@ -1,4 +1,5 @@
-"""The request core over drawn orders of events: each request has one answer, and nothing runs twice."""
+"""The request core under random orders of events: each request gets one answer, and no request with an
+idempotency key runs twice."""
 
 import math
 import random
@@ -21,43 +22,42 @@
 
 REQUESTS = 900
 KEYS = 60
-MIN_APART_MS = (
-    15_000.0  # between two runs with one key: retention is 20 s from `recv`, less the time to arrive
-)
+# Minimum time between two runs with one key: the retention is 20 s from `recv`, less the time until arrival.
+MIN_RUN_INTERVAL_MS = 15_000.0
 GAUGES = [0.5, 2.0, 0.1, 5.0]
 RUN_OUTCOMES = [Outcome.OK] * 5 + [Outcome.ERROR, Outcome.NEVER_STARTED, Outcome.CANCELLED]
 CALL_OUTCOMES = [Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.NEVER_STARTED]
 
 
 class RandomEvents:
-    """Retries, late and lost replies, links that break, callers that disconnect, in a drawn order."""
+    """Retries, late and lost replies, broken links and disconnecting callers, in a random order."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.bench = CoreBench(max_idempotency_entries=40)
         self.core = self.bench.core
-        self.running: dict[str, str] = {}  # methods by request id
-        self.at_calls: set[str] = set()  # requests whose run waits at a call
+        self.running: dict[str, str] = {}  # method of each active run by request id
+        self.at_calls: set[str] = set()  # requests whose run waits for a downstream call
         self.calls_out: set[str] = set()
         self.disconnected: set[int] = set()
-        self.last_effects: dict[str, float] = {}  # when a key's effect last happened
+        self.last_effects: dict[str, float] = {}  # time of the last start of a run with an effect, by key
 
     def arrive(self, number: int) -> list[Outgoing]:
-        class_index = self.chance.randrange(2)
-        key = f"m{self.chance.randrange(KEYS)}"
-        ttl = self.chance.choice([300, 3000])
-        age = self.chance.choice([0.0, 0.0, 250.0])
-        self.bench.wait(self.chance.expovariate(0.05))
+        class_index = self.rng.randrange(2)
+        key = f"m{self.rng.randrange(KEYS)}"
+        ttl = self.rng.choice([300, 3000])
+        age = self.rng.choice([0.0, 0.0, 250.0])
+        self.bench.wait(self.rng.expovariate(0.05))
         return self.bench.arrive(number, class_index, key, age=age, ttl=ttl)
 
     def receive(self, out: list[Outgoing]) -> None:
-        """What the runtime and the records service are told."""
+        """Handles the core's messages to the runtime and the records service."""
         for _, message in out:
             if isinstance(message, StartRun):
                 self._start(message)
             elif isinstance(message, SendCall):
                 call = message.request_id
-                assert call not in self.calls_out  # one at a time, whatever came of the one before
+                assert call not in self.calls_out  # a request has at most one outstanding call
                 self.at_calls.add(call)
                 self.calls_out.add(call)
             elif isinstance(message, CancelCall | DeliverReply):
@@ -65,20 +65,20 @@
                 self.calls_out.discard(message.request_id)
 
     def next_event(self, number: int) -> list[Outgoing]:
-        """What the core sends after it; `number`: the last request that arrived."""
-        event = self.chance.randrange(14)
+        """Plays a random event and returns the core's messages. `number` is the last request that arrived."""
+        event = self.rng.randrange(14)
         if event < 6 and self.running:
             return self._end_run()
         if event == 6 and (busy := sorted(set(self.running) - self.at_calls)):
-            return self.bench.step(self.core.handle_call_needed, self.chance.choice(busy), b"?")
+            return self.bench.step(self.core.handle_call_needed, self.rng.choice(busy), b"?")
         if event < 10 and self.at_calls:
             return self._end_call()
         if event == 10:
-            self.disconnected.add(self.chance.randrange(1, number + 1))
+            self.disconnected.add(self.rng.randrange(1, number + 1))
             return self.bench.step(self.core.handle_disconnect, f"{max(self.disconnected):016x}")
         if event == 11:
             self.bench.step(self.core.handle_link_lost)
-            return self.bench.step(self.core.handle_link_established, ms=self.chance.choice([1.0, 50.0]))
+            return self.bench.step(self.core.handle_link_established, ms=self.rng.choice([1.0, 50.0]))
         return self._gauges_or_tick(event)
 
     def _gauges_or_tick(self, event: int) -> list[Outgoing]:
@@ -93,22 +93,22 @@
         call = message.request_id
         if message.method == "pay" and call not in self.running:
             key = self._key_of(call)
-            assert self.bench.now - self.last_effects.get(key, -1e9) > MIN_APART_MS
+            assert self.bench.now - self.last_effects.get(key, -1e9) > MIN_RUN_INTERVAL_MS
             self.last_effects[key] = self.bench.now
         self.running[call] = message.method
 
     def _end_run(self) -> list[Outgoing]:
-        call = self.chance.choice(sorted(self.running))
+        call = self.rng.choice(sorted(self.running))
         del self.running[call]
         self.at_calls.discard(call)
-        outcome = self.chance.choice(RUN_OUTCOMES)
-        if outcome is Outcome.NEVER_STARTED:  # nothing was started
+        outcome = self.rng.choice(RUN_OUTCOMES)
+        if outcome is Outcome.NEVER_STARTED:  # the run had no effect
             self.last_effects.pop(self._key_of(call), None)
         return self.bench.step(self.core.handle_run_ended, call, outcome, b"r")
 
     def _end_call(self) -> list[Outgoing]:
-        outcome = self.chance.choice(CALL_OUTCOMES)
-        call = self.chance.choice(sorted(self.at_calls))
+        outcome = self.rng.choice(CALL_OUTCOMES)
+        call = self.rng.choice(sorted(self.at_calls))
         self.calls_out.discard(call)
         return self.bench.step(self.core.handle_call_ended, call, outcome, b"!")
 
@@ -116,7 +116,7 @@
         return self.core.requests.by_id[call].idempotency_key
 
     def drain(self) -> None:
-        """A graceful shutdown, until all is over."""
+        """Runs a graceful shutdown to its end."""
         self.bench.step(self.core.begin_graceful_shutdown, 1500.0)
         self.bench.step(lambda: None, ms=1500.0)
         assert self.bench.sent_of(CloseConnections) and not self.core.requests.unanswered_count()
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_comes_each_request_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
+def test_each_request_has_one_answer_and_no_state_remains(seed: int) -> None:
     events = RandomEvents(seed)
     bench = events.bench
     for number in range(1, REQUESTS):
@@ -135,16 +135,16 @@
             events.receive(out)
             out = events.next_event(number)
         fields = bench.core.log_fields()
-        assert fields["in_flight"] == fields["runs"]  # the controller's count and the wire's agree
+        assert fields["in_flight"] == fields["runs"]  # the counts of the controller and the core agree
     events.drain()
     assert all(len(bench.answers.get(n, [])) == 1 or n in events.disconnected for n in range(1, REQUESTS))
     assert max(map(len, bench.answers.values())) == 1
-    assert_nothing_left(bench.core)
+    assert_no_state_remains(bench.core)
 
 
-def assert_nothing_left(core: RequestCore) -> None:
+def assert_no_state_remains(core: RequestCore) -> None:
     controller = core.controller
-    left = (
+    remaining = (
         core.requests.by_number,
         core.requests.by_id,
         core.idempotency.entries,
@@ -152,7 +152,7 @@
         controller.requests,
         controller.deduplication.entries,
     )
-    assert not any(left), left
+    assert not any(remaining), remaining
     assert (controller.limiter.running, controller.limiter.in_flight, controller.queues.count) == (0, 0, 0)
     assert abs(controller.memory_budget.requests_kb) < 1e-6
     assert controller.downstream_calls.quota.outstanding == 0
@@ -160,46 +160,49 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(("window", "expiry"), [(1000.0, 3000.0), (2000.0, 6000.0), (9000.0, 3000.0)])
-def test_a_retention_shorter_than_a_run_a_deadline_or_a_wait_lets_nothing_run_twice(
+def test_no_run_twice_if_retention_is_shorter_than_run_or_deadline(
     seed: int, window: float, expiry: float
 ) -> None:
-    """Books of their own: who was started, and when its try was written; runs last up to twice the window."""
+    """Records independently of the core when each attempt was written and which ones ran. An attempt written
+    within the retention window of a run must not run. Runs last up to twice the window."""
     pay = SETTINGS["classes"][1] | {
         "windowUs": window * 1e3,
         "hardLimitUs": expiry * 1e3,
         "promiseUs": expiry * 0.7e3,
     }
     bench = CoreBench(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
-    chance, marks, written, ran, running = random.Random(seed), {}, {}, {}, {}
+    rng, keys, written_at, runs, running = random.Random(seed), {}, {}, {}, {}
     for n in range(1, 1500):
-        mark, age = f"m{chance.randrange(25)}", chance.choice([0.0, 0.0, 5.0, 0.9 * expiry])
-        ms = chance.choice([0.0, 1.0, chance.expovariate(0.02), window / 7])
-        if near := [ends for ends, _, _ in ran.values() if ends > bench.now]:
-            ms = min(near) - bench.now + chance.choice([-1.0, 0.0, 1.0]) if chance.random() < 0.2 else ms
+        key, age = f"m{rng.randrange(25)}", rng.choice([0.0, 0.0, 5.0, 0.9 * expiry])
+        ms = rng.choice([0.0, 1.0, rng.expovariate(0.02), window / 7])
+        if window_ends := [ends_at for ends_at, _, _ in runs.values() if ends_at > bench.now]:
+            ms = min(window_ends) - bench.now + rng.choice([-1.0, 0.0, 1.0]) if rng.random() < 0.2 else ms
         ms = max(ms, 0.0)
-        marks[f"{n:016x}"], written[f"{n:016x}"] = mark, bench.now + ms - age
+        keys[f"{n:016x}"], written_at[f"{n:016x}"] = key, bench.now + ms - age
         bench.wait(ms)
-        out = bench.arrive(n, 1, mark, age=age, ttl=expiry)
+        out = bench.arrive(n, 1, key, age=age, ttl=expiry)
         while out:
             for _, message in out:
                 if not isinstance(message, StartRun):
                     continue
                 call = message.request_id
-                mark = marks[call]
-                until, _, first = ran.get(mark, (-math.inf, 0.0, ""))
-                assert written[call] > until, f"{call} was written in the window of {first}, which ran"
-                ran[mark] = (written[call] + window, bench.now, call)
-                running[call] = bench.now + chance.uniform(0.0, 2 * window)
-            over = [call for call, ends in running.items() if ends <= bench.now]
-            if not over:
+                key = keys[call]
+                window_end, _, earlier = runs.get(key, (-math.inf, 0.0, ""))
+                assert (
+                    written_at[call] > window_end
+                ), f"{call} was written within the window of {earlier}, which ran"
+                runs[key] = (written_at[call] + window, bench.now, call)
+                running[call] = bench.now + rng.uniform(0.0, 2 * window)
+            ended = [call for call, ends_at in running.items() if ends_at <= bench.now]
+            if not ended:
                 break
-            del running[over[0]]
-            how = chance.choice([Outcome.OK] * 4 + [Outcome.ERROR, Outcome.NEVER_STARTED])
-            if how is Outcome.NEVER_STARTED:  # nothing was started, so nothing ran
-                del ran[marks[over[0]]]
-            out = bench.step(bench.core.handle_run_ended, over[0], how, over[0].encode())
+            del running[ended[0]]
+            outcome = rng.choice([Outcome.OK] * 4 + [Outcome.ERROR, Outcome.NEVER_STARTED])
+            if outcome is Outcome.NEVER_STARTED:  # the run had no effect
+                del runs[keys[ended[0]]]
+            out = bench.step(bench.core.handle_run_ended, ended[0], outcome, ended[0].encode())
     for n, (answer, *more) in bench.answers.items():
         assert not more
-        if isinstance(answer, RequestCompleted):  # nobody else's response
-            assert marks[answer.body.decode()] == marks[f"{n:016x}"]
+        if isinstance(answer, RequestCompleted):  # the response belongs to an attempt with the same key
+            assert keys[answer.body.decode()] == keys[f"{n:016x}"]
     assert len(bench.sent_of(StartRun)) > 50 and len(bench.core.idempotency.entries) <= 25
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -1,4 +1,4 @@
-"""Gateways that send bad input, hold on, stay silent or do not read, on sockets."""
+"""Gateways that send invalid input, stay silent, stay connected or do not read, on sockets."""
 
 import json
 import socket
@@ -31,50 +31,52 @@
 }  # fmt: skip
 
 
-def test_bad_input_is_answered_and_affects_nobody_else(server: ServerProcess) -> None:
+def test_invalid_input_is_answered_and_does_not_affect_other_connections(server: ServerProcess) -> None:
     runtime, good = server.connect_all()
-    bad = server.connect_gateway()
+    mixed = server.connect_gateway()
     for fields in BAD_FIELDS:
-        rude = server.connect_gateway()
-        rude.send_request(**({"call": B, "product": "pay", "dedupe": IDEMPOTENCY_KEY} | fields))
-        assert rude.read_answer()["error"]["code"] == -32602, fields
-        rude.close()
+        faulty = server.connect_gateway()
+        faulty.send_request(**({"call": B, "product": "pay", "dedupe": IDEMPOTENCY_KEY} | fields))
+        assert faulty.read_answer()["error"]["code"] == -32602, fields
+        faulty.close()
     for line, code in BAD_LINES.items():
-        rude = server.connect_gateway()
-        rude.sock.sendall(line + b"\n")
-        assert rude.read_answer()["error"]["code"] == code, line
-        rude.close()
-    bad.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # no id to answer under
-    assert bad.read_answer() == {
+        faulty = server.connect_gateway()
+        faulty.sock.sendall(line + b"\n")
+        assert faulty.read_answer()["error"]["code"] == code, line
+        faulty.close()
+    mixed.sock.sendall(b"\n" + b'{"jsonrpc":"2.0","method":"look"}\n')  # answered with the id null
+    assert mixed.read_answer() == {
         "jsonrpc": "2.0",
         "id": None,
         "error": {"code": -32600, "message": "id is missing"},
     }
-    complete_request(runtime, bad, A)
-    bad.send_request(B)
+    complete_request(runtime, mixed, A)
+    mixed.send_request(B)
     runtime.expect_command("start", B)
-    bad.send_request(B)  # open already
-    assert "error" in bad.read_answer()
+    mixed.send_request(B)  # is already open
+    assert "error" in mixed.read_answer()
     runtime.end_run(B)
-    assert bad.read_result() == b"done"
-    bad.sock.sendall(b"x" * 40000)
-    assert bad.read_line() == b""  # a line without end ends its peer
+    assert mixed.read_result() == b"done"
+    mixed.sock.sendall(b"x" * 40000)
+    assert mixed.read_line() == b""  # an endless line ends its connection
     complete_request(runtime, good, C)
-    assert 1 <= server.log.read_text().count("connection error") <= 30  # some 45 bad peers, seconds
+    assert (
+        1 <= server.log.read_text().count("connection error") <= 30
+    )  # of about 45 errors within some seconds
 
 
-def test_connections_without_a_message_or_with_too_many_wrong_ones_are_closed(server: ServerProcess) -> None:
+def test_silent_connections_and_those_with_too_many_errors_are_closed(server: ServerProcess) -> None:
     runtime, _ = server.connect_all()
-    silent, half, back = server.connect_gateway(), server.connect_gateway(), server.connect_gateway()
-    half.sock.sendall(b'{"jsonrpc":"2.0","id":1,')
-    back.send_request(A), back.send_message("interrupt", call=A)
-    wrong = server.connect_gateway()
-    wrong.sock.sendall(b"{\n" * 500)
-    assert [json.loads(wrong.read_line())["id"] for _ in range(6)] == [None] * 6
-    began = time.monotonic()
-    for peer in (wrong, silent, half, back):
+    silent, partial, cancelled = server.connect_gateway(), server.connect_gateway(), server.connect_gateway()
+    partial.sock.sendall(b'{"jsonrpc":"2.0","id":1,')
+    cancelled.send_request(A), cancelled.send_message("interrupt", call=A)
+    invalid = server.connect_gateway()
+    invalid.sock.sendall(b"{\n" * 500)
+    assert [json.loads(invalid.read_line())["id"] for _ in range(6)] == [None] * 6
+    started_at = time.monotonic()
+    for peer in (invalid, silent, partial, cancelled):
         assert peer.read_line() == b""
-    assert time.monotonic() - began < 3  # owed within 3 s of connecting
+    assert time.monotonic() - started_at < 3  # gateways are promised a response within 3 s of connecting
     complete_request(runtime, server.connect_gateway(), B)
 
 
@@ -84,18 +86,18 @@
         runtime, gateway = server.connect_all()
         complete_request(runtime, gateway, A)
         many = [socket.create_connection(server.address) for _ in range(200)]
-        complete_request(runtime, server.connect_gateway(), B)  # though all came before it
-        began = time.monotonic()  # at the bound one once made room each 50 ms, and only after 1 s of quiet
-        asked = [server.connect_gateway() for _ in range(160)]
-        for peer in asked:
+        complete_request(runtime, server.connect_gateway(), B)  # although all of them connected earlier
+        started_at = time.monotonic()  # fails if room is made only every 50 ms or after 1 s of idle time
+        checking = [server.connect_gateway() for _ in range(160)]
+        for peer in checking:
             peer.send_message("check")
         complete_request(runtime, server.connect_gateway(), C)
-        assert time.monotonic() - began < 4
+        assert time.monotonic() - started_at < 4
         for sock in many:
             sock.close()
 
 
-def test_a_33rd_open_request_is_turned_away(server: ServerProcess) -> None:
+def test_more_than_32_open_requests_are_refused(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     for n in range(33):
         gateway.send_request(f"{n:016x}", "pay", dedupe=IDEMPOTENCY_KEY)
@@ -103,52 +105,53 @@
     assert answer["id"] == 33 and answer["error"]["code"] == -32600
 
 
-def test_a_reset_and_a_gateway_that_never_reads_affect_nobody_else(server: ServerProcess) -> None:
+def test_reset_and_unread_answers_do_not_affect_other_connections(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    rude = server.connect_gateway()
-    rude.send_request(A)
+    faulty = server.connect_gateway()
+    faulty.send_request(A)
     runtime.expect_command("start", A)
-    rude.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    rude.close()
+    faulty.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    faulty.close()
     runtime.answer_gauges()
-    runtime.end_run(A)  # its caller has gone: the run is over, and nobody is told
-    deaf = server.connect_gateway()
-    with pytest.raises(ConnectionError):  # closed from the other side, though it never reads that
+    runtime.end_run(A)  # its caller has disconnected, so no answer is sent
+    stalled = server.connect_gateway()
+    with pytest.raises(ConnectionError):  # the server closes the connection
         while True:
-            deaf.sock.sendall(b'{"jsonrpc":"2.0","id":1,"method":"check"}\n' * 500)
+            stalled.sock.sendall(b'{"jsonrpc":"2.0","id":1,"method":"check"}\n' * 500)
     server.wait_for_log("reads too slowly")
     complete_request(runtime, gateway, B)
 
 
-def test_descriptors_run_out_without_a_spin_or_a_loss(tmp_path: Path) -> None:
-    with ServerProcess(tmp_path, descriptors=40) as server:  # fewer than the configuration says
+def test_lack_of_descriptors_causes_no_busy_loop_and_loses_no_request(tmp_path: Path) -> None:
+    with ServerProcess(tmp_path, descriptors=40) as server:  # fewer than configured
         runtime, gateway = server.connect_all()
         many = [socket.create_connection(server.address) for _ in range(60)]
         server.wait_for_log("cannot accept connections", lambda: runtime.answer_gauges(1))
         before = cpu_ticks(server.process.pid)
-        runtime.answer_gauges(25)  # about a second of rings
-        assert cpu_ticks(server.process.pid) - before < 60  # of 100 a second
-        complete_request(
-            runtime, server.connect_gateway(), A
-        )  # somebody who asks gets in beside all those that only hold on
+        runtime.answer_gauges(25)  # takes about 1 s
+        assert cpu_ticks(server.process.pid) - before < 60  # there are 100 ticks per second
+        # A gateway with a request is accepted despite the silent connections.
+        complete_request(runtime, server.connect_gateway(), A)
         for sock in many:
             sock.close()
         complete_request(runtime, server.connect_gateway(), B)
 
 
 def cpu_ticks(pid: int) -> int:
+    """Returns the CPU time that the process has used, in clock ticks."""
     return sum(map(int, Path(f"/proc/{pid}/stat").read_text().rsplit(")")[1].split()[11:13]))
 
 
-def test_idle_connections_are_told_and_closed(tmp_path: Path) -> None:
-    rare = SETTINGS["familyInfo"] | {"callers": 1000}  # none of them is back soon
-    with ServerProcess(tmp_path, settings=SETTINGS | {"familyInfo": rare}) as server:
+def test_idle_connections_get_no_more_and_are_closed(tmp_path: Path) -> None:
+    family = SETTINGS["familyInfo"] | {"callers": 1000}  # with many callers, each one returns rarely
+    with ServerProcess(tmp_path, settings=SETTINGS | {"familyInfo": family}) as server:
         _, gateway = server.connect_all()
         assert b"noMore" in gateway.read_line() and gateway.read_line() == b""
 
 
-def test_requests_get_in_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
-    """Nobody leaves by a new list. All fill the table after a word each, and rest until they are ended."""
+def test_requests_are_served_while_idle_clients_use_all_descriptors(tmp_path: Path) -> None:
+    """Idle clients never disconnect by themselves. Each sends a health check and stays connected until the
+    server closes the connection."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
     with ServerProcess(tmp_path, descriptors=64, limits=limits) as server:
         runtime = server.accept_runtime()
@@ -160,13 +163,13 @@
             idle.append(gateway)
         for n in range(5):
             call, gateway = f"{n:016x}", server.connect_gateway()
-            began = time.monotonic()
+            started_at = time.monotonic()
             gateway.send_request(call, ttl=4000)
             runtime.expect_command("start", call)
-            if not n:  # descriptors for the service below are there
+            if not n:  # descriptors for the records service are available
                 runtime.send_notice(f"wants {call}", b"?")
                 server.accept_call(call, b"?").send(f"{call} DONE", b"!")
                 runtime.expect_command("give", call)
             runtime.end_run(call)
-            assert gateway.read_result() == b"done" and time.monotonic() - began < 4.0
+            assert gateway.read_result() == b"done" and time.monotonic() - started_at < 4.0
         assert not server.has_logged("Too many open files")
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: new addresses, levels, and files that are not valid."""
+"""Reload at SIGHUP: new addresses, new levels, and invalid files."""
 
 import json
 import signal
@@ -11,18 +11,18 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_a_new_configuration_moves_runtime_records_and_registry(server: ServerProcess) -> None:
+def test_reload_changes_addresses_of_runtime_records_and_registry(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
     gateway.send_request(C), runtime.expect_command("start", C)
     runtime.send_notice(f"wants {C}", b"?")
     old_records = server.accept_call(C, b"?")
-    for bad in ("{", '{"name": "n3"}'):  # half written, or lacking the rest: the old one stays in force
+    for bad in ("{", '{"name": "n3"}'):  # incomplete files; the old configuration stays in force
         server.reload(bad)
         server.wait_for_log("configuration not reloaded", lambda: runtime.answer_gauges(1))
         server.log.write_text("")
     old_reports = server.move_addresses()
-    while True:  # its last question proves what it has read; nothing else comes on it
+    while True:  # only gauges queries follow; the answer to the last one confirms the commands that were read
         words = runtime.read_line().decode().split()
         if not words:
             break
@@ -30,7 +30,10 @@
         runtime.send(f"load {words[1]} 0.2 1 0.1 5")
     new = server.accept_runtime()
     assert new.synced_notice == 1
-    gateway.send_request(B), new.expect_command("start", B)  # not A again: its start was read
+    (
+        gateway.send_request(B),
+        new.expect_command("start", B),
+    )  # A is not started again, because its start was read
     new.send_notice(f"wants {B}", b"?")
     server.accept_call(B, b"?").send(f"{B} DONE", b"!")
     new.expect_command("give", B)
@@ -39,22 +42,20 @@
     new.end_run(A, b"paid")
     assert gateway.read_result() == b"paid"
     assert server.reports.recv(100) == b"BEAT n3 ready"
-    server.process.send_signal(signal.SIGHUP)  # nothing has changed
+    server.process.send_signal(signal.SIGHUP)  # without any change
     server.wait_for_log("moved=[]", lambda: new.answer_gauges(1))
     old_reports.close()
 
 
-def test_new_configurations_may_come_early_and_in_a_row(server: ServerProcess) -> None:
+def test_reloads_before_runtime_is_up_and_in_quick_succession(server: ServerProcess) -> None:
     server.connect_gateway()
-    server.accept_runtime(ready="")  # the link stands, the runtime is not up
+    server.accept_runtime(ready="")  # the link is established, but the runtime is not up
     server.move_addresses().close()
     runtime = server.accept_runtime()
     runtime.answer_gauges(2)
     complete_request(runtime, server.connect_gateway(), A)
-    (
-        server.move_addresses().close(),
-        server.move_addresses().close(),
-    )  # nobody answers the last question, nor in between
+    # Two changes in quick succession; the last gauges query on the old link stays unanswered.
+    server.move_addresses().close(), server.move_addresses().close()
     new = server.accept_runtime()
     new.answer_gauges(2)
     complete_request(new, server.connect_gateway(), B)
@@ -82,9 +83,7 @@
         server.process.send_signal(signal.SIGHUP)
         server.wait_for_log("entered=no-pay", lambda: runtime.answer_gauges(1))
         gateway.send_request(A), runtime.expect_command("start", A, "look")
-        gateway.send_request(
-            C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1
-        )  # what runs is never declined by a level
+        gateway.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # levels do not reject retries of a run
         runtime.answer_gauges()
         runtime.end_run(B, b"paid")
         assert gateway.read_result() == gateway.read_result() == b"paid"
@@ -92,11 +91,11 @@
         assert gateway.read_answer()["error"]["code"] == -32014
 
 
-def test_sighup_while_the_program_starts_neither_ends_it_nor_is_missed(
+def test_sighup_during_start_neither_ends_the_process_nor_is_missed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first comes as the interpreter starts, the second, with new addresses, after the file was read and
-    before anything listens for signals."""
+    """The first SIGHUP arrives when the interpreter starts. The second, with new addresses, arrives after the
+    configuration was read and before the server listens for signals."""
     (tmp_path / "sitecustomize.py").write_text(
         "import os, signal, sys\n"
         "os.kill(os.getpid(), signal.SIGHUP)\n"
@@ -109,18 +108,20 @@
         "sys.addaudithook(hook)\n"
     )
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
-    moved = listen()
-    new = tmp_path / "config.json.new"
+    new_runtimes = listen()
+    new_configuration = tmp_path / "config.json.new"
 
-    class Starts(ServerProcess):
+    class PreparedServerProcess(ServerProcess):
         def start(self) -> None:
-            new.write_text(json.dumps(self.document | {"runtime": "{}:{}".format(*moved.getsockname())}))
+            new_configuration.write_text(
+                json.dumps(self.document | {"runtime": "{}:{}".format(*new_runtimes.getsockname())})
+            )
             super().start()
 
-    with Starts(tmp_path) as server:
+    with PreparedServerProcess(tmp_path) as server:
         server.wait_for_log("moved=['runtime']")
         server.runtimes.close()
-        server.runtimes = moved
+        server.runtimes = new_runtimes
         runtime = server.accept_runtime()
         runtime.answer_gauges(2)
         gateway = server.connect_gateway()
@@ -133,7 +134,7 @@
 BAD_FILES = ["[" * 200_000, "\x00", "{}", '{"settings": {"classes": [{}]}}', '{"limits": 7}', "\ud800"]
 
 
-def test_no_file_that_sighup_brings_ends_the_server(tmp_path: Path) -> None:
+def test_reload_of_invalid_file_does_not_end_the_server(tmp_path: Path) -> None:
     with ServerProcess(tmp_path) as server:
         runtime, gateway = server.connect_all()
         for bad in BAD_FILES:
--- a/tests/net/test_request_core.py
+++ b/tests/net/test_request_core.py
@@ -1,4 +1,4 @@
-"""The request core and its dispatcher, without a socket."""
+"""The request core and its dispatcher, without sockets."""
 
 from unittest.mock import Mock
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_two_attempts_in_one_batch_are_linked() -> None:
+def test_attempts_with_one_key_in_one_batch_share_a_run() -> None:
     bench = CoreBench()
     for rpc in (1, 2):
         bench.core.handle_arrival(
@@ -33,11 +33,11 @@
 
 
 @pytest.mark.parametrize("age", [0.0, 10_000.0])
-def test_a_key_outlives_its_retention_by_what_may_still_be_unread(age: float) -> None:
+def test_key_is_kept_for_unread_attempts_after_its_retention(age: float) -> None:
     bench = CoreBench()
     bench.arrive(1, 1, "m", age=age, ttl=16_000.0)
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.OK, b"r", ms=100.0)
-    # Written just within the window (20 s from the first `recv`), read seconds later: never run.
+    # Written just within the window (20 s from the first `recv`) and read seconds later: must not run.
     bench.wait(24_800.0 - age)
     bench.arrive(2, 1, "m", age=5000.0, ttl=8000.0)
     assert bench.answers[2] == [RequestCompleted(2, b"r", bench.load)] and len(bench.sent_of(StartRun)) == 1
@@ -48,8 +48,8 @@
 
 
 @pytest.mark.parametrize("product", [0, 1])
-def test_a_request_cancelled_in_its_batch_leaves_no_slot_taken(product: int) -> None:
-    # Hundreds of them once filled the module's count of what is in hand for good.
+def test_request_cancelled_within_its_batch_releases_its_slot(product: int) -> None:
+    # If its slot is not released, hundreds of such requests fill the controller's limit permanently.
     bench = CoreBench()
     bench.core.handle_arrival("connection", 1, product, fields_of("c", bench.now + 1e12, idempotency_key="m"))
     bench.step(bench.core.handle_disconnect, "c")
@@ -62,7 +62,7 @@
     assert not bench.core.requests and not bench.core.controller.requests and not bench.sent_of(StartRun)
 
 
-def test_none_left_is_not_unknown() -> None:
+def test_ttl_of_0_differs_from_missing_ttl() -> None:
     bench = CoreBench()
     bench.arrive(1, age=300.0, ttl=300.0)
     bench.arrive(2, age=300.0, ttl=0.0)
@@ -73,7 +73,7 @@
     assert len(bench.sent_of(StartRun)) == 1
 
 
-def test_gauges_that_are_no_numbers_are_missing() -> None:
+def test_gauges_that_are_not_finite_count_as_missing() -> None:
     bench = CoreBench()
     bench.step(bench.core.query_gauges)
     bench.step(
@@ -84,18 +84,18 @@
     assert bench.core.controller.limiter.busy_share == 1.0 and bench.core.controller.limiter.limit == limit
 
 
-def test_a_tick_that_fails_is_not_the_last() -> None:
+def test_dispatcher_schedules_next_tick_after_a_failed_one() -> None:
     bench = CoreBench()
     dispatcher = Dispatcher(bench.core)
     dispatcher.recipients |= {Destination.GATEWAYS: Mock(), Destination.RUNTIME: Mock()}
     dispatcher.send(ScheduleTick(40.0))
     dispatcher.tick_at = dispatcher.gauge_query_at = 0.0
-    bench.core.controller.queues = None  # the module is broken: whatever it is asked fails
+    bench.core.controller.queues = None  # every call of the controller fails
     dispatcher.run_batch()
     assert 0.0 < dispatcher.tick_at < float("inf")
 
 
-def test_a_runtime_that_restarted_has_lost_its_runs() -> None:
+def test_runtime_restart_fails_its_runs() -> None:
     bench = CoreBench()
     bench.arrive(1), bench.arrive(2, 1, "m")
     bench.step(bench.core.handle_link_lost)
@@ -104,10 +104,12 @@
     assert [type(bench.answers[n][0]) for n in (1, 2)] == [RequestFailed] * 2 and not bench.core.requests
 
 
-def test_an_uncertain_start_stays_so_over_further_links() -> None:
+def test_uncertain_start_stays_uncertain_on_later_links() -> None:
     bench = CoreBench()
     bench.arrive(1, 1, "m")
-    for _ in range(2):  # gauges answered on the second link say nothing of a start sent on the first
+    for _ in range(
+        2
+    ):  # gauges answers on a later link do not confirm a start that was sent on the first link
         bench.step(bench.core.handle_link_lost)
         bench.step(bench.core.handle_link_established)
         bench.step(bench.core.query_gauges)
@@ -116,12 +118,14 @@
     bench.step(bench.core.handle_link_lost)
     bench.step(bench.core.handle_disconnect, f"{1:016x}")
     bench.step(bench.core.handle_link_established)
-    assert len(bench.sent_of(StartRun)) == 2  # it is over, so this only asks how it stands
+    assert (
+        len(bench.sent_of(StartRun)) == 2
+    )  # the request is closed, so the start only queries the state of its run
     bench.step(bench.core.handle_run_ended, f"{1:016x}", Outcome.NEVER_STARTED, b"")
     assert not bench.core.requests and bench.core.controller.limiter.in_flight == 0
 
 
-def test_a_failing_event_fails_its_request_and_no_other() -> None:
+def test_failing_event_fails_only_its_own_request() -> None:
     bench = CoreBench()
     bench.arrive(1), bench.arrive(2)
     bench.step(bench.core.fail_request, f"{1:016x}")
@@ -135,17 +139,17 @@
 
 
 @pytest.mark.exclusive
-def test_statistics_that_fail_end_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With no descriptor left the memory's file can't be opened, and the dispatcher once ended with it.
-    async def play(server: InProcessServer) -> None:
-        def none_left() -> float:
+def test_failing_statistics_do_not_end_the_dispatcher(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Without free descriptors, the file with the process's memory usage cannot be opened.
+    async def scenario(server: InProcessServer) -> None:
+        def no_descriptor() -> float:
             raise OSError(24, "Too many open files")
 
-        monkeypatch.setattr("otterrudder.net.loop_statistics.resident_mb", none_left)
+        monkeypatch.setattr("otterrudder.net.loop_statistics.resident_mb", no_descriptor)
         server.dispatcher.statistics.next_report = 0.0
         server.dispatcher.run_batch()
         gateway, _ = await server.connect()
         gateway.sock.sendall(gateway.request_message(A))
         assert "result" in await server.finish_request(gateway, A)
 
-    run_in_process(play)
+    run_in_process(scenario)
--- a/tests/net/test_requests_on_sockets.py
+++ b/tests/net/test_requests_on_sockets.py
@@ -1,4 +1,5 @@
-"""The program, started as deployed and spoken to on sockets. Tests wait for events, never for a time."""
+"""Requests to a server process that is started as deployed. The tests wait for events, not for fixed
+times."""
 
 import signal
 import time
@@ -10,33 +11,33 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_a_request_completes_byte_for_byte_and_answers_come_in_any_order(server: ServerProcess) -> None:
+def test_bodies_are_unchanged_and_answers_may_be_out_of_order(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     complete_request(runtime, gateway, A, bytes(range(256)) * 8)
     first, second = gateway.send_request(B), gateway.send_request(C)
     runtime.expect_command("start", B), runtime.expect_command("start", C)
-    runtime.end_run(C, b""), runtime.end_run(B, b"x", how="error")
+    runtime.end_run(C, b""), runtime.end_run(B, b"x", outcome="error")
     answer = gateway.read_answer()
     assert (answer["id"], answer["result"]["blob"]) == (second, "")
     failed = gateway.read_answer()
     assert failed["id"] == first and failed["error"]["code"] not in (-32014, -32700)
 
 
-def test_a_retry_is_answered_from_the_first_run(server: ServerProcess) -> None:
+def test_retry_gets_response_of_first_run(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     other = server.connect_gateway()
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
     runtime.expect_command("start", A, "pay")
-    other.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # while it runs
+    other.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # while the run is active
     runtime.answer_gauges()
     runtime.end_run(A, b"paid")
     assert gateway.read_result() == other.read_result() == b"paid"
-    other.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # afterwards
+    other.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY, rep=1)  # after the run has ended
     assert other.read_result() == b"paid"
     runtime.answer_gauges()
 
 
-def test_a_restart_takes_the_same_address_from_nothing(server: ServerProcess) -> None:
+def test_restarted_server_uses_same_address_and_has_no_state(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A)
     runtime.expect_command("start", A)
@@ -50,23 +51,22 @@
     complete_request(runtime, server.connect_gateway(), B)
 
 
-def test_a_stall_of_the_process_is_handled_before_new_work(server: ServerProcess) -> None:
+def test_deadlines_missed_during_stall_are_handled_before_new_requests(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A, ttl=400)
     runtime.expect_command("start", A)
     server.process.send_signal(signal.SIGSTOP)
     gateway.send_request(B, ttl=300), gateway.send_request(C)
-    time.sleep(0.6)  # longer than the first two may wait: what makes them late, not what the test waits for
+    time.sleep(0.6)  # longer than the ttl of the first two requests
     server.process.send_signal(signal.SIGCONT)
-    assert gateway.read_answer()["error"]["code"] == -32000  # it ran
-    assert (
-        gateway.read_answer()["error"]["code"] == -32014
-    )  # its age counts from `recv`: none of its time is left
+    assert gateway.read_answer()["error"]["code"] == -32000  # the request ran
+    # The age of the second request counts from `recv`, so it has no time left.
+    assert gateway.read_answer()["error"]["code"] == -32014
     runtime.expect_command("start", C)
 
 
-def test_a_key_with_another_body_or_method_is_never_served(server: ServerProcess) -> None:
-    # Its result was once given to whoever named the mark.
+def test_key_with_another_body_is_refused(server: ServerProcess) -> None:
+    # Without the check, the response would be sent to a different request with the same key.
     runtime, gateway = server.connect_all()
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), runtime.expect_command("start", A)
     gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, body=b"other")
@@ -79,7 +79,7 @@
     assert gateway.read_result() == b"paid"
 
 
-def test_a_start_that_the_runtime_refused_leaves_its_key_free(server: ServerProcess) -> None:
+def test_start_refused_by_runtime_releases_its_key(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY, body=b"other"), runtime.expect_command("start", B)
     runtime.send(f"nack start {B}")
@@ -89,14 +89,14 @@
     assert gateway.read_result() == b"paid"
 
 
-def test_without_room_for_idempotency_keys_requests_are_rejected(tmp_path: Path) -> None:
-    limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # room for one result
+def test_requests_are_rejected_if_idempotency_table_is_full(tmp_path: Path) -> None:
+    limits = {"cores": 1.0, "memory_mb": 0.02, "sockets": 256}  # enough for one response
     with ServerProcess(tmp_path, limits=limits) as server:
         runtime, gateway = server.connect_all()
         gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
         runtime.expect_command("start", A)
         gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY[::-1])
         assert gateway.read_answer()["error"]["code"] == -32014
-        gateway.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY)  # the one that is kept is still known
+        gateway.send_request(C, "pay", dedupe=IDEMPOTENCY_KEY)  # the retained key is still known
         runtime.end_run(A, b"paid")
         assert {gateway.read_result(), gateway.read_result()} == {b"paid"}
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -1,4 +1,4 @@
-"""The link to the runtime: lost, made anew, moved, and spoken nonsense on."""
+"""The link to the runtime: loss, reconnection, replay, and protocol errors."""
 
 import os
 import socket
@@ -14,8 +14,8 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_a_runtime_that_comes_up_late_refuses_the_gauges_and_starts_cold(server: ServerProcess) -> None:
-    # A restarted server once ran nothing: its question for the end of the replay came before `ready`.
+def test_gauges_are_queried_only_after_runtime_is_ready(server: ServerProcess) -> None:
+    # A runtime that is not ready refuses the query that ends the replay, and no request would ever run.
     gateway = server.connect_gateway()
     check = gateway.send_message("check")
     assert gateway.read_answer() == {"jsonrpc": "2.0", "id": check, "result": {"pass": False}}
@@ -24,7 +24,7 @@
     runtime = server.accept_runtime(ready="")
     runtime.sock.settimeout(0.3)
     with pytest.raises(TimeoutError):
-        runtime.read_line()  # nothing is asked before `ready`
+        runtime.read_line()  # no query is sent before `ready`
     runtime.sock.settimeout(20)
     runtime.send("ready chilly 0")
     runtime.answer_gauges(3)
@@ -34,25 +34,25 @@
 
 
 @pytest.mark.parametrize("cut", [b"end 2 ", f"end 2 {A} complete 3.5 40\r\nhalf of".encode()])
-def test_a_lost_runtime_link_is_made_anew_and_replayed(server: ServerProcess, cut: bytes) -> None:
+def test_lost_link_is_reconnected_and_notices_are_replayed(server: ServerProcess, cut: bytes) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
-    runtime.answer_gauges()  # proves that both starts were read
+    runtime.answer_gauges()  # confirms that both starts were read
     runtime.send_notice("info hello there")
     runtime.sock.sendall(cut)
     runtime.close()
     runtime = server.accept_runtime(missed=[(f"end {A} complete 3.5", b"a" * 40)])
     assert runtime.synced_notice == 1 and gateway.read_result() == b"a" * 40
     runtime.answer_gauges()
-    runtime.end_run(B, b"b")  # it ran on and was not started again
+    runtime.end_run(B, b"b")  # the run continued and was not started again
     assert gateway.read_result() == b"b"
     complete_request(runtime, gateway, C)
 
 
-def test_after_a_lost_link_only_what_has_no_effect_is_started_again(server: ServerProcess) -> None:
+def test_only_safe_requests_are_restarted_after_lost_link(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
-    runtime.ignores_gauges = True  # so nothing proves that the starts were read
+    runtime.ignores_gauges = True  # so that the starts are not confirmed
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
     runtime.close()
@@ -61,15 +61,14 @@
     runtime.answer_gauges()
     runtime.end_run(B)
     assert gateway.read_answer()["id"] == 2
-    gateway.send_message(
-        "interrupt", call=A
-    )  # answered or left, a start tells how it stands and does no harm
+    # After the request is closed, a start is harmless and reports the state of its run.
+    gateway.send_message("interrupt", call=A)
     runtime.expect_command("start", A)
-    runtime.end_run(A, b"", how="unknown")
+    runtime.end_run(A, b"", outcome="unknown")
     complete_request(runtime, gateway, C)
 
 
-def test_a_reply_that_comes_without_a_link_is_given_on_the_next(server: ServerProcess) -> None:
+def test_reply_received_without_link_is_delivered_on_next_link(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A)
     runtime.expect_command("start", A)
@@ -85,23 +84,21 @@
     server.runtimes = socket.create_server(server.runtime_address)
     server.runtimes.settimeout(20)
     runtime = server.accept_runtime()
-    runtime.send("nack gauges replayed")  # refused once more: a link of its own is made for it
+    runtime.send("nack gauges replayed")  # a refused query ends the link, and a new one is established
     runtime = server.accept_runtime()
     assert runtime.expect_command("give", A)[1] == b"row!"
     runtime.end_run(A)
     assert gateway.read_result() == b"done"
 
 
-def test_starts_decided_without_a_link_go_out_with_the_next(server: ServerProcess) -> None:
+def test_request_admitted_without_link_is_started_on_next_link(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     server.runtimes.close()
     runtime.close()
-    server.wait_for_log(
-        "runtime link lost"
-    )  # a start on a link that dies unseen is in doubt, which is another test
+    server.wait_for_log("runtime link lost")  # a start sent before the loss is noticed would be uncertain
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY)
     gateway.send_message("check")
-    assert gateway.read_answer()["result"]["pass"] is True  # it has read the request before
+    assert gateway.read_answer()["result"]["pass"] is True  # the server has read the request before
     server.runtimes = socket.create_server(server.runtime_address)
     server.runtimes.settimeout(20)
     runtime = server.accept_runtime()
@@ -123,7 +120,7 @@
     ],
     ids=range(7),
 )
-def test_a_runtime_that_breaks_the_protocol_loses_its_link_only(server: ServerProcess, junk: str) -> None:
+def test_invalid_line_of_runtime_ends_only_the_link(server: ServerProcess, junk: str) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A)
     runtime.expect_command("start", A)
@@ -139,13 +136,13 @@
     complete_request(runtime, gateway, B)
 
 
-def test_a_nack_and_an_unknown_end_a_request(server: ServerProcess) -> None:
+def test_refused_start_and_unknown_outcome_fail_the_request(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A), gateway.send_request(B)
     runtime.expect_command("start", A), runtime.expect_command("start", B)
     runtime.send(f"nack start {A}")
     assert gateway.read_answer()["error"]["code"] == -32602
-    runtime.end_run(B, b"", how="unknown")
+    runtime.end_run(B, b"", outcome="unknown")
     assert gateway.read_answer()["error"]["code"] == -32000
 
 
@@ -156,27 +153,27 @@
     ).settings
 
 
-def test_a_non_idempotent_request_is_not_started_again_on_a_new_link(tmp_path: Path) -> None:
+def test_non_idempotent_request_is_not_restarted_on_new_link(tmp_path: Path) -> None:
     with ServerProcess(tmp_path, settings=migrated_settings()) as server:
         runtime, gateway = server.connect_all()
-        runtime.ignores_gauges = True  # so nothing proves that the starts were read
+        runtime.ignores_gauges = True  # so that the starts are not confirmed
         gateway.send_request(A, "pay"), gateway.send_request(B)
         runtime.expect_command("start", A), runtime.expect_command("start", B)
         runtime.close()
         runtime = server.accept_runtime()
-        runtime.expect_command("start", B)  # what has no effect is; A is in doubt and waits for its end
+        runtime.expect_command("start", B)  # B is safe; the start of A is uncertain and not repeated
         runtime.answer_gauges()
         runtime.end_run(B, b"b")
         runtime.end_run(A, b"a")
         assert {gateway.read_result(), gateway.read_result()} == {b"a", b"b"}
 
 
-def test_a_migrated_server_serves_and_sends_only_what_the_runtime_knows(tmp_path: Path) -> None:
+def test_server_with_migrated_settings_sends_only_supported_commands(tmp_path: Path) -> None:
     with ServerProcess(tmp_path, settings=migrated_settings()) as server:
         runtime, gateway = server.connect_all()
         gateway.send_request(A)
         runtime.expect_command("start", A)
-        gateway.close()  # under `pause` the module would stop it: a line that is no command ends the link
+        gateway.close()  # with `pause` the controller would stop the run, which the protocol does not support
         runtime.answer_gauges()
         gateway = server.connect_gateway()
         gateway.send_request(B)
--- a/tests/net/test_server_configuration.py
+++ b/tests/net/test_server_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file as the program reads it: errors name the file and the field."""
+"""Errors in the configuration file are reported with the file and the field."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]", "{}", '{"name":"n","listen":"x"}'])
-def test_a_bad_configuration_is_one_line_and_not_0(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_with_error(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -53,23 +53,25 @@
 
 
 @pytest.mark.parametrize(("field", "value"), MISTYPED, ids=[field for field, _ in MISTYPED])
-def test_a_mistyped_field_is_named_and_nothing_listens(tmp_path: Path, field: str, value: object) -> None:
-    told = {name: "127.0.0.1:1" for name in ("listen", "runtime", "registry", "records")}
-    told |= {
+def test_field_of_wrong_type_is_named_and_server_does_not_listen(
+    tmp_path: Path, field: str, value: object
+) -> None:
+    document: dict = {name: "127.0.0.1:1" for name in ("listen", "runtime", "registry", "records")}
+    document |= {
         "name": "n3",
         "seed": "8c1f30d27a5be964",
         "stop_ms": 1500,
         "settings": SETTINGS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
     }
-    told = json.loads(json.dumps(told))
-    *way, last = field.split(".")
-    at = told
-    for step in way:
-        at = at[int(step)] if step.isdigit() else at[step]
-    at[last] = value
+    document = json.loads(json.dumps(document))
+    *parents, last = field.split(".")
+    parent = document
+    for key in parents:
+        parent = parent[int(key)] if key.isdigit() else parent[key]
+    parent[last] = value
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     done = subprocess.run(
         ["/bin/sh", "-c", RUN],
         cwd=ROOT,
@@ -77,13 +79,13 @@
         timeout=60,
         env=os.environ | {"NODE_CONFIG": str(path)},
     )
-    text, named = done.stderr.decode(), re.sub(r"\.(\d+)", r"[\1]", field)
+    text, field_name = done.stderr.decode(), re.sub(r"\.(\d+)", r"[\1]", field)
     assert done.returncode == 2 and text.count("\n") == 1 and "listening" not in text, text
-    assert str(path) in text and named in text, text
+    assert str(path) in text and field_name in text, text
 
 
-def test_check_and_version_print_what_they_found(server: ServerProcess) -> None:
-    for word, told in (
+def test_check_version_and_help_print_their_output(server: ServerProcess) -> None:
+    for word, output in (
         ("check", b"n3: the configuration is good"),
         ("version", b"otterrudder "),
         ("--help", b"NODE_CONFIG"),
@@ -95,4 +97,4 @@
             timeout=60,
             env=os.environ | {"NODE_CONFIG": str(server.configuration)},
         )
-        assert done.returncode == 0 and told in done.stdout
+        assert done.returncode == 0 and output in done.stdout
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a drain, and what may come between two of its steps: docs/design/closes.md has them."""
+"""The end of a drain, and events that occur between its steps. docs/design/closes.md describes the steps."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 pytestmark = pytest.mark.exclusive
 
 
-def test_a_drain_answers_all_and_ends_with_0(server: ServerProcess) -> None:
+def test_drain_answers_all_requests_and_exits_with_0(server: ServerProcess) -> None:
     runtime, gateway = server.connect_all()
     gateway.send_request(A, "pay", dedupe=IDEMPOTENCY_KEY), gateway.send_request(B), gateway.send_request(C)
     for call in (A, B, C):
@@ -35,188 +35,193 @@
     server.wait_for_log("draining: 3 in hand", lambda: runtime.answer_gauges(1))
     gateway.send_message("check")
     assert gateway.read_answer()["result"]["pass"] is False
-    server.process.terminate()  # a second one changes nothing
+    server.process.terminate()  # a second SIGTERM has no effect
     runtime.end_run(B)
     assert gateway.read_result() == b"done"
-    assert {gateway.read_answer()["error"]["code"] for _ in "AC"} == {-32000}  # they ran, so never "declined"
-    with pytest.raises(AssertionError, match="closed"):
-        while True:  # what crosses the end is answered as long as the connection stands
+    assert {gateway.read_answer()["error"]["code"] for _ in "AC"} == {
+        -32000
+    }  # they ran, so they must not be rejected
+    with pytest.raises(AssertionError, match="the server closed the connection"):
+        while True:  # requests that cross the close are answered while the connection is open
             gateway.send_request(os.urandom(8).hex())
             assert gateway.read_answer()["error"]["code"] == -32014
     assert server.wait_for_exit() == 0
     assert server.has_logged("event=stopped unanswered=0")
 
 
-def test_a_drain_before_the_runtime_is_up_ends_at_once(server: ServerProcess) -> None:
+def test_drain_before_runtime_is_up_ends_at_once(server: ServerProcess) -> None:
     server.connect_gateway()
     server.process.terminate()
     assert server.wait_for_exit() == 0
 
 
-def test_reports_go_on_and_say_when_it_drains(server: ServerProcess) -> None:
+def test_reports_continue_during_drain_with_state_draining(server: ServerProcess) -> None:
     server.connect_all()
     assert {server.reports.recv(100) for _ in range(3)} == {b"BEAT n3 ready"}
     server.process.terminate()
-    while (told := server.reports.recv(100)) == b"BEAT n3 ready":
+    while (report := server.reports.recv(100)) == b"BEAT n3 ready":
         pass
-    assert told == b"BEAT n3 draining"
+    assert report == b"BEAT n3 draining"
 
 
-def test_what_comes_with_the_last_read_is_answered_and_what_comes_after_is_not_started() -> None:
-    async def play(inside: InProcessServer) -> None:
-        resting, half, busy = [(await inside.connect())[0] for _ in range(3)]
-        data = half.request_message(B)
-        half.sock.sendall(data[:30])
-        left = inside.gateways._wait_until_closed
+def test_requests_in_the_last_read_are_answered_and_not_started() -> None:
+    async def scenario(server: InProcessServer) -> None:
+        idle, partial, unfinished = [(await server.connect())[0] for _ in range(3)]
+        data = partial.request_message(B)
+        partial.sock.sendall(data[:30])
+        wait_until_closed = server.gateways._wait_until_closed
 
-        async def last_moment() -> None:
-            inside.gateways._wait_until_closed = left
+        async def send_after_grace() -> None:
+            server.gateways._wait_until_closed = wait_until_closed
             try:
-                await left()
-            finally:  # the time that peers have is over; nothing runs from here to the last look
-                resting.sock.sendall(resting.request_message(A))
-                half.sock.sendall(data[30:])
-                busy.sock.sendall(busy.request_message(C)[:50])
-
-        inside.gateways._wait_until_closed = last_moment
-        inside.dispatcher.post(inside.dispatcher.core.begin_graceful_shutdown, 0.0)  # the stop is now
-        inside.group.start_soon(inside.dispatcher.run)
-        await inside.gateways.run(inside.group)
-        for gateway in (resting, half):
-            told = [json.loads(text) for text in (await read_to_end(gateway)).splitlines()]
-            assert [message.get("method") for message in told[:1]] == ["noMore"]
-            assert [message["error"]["code"] for message in told[1:]] == [-32014]
-        assert b"noMore" in await read_to_end(busy)  # its half was never a request
-        assert not inside.runtime.started and not inside.gateways.connections
-
-    run_in_process(play)
-
-
-def test_whoever_waits_to_be_accepted_at_the_end_of_a_drain_is_answered(tmp_path: Path) -> None:
-    # The table is full of connections with an open request until the stop, so those behind wait in the
+                await wait_until_closed()
+            finally:  # the grace is over, and no other task runs until the last read
+                idle.sock.sendall(idle.request_message(A))
+                partial.sock.sendall(data[30:])
+                unfinished.sock.sendall(unfinished.request_message(C)[:50])
+
+        server.gateways._wait_until_closed = send_after_grace
+        server.dispatcher.post(server.dispatcher.core.begin_graceful_shutdown, 0.0)  # without time left
+        server.group.start_soon(server.dispatcher.run)
+        await server.gateways.run(server.group)
+        for gateway in (idle, partial):
+            messages = [json.loads(line) for line in (await read_to_end(gateway)).splitlines()]
+            assert [message.get("method") for message in messages[:1]] == ["noMore"]
+            assert [message["error"]["code"] for message in messages[1:]] == [-32014]
+        assert b"noMore" in await read_to_end(unfinished)  # its partial message is not answered
+        assert not server.runtime.started and not server.gateways.connections
+
+    run_in_process(scenario)
+
+
+def test_connections_in_the_backlog_at_end_of_drain_are_answered(tmp_path: Path) -> None:
+    # Connections with open requests use the whole connection limit until the stop, so later ones wait in the
     # backlog.
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 48}
     with ServerProcess(tmp_path, limits=limits) as server:
         runtime = server.accept_runtime()
         runtime.answer_gauges(2)
-        room = 48 - 48 // 8 - gateway_listener.SPARE_DESCRIPTORS
-        busy = [server.connect_gateway() for _ in range(room)]
+        max_connections = 48 - 48 // 8 - gateway_listener.SPARE_DESCRIPTORS
+        busy = [server.connect_gateway() for _ in range(max_connections)]
         for n, gateway in enumerate(busy):
             gateway.send_request(f"{n:016x}")
-        while not server.has_logged("cannot accept connections"):  # full, and none may go: those behind wait
+        while not server.has_logged(
+            "cannot accept connections"
+        ):  # the limit is reached, and no connection may be closed
             server.connections.append(waiting := FakeGateway(server.address))
             waiting.send_request(os.urandom(8).hex())
             busy.append(waiting)
             runtime.answer_gauges(1) if len(runtime.data) else time.sleep(0.01)
-            assert len(busy) < 3 * room
+            assert len(busy) < 3 * max_connections
         server.process.terminate()
         answered = 0
         for gateway in busy:
-            told = gateway.read_answer()
-            assert "error" in told
+            answer = gateway.read_answer()
+            assert "error" in answer
             answered += 1
         assert answered == len(busy) and server.wait_for_exit() == 0
 
 
-def stopped(server: ServerProcess) -> None:
-    """Held still, so that what comes now comes in one turn."""
+def pause_process(server: ServerProcess) -> None:
+    """Pauses the process, so that it handles all events until SIGCONT in one batch."""
     server.process.send_signal(signal.SIGSTOP)
     while Path(f"/proc/{server.process.pid}/stat").read_text().rsplit(")")[1].split()[0] != "T":
         time.sleep(0.001)
 
 
-def test_sigterm_in_the_batch_of_ready_drains_what_it_admits(tmp_path: Path) -> None:
+def test_sigterm_in_same_batch_as_ready_answers_all_requests(tmp_path: Path) -> None:
     with ServerProcess(tmp_path) as server:
         gateway = server.connect_gateway()
         runtime = server.accept_runtime(ready="")
         gateway.send_message("check")
         gateway.read_answer()
-        stopped(server)
+        pause_process(server)
         runtime.send("ready hot 60000")
         gateway.send_request(A), gateway.send_request(B, "pay", dedupe=IDEMPOTENCY_KEY)
         server.process.terminate()
         server.process.send_signal(signal.SIGCONT)
         answers = {}
-        for _ in range(2):  # admitted or declined, each has its answer
-            told = gateway.read_answer()
-            answers[told["id"]] = told
+        for _ in range(2):  # admitted or rejected, each request gets an answer
+            answer = gateway.read_answer()
+            answers[answer["id"]] = answer
         assert len(answers) == 2
         assert server.wait_for_exit() == 0 and server.has_logged("event=stopped unanswered=0")
 
 
-def test_a_runtime_that_comes_up_in_a_drain_finds_nobody() -> None:
-    async def play(inside: InProcessServer) -> None:
+def test_no_request_starts_if_runtime_comes_up_during_drain() -> None:
+    async def scenario(server: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
             request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
-        inside.dispatcher.core = inside.gateways.dispatcher.core = core
-        gateway, _ = await inside.connect()
-        inside.dispatcher.post(core.begin_graceful_shutdown, 1500.0)
-        inside.dispatcher.post(core.handle_runtime_ready, True, 60_000.0)
-        inside.dispatcher.post(core.handle_link_established)
+        server.dispatcher.core = server.gateways.dispatcher.core = core
+        gateway, _ = await server.connect()
+        server.dispatcher.post(core.begin_graceful_shutdown, 1500.0)
+        server.dispatcher.post(core.handle_runtime_ready, True, 60_000.0)
+        server.dispatcher.post(core.handle_link_established)
         gateway.sock.sendall(gateway.request_message(A))
         await run_pending_tasks()
-        inside.group.start_soon(inside.dispatcher.run)
-        await inside.gateways.run(inside.group)  # it ends by itself
-        told = [json.loads(text) for text in (await read_to_end(gateway)).splitlines()]
-        assert [message["error"]["code"] for message in told if "id" in message] == [-32014]
-        assert not inside.runtime.started
+        server.group.start_soon(server.dispatcher.run)
+        await server.gateways.run(server.group)  # the drain ends by itself
+        messages = [json.loads(line) for line in (await read_to_end(gateway)).splitlines()]
+        assert [message["error"]["code"] for message in messages if "id" in message] == [-32014]
+        assert not server.runtime.started
 
-    run_in_process(play)
+    run_in_process(scenario)
 
 
-def test_sigterm_between_ready_and_the_batch_that_handles_it_is_a_whole_drain() -> None:
-    """It once closed at once, as nothing was up yet, while what came within the grace was still begun."""
+def test_sigterm_before_batch_with_ready_causes_complete_drain() -> None:
+    """Without the controller the server must not close at once, because requests that arrive within the grace
+    are still started."""
 
-    async def play(inside: InProcessServer) -> None:
+    async def scenario(server: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
             request_classes_of(SETTINGS),
             gauge_names(SETTINGS),
         )
-        inside.dispatcher.core = inside.gateways.dispatcher.core = core
+        server.dispatcher.core = server.gateways.dispatcher.core = core
 
-        async def terminated() -> AsyncIterator[signal.Signals]:
+        async def sigterm() -> AsyncIterator[signal.Signals]:
             yield signal.SIGTERM
 
-        parts = ServerParts(inside.dispatcher, Mock(), Mock(), inside.gateways, Mock(), None, None)
+        parts = ServerParts(server.dispatcher, Mock(), Mock(), server.gateways, Mock(), None, None)
         reloader = Mock(configuration=Mock(stop_ms=1500.0))
-        inside.dispatcher.post(core.handle_runtime_ready, True, 60_000.0)
-        inside.dispatcher.post(core.handle_link_established)
-        await serve.handle_signals(terminated(), reloader, parts)
-        over = anyio.Event()
+        server.dispatcher.post(core.handle_runtime_ready, True, 60_000.0)
+        server.dispatcher.post(core.handle_link_established)
+        await serve.handle_signals(sigterm(), reloader, parts)
+        closed = anyio.Event()
 
         async def run() -> None:
-            await inside.gateways.run(inside.group)
-            over.set()
+            await server.gateways.run(server.group)
+            closed.set()
 
-        inside.group.start_soon(run)
-        inside.group.start_soon(inside.dispatcher.run)
-        gateway, _ = await inside.connect()
+        server.group.start_soon(run)
+        server.group.start_soon(server.dispatcher.run)
+        gateway, _ = await server.connect()
         gateway.sock.sendall(gateway.request_message(A))
-        await wait_until(lambda: inside.runtime.started)
+        await wait_until(lambda: server.runtime.started)
         shutdown_s = gateway_listener.GOAWAY_GRACE_S + gateway_listener.FINAL_WRITE_TIMEOUT_S
-        await anyio.sleep(2 * shutdown_s)  # longer than a way out takes
-        assert not over.is_set()
-        assert "result" in await inside.finish_request(gateway, A)
-        await over.wait()
+        await anyio.sleep(2 * shutdown_s)  # longer than the close takes
+        assert not closed.is_set()
+        assert "result" in await server.finish_request(gateway, A)
+        await closed.wait()
 
-    run_in_process(play)
+    run_in_process(scenario)
 
 
-def test_signals_in_any_order_end_in_one_drain(tmp_path: Path) -> None:
+def test_signals_in_any_order_cause_one_drain(tmp_path: Path) -> None:
     with ServerProcess(tmp_path) as server:
         runtime, gateway = server.connect_all()
         gateway.send_request(A)
         runtime.expect_command("start", A)
-        stopped(server)
+        pause_process(server)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
             server.process.send_signal(number)
         server.process.send_signal(signal.SIGCONT)
         server.wait_for_log("draining: 1 in hand", lambda: runtime.answer_gauges(1))
-        server.process.send_signal(signal.SIGHUP)  # while it drains
+        server.process.send_signal(signal.SIGHUP)  # during the drain
         server.process.terminate()
         runtime.end_run(A)
         assert gateway.read_result() == b"done"
--- a/tests/net_harness.py
+++ b/tests/net_harness.py
@@ -1,6 +1,6 @@
-"""The server's parts in the test's own process, on real loopback connections.
+"""The server's parts in the process of the test, on real loopback connections.
 
-Nothing of the server runs between two lines of a test unless the test waits."""
+The server's code runs only while the test awaits something, or calls it."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -23,7 +23,7 @@
 
 
 class RuntimeRecorder:
-    """Takes what the core sends to the runtime."""
+    """Records the requests that the core starts at the runtime."""
 
     def __init__(self) -> None:
         self.started: list[str] = []
@@ -34,8 +34,8 @@
 
 
 class InProcessServer:
-    """The dispatcher, the listener and a stand-in of the runtime, in this process; its turns are the
-    test's own."""
+    """A dispatcher, a listener and a recorder in place of the runtime, in this process. The test runs the
+    batches of the dispatcher."""
 
     def __init__(self, group: anyio.abc.TaskGroup, max_descriptors: int = 256) -> None:
         self.group, self.runtime = group, RuntimeRecorder()
@@ -57,7 +57,8 @@
         self.dispatcher.run_batch()
 
     async def connect(self, small: bool = False) -> tuple[FakeGateway, GatewayConnection]:
-        """A connection, and its peer once it is served; `small`: the system holds next to nothing for it."""
+        """Connects a gateway and returns both ends of the connection, the server's end being served. With
+        `small` the socket buffers have the minimum size."""
         before = set(self.gateways.connections)
         gateway = FakeGateway(self.gateways.sock.getsockname(), receive_buffer=2048 if small else 0)
         self.gateways._accept_some(self.group)
@@ -67,10 +68,8 @@
         await run_pending_tasks()
         return gateway, peer
 
-    async def finish_request(
-        self, gateway: FakeGateway, call: str, body: bytes = b"done", **more: object
-    ) -> dict:
-        """Takes the one start that is there or to come, ends it, and hands over the answer."""
+    async def finish_request(self, gateway: FakeGateway, call: str, body: bytes = b"done") -> dict:
+        """Waits for the start of a request, ends its run, and returns the answer."""
         await wait_until(lambda: self.run_batch() and call in self.runtime.started)
         self.dispatcher.post(self.dispatcher.core.handle_run_ended, call, Outcome.OK, body)
         self.dispatcher.run_batch()
@@ -81,28 +80,28 @@
         return True
 
 
-def run_in_process(test: Callable[[InProcessServer], Awaitable[None]], **told: int) -> None:
-    async def play() -> None:
+def run_in_process(test: Callable[[InProcessServer], Awaitable[None]], **options: int) -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as group:
             with anyio.fail_after(20):
-                server = InProcessServer(group, **told)
+                server = InProcessServer(group, **options)
                 try:
                     await test(server)
                 finally:
                     server.gateways.sock.close()
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 async def run_pending_tasks() -> None:
-    """Whoever can go on does, until nobody can."""
+    """Yields to the event loop often enough that all tasks that can continue do."""
     for _ in range(20):
         await anyio.sleep(0)
 
 
-async def wait_until(true: Callable[[], object]) -> None:
-    while not true():
+async def wait_until(condition: Callable[[], object]) -> None:
+    while not condition():
         await anyio.sleep(0.001)
 
 
@@ -115,7 +114,7 @@
 
 
 async def read_to_end(gateway: FakeGateway) -> bytes:
-    """The rest up to an orderly end; a reset raises."""
+    """Reads until the server closes the connection. Raises ConnectionError if it is reset."""
 
     def read() -> bytes:
         data, gateway.data = gateway.data, b""
--- a/tests/server_process.py
+++ b/tests/server_process.py
@@ -1,4 +1,5 @@
-"""The program as operators start it, with what it talks to played by the test."""
+"""The server as a process, started as operators start it. The test takes the roles of the runtime, the
+records service, the gateways and the service discovery."""
 
 import base64
 import json
@@ -27,7 +28,7 @@
 
 
 def receive_reports() -> socket.socket:
-    """What service discovery is told goes there."""
+    """Returns the socket that receives the reports to the service discovery."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.settimeout(WAIT_S)
@@ -35,11 +36,12 @@
 
 
 class ServerProcess:
-    """A server's process, started by the deploy file's own words; ended at the end of the block."""
+    """A server's process, started with the command of the deploy file and killed at the end of the `with`
+    block."""
 
     def __init__(self, folder: Path, descriptors: int = 0, **configured: object) -> None:
-        """`descriptors`: the process's limit of open files, 0: the system's; `configured`: keys of the
-        configuration."""
+        """`descriptors` is the process's limit of open files; 0 keeps the system's limit. `configured` has
+        keys of the configuration that replace the defaults."""
         self.runtimes = listen()
         self.runtime_address: tuple[str, int] = self.runtimes.getsockname()
         self.records = FakeRecords()
@@ -80,31 +82,31 @@
     def __exit__(self, *_: object) -> None:
         self.process.kill()
         self.process.wait(WAIT_S)
-        for one in (*self.connections, self.runtimes, self.records, self.reports):
-            one.close()
+        for item in (*self.connections, self.runtimes, self.records, self.reports):
+            item.close()
 
-    # What it talks to.
+    # Peers.
 
     def accept_runtime(
         self, ready: str = "hot 60000", missed: tuple[tuple[str, bytes | None], ...] = ()
     ) -> FakeRuntime:
-        """The runtime's side of the next link, see FakeRuntime."""
+        """Accepts the next link of the server as the runtime; see FakeRuntime for the arguments."""
         runtime = FakeRuntime(self.runtimes.accept()[0], ready, missed)
         self.connections.append(runtime)
         return runtime
 
     def accept_records(self) -> LineConnection:
-        """The records service's side of the next connection."""
+        """Accepts the next connection of the server as the records service."""
         self.connections.append(connection := self.records.accept())
         return connection
 
     def accept_call(self, request_id: str, body: bytes) -> LineConnection:
-        """The same, with this call on it."""
+        """Accepts the next connection as the records service, and checks that it carries this call."""
         self.connections.append(connection := self.records.accept_call(request_id, body))
         return connection
 
     def connect_gateway(self) -> FakeGateway:
-        """Connects once the server listens."""
+        """Connects as a gateway once the server listens."""
         deadline = time.monotonic() + WAIT_S
         while True:
             try:
@@ -117,20 +119,20 @@
                 return gateway
 
     def connect_all(self) -> tuple[FakeRuntime, FakeGateway]:
-        """A runtime that is up, and a gateway."""
+        """Connects a runtime that is up, and a gateway."""
         runtime = self.accept_runtime()
         runtime.answer_gauges(2)
         return runtime, self.connect_gateway()
 
-    # Its configuration.
+    # Configuration.
 
     def reload(self, text: str) -> None:
-        """Another text of the configuration file, and the signal."""
+        """Replaces the configuration file and sends SIGHUP."""
         self.configuration.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def move_addresses(self) -> socket.socket:
-        """New addresses for what the server talks to; returns the socket of the old reports."""
+        """Reloads with new addresses of all peers. Returns the socket that received the old reports."""
         earlier_reports = self.reports
         self.runtimes = listen()
         self.records = FakeRecords()
@@ -143,7 +145,7 @@
         self.reload(json.dumps(self.document))
         return earlier_reports
 
-    # What it says.
+    # Output.
 
     def has_logged(self, text: str) -> bool:
         return text in self.log.read_text()
@@ -155,15 +157,15 @@
             meanwhile()
 
     def wait_for_exit(self) -> int:
-        """The exit code."""
+        """Waits for the end of the process and returns its exit code."""
         return self.process.wait(WAIT_S)
 
 
 def complete_request(runtime: FakeRuntime, gateway: FakeGateway, call: str, body: bytes = b"ask") -> None:
-    """A request from end to end, byte for byte: the server is well."""
+    """Sends a request, and checks that its body and its response pass unchanged."""
     rpc = gateway.send_request(call, body=body)
-    words, got = runtime.expect_command("start", call, "look")
-    assert got == body
+    _, received = runtime.expect_command("start", call, "look")
+    assert received == body
     runtime.end_run(call, body[::-1])
     answer = gateway.read_answer()
     assert answer["id"] == rpc and "load" in answer["result"]
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -1,8 +1,8 @@
-"""The control socket's lines, held against bytes that the text of commit 44b68c1 wrote.
+"""Compares the lines of the control socket with bytes that commit 44b68c1 wrote.
 
-An older command may ask a newer server, and the other way round. The keys and words below are no names of the
-code: they stay whatever the code calls them. Values that differ at each
-start, and prose, are replaced."""
+An older command may query a newer server, and a newer command an older server. The keys and words below are
+independent of the names in the code and must never change. Values that differ at each start, and prose, are
+replaced."""
 
 import socket
 from collections.abc import Callable
@@ -45,7 +45,7 @@
 udp = "127.0.0.1:7413"
 """
 
-# Values that differ at each start or are prose for people, and what stands in their place.
+# Replacements for values that differ at each start or are prose.
 REPLACED = {"epoch": "EPOCH", "folder": "FOLDER", "why": "WHY"}
 
 VRRP = (
@@ -109,16 +109,16 @@
     return RelayService(fleet, fleet.relay, Client(fleet), None, None).shown()
 
 
-def replaced(answer: object) -> object:
+def replace_variable_values(answer: object) -> object:
     return (
-        answer | {key: word for key, word in REPLACED.items() if key in answer}
+        answer | {key: value for key, value in REPLACED.items() if key in answer}
         if isinstance(answer, dict)
         else answer
     )
 
 
 async def exchange(path: Path, line: bytes) -> bytes:
-    """One request in bytes, and the reply up to the end."""
+    """Sends a request and returns the reply, read to the end of the stream."""
 
     def play() -> bytes:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
@@ -157,7 +157,7 @@
     ],
     ids=["vrrp", "fleet", "fleet-cell", "relay"],
 )
-def test_a_reply_is_what_the_earlier_text_wrote(
+def test_replies_match_stored_bytes(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     word: str,
@@ -166,17 +166,15 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
-    async def asked() -> object:
-        return replaced(answer(tmp_path))
+    async def query() -> object:
+        return replace_variable_values(answer(tmp_path))
 
-    shown = anyio.run(asked)
+    shown = anyio.run(query)
     (reply,) = replies("n1", {word: lambda: shown}, [b'{"v": 1, "ask": "%s"}\n' % word.encode()])
     assert reply == written
 
 
-def test_what_is_not_understood_is_answered_as_before(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_errors_match_stored_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     answers: dict[str, Callable[[], object]] = {"vrrp": list, "fleet": lambda: {"a": Path("/b")}}
     lines = [
@@ -195,7 +193,7 @@
     ]
 
 
-def test_a_request_is_what_the_earlier_text_sent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_matches_stored_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     path, sent = control.socket_path("n1"), SimpleNamespace(data=b"")
     assert path == tmp_path / "otterrudder-n1.sock"
