--- a/otterrudder/net/fleet_setup.py
+++ b/otterrudder/net/fleet_setup.py
@@ -8,7 +8,7 @@
 from otterrudder.fleet.assembly import make_agent
 from otterrudder.fleet.cell.agent import CellAgent
 from otterrudder.fleet.configuration import Fleet
-from otterrudder.fleet.policy import Content, local_configuration_of
+from otterrudder.fleet.policy import PolicyContent, local_configuration_of
 from otterrudder.levels import LevelController
 from otterrudder.net.dispatcher import Dispatcher
 
@@ -24,7 +24,7 @@
         local_configuration_of(configuration.settings), products=core.request_classes
     )
 
-    def apply_policy(content: Content) -> None:
+    def apply_policy(content: PolicyContent) -> None:
         dispatcher.post(
             core.update_policy,
             content.levels,
@@ -46,5 +46,5 @@
         )
     except (DirectoryInUseError, OSError) as error:
         raise ConfigurationError(f"fleet: {error}") from None
-    dispatcher.batch_hooks.append(agent.pulse)
+    dispatcher.batch_hooks.append(agent.update_server)
     return agent
--- a/otterrudder/net/server_parts.py
+++ b/otterrudder/net/server_parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from otterrudder.admission.factory import gauge_names, tenants_of
+from otterrudder.admission.factory import gauge_names, parse_tenants
 from otterrudder.configuration import Configuration, parse_address
 from otterrudder.log import log
 from otterrudder.net import controller_setup
@@ -66,7 +66,7 @@
     runtime = RuntimeLink(dispatcher, parse_address(configuration.runtime))
     max_descriptors = _max_descriptors(configuration)
     records = RecordsPool(dispatcher, records_address(configuration), max_descriptors)
-    tenants = {tenant.name: index for index, tenant in enumerate(tenants_of(configuration.settings))}
+    tenants = {tenant.name: index for index, tenant in enumerate(parse_tenants(configuration.settings))}
     gateways = GatewayListener(
         dispatcher,
         parse_address(configuration.listen),
@@ -99,7 +99,7 @@
     if parts.router:
         answers["vrrp"] = parts.router.status
     if parts.agent:
-        answers["fleet"] = parts.agent.shown
+        answers["fleet"] = parts.agent.control_status
     if not answers:
         return None
     from otterrudder.net.control import ControlSocket
--- a/otterrudder/vrrp/instance.py
+++ b/otterrudder/vrrp/instance.py
@@ -1,4 +1,4 @@
-"""One virtual router instance: a group's state machine, admission gate, tracker, timer and counters."""
+"""A virtual router instance: the state machine, admission gate, tracker, timer and counters of a group."""
 
 import math
 from collections import Counter
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class VirtualRouterInstance:
-    """One group as this router takes part in it."""
+    """The state of this router in one group."""
 
     group: Group
     state_machine: StateMachine
@@ -24,15 +24,15 @@
     tracker: PriorityTracker
     timer: Timer = field(default_factory=_no_timer)
     counts: Counter[str] = field(default_factory=Counter)
-    has_listened_again: bool = False  # after a stall: it has waited for one more advertisement
+    has_deferred_takeover: bool = False  # whether it waits for one more advertisement after a stall
 
     @property
     def deadline(self) -> float:
-        """When the timer or the gate is due next, in ms."""
+        """The time in ms at which the timer or the gate is due next."""
         return min(self.timer.at, self.gate.deadline)
 
     def status(self, now: float) -> dict[str, object]:
-        """The instance's state under the keys of the control socket."""
+        """Returns the state of the instance, with the keys that the control socket reports."""
         return dict(
             group=self.group.name,
             vrid=self.group.vrid,
@@ -40,7 +40,7 @@
             door=self.gate.state.value,
             priority=self.state_machine.priority,
             base=self.group.priority,
-            lowered_by=self.tracker.counting_facts,
+            lowered_by=self.tracker.lowering_facts,
             interval_ms=self.state_machine.interval,
             timer_ms=round(self.timer.at - now, 1) if self.timer.at < math.inf else None,
             returns=self.gate.returns,
@@ -49,7 +49,7 @@
 
 
 def create_instance(group: Group, configuration: VrrpConfiguration) -> VirtualRouterInstance:
-    """The instance of one group, not started yet."""
+    """Creates the instance of a group. The caller starts its state machine."""
     state_machine = StateMachine(
         group.address,
         group.priority,
@@ -59,4 +59,6 @@
         accepts=group.accepts,
     )
     gate = AdmissionGate(group.scope, configuration.hand_over_ms, configuration.hold_down)
-    return VirtualRouterInstance(group, state_machine, gate, PriorityTracker(group.priority, group.tracked))
+    return VirtualRouterInstance(
+        group, state_machine, gate, PriorityTracker(group.priority, group.tracked_objects)
+    )
--- a/tests/net/test_core_random.py
+++ b/tests/net/test_core_random.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from core_harness import CoreBench
+from core_harness import CoreHarness
 from helpers import SETTINGS
 
 from otterrudder.admission.commands import CloseConnections
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.bench = CoreBench(max_idempotency_entries=40)
+        self.bench = CoreHarness(max_idempotency_entries=40)
         self.core = self.bench.core
         self.running: dict[str, str] = {}  # method of each active run by request id
         self.at_calls: set[str] = set()  # requests whose run waits for a downstream call
@@ -119,7 +119,7 @@
         """Runs a graceful shutdown to its end."""
         self.bench.step(self.core.begin_graceful_shutdown, 1500.0)
         self.bench.step(lambda: None, ms=1500.0)
-        assert self.bench.sent_of(CloseConnections) and not self.core.requests.unanswered_count()
+        assert self.bench.sent_messages(CloseConnections) and not self.core.requests.unanswered_count()
         for call in [request.request_id for request in self.core.requests.running()]:
             self.bench.step(self.core.handle_run_ended, call, Outcome.CANCELLED, b"")
         self.bench.step(lambda: None, ms=60_000.0)
@@ -170,7 +170,7 @@
         "hardLimitUs": expiry * 1e3,
         "promiseUs": expiry * 0.7e3,
     }
-    bench = CoreBench(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
+    bench = CoreHarness(SETTINGS | {"classes": [SETTINGS["classes"][0], pay]}, max_idempotency_entries=30)
     rng, keys, written_at, runs, running = random.Random(seed), {}, {}, {}, {}
     for n in range(1, 1500):
         key, age = f"m{rng.randrange(25)}", rng.choice([0.0, 0.0, 5.0, 0.9 * expiry])
@@ -205,4 +205,4 @@
         assert not more
         if isinstance(answer, RequestCompleted):  # the response belongs to an attempt with the same key
             assert keys[answer.body.decode()] == keys[f"{n:016x}"]
-    assert len(bench.sent_of(StartRun)) > 50 and len(bench.core.idempotency.entries) <= 25
+    assert len(bench.sent_messages(StartRun)) > 50 and len(bench.core.idempotency.entries) <= 25
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -15,7 +15,7 @@
 from net_harness import InProcessServer, read_to_end, run_in_process, run_pending_tasks, wait_until
 from server_process import IDEMPOTENCY_KEY, A, B, C, ServerProcess
 
-from otterrudder.admission.factory import create_controller, gauge_names, request_classes_of
+from otterrudder.admission.factory import create_controller, gauge_names, parse_request_classes
 from otterrudder.net import gateway_listener, serve
 from otterrudder.net.core import RequestCore
 from otterrudder.net.server_parts import ServerParts
@@ -152,7 +152,7 @@
     async def scenario(server: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            request_classes_of(SETTINGS),
+            parse_request_classes(SETTINGS),
             gauge_names(SETTINGS),
         )
         server.dispatcher.core = server.gateways.dispatcher.core = core
@@ -178,7 +178,7 @@
     async def scenario(server: InProcessServer) -> None:
         core = RequestCore(
             lambda now, warm, up: create_controller(now, 1, 1, SETTINGS),
-            request_classes_of(SETTINGS),
+            parse_request_classes(SETTINGS),
             gauge_names(SETTINGS),
         )
         server.dispatcher.core = server.gateways.dispatcher.core = core
