--- a/otterrudder/net/connection_reaper.py
+++ b/otterrudder/net/connection_reaper.py
@@ -25,9 +25,8 @@
     """Maximum times without activity on a connection, in ms."""
 
     idle_ms: float = math.inf  # since the last activity, until `noMore` is sent
-    first_response_ms: float = (
-        1500.0  # from connecting to the first response: half of what gateways are promised
-    )
+    # From connecting to the first response: half of the time that gateways are promised.
+    first_response_ms: float = 1500.0
     goaway_grace_ms: float = 1000.0  # from `noMore` to the close
 
     def crowded(self) -> "Timeouts":
--- a/otterrudder/net/gateway_listener.py
+++ b/otterrudder/net/gateway_listener.py
@@ -85,9 +85,8 @@
             self.sock.close()
         for connection in self.connections:  # without an await between the last read and the close
             connection.stream.receive_pending()
-            connection.stream.close(
-                SERVER_SHUTDOWN, FINAL_WRITE_TIMEOUT_S
-            )  # waits for the answers to the last input
+            # The close waits for the answers to the last input.
+            connection.stream.close(SERVER_SHUTDOWN, FINAL_WRITE_TIMEOUT_S)
         with anyio.move_on_after(FINAL_WRITE_TIMEOUT_S):
             await self._wait_until_closed()
 
--- a/otterrudder/net/messages.py
+++ b/otterrudder/net/messages.py
@@ -23,9 +23,8 @@
     GATEWAYS = "gateways"
     DISPATCHER = "dispatcher"
 
-    __hash__ = (
-        object.__hash__
-    )  # identity hash: members are singletons, and each message is looked up by its destination
+    # The identity hash is faster, and each message is looked up by its destination. Members are singletons.
+    __hash__ = object.__hash__
 
 
 # Messages to the connection on which a request arrived.
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -183,8 +183,7 @@
 
     def _handle_refused(self, event: runtime_codec.CommandRefused) -> None:
         if event.is_replay_end:
-            raise ProtocolError(
-                "runtime refused the query that ends the replay"
-            )  # the next link sends it again
+            # The next link sends the query again.
+            raise ProtocolError("runtime refused the query that ends the replay")
         log.info("runtime refused a command", command=event.word, call=event.argument)
         self._dispatcher.post(self._dispatcher.core.handle_command_refused, event.command, event.argument)
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -60,9 +60,8 @@
     mixed.sock.sendall(b"x" * 40000)
     assert mixed.read_line() == b""  # an endless line ends its connection
     complete_request(runtime, good, C)
-    assert (
-        1 <= server.log.read_text().count("connection error") <= 30
-    )  # of about 45 errors within some seconds
+    # About 45 connections had errors within some seconds.
+    assert 1 <= server.log.read_text().count("connection error") <= 30
 
 
 def test_silent_connections_and_those_with_too_many_errors_are_closed(server: ServerProcess) -> None:
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -91,9 +91,8 @@
         records = server.accept_call(A, b"?")
         records.sock.sendall(malformed.replace(b"%s", A.encode()))
         assert records.read_line() == b""  # closed at once, or when the rest does not arrive
-    server.accept_call(A, b"?").send(
-        f"{C} DONE 1\r\n?\r\n{A} DONE", b"yes"
-    )  # after a reply to an unknown call
+    # The reply follows a reply to an unknown call.
+    server.accept_call(A, b"?").send(f"{C} DONE 1\r\n?\r\n{A} DONE", b"yes")
     assert runtime.expect_command("give", A)[1] == b"yes"
     good.send(f"{B} DONE", b"row!")
     assert runtime.expect_command("give", B)[1] == b"row!"
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -30,10 +30,8 @@
         runtime.send(f"load {words[1]} 0.2 1 0.1 5")
     new = server.accept_runtime()
     assert new.synced_notice == 1
-    (
-        gateway.send_request(B),
-        new.expect_command("start", B),
-    )  # A is not started again, because its start was read
+    # A is not started again, because its start was read.
+    gateway.send_request(B), new.expect_command("start", B)
     new.send_notice(f"wants {B}", b"?")
     server.accept_call(B, b"?").send(f"{B} DONE", b"!")
     new.expect_command("give", B)
