--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -204,7 +204,7 @@
         """Ends all runs that the runtime may have received: it has restarted, and how they ended is
         unknown."""
         for request in self.requests.running():
-            if self.delivery.has_reached(request):
+            if self.delivery.may_have_reached(request):
                 self.requests.finish_run(request, Outcome.RESET)
 
     def close_runtime_link(self) -> None:
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -83,20 +83,20 @@
         """Runs one batch: sets the time, handles all events and due timers, and sends the core's messages."""
         now = clock.monotonic()
         for hook in self.batch_hooks:
-            self._try(hook, now)
+            self._call_logged(hook, now)
         events = self._events + self._arrivals
         self._events = []
         self._arrivals = []
-        self._try(self.core.advance_to, clock.unix(), now)
+        self._call_logged(self.core.advance_to, clock.unix(), now)
         for event in events:
-            self._try(event.handler, *event.arguments, request_id=event.request_id)
+            self._call_logged(event.handler, *event.arguments, request_id=event.request_id)
         self._run_timers(now)
-        for destination, message in self._try(self.core.take_messages) or ():
+        for destination, message in self._call_logged(self.core.take_messages) or ():
             if destination:  # None: the caller has disconnected
-                self._try(self.recipients.get(destination, destination).send, message)
+                self._call_logged(self.recipients.get(destination, destination).send, message)
         if self.tick_at == self.gauge_query_at == math.inf and self._tick_delay_ms:
             self._schedule_tick(self._tick_delay_ms)  # a failed tick has not scheduled the next one
-        self._try(self.statistics.record_batch, now, len(events), self.core)
+        self._call_logged(self.statistics.record_batch, now, len(events), self.core)
 
     def send(self, message: DispatcherMessage) -> None:
         """Handles the core's messages to the dispatcher: schedules the next tick or writes a log line."""
@@ -108,23 +108,23 @@
     def _run_timers(self, now: float) -> None:
         if now >= self.gauge_query_at:
             self.gauge_query_at = math.inf
-            self._try(self.core.query_gauges)
+            self._call_logged(self.core.query_gauges)
         if now >= self.tick_at:
             late_ms = now - self.tick_at
             self.statistics.record_tick(late_ms)
             self.tick_at = math.inf
-            self._try(self.core.tick, late_ms)
+            self._call_logged(self.core.tick, late_ms)
 
     def _schedule_tick(self, delay_ms: float) -> None:
         self._tick_delay_ms = delay_ms
         self.tick_at = clock.monotonic() + delay_ms
         self.gauge_query_at = self.tick_at - GAUGE_QUERY_LEAD_MS
 
-    def _try(self, handler: Callable[..., Any], *arguments: Any, request_id: str = "") -> Any:
+    def _call_logged(self, handler: Callable[..., Any], *arguments: Any, request_id: str = "") -> Any:
         try:
             return handler(*arguments)
         except Exception:
             log.exception("event handler failed", event_of=handler.__name__, call=request_id)
             if request_id and handler != self.core.fail_request:
-                self._try(self.core.fail_request, request_id)
+                self._call_logged(self.core.fail_request, request_id)
             return None
--- a/otterrudder/net/run_delivery.py
+++ b/otterrudder/net/run_delivery.py
@@ -137,7 +137,7 @@
         """Whether the last command of the run was sent; it need not have been read."""
         return request.delivery != NOT_SENT
 
-    def has_reached(self, request: PendingRequest) -> bool:
+    def may_have_reached(self, request: PendingRequest) -> bool:
         """Whether the runtime may have received a command of the run."""
         return request.delivery != NOT_SENT or request.reply is not None
 
