--- a/otterrudder/durable/state_directory.py
+++ b/otterrudder/durable/state_directory.py
@@ -12,7 +12,7 @@
 
 LOCK_FILE = "lock"  # locked by the process that uses the directory
 SIGNATURE = b"otterrudder-state"
-VERSION = 1  # of the file format
+VERSION = 1  # version of the file format
 HEADER_WORDS = 4  # signature, version, size, checksum
 MAX_FILE_BYTES = 4 * 1024 * 1024  # this program writes no larger file
 FILE_MODE = 0o600
--- a/otterrudder/net/connection_reaper.py
+++ b/otterrudder/net/connection_reaper.py
@@ -17,7 +17,7 @@
 MIN_IDLE_MS = 250.0  # since the last answer; gateways retry a request that crosses the close
 MAX_CLOSED_AT_ONCE = 16  # to make room; each search for them examines all connections
 CLOSE_TIMEOUT_S = 0.02  # of a connection closed to make room: it has no unsent answers and no unread input
-MAKE_ROOM_REASON = "closed to make room for new connections"  # an end reason
+MAKE_ROOM_REASON = "closed to make room for new connections"  # end reason of a connection
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/net/control.py
+++ b/otterrudder/net/control.py
@@ -19,7 +19,7 @@
 
 from otterrudder.log import log
 
-VERSION = 1  # of the format
+VERSION = 1  # version of the format
 MAX_REQUEST_BYTES = 4096
 MAX_CONNECTIONS = 4  # for one or two operators
 TIMEOUT_S = 2.0  # for receiving a request and sending its reply
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -19,7 +19,7 @@
 RESTART_TOLERANCE_MS = 5000.0  # the start time moves by more after a restart, by less after a pause
 MOVE_TIMEOUT_S = 0.3  # for the old link to confirm the commands on it after the runtime's address changed
 LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
-ADDRESS_CHANGED = "the address has changed"  # an end reason
+ADDRESS_CHANGED = "the address has changed"  # end reason of a link
 MAX_QUOTED = 80  # characters of an invalid line that an error message quotes
 
 
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -20,7 +20,7 @@
 MAX_DISCARDED_BYTES = 64 * 1024  # discarded after the shutdown; a peer that sends more is cut off
 DISCARD_READ_BYTES = 16 * 1024  # size of one read of discarded input
 
-# End reasons.
+# End reasons of a connection.
 CLOSED_BY_PEER = "closed by the peer"
 SERVER_SHUTDOWN = "server shutdown"
 MESSAGE_TOO_LONG = "message is too long"
