--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -19,7 +19,7 @@
 RESTART_TOLERANCE_MS = 5000.0  # the start time moves by more after a restart, by less after a pause
 MOVE_TIMEOUT_S = 0.3  # for the old link to confirm the commands on it after the runtime's address changed
 LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
-ADDRESS_CHANGED = "the address has changed"  # an end reason
+ADDRESS_CHANGED = "the address has changed"  # end reason of a link
 MAX_QUOTED = 80  # characters of an invalid line that an error message quotes
 
 
@@ -183,8 +183,7 @@
 
     def _handle_refused(self, event: runtime_codec.CommandRefused) -> None:
         if event.is_replay_end:
-            raise ProtocolError(
-                "runtime refused the query that ends the replay"
-            )  # the next link sends it again
+            # The next link sends the query again.
+            raise ProtocolError("runtime refused the query that ends the replay")
         log.info("runtime refused a command", command=event.word, call=event.argument)
         self._dispatcher.post(self._dispatcher.core.handle_command_refused, event.command, event.argument)
