--- a/otterrudder/lab/arrivals.py
+++ b/otterrudder/lab/arrivals.py
@@ -7,7 +7,7 @@
 
 from otterrudder.lab.shapes import Shape
 from otterrudder.lab.site import Site
-from otterrudder.lab.streams import Streams, lognormal
+from otterrudder.lab.streams import RandomStreams, lognormal_parameters
 
 SLOT_MS = 50.0  # ms in which the rate is taken to be even
 MAX_REQUESTS = 2_000_000  # of a day: past that the file offered_requests for something else than it means
@@ -34,11 +34,11 @@
 class Arrivals:
     """The day's offered_requests in order of time."""
 
-    def __init__(self, site: Site, demand: Shape, streams: Streams, length_ms: float) -> None:
+    def __init__(self, site: Site, demand: Shape, streams: RandomStreams, length_ms: float) -> None:
         self.site = site
-        self._marks = streams.of("marks")
-        self._work = streams.of("work")
-        self._users = streams.of("users")
+        self._marks = streams.generator("marks")
+        self._work = streams.generator("work")
+        self._users = streams.generator("users")
         self._count = 0
         whole = sum(p.share for p in site.product)
         self._shares = np.array([p.share / whole for p in site.product])
@@ -46,7 +46,7 @@
         self._tenants = np.array(tenants) / sum(tenants)
         ranks = np.arange(1, site.keys + 1, dtype=float) ** -site.zipf
         self._keys = ranks / ranks.sum()
-        self.offered_requests = self._draw(demand, streams.of("times"), length_ms)
+        self.offered_requests = self._draw(demand, streams.generator("times"), length_ms)
 
     def _draw(self, demand: Shape, times: np.random.Generator, length_ms: float) -> list[OfferedRequest]:
         """A Poisson process whose rate follows the demand; whole sessions where the site has them."""
@@ -95,7 +95,7 @@
         request_class = self.site.product[product]
         if request_class.cv < 1e-3:  # constant, as in the source's own model
             return request_class.work_ms
-        return float(self._work.lognormal(*lognormal(request_class.work_ms, request_class.cv)))
+        return float(self._work.lognormal(*lognormal_parameters(request_class.work_ms, request_class.cv)))
 
     def next_of(self, offered: OfferedRequest, now: float) -> OfferedRequest:
         """The next request of a session, asked for as soon as the last has settled."""
--- a/otterrudder/lab/claims.py
+++ b/otterrudder/lab/claims.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from otterrudder.lab.plan import ClaimPart, Run, matches
+from otterrudder.lab.plan import ClaimSection, Run, matches_case
 
 # The 97.5% quantiles of Student's t by degrees of freedom from 1; past the last it is taken for normal.
 T_QUANTILES = (
@@ -57,7 +57,7 @@
 class Verdict:
     """Whether a claim holds, group by group."""
 
-    claim: ClaimPart
+    claim: ClaimSection
     groups: list[Group]
 
     @property
@@ -92,9 +92,11 @@
     return mean, quantile * spread / math.sqrt(n)
 
 
-def evaluate(claim: ClaimPart, figures: Sequence[tuple[Run, dict[str, float]]]) -> Verdict:
+def evaluate(claim: ClaimSection, figures: Sequence[tuple[Run, dict[str, float]]]) -> Verdict:
     """The verdict on a claim from all runs' figures; without a run that it is about it does not hold."""
-    relevant = [(run, found) for run, found in figures if matches(claim.cases, run) and claim.figure in found]
+    relevant = [
+        (run, found) for run, found in figures if matches_case(claim.cases, run) and claim.figure in found
+    ]
     values: dict[str, list[float]] = {}
     baseline = {
         (run.case, run.seed): found[claim.figure] for run, found in relevant if run.variant == claim.over
@@ -112,7 +114,7 @@
     return Verdict(claim, [_group(claim, name, group_values) for name, group_values in values.items()])
 
 
-def _group(claim: ClaimPart, name: str, values: list[float]) -> Group:
+def _group(claim: ClaimSection, name: str, values: list[float]) -> Group:
     mean, half_width = interval(values)
     holds = all(
         (
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -14,9 +14,9 @@
 from otterrudder.lab.gateways import Gateway
 from otterrudder.lab.outcome_statistics import OutcomeStatistics, Session
 from otterrudder.lab.server import Server
-from otterrudder.lab.shapes import Part, demand
+from otterrudder.lab.shapes import LoadPart, demand
 from otterrudder.lab.site import Site
-from otterrudder.lab.streams import Streams
+from otterrudder.lab.streams import RandomStreams
 from otterrudder.levels import Damping, Level, LevelSelector, LevelTable, Threshold
 from otterrudder.levels.selector import FULL_SERVICE
 
@@ -46,7 +46,7 @@
     series: dict[str, list[float]] = field(default_factory=dict)
 
 
-class Bare(LevelSelector):
+class BareThresholdSelector(LevelSelector):
     """A baseline: the same levels on bare thresholds, in at or above, out below; no stays, no damping."""
 
     def __init__(self, levels: tuple[Level, ...], damping: Damping, **more: Any) -> None:
@@ -68,20 +68,20 @@
         return window.is_full(now) and window.mean() < threshold.value
 
 
-class Day:
+class SiteSimulation:
     """A site's servers, gateways and downstream service, played once."""
 
     def __init__(
         self,
         site: Site,
-        load: list[Part],
+        load: list[LoadPart],
         faults: list[Fault],
         levels: LevelTable | None,
         seed: int,
         length_s: float,
         kind: type[LevelSelector] = LevelSelector,
     ) -> None:
-        streams, self.length_ms = Streams(seed), length_s * 1000
+        streams, self.length_ms = RandomStreams(seed), length_s * 1000
         self.site, self.levels = site, levels
         self.engine = Engine()
         self.checker = Checker()
@@ -90,7 +90,7 @@
         self.arrivals = Arrivals(site, self.demand, streams, self.length_ms)
         part = site.below
         self.downstream = Downstream(
-            self.engine, part.slots, part.line, part.call_ms, part.cv, streams.of("below")
+            self.engine, part.slots, part.line, part.call_ms, part.cv, streams.generator("below")
         )
         self.moves: list[Transition] = []
         self.logged: dict[str, int] = {}
@@ -145,7 +145,7 @@
             left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
             self.moves.append(Transition(now / 1000, server, left, entered, why))
 
-    def play(self) -> SimulationResult:
+    def run(self) -> SimulationResult:
         """Plays the whole day; the same for the same arguments on every machine."""
         for server in self.servers:
             server.start(warm=True)
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -5,16 +5,16 @@
 from pathlib import Path
 from typing import Any
 
-from otterrudder.lab.day import Day
+from otterrudder.lab.day import SiteSimulation
 from otterrudder.lab.plan import Experiment, Run, read_experiment
 from otterrudder.lab.report import write_results
-from otterrudder.lab.runner import Outcome, play
+from otterrudder.lab.runner import ExperimentResult, simulate
 
 LINE_S = 10  # of the day to a line
 BAR_COLUMNS = 40  # for a demand of 2
 
 
-class _NarratedDay(Day):
+class _NarratedSimulation(SiteSimulation):
     """A day that says what happens while it is played."""
 
     def __init__(self, run: Run, narrate: Callable[[str], None]) -> None:
@@ -48,16 +48,16 @@
             )
 
 
-def run_demo(path: Path, folder: Path, narrate: Callable[[str], None]) -> Outcome:
+def run_demo(path: Path, folder: Path, narrate: Callable[[str], None]) -> ExperimentResult:
     """Plays the first variant aloud and the others quietly; leaves the charts in `folder`."""
     experiment: Experiment = read_experiment(path)
     narrate(experiment.title)
     narrate(f"simulated: {experiment.model}")
     results = []
     for n, run in enumerate(experiment.runs):
-        results.append((run, _NarratedDay(run, narrate).play() if n == 0 else play(run)))
+        results.append((run, _NarratedSimulation(run, narrate).run() if n == 0 else simulate(run)))
     broken = [what for _, result in results for what in result.broken]
-    outcome = Outcome(experiment, results, [], broken, 0.0)
+    outcome = ExperimentResult(experiment, results, [], broken, 0.0)
     for run, result in results:
         dearest = max(run.site.product, key=lambda product: product.value).name
         narrate(
--- a/otterrudder/lab/downstream.py
+++ b/otterrudder/lab/downstream.py
@@ -7,7 +7,7 @@
 
 from otterrudder.admission.interface import Outcome
 from otterrudder.lab.engine import Engine
-from otterrudder.lab.streams import lognormal
+from otterrudder.lab.streams import lognormal_parameters
 
 REJECTION_MS = 0.2  # until a call that finds the queue full hears so
 
@@ -44,7 +44,7 @@
         self.calls = 0  # ever made
         self.full = 0  # of these, rejected
         self._queue: deque[Call] = deque()
-        self._mean, self._sigma = lognormal(call_ms, cv)
+        self._mean, self._sigma = lognormal_parameters(call_ms, cv)
         self._chance = chance
 
     def call(self, reply: Reply) -> None:
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -16,7 +16,7 @@
 from otterrudder.lab.faults import EndpointListener
 from otterrudder.lab.outcome_statistics import COMPLETED, FAILED, REJECTED, UNREACHABLE, OutcomeStatistics
 from otterrudder.lab.server import Server
-from otterrudder.lab.site import GatewaysPart, Site
+from otterrudder.lab.site import GatewaysSection, Site
 from otterrudder.net.messages import (
     ConnectionMessage,
     RequestCompleted,
@@ -119,7 +119,7 @@
         self.engine = engine
         self.checker = checker
         self.statistics = statistics
-        self.part: GatewaysPart = site.gateways
+        self.part: GatewaysSection = site.gateways
         self.products = site.products
         self.servers = servers
         self.listed: list[int] = []
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -22,21 +22,21 @@
 
 from otterrudder.files import load_toml, merge_tables
 from otterrudder.lab.faults import Fault
-from otterrudder.lab.shapes import Part
+from otterrudder.lab.shapes import LoadPart
 from otterrudder.lab.site import InvalidInputError, Site, convert, site_of
 from otterrudder.lab.tunables import TUNABLES
 from otterrudder.levels import LevelTable, LevelTableError, read_table
 
-LENGTH_MOST_S = 4 * 3600.0  # s of a day
-QUICK_SEEDS = 2  # seeds of a quick run
-QUICK_S = 240.0  # s at the most of a day of a quick run
+MAX_LENGTH_S = 4 * 3600.0  # s of a day
+QUICK_SEED_COUNT = 2  # seeds of a quick run
+MAX_QUICK_LENGTH_S = 240.0  # s at the most of a day of a quick run
 
 
 class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     pass
 
 
-class VariantPart(_Strict, kw_only=True):
+class VariantSection(_Strict, kw_only=True):
     """A variant of the module: its levels, and constants that it changes."""
 
     name: str
@@ -46,11 +46,11 @@
     module: dict[str, float] = {}  # constants of the module, by name: what another value would have done
 
 
-class CasePart(_Strict, kw_only=True):
+class CaseSection(_Strict, kw_only=True):
     """A load with its faults, played by some variants over a grid of values."""
 
     name: str
-    length_s: Annotated[float, msgspec.Meta(gt=0, le=LENGTH_MOST_S)] = 600.0
+    length_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_LENGTH_S)] = 600.0
     variants: list[str] = []  # all if empty
     grid: dict[str, list[float]] = {}
     load: list[dict[str, Any]]
@@ -59,7 +59,7 @@
     in_quick: bool = True
 
 
-class ClaimPart(_Strict, kw_only=True):
+class ClaimSection(_Strict, kw_only=True):
     """What the figures of some cases must show."""
 
     text: str
@@ -74,7 +74,7 @@
     within: float | None = None  # with `over`: the mean difference is no larger
 
 
-class ChartPart(_Strict, kw_only=True):
+class ChartSection(_Strict, kw_only=True):
     """A chart to draw."""
 
     kind: Literal["timeline", "lines"]
@@ -86,15 +86,15 @@
     x: str = ""  # lines: the grid's name on the x axis
 
 
-class _Experiment(_Strict, kw_only=True):
+class _ExperimentFile(_Strict, kw_only=True):
     title: str
     model: str  # in a sentence: what the figures are of
     site: str
     seeds: Annotated[list[int], msgspec.Meta(min_length=1)]
-    variant: Annotated[list[VariantPart], msgspec.Meta(min_length=1)]
-    case: Annotated[list[CasePart], msgspec.Meta(min_length=1)]
-    claim: list[ClaimPart] = []
-    chart: list[ChartPart] = []
+    variant: Annotated[list[VariantSection], msgspec.Meta(min_length=1)]
+    case: Annotated[list[CaseSection], msgspec.Meta(min_length=1)]
+    claim: list[ClaimSection] = []
+    chart: list[ChartSection] = []
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
     variant: str
     seed: int
     site: Site
-    load: list[Part]
+    load: list[LoadPart]
     faults: list[Fault]
     levels: LevelTable | None
     bare: bool
@@ -123,26 +123,26 @@
     title: str
     model: str
     runs: list[Run]
-    claims: list[ClaimPart]
-    charts: list[ChartPart]
+    claims: list[ClaimSection]
+    charts: list[ChartSection]
 
 
 def read_experiment(path: str | Path, seeds: list[int] | None = None, quick: bool = False) -> Experiment:
     """The experiment in a file, checked whole; InvalidInputError names the file and the key."""
     path = Path(path)
     where = path.name
-    told: _Experiment = convert(load_toml(path, InvalidInputError), _Experiment, where)
+    told: _ExperimentFile = convert(load_toml(path, InvalidInputError), _ExperimentFile, where)
     for variant in told.variant:
         for constant in variant.module:
             if constant not in TUNABLES:
                 raise InvalidInputError(
                     f"{where}: variant {variant.name}: the module has no constant {constant!r}"
                 )
-    whole = load_toml(path.parent / told.site, InvalidInputError)
+    site_values = load_toml(path.parent / told.site, InvalidInputError)
     site_where = Path(told.site).name
-    site_of(whole, site_where)
+    site_of(site_values, site_where)
     variants = {variant.name: variant for variant in told.variant}
-    wanted = seeds or (told.seeds[:QUICK_SEEDS] if quick else told.seeds)
+    chosen_seeds = seeds or (told.seeds[:QUICK_SEED_COUNT] if quick else told.seeds)
     runs: list[Run] = []
     for n, case in enumerate(told.case, 1):
         place = f"{where}: case[{n}]"
@@ -151,49 +151,51 @@
                 raise InvalidInputError(f"{place}.variants: there is no {name!r}")
         if quick and not case.in_quick:
             continue
-        length_s = min(case.length_s, QUICK_S) if quick else case.length_s
-        for values in _grid(case.grid):
-            runs += _runs_of(
+        length_s = min(case.length_s, MAX_QUICK_LENGTH_S) if quick else case.length_s
+        for values in _grid_points(case.grid):
+            runs += _build_runs(
                 case,
                 values,
                 place,
-                whole,
+                site_values,
                 site_where,
                 path.parent,
                 [variants[name] for name in case.variants or variants],
-                wanted,
+                chosen_seeds,
                 length_s,
             )
     _check_claims(told, runs, where, quick)
     return Experiment(path.stem, told.title, told.model, runs, told.claim, told.chart)
 
 
-def _runs_of(
-    case: CasePart,
+def _build_runs(
+    case: CaseSection,
     values: dict[str, float],
     place: str,
-    whole: dict[str, Any],
+    site_values: dict[str, Any],
     site_where: str,
     folder: Path,
-    variants: list[VariantPart],
+    variants: list[VariantSection],
     seeds: list[int],
     length_s: float,
 ) -> Iterator[Run]:
     shown = ",".join(f"{name}={value:g}" for name, value in values.items())
     name = f"{case.name}[{shown}]" if shown else case.name
-    load = convert(_filled(case.load, values, f"{place}.load"), list[Part], f"{place}.load")
-    faults = convert(_filled(case.trouble, values, f"{place}.trouble"), list[Fault], f"{place}.trouble")
+    load = convert(_substitute(case.load, values, f"{place}.load"), list[LoadPart], f"{place}.load")
+    faults = convert(_substitute(case.trouble, values, f"{place}.trouble"), list[Fault], f"{place}.trouble")
     if not load:
         raise InvalidInputError(f"{place}.load: it is empty")
     for variant in variants:
-        changed = merge_tables(merge_tables(whole, _filled(case.site, values, f"{place}.site")), variant.site)
+        changed = merge_tables(
+            merge_tables(site_values, _substitute(case.site, values, f"{place}.site")), variant.site
+        )
         site = site_of(changed, f"{site_where} as {place} and {variant.name} change it")
         for k, fault in enumerate(faults, 1):
             if any(not 0 <= number < site.server.count for number in fault.servers):
                 raise InvalidInputError(
                     f"{place}.trouble[{k}].servers: there are {site.server.count}, counted from 0"
                 )
-        levels = _levels(folder, variant, site)
+        levels = _read_levels(folder, variant, site)
         for seed in seeds:
             yield Run(
                 name,
@@ -211,7 +213,7 @@
             )
 
 
-def _levels(folder: Path, variant: VariantPart, site: Site) -> LevelTable | None:
+def _read_levels(folder: Path, variant: VariantSection, site: Site) -> LevelTable | None:
     if not variant.levels:
         return None
     try:
@@ -220,17 +222,17 @@
         raise InvalidInputError(f"variant {variant.name}: {error}") from None
 
 
-def _grid(grid: dict[str, list[float]]) -> Iterator[dict[str, float]]:
+def _grid_points(grid: dict[str, list[float]]) -> Iterator[dict[str, float]]:
     for values in itertools.product(*grid.values()):
         yield dict(zip(grid, values, strict=True))
 
 
-def _filled(told: Any, values: dict[str, float], where: str) -> Any:
+def _substitute(told: Any, values: dict[str, float], where: str) -> Any:
     """`told` with each "$name" as the grid's value."""
     if isinstance(told, dict):
-        return {key: _filled(value, values, f"{where}.{key}") for key, value in told.items()}
+        return {key: _substitute(value, values, f"{where}.{key}") for key, value in told.items()}
     if isinstance(told, list):
-        return [_filled(value, values, where) for value in told]
+        return [_substitute(value, values, where) for value in told]
     if isinstance(told, str) and told.startswith("$"):
         if told[1:] not in values:
             raise InvalidInputError(f"{where}: the grid has no {told[1:]!r}")
@@ -238,7 +240,7 @@
     return told
 
 
-def _check_claims(told: _Experiment, runs: list[Run], where: str, quick: bool) -> None:
+def _check_claims(told: _ExperimentFile, runs: list[Run], where: str, quick: bool) -> None:
     names = {variant.name for variant in told.variant}
     for n, claim in enumerate(told.claim, 1):
         place = f"{where}: claim[{n}]"
@@ -250,15 +252,17 @@
             raise InvalidInputError(f"{place}: it states no bound")
         if not claim.over and (claim.above is not None or claim.within is not None):
             raise InvalidInputError(f"{place}.over: above and within are of a difference")
-        if not quick and not any(matches(claim.cases, run) and run.variant == claim.variant for run in runs):
+        if not quick and not any(
+            matches_case(claim.cases, run) and run.variant == claim.variant for run in runs
+        ):
             raise InvalidInputError(f"{place}.cases: {claim.cases!r} fits no case of {claim.variant}")
 
 
-def matches(pattern: str, run: Run) -> bool:
-    """Whether a pattern names a run's case: `|` between alternatives, `*` at an end of one."""
-    for one in pattern.split("|"):
-        if one == "*" or one in (run.case, run.base):
+def matches_case(pattern: str, run: Run) -> bool:
+    """Whether a pattern names a run's case: `|` between alternatives, `*` at the end of an alternative."""
+    for alternative in pattern.split("|"):
+        if alternative == "*" or alternative in (run.case, run.base):
             return True
-        if one.endswith("*") and run.case.startswith(one[:-1]):
+        if alternative.endswith("*") and run.case.startswith(alternative[:-1]):
             return True
     return False
--- a/otterrudder/lab/report.py
+++ b/otterrudder/lab/report.py
@@ -13,8 +13,8 @@
 from otterrudder import __version__
 from otterrudder.lab.claims import Group, Verdict, interval
 from otterrudder.lab.day import SimulationResult
-from otterrudder.lab.plan import ChartPart, Run, matches
-from otterrudder.lab.runner import Outcome
+from otterrudder.lab.plan import ChartSection, Run, matches_case
+from otterrudder.lab.runner import ExperimentResult
 
 matplotlib.use("svg")
 matplotlib.rcParams.update(
@@ -32,7 +32,7 @@
 SMOOTH_S = 10  # s over which the lines of a chart are meant: single seconds hold some ten requests
 
 
-def write_results(outcome: Outcome, folder: Path) -> list[Path]:
+def write_results(outcome: ExperimentResult, folder: Path) -> list[Path]:
     """Everything into `folder`; the files written."""
     folder.mkdir(parents=True, exist_ok=True)
     written = [folder / "results.json", folder / "figures.csv"]
@@ -42,7 +42,7 @@
         chosen = [
             (run, result)
             for run, result in outcome.results
-            if matches(chart.cases, run) and (not chart.variants or run.variant in chart.variants)
+            if matches_case(chart.cases, run) and (not chart.variants or run.variant in chart.variants)
         ]
         if chosen:
             path = folder / chart.file
@@ -51,7 +51,7 @@
     return written
 
 
-def _as_json(outcome: Outcome) -> dict[str, Any]:
+def _as_json(outcome: ExperimentResult) -> dict[str, Any]:
     experiment = outcome.experiment
     return dict(
         experiment=experiment.name,
@@ -90,7 +90,7 @@
     )
 
 
-def _as_csv(outcome: Outcome) -> str:
+def _as_csv(outcome: ExperimentResult) -> str:
     names = sorted({name for _, result in outcome.results for name in result.figures})
     out = io.StringIO()
     rows = csv.writer(out, lineterminator="\n")
@@ -124,7 +124,7 @@
     return f"{group.mean:.3f}" + (f" ± {group.half_width:.3f}" if group.half_width else "")
 
 
-def verdict_lines(outcome: Outcome) -> list[str]:
+def verdict_lines(outcome: ExperimentResult) -> list[str]:
     """The verdicts as lines: whether each holds, the wanted bound, and its tightest or first failing
     group."""
     lines = []
@@ -139,7 +139,7 @@
     return lines
 
 
-def figures_table(outcome: Outcome, names: list[str]) -> list[str]:
+def figures_table(outcome: ExperimentResult, names: list[str]) -> list[str]:
     """A Markdown table: cases and variants by the means of some figures over the seeds."""
     cells: dict[tuple[str, str], dict[str, list[float]]] = {}
     for run, result in outcome.results:
@@ -159,7 +159,9 @@
     return np.convolve(values, kernel, "same") / np.convolve(np.ones(len(values)), kernel, "same")
 
 
-def _timeline(chart: ChartPart, chosen: list[tuple[Run, SimulationResult]], path: Path, model: str) -> None:
+def _timeline(
+    chart: ChartSection, chosen: list[tuple[Run, SimulationResult]], path: Path, model: str
+) -> None:
     """The first seed of a case: demand above, the share of value in time by variant, the level below."""
     case = chosen[0][0].case
     first = [(run, result) for run, result in chosen if run.case == case and run.seed == chosen[0][0].seed]
@@ -183,7 +185,7 @@
     _finish(figure, f"{chart.title}\n{case}, seed {first[0][0].seed}", path, model)
 
 
-def _lines(chart: ChartPart, chosen: list[tuple[Run, SimulationResult]], path: Path, model: str) -> None:
+def _lines(chart: ChartSection, chosen: list[tuple[Run, SimulationResult]], path: Path, model: str) -> None:
     """Figures over a value of the grid, a line a variant, with the 95% interval over the seeds."""
     figure, axes = plt.subplots(1, len(chart.figures), figsize=(4.4 * len(chart.figures), 3.6), squeeze=False)
     variants = list(dict.fromkeys(run.variant for run, _ in chosen))
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from otterrudder.lab.claims import Verdict, evaluate
-from otterrudder.lab.day import Bare, Day, SimulationResult
+from otterrudder.lab.day import BareThresholdSelector, SimulationResult, SiteSimulation
 from otterrudder.lab.plan import Experiment, Run
 from otterrudder.lab.tunables import tuned
 from otterrudder.levels import LevelSelector
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class ExperimentResult:
     """All that an experiment has shown."""
 
     experiment: Experiment
@@ -31,18 +31,20 @@
         return not self.broken and all(verdict.holds for verdict in self.verdicts)
 
 
-def play(run: Run) -> SimulationResult:
+def simulate(run: Run) -> SimulationResult:
     """One day; the same for the same run on every machine."""
-    kind = Bare if run.bare else LevelSelector
+    kind = BareThresholdSelector if run.bare else LevelSelector
     with tuned(run.module):
-        return Day(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).play()
+        return SiteSimulation(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).run()
 
 
-def run_experiment(experiment: Experiment, workers: int = 0, progress: Progress | None = None) -> Outcome:
+def run_experiment(
+    experiment: Experiment, workers: int = 0, progress: Progress | None = None
+) -> ExperimentResult:
     """Plays all runs on `workers` processes (0: one a core; 1: in this one)."""
     began = time.monotonic()
     results: list[tuple[Run, SimulationResult]] = []
-    for run, result in _played(experiment.runs, workers or os.cpu_count() or 1):
+    for run, result in _simulate_all(experiment.runs, workers or os.cpu_count() or 1):
         results.append((run, result))
         if progress:
             progress(len(results), len(experiment.runs), run, result)
@@ -53,13 +55,13 @@
         for what in result.broken
     ]
     verdicts = [evaluate(claim, figures) for claim in experiment.claims]
-    return Outcome(experiment, results, verdicts, broken, time.monotonic() - began)
+    return ExperimentResult(experiment, results, verdicts, broken, time.monotonic() - began)
 
 
-def _played(runs: list[Run], workers: int) -> Iterable[tuple[Run, SimulationResult]]:
+def _simulate_all(runs: list[Run], workers: int) -> Iterable[tuple[Run, SimulationResult]]:
     if workers == 1:
         for run in runs:
-            yield run, play(run)
+            yield run, simulate(run)
         return
     with ProcessPoolExecutor(workers) as pool:
-        yield from zip(runs, pool.map(play, runs, chunksize=1), strict=True)
+        yield from zip(runs, pool.map(simulate, runs, chunksize=1), strict=True)
--- a/otterrudder/lab/shapes.py
+++ b/otterrudder/lab/shapes.py
@@ -10,14 +10,14 @@
 import msgspec
 import numpy as np
 
-from otterrudder.lab.streams import Streams
+from otterrudder.lab.streams import RandomStreams
 
 GRID_S = 0.5  # s between the points of a random walk
 Shape = Callable[[float], float]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class LoadPart(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """One shape of a load. `from_s` and `to_s` bound it in time; outside it adds nothing."""
 
     shape: Literal["constant", "ramp", "step", "sine", "square", "walk", "replay"]
@@ -29,18 +29,18 @@
     points: list[tuple[float, float]] = []  # replay: (s, demand), joined by straight lines
 
 
-def demand(parts: Sequence[Part], streams: Streams, length_s: float) -> Shape:
+def demand(parts: Sequence[LoadPart], streams: RandomStreams, length_s: float) -> Shape:
     """The sum of all parts, never below 0."""
     shapes = [_shape(part, streams, n, length_s) for n, part in enumerate(parts)]
     return lambda s: max(sum(shape(s) for shape in shapes), 0.0)
 
 
-def _shape(part: Part, streams: Streams, n: int, length_s: float) -> Shape:
+def _shape(part: LoadPart, streams: RandomStreams, n: int, length_s: float) -> Shape:
     inner = _inner(part, streams, n, length_s)
     return lambda s: inner(s) if part.from_s <= s < part.to_s else 0.0
 
 
-def _inner(part: Part, streams: Streams, n: int, length_s: float) -> Shape:
+def _inner(part: LoadPart, streams: RandomStreams, n: int, length_s: float) -> Shape:
     turn = 2 * math.pi / part.period_s
     match part.shape:
         case "constant" | "step":
@@ -59,10 +59,10 @@
             return _walk(part, streams, n, length_s)
 
 
-def _walk(part: Part, streams: Streams, n: int, length_s: float) -> Shape:
+def _walk(part: LoadPart, streams: RandomStreams, n: int, length_s: float) -> Shape:
     """A walk that is drawn back to 0, so that its spread stays `amplitude` however long the day is."""
     keep = math.exp(-GRID_S / part.period_s)
-    draws = streams.of(f"walk {n}").standard_normal(int(length_s / GRID_S) + 2)
+    draws = streams.generator(f"walk {n}").standard_normal(int(length_s / GRID_S) + 2)
     at, points = 0.0, []
     for draw in draws:
         at = at * keep + float(draw) * part.amplitude * math.sqrt(1 - keep * keep)
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -30,7 +30,7 @@
     pass
 
 
-class ProductPart(_Strict, kw_only=True, frozen=True):
+class ProductSection(_Strict, kw_only=True, frozen=True):
     """A product and what its requests are like."""
 
     name: str
@@ -48,14 +48,14 @@
     has_key: bool = True  # names its user
 
 
-class TenantPart(_Strict, kw_only=True, frozen=True):
+class TenantSection(_Strict, kw_only=True, frozen=True):
     """A tenant and its share of the load."""
 
     name: str
     share: Positive
 
 
-class ServerPart(_Strict, kw_only=True, frozen=True):
+class ServerSection(_Strict, kw_only=True, frozen=True):
     """One kind for all, but for speed."""
 
     count: Count = 2
@@ -82,7 +82,7 @@
         return self.held_kb * self.run_factor * self.memory_runs * self.cores
 
 
-class BelowPart(_Strict, kw_only=True, frozen=True):
+class DownstreamSection(_Strict, kw_only=True, frozen=True):
     """The records tier: so many calls at a time, the rest wait in a bounded line."""
 
     slots: Count = 12
@@ -91,7 +91,7 @@
     line: Count = 40
 
 
-class GatewaysPart(_Strict, kw_only=True, frozen=True):
+class GatewaysSection(_Strict, kw_only=True, frozen=True):
     """What stands in front. Shares are of the gateways: the first so many have the habit."""
 
     count: Count = 4
@@ -111,11 +111,11 @@
 class Site(_Strict, kw_only=True, frozen=True):
     """A site's file: request classes, tenants, servers, gateways and the downstream service."""
 
-    product: Annotated[list[ProductPart], msgspec.Meta(min_length=1)]
-    tenant: list[TenantPart] = []
-    server: ServerPart = ServerPart()
-    below: BelowPart = BelowPart()
-    gateways: GatewaysPart = GatewaysPart()
+    product: Annotated[list[ProductSection], msgspec.Meta(min_length=1)]
+    tenant: list[TenantSection] = []
+    server: ServerSection = ServerSection()
+    below: DownstreamSection = DownstreamSection()
+    gateways: GatewaysSection = GatewaysSection()
     keys: Count = 5000  # distinct users
     zipf: float = 0.8  # how much more some come than others
     # requests of a session that goes on as each settles
--- a/otterrudder/lab/vrrp_search.py
+++ b/otterrudder/lab/vrrp_search.py
@@ -109,7 +109,7 @@
     violation: Violation | None
 
 
-def machine_of(number: int, priority: int, preempts: bool = True) -> StateMachine:
+def create_machine(number: int, priority: int, preempts: bool = True) -> StateMachine:
     """The state machine of a router."""
     return StateMachine(IPv4Address(f"192.0.2.{number + 1}"), priority, INTERVAL_MS, preempts=preempts)
 
@@ -117,7 +117,7 @@
 def search(
     priorities: tuple[int, ...],
     depth: int,
-    make: Maker = machine_of,
+    make: Maker = create_machine,
     max_states: int = 2_000_000,
     gate: type[AdmissionGate] = AdmissionGate,
 ) -> SearchResult:
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -17,10 +17,10 @@
 from otterrudder.lab.cores import Cores
 from otterrudder.lab.downstream import Downstream
 from otterrudder.lab.engine import Engine
-from otterrudder.lab.plan import ClaimPart, read_experiment
-from otterrudder.lab.shapes import Part, demand
+from otterrudder.lab.plan import ClaimSection, read_experiment
+from otterrudder.lab.shapes import LoadPart, demand
 from otterrudder.lab.site import InvalidInputError
-from otterrudder.lab.streams import Streams
+from otterrudder.lab.streams import RandomStreams
 
 
 def cores(count: int = 2, speed: float = 1.0, crowd_at: float = 99.0) -> tuple[Engine, Cores]:
@@ -91,7 +91,7 @@
 
 def test_the_tier_below_holds_to_its_slots_and_line() -> None:
     engine = Engine()
-    below = Downstream(engine, 2, 3, 50.0, 0.5, Streams(1).of("x"))
+    below = Downstream(engine, 2, 3, 50.0, 0.5, RandomStreams(1).generator("x"))
     heard: list[Outcome] = []
     for _ in range(7):
         below.call(heard.append)
@@ -102,28 +102,28 @@
 
 def test_shapes_add_up_and_a_walk_is_the_same_for_its_seed() -> None:
     parts = [
-        Part(shape="constant", at=0.5),
-        Part(shape="ramp", at=1.0, from_s=10, to_s=20),
-        Part(shape="step", at=1.0, from_s=20, to_s=30),
-        Part(shape="replay", points=[(0, 0), (40, 4)]),
+        LoadPart(shape="constant", at=0.5),
+        LoadPart(shape="ramp", at=1.0, from_s=10, to_s=20),
+        LoadPart(shape="step", at=1.0, from_s=20, to_s=30),
+        LoadPart(shape="replay", points=[(0, 0), (40, 4)]),
     ]
-    shape = demand(parts, Streams(1), 40.0)
+    shape = demand(parts, RandomStreams(1), 40.0)
     assert [round(shape(s), 3) for s in (0, 15, 25, 35)] == [0.5, 2.5, 4.0, 4.0]
-    walk = [Part(shape="walk", amplitude=0.1, period_s=5), Part(shape="constant", at=1.0)]
-    first, again, other = (demand(walk, Streams(seed), 600.0) for seed in (1, 1, 2))
+    walk = [LoadPart(shape="walk", amplitude=0.1, period_s=5), LoadPart(shape="constant", at=1.0)]
+    first, again, other = (demand(walk, RandomStreams(seed), 600.0) for seed in (1, 1, 2))
     values = [first(s) for s in range(600)]
     assert values == [again(s) for s in range(600)] != [other(s) for s in range(600)]
     assert np.std(values) == pytest.approx(0.1, rel=0.4)
-    square = [Part(shape="square", amplitude=0.2, period_s=10), Part(shape="constant", at=1)]
-    swing = demand(square, Streams(1), 9)
+    square = [LoadPart(shape="square", amplitude=0.2, period_s=10), LoadPart(shape="constant", at=1)]
+    swing = demand(square, RandomStreams(1), 9)
     assert (swing(2), swing(7)) == (pytest.approx(1.2), pytest.approx(0.8))
 
 
 def test_streams_are_their_own() -> None:
-    streams = Streams(5)
-    before = streams.of("a").random(3).tolist()
-    streams.of("b").random(1000)
-    assert streams.of("a").random(3).tolist() == before != streams.of("b").random(3).tolist()
+    streams = RandomStreams(5)
+    before = streams.generator("a").random(3).tolist()
+    streams.generator("b").random(1000)
+    assert streams.generator("a").random(3).tolist() == before != streams.generator("b").random(3).tolist()
 
 
 def test_claims_are_judged_by_their_intervals() -> None:
@@ -135,7 +135,7 @@
 
     def holds(**how: object) -> bool:
         told = dict(text="t", cases="evening", figure="value", variant="levels") | how
-        return evaluate(ClaimPart(**told), figures).holds
+        return evaluate(ClaimSection(**told), figures).holds
 
     assert holds(over="none", above=0.0) and not holds(over="none", above=0.1)
     assert holds(over="none", within=0.16) and not holds(over="none", within=0.14)
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -13,11 +13,11 @@
 from otterrudder.admission.draining import Draining
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
-from otterrudder.lab.day import Bare, Day
+from otterrudder.lab.day import BareThresholdSelector, SiteSimulation
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.plan import read_experiment
-from otterrudder.lab.runner import play, run_experiment
-from otterrudder.lab.shapes import Part
+from otterrudder.lab.runner import run_experiment, simulate
+from otterrudder.lab.shapes import LoadPart
 from otterrudder.lab.site import InvalidInputError, site_of
 from otterrudder.levels import read_table
 from otterrudder.net import core
@@ -29,7 +29,7 @@
 
 SITE = site_of(load_toml(ROOT / "experiments/sites/intake.toml", InvalidInputError), "intake.toml")
 TABLE = read_table(ROOT / "deploy/levels.toml", SITE.products, SITE.tenants)
-HARD = [Part(shape="constant", at=1.0), Part(shape="step", at=0.5, from_s=10, to_s=30)]
+HARD = [LoadPart(shape="constant", at=1.0), LoadPart(shape="step", at=0.5, from_s=10, to_s=30)]
 RELEASE = [Fault(kind="release", at_s=8, for_s=1, gap_s=9)]
 ALL = [
     *RELEASE,
@@ -41,7 +41,7 @@
 
 
 def day(faults: list[Fault], levels: object = TABLE, seed: int = 3, load=HARD, site=SITE):
-    return Day(site, load, faults, levels, seed, 45.0).play()
+    return SiteSimulation(site, load, faults, levels, seed, 45.0).run()
 
 
 @pytest.mark.parametrize("levels", [None, TABLE], ids=["none", "levels"])
@@ -110,13 +110,15 @@
     monkeypatch.setattr(ConcurrencyLimiter, "may_start", lambda *_: True)
     monkeypatch.setattr(AdmissionQueues, "_cannot_be_on_time", lambda *_: False)
     monkeypatch.setattr(memory_budget, "MAX_QUEUED_MEMORY_SHARE", 9.0)
-    assert any("rule 4" in what for what in day([], None, load=[Part(shape="constant", at=2.5)]).broken)
+    assert any("rule 4" in what for what in day([], None, load=[LoadPart(shape="constant", at=2.5)]).broken)
 
 
 def test_bare_thresholds_flip_where_the_ladder_holds() -> None:
-    load = [Part(shape="constant", at=1.1), Part(shape="walk", amplitude=0.1, period_s=10)]
-    bare = Day(SITE, load, [], TABLE, 1, 240.0, Bare).play().figures["moves_per_min"]
-    held = Day(SITE, load, [], TABLE, 1, 240.0).play().figures["moves_per_min"]
+    load = [LoadPart(shape="constant", at=1.1), LoadPart(shape="walk", amplitude=0.1, period_s=10)]
+    bare = (
+        SiteSimulation(SITE, load, [], TABLE, 1, 240.0, BareThresholdSelector).run().figures["moves_per_min"]
+    )
+    held = SiteSimulation(SITE, load, [], TABLE, 1, 240.0).run().figures["moves_per_min"]
     assert bare > 2 * held
 
 
@@ -126,4 +128,4 @@
         object.__setattr__(run, "length_s", 20.0)
     alone, beside = (run_experiment(experiment, workers) for workers in (1, 2))
     assert [r.figures for _, r in alone.results] == [r.figures for _, r in beside.results]
-    assert play(experiment.runs[0]).figures == alone.results[0][1].figures
+    assert simulate(experiment.runs[0]).figures == alone.results[0][1].figures
--- a/tests/vrrp/test_search.py
+++ b/tests/vrrp/test_search.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from otterrudder.lab.vrrp_search import machine_of, search
+from otterrudder.lab.vrrp_search import create_machine, search
 from otterrudder.vrrp import admission_gate
 from otterrudder.vrrp.admission_gate import AdmissionGate, GateEvent, GateState
 from otterrudder.vrrp.state_machine import Action, StateMachine, Timer
@@ -18,7 +18,7 @@
 
 
 def test_without_preemption_there_is_one_master() -> None:
-    assert search((200, 100), 7, lambda n, p: machine_of(n, p, preempts=False)).violation is None
+    assert search((200, 100), 7, lambda n, p: create_machine(n, p, preempts=False)).violation is None
 
 
 class NeverStepsDown(StateMachine):
@@ -67,7 +67,7 @@
     fault: type[StateMachine], priorities: tuple[int, ...], message: str
 ) -> None:
     def make(n: int, priority: int) -> StateMachine:
-        copy = machine_of(n, priority)
+        copy = create_machine(n, priority)
         return fault(copy.address, copy.priority, copy.own_interval)
 
     result = search(priorities, 8, make)
@@ -75,9 +75,9 @@
 
 
 def test_backup_that_never_takes_over_has_no_timer() -> None:
-    machine = WaitsForever(machine_of(0, 100).address, 100, 1000.0)
+    machine = WaitsForever(create_machine(0, 100).address, 100, 1000.0)
     machine.start(0.0)
-    actions = machine.handle_advertisement(10.0, 0, 1000.0, machine_of(1, 200).address)
+    actions = machine.handle_advertisement(10.0, 0, 1000.0, create_machine(1, 200).address)
     assert actions == [Timer(math.inf, machine.timer_number)]  # the search reports a router without a timer
 
 
