--- a/otterrudder/lab/checker.py
+++ b/otterrudder/lab/checker.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.open: dict[int, Entry] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         self.lost_with_server = 0
         # by incarnation that drains: the last arrival that may run
@@ -39,7 +39,7 @@
         self._blocked_until: dict[tuple[int, int], float] = {}  # by incarnation and effect that has happened
 
     @property
-    def broken_count(self) -> int:
+    def violation_count(self) -> int:
         """Violations of all rules."""
         return sum(count for rule, count in self.counts.items() if rule.startswith("rule"))
 
@@ -132,8 +132,8 @@
 
     def _record(self, rule: str, what: str) -> None:
         self.counts[rule] += 1
-        if len(self.broken) < MAX_DESCRIBED:
-            self.broken.append(f"{rule}: {what}")
+        if len(self.violations) < MAX_DESCRIBED:
+            self.violations.append(f"{rule}: {what}")
 
     def _forget(self, incarnation: int) -> None:
         for number in [n for n, entry in self.open.items() if entry.incarnation == incarnation]:
--- a/otterrudder/lab/claims.py
+++ b/otterrudder/lab/claims.py
@@ -1,4 +1,5 @@
-"""Whether what an experiment claims is so: figures by run, case or all, or differences paired by seed."""
+"""Evaluates the claims of an experiment: by run, by case or over all cases, on figures or on differences
+between two variants paired by seed."""
 
 import math
 from collections.abc import Sequence
@@ -6,7 +7,8 @@
 
 from otterrudder.lab.plan import ClaimSection, Run, matches_case
 
-# The 97.5% quantiles of Student's t by degrees of freedom from 1; past the last it is taken for normal.
+# The 97.5% quantiles of Student's t distribution for 1, 2, ... degrees of freedom. Beyond the last entry
+# the normal distribution is used.
 T_QUANTILES = (
     12.706,
     4.303,
@@ -45,34 +47,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """One thing that a claim is of: a run, a case, or all cases."""
+    """A group of runs for which a claim is evaluated: one run, one case, or all cases."""
 
     name: str
     mean: float
-    half_width: float  # of the 95% interval, 0 for a single value
+    half_width: float  # half the width of the 95% confidence interval; 0 for a single value
     holds: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a claim holds, group by group."""
+    """The result of a claim in each group of runs."""
 
     claim: ClaimSection
     groups: list[Group]
 
     @property
     def holds(self) -> bool:
-        """Whether it holds in every group, and there is one."""
+        """Whether there is a group, and the claim holds in every group."""
         return bool(self.groups) and all(group.holds for group in self.groups)
 
     @property
     def worst(self) -> Group | None:
-        """The group that says most: the first that does not hold, else the one nearest to its bound."""
+        """The first group in which the claim fails, else the group with the smallest margin."""
         failed = [group for group in self.groups if not group.holds]
         return (failed or sorted(self.groups, key=self._margin))[0] if self.groups else None
 
     def _margin(self, group: Group) -> float:
-        """How far the group is from the nearest bound."""
+        """The distance between the group's mean (or interval) and the nearest bound."""
         claim = self.claim
         margins = [group.mean - bound for bound in (claim.at_least,) if bound is not None]
         margins += [bound - group.mean for bound in (claim.at_most,) if bound is not None]
@@ -82,29 +84,34 @@
 
 
 def interval(values: Sequence[float]) -> tuple[float, float]:
-    """Mean and half of its 95% interval; infinite for a single value, which says nothing of its spread."""
+    """Returns the mean and half the width of its 95% confidence interval, which is infinite for a single
+    value."""
     n = len(values)
     mean = math.fsum(values) / n
     if n < 2:
         return mean, math.inf
-    spread = math.sqrt(math.fsum((value - mean) ** 2 for value in values) / (n - 1))
+    deviation = math.sqrt(math.fsum((value - mean) ** 2 for value in values) / (n - 1))
     quantile = T_QUANTILES[n - 2] if n - 2 < len(T_QUANTILES) else NORMAL_QUANTILE
-    return mean, quantile * spread / math.sqrt(n)
+    return mean, quantile * deviation / math.sqrt(n)
 
 
 def evaluate(claim: ClaimSection, figures: Sequence[tuple[Run, dict[str, float]]]) -> Verdict:
-    """The verdict on a claim from all runs' figures; without a run that it is about it does not hold."""
+    """Evaluates a claim on the figures of all runs. A claim that matches no run does not hold."""
     relevant = [
-        (run, found) for run, found in figures if matches_case(claim.cases, run) and claim.figure in found
+        (run, run_figures)
+        for run, run_figures in figures
+        if matches_case(claim.cases, run) and claim.figure in run_figures
     ]
     values: dict[str, list[float]] = {}
     baseline = {
-        (run.case, run.seed): found[claim.figure] for run, found in relevant if run.variant == claim.over
+        (run.case, run.seed): run_figures[claim.figure]
+        for run, run_figures in relevant
+        if run.variant == claim.over
     }
-    for run, found in relevant:
+    for run, run_figures in relevant:
         if run.variant != claim.variant:
             continue
-        value = found[claim.figure]
+        value = run_figures[claim.figure]
         if claim.over:
             if (run.case, run.seed) not in baseline:
                 continue
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -1,4 +1,4 @@
-"""One day: a site under a load, with its faults, as one variant meets it. From files to figures."""
+"""Simulates a site under a load with faults, for one variant and seed, and computes the figures."""
 
 from dataclasses import dataclass, field, replace
 from itertools import count
@@ -20,14 +20,15 @@
 from otterrudder.levels import Damping, Level, LevelSelector, LevelTable, Threshold
 from otterrudder.levels.selector import FULL_SERVICE
 
-CHECK_INTERVAL_MS = 1000.0  # between checks for overdue answers
-RUN_OUT_MS = 12_000.0  # played past the last arrival: longer than any deadline, so that nothing is left open
-BARE_WINDOW_MS = 1000.0  # of the windows of bare thresholds: the shortest there are
+CHECK_INTERVAL_MS = 1000.0  # interval between checks for overdue answers
+# Simulated time after the last arrival. It is longer than any deadline, so that every request has ended.
+SETTLING_TIME_MS = 12_000.0
+BARE_WINDOW_MS = 1000.0  # measurement window of bare thresholds: the shortest window that a table allows
 
 
 @dataclass(slots=True)
 class Transition:
-    """A change of one server's service level, as it logged it."""
+    """A change of one server's service level, taken from the server's log line."""
 
     at_s: float
     server: int
@@ -38,18 +39,19 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """Figures of one day, and what charts need. Times in s."""
+    """Figures of one simulation, and the time series for charts. Times are in s."""
 
     figures: dict[str, float]
-    moves: list[Transition]
-    broken: list[str]
+    transitions: list[Transition]
+    violations: list[str]
     series: dict[str, list[float]] = field(default_factory=dict)
 
 
 class BareThresholdSelector(LevelSelector):
-    """A baseline: the same levels on bare thresholds, in at or above, out below; no stays, no damping."""
+    """A baseline without stabilization. It enters a level at or above its entry threshold and leaves it below
+    the same threshold, without minimum stays and damping."""
 
-    def __init__(self, levels: tuple[Level, ...], damping: Damping, **more: Any) -> None:
+    def __init__(self, levels: tuple[Level, ...], damping: Damping, **options: Any) -> None:
         bare = (
             replace(
                 level,
@@ -61,7 +63,7 @@
             )
             for level in levels
         )
-        super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **more)
+        super().__init__(tuple(bare), Damping(1.0, 1.0, 1.0), **options)
 
     def _is_below_exit(self, threshold: Threshold, now: float) -> bool:
         window = self._windows.get(threshold.fact, BARE_WINDOW_MS)
@@ -69,7 +71,7 @@
 
 
 class SiteSimulation:
-    """A site's servers, gateways and downstream service, played once."""
+    """A site's servers, gateways and downstream service in one simulation."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
         levels: LevelTable | None,
         seed: int,
         length_s: float,
-        kind: type[LevelSelector] = LevelSelector,
+        selector_type: type[LevelSelector] = LevelSelector,
     ) -> None:
         streams, self.length_ms = RandomStreams(seed), length_s * 1000
         self.site, self.levels = site, levels
@@ -88,12 +90,12 @@
         self.statistics = OutcomeStatistics(site.products, int(length_s))
         self.demand = demand(load, streams, length_s)
         self.arrivals = Arrivals(site, self.demand, streams, self.length_ms)
-        part = site.below
+        section = site.below
         self.downstream = Downstream(
-            self.engine, part.slots, part.line, part.call_ms, part.cv, streams.generator("below")
+            self.engine, section.slots, section.line, section.call_ms, section.cv, streams.generator("below")
         )
-        self.moves: list[Transition] = []
-        self.logged: dict[str, int] = {}
+        self.transitions: list[Transition] = []
+        self.log_counts: dict[str, int] = {}
         incarnations = count(1)
         self.servers = [
             Server(
@@ -105,7 +107,7 @@
                 seed=seed,
                 incarnations=incarnations,
                 levels=levels,
-                kind=kind,
+                kind=selector_type,
                 logged=self._log,
             )
             for n in range(site.server.count)
@@ -119,7 +121,7 @@
                 self.checker,
                 self.statistics,
                 self.servers,
-                self._next_number,
+                self._next_attempt_number,
                 self._continue_session,
             )
             for n in range(site.gateways.count)
@@ -127,39 +129,40 @@
         notifier = EndpointNotifier(self.engine, list(self.gateways), site.gateways.notice_ms)
         self.fault_timeline = FaultTimeline(self.engine, self.servers, self.downstream, notifier)
         self.fault_timeline.schedule(faults)
-        self.heights: list[list[float]] = [[] for _ in self.servers]
-        self._to_come = iter(self.arrivals.offered_requests)
+        self.levels_by_second: list[list[float]] = [[] for _ in self.servers]
+        self._remaining_arrivals = iter(self.arrivals.offered_requests)
 
-    def _next_number(self) -> int:
+    def _next_attempt_number(self) -> int:
         self._attempts += 1
         return self._attempts
 
     def _continue_session(self, offered: OfferedRequest) -> None:
         if self.engine.now < self.length_ms:
-            following = self.arrivals.next_of(offered, self.engine.now)
-            self.engine.after(0.0, self.gateways[following.gateway].take, following)
+            next_request = self.arrivals.next_of(offered, self.engine.now)
+            self.engine.after(0.0, self.gateways[next_request.gateway].take, next_request)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
-        self.logged[text] = self.logged.get(text, 0) + 1
+        self.log_counts[text] = self.log_counts.get(text, 0) + 1
         if text in ("service reduced", "service restored"):
             left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
-            self.moves.append(Transition(now / 1000, server, left, entered, why))
+            self.transitions.append(Transition(now / 1000, server, left, entered, why))
 
     def run(self) -> SimulationResult:
-        """Plays the whole day; the same for the same arguments on every machine."""
+        """Runs the simulation. The result depends only on the arguments and is the same on every machine."""
         for server in self.servers:
             server.start(warm=True)
         for gateway in self.gateways:
             gateway.listed = list(range(len(self.servers)))
         self._schedule_next_arrival()
         self._check()
-        self.engine.run(self.length_ms + RUN_OUT_MS)
+        self.engine.run(self.length_ms + SETTLING_TIME_MS)
         self.checker.check_overdue(self.engine.now)
         return self._result()
 
     def _schedule_next_arrival(self) -> None:
-        """The next arrival: one at a time in the heap, however long the day."""
-        offered = next(self._to_come, None)
+        """Schedules the next arrival. Only one arrival is in the engine's heap at a time, so that the heap
+        does not grow with the length of the simulation."""
+        offered = next(self._remaining_arrivals, None)
         if offered:
             self.engine.at(offered.at, self._arrive, offered)
 
@@ -174,7 +177,7 @@
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.service.levels.name if server.is_up and server.core.service.levels else ""
-            self.heights[n].append(float(names.index(name) + 1 if name in names else 0))
+            self.levels_by_second[n].append(float(names.index(name) + 1 if name in names else 0))
         if self.engine.now < self.length_ms:
             self.engine.after(CHECK_INTERVAL_MS, self._check)
 
@@ -185,110 +188,122 @@
         asked = statistics.table("asked").sum()
         figures: dict[str, float] = dict(
             value=statistics.value(),
-            txns=float(asked),  # a name that experiments read
+            txns=float(asked),  # experiment files and results use this name
             tries=statistics.attempts / max(float(asked), 1.0),
-            broken=float(checker.broken_count),
+            broken=float(checker.violation_count),
             read_late=float(checker.counts["read late"]),
             lost_with_server=float(checker.lost_with_server),
-            worst_10s=self._worst(10),
+            worst_10s=self._min_value(10),
             memory_peak=max(s.memory_peak for s in self.servers),
             crowd_peak=max(s.contention_peak for s in self.servers),
             below_full=self.downstream.full / max(self.downstream.calls, 1),
             p50_ms=_quantile(statistics.times, 0.5),
             p99_ms=_quantile(statistics.times, 0.99),
-            failed_steps=float(self.logged.get("admission command failed", 0)),
+            failed_steps=float(self.log_counts.get("admission command failed", 0)),
         )
         for n, product in enumerate(statistics.products):
             figures[f"served.{product.name}"] = statistics.served(n)
         ended = sum(statistics.ends.values()) or 1
         figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.ends.items()}
-        figures |= self._of_levels(length_s) | self._of_sessions(length_s)
-        return SimulationResult(figures, self.moves, checker.broken, self._series())
+        figures |= self._level_figures(length_s) | self._session_figures(length_s)
+        return SimulationResult(figures, self.transitions, checker.violations, self._series())
 
-    def _worst(self, span: int) -> float:
+    def _min_value(self, span_s: int) -> float:
+        """The lowest served share of value in any span of `span_s` seconds, in steps of 2 s."""
         seconds = len(self.statistics.seconds)
         return min(
-            (self.statistics.value(s, s + span) for s in range(0, max(seconds - span, 1), 2)), default=1.0
+            (self.statistics.value(s, s + span_s) for s in range(0, max(seconds - span_s, 1), 2)), default=1.0
         )
 
-    def _of_levels(self, length_s: float) -> dict[str, float]:
+    def _level_figures(self, length_s: float) -> dict[str, float]:
         if not self.levels:
             return dict(moves_per_min=0.0, stay_breaks=0.0, level_mean=0.0)
-        stays = {level.name: level.min_stay_ms / 1000 for level in self.levels.levels}
-        breaks = 0
-        for moves in self._by_server():
-            mine = [move for move in moves if move.why != "table"]
-            for before, after in zip(mine, mine[1:], strict=False):
-                min_stay_s = stays.get(before.entered, stays.get(after.entered, 0.0))
-                breaks += after.at_s - before.at_s < min_stay_s - 1e-6
-        heights = np.array([row[: int(length_s)] for row in self.heights])
+        min_stays_s = {level.name: level.min_stay_ms / 1000 for level in self.levels.levels}
+        stay_violations = 0
+        for transitions in self._transitions_by_server():
+            own = [transition for transition in transitions if transition.why != "table"]
+            for before, after in zip(own, own[1:], strict=False):
+                min_stay_s = min_stays_s.get(before.entered, min_stays_s.get(after.entered, 0.0))
+                stay_violations += after.at_s - before.at_s < min_stay_s - 1e-6
+        levels_by_second = np.array([row[: int(length_s)] for row in self.levels_by_second])
         return dict(
-            moves_per_min=len(self.moves) / len(self.servers) / (length_s / 60),
-            stay_breaks=float(breaks),
-            level_mean=float(heights.mean()),
-            reach_s=self._first(),
-            home_s=self._home(),
-            home_spread_s=self._home_spread(),
+            moves_per_min=len(self.transitions) / len(self.servers) / (length_s / 60),
+            stay_breaks=float(stay_violations),
+            level_mean=float(levels_by_second.mean()),
+            reach_s=self._last_entry_s(),
+            home_s=self._last_return_s(),
+            home_spread_s=self._return_spread_s(),
         )
 
-    def _by_server(self) -> list[list[Transition]]:
-        return [[move for move in self.moves if move.server == n] for n in range(len(self.servers))]
+    def _transitions_by_server(self) -> list[list[Transition]]:
+        return [
+            [transition for transition in self.transitions if transition.server == n]
+            for n in range(len(self.servers))
+        ]
 
-    def _first(self) -> float:
-        """s at which the last of the servers first left full service; the day's length if one never did."""
-        return max(mine[0].at_s if mine else self.length_ms / 1000 for mine in self._by_server())
+    def _last_entry_s(self) -> float:
+        """The time in s at which the last server first left full service; the length of the simulation if a
+        server never left it."""
+        return max(own[0].at_s if own else self.length_ms / 1000 for own in self._transitions_by_server())
 
-    def _home(self) -> float:
-        """s at which the last of the servers was back at full service for good; the day's length if one was
-        not."""
-        ends = [mine[-1] if mine else None for mine in self._by_server()]
+    def _last_return_s(self) -> float:
+        """The time in s of the last server's final return to full service; the length of the simulation if a
+        server ended at a reduced level. 0 if no server left full service."""
+        ends = [own[-1] if own else None for own in self._transitions_by_server()]
         return max(
             0.0 if end is None else end.at_s if end.entered == FULL_SERVICE else self.length_ms / 1000
             for end in ends
         )
 
-    def _home_spread(self) -> float:
-        """s between the first and the last of the servers that came back to full service for good; 0 for
-        none."""
-        times = [mine[-1].at_s for mine in self._by_server() if mine and mine[-1].entered == FULL_SERVICE]
+    def _return_spread_s(self) -> float:
+        """The time in s between the first and the last server's final return to full service; 0 if no server
+        returned."""
+        times = [
+            own[-1].at_s for own in self._transitions_by_server() if own and own[-1].entered == FULL_SERVICE
+        ]
         return max(times, default=0.0) - min(times, default=0.0)
 
-    def _of_sessions(self, length_s: float) -> dict[str, float]:
-        """Of whole sessions, as the source counts: its equation 2 is `power`."""
+    def _session_figures(self, length_s: float) -> dict[str, float]:
+        """Figures of whole sessions, defined as in the paper that experiments/paper.toml reproduces: `power`
+        is its equation 2."""
         if not self.site.session_mean:
             return {}
-        over = [session for session in self.statistics.sessions.values() if session.is_over]
-        begun = [session for session in over if session.completed]  # one that never got in is not broken
-        ended = sum(not session.is_broken for session in over)
-        error = 1 - ended / len(begun) if begun else 0.0
-        time_s = float(np.mean(self.statistics.times)) / 1000 if self.statistics.times else float("inf")
-        throughput = ended / length_s
+        ended_sessions = [session for session in self.statistics.sessions.values() if session.is_over]
+        # A session without a completed request counts as refused, not as an error.
+        admitted_sessions = [session for session in ended_sessions if session.completed]
+        completed = sum(not session.is_broken for session in ended_sessions)
+        error = 1 - completed / len(admitted_sessions) if admitted_sessions else 0.0
+        response_s = float(np.mean(self.statistics.times)) / 1000 if self.statistics.times else float("inf")
+        throughput = completed / length_s
         return dict(
             session_throughput=throughput,
-            session_refused=1 - len(begun) / len(over) if over else 0.0,
+            session_refused=1 - len(admitted_sessions) / len(ended_sessions) if ended_sessions else 0.0,
             session_error=error,
-            response_s=time_s,
-            power=throughput / time_s * (1 - error),
+            response_s=response_s,
+            power=throughput / response_s * (1 - error),
         )
 
     def _series(self) -> dict[str, list[float]]:
-        """By second: demand, value asked for and settled in time, the mean and the highest level."""
+        """Time series by second: demand, the value of the requests that arrived and of those completed in
+        time, and the mean and the highest level over the servers."""
         weights = np.array([p.priority_weight for p in self.statistics.products])
         asked, in_time = (self.statistics.table(name) for name in ("asked", "in_time"))
-        length = int(self.length_ms / 1000)
-        heights = np.array([row[:length] + [0.0] * (length - len(row)) for row in self.heights])
+        length_s = int(self.length_ms / 1000)
+        levels_by_second = np.array(
+            [row[:length_s] + [0.0] * (length_s - len(row)) for row in self.levels_by_second]
+        )
         series = dict(
-            demand=[self.demand(float(s)) for s in range(length)],
-            asked=(asked @ weights)[:length].tolist(),
-            in_time=(in_time @ weights)[:length].tolist(),
-            level=heights.mean(0).tolist(),
-            level_most=heights.max(0).tolist(),
+            demand=[self.demand(float(s)) for s in range(length_s)],
+            asked=(asked @ weights)[:length_s].tolist(),
+            in_time=(in_time @ weights)[:length_s].tolist(),
+            level=levels_by_second.mean(0).tolist(),
+            level_most=levels_by_second.max(0).tolist(),
         )
         for n, product in enumerate(self.statistics.products):
-            series[f"asked.{product.name}"] = asked[:length, n].astype(float).tolist()
-            series[f"in_time.{product.name}"] = in_time[:length, n].astype(float).tolist()
+            series[f"asked.{product.name}"] = asked[:length_s, n].astype(float).tolist()
+            series[f"in_time.{product.name}"] = in_time[:length_s, n].astype(float).tolist()
         return series
 
 
-def _quantile(times: list[float], at: float) -> float:
-    return float(np.quantile(times, at)) if times else 0.0
+def _quantile(times: list[float], quantile: float) -> float:
+    return float(np.quantile(times, quantile)) if times else 0.0
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -1,4 +1,4 @@
-"""A short day for a newcomer: load that rises past what the servers can do and falls again, narrated as it
+"""The demonstration: simulates load that rises above the servers' capacity and falls again, and prints what
 happens."""
 
 from collections.abc import Callable
@@ -10,15 +10,15 @@
 from otterrudder.lab.report import write_results
 from otterrudder.lab.runner import ExperimentResult, simulate
 
-LINE_S = 10  # of the day to a line
-BAR_COLUMNS = 40  # for a demand of 2
+LINE_S = 10  # simulated time for each printed line, in s
+BAR_COLUMNS = 40  # width of the bar for a demand of 2
 
 
-class _NarratedSimulation(SiteSimulation):
-    """A day that says what happens while it is played."""
+class _PrintingSimulation(SiteSimulation):
+    """A simulation that prints demand, served value and changes of the service level while it runs."""
 
-    def __init__(self, run: Run, narrate: Callable[[str], None]) -> None:
-        self.narrate = narrate
+    def __init__(self, run: Run, print_line: Callable[[str], None]) -> None:
+        self.print_line = print_line
         super().__init__(run.site, run.load, run.faults, run.levels, run.seed, run.length_s)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
@@ -26,7 +26,7 @@
         if text in ("service reduced", "service restored"):
             names = [name for name in facts if f"{name}_bound" in facts]
             why = ", ".join(f"{name} {facts[name]} ({facts[f'{name}_bound']})" for name in names)
-            self.narrate(
+            self.print_line(
                 f"{now / 1000:6.1f} s  server {server}: {facts['left']} -> {facts['entered']}"
                 f"  [{facts['why']}: {why}]"
             )
@@ -36,35 +36,38 @@
         second = round(self.engine.now / 1000)
         if second and second % LINE_S == 0 and self.engine.now <= self.length_ms:
             asked = self.demand(second - LINE_S / 2)
-            bar = "#" * round(asked * BAR_COLUMNS / 2)
-            # The last line's requests may still be on their way: what is shown is the line before it.
+            demand_bar = "#" * round(asked * BAR_COLUMNS / 2)
+            # Requests of the last interval may not have ended yet, so the value of the interval before it
+            # is printed.
             in_time = (
                 self.statistics.value(max(second - 2 * LINE_S, 0), second - LINE_S)
                 if second > LINE_S
                 else 1.0
             )
-            self.narrate(
-                f"{second:6d} s  demand {asked:4.2f} {bar:<{BAR_COLUMNS}} value in time {in_time:.2f}"
+            self.print_line(
+                f"{second:6d} s  demand {asked:4.2f} {demand_bar:<{BAR_COLUMNS}} value in time {in_time:.2f}"
             )
 
 
-def run_demo(path: Path, folder: Path, narrate: Callable[[str], None]) -> ExperimentResult:
-    """Plays the first variant aloud and the others quietly; leaves the charts in `folder`."""
+def run_demo(path: Path, folder: Path, print_line: Callable[[str], None]) -> ExperimentResult:
+    """Prints the first run while it is simulated, then simulates the others; writes the results into
+    `folder`."""
     experiment: Experiment = read_experiment(path)
-    narrate(experiment.title)
-    narrate(f"simulated: {experiment.model}")
+    print_line(experiment.title)
+    print_line(f"simulated: {experiment.model}")
     results = []
     for n, run in enumerate(experiment.runs):
-        results.append((run, _NarratedSimulation(run, narrate).run() if n == 0 else simulate(run)))
-    broken = [what for _, result in results for what in result.broken]
-    outcome = ExperimentResult(experiment, results, [], broken, 0.0)
+        results.append((run, _PrintingSimulation(run, print_line).run() if n == 0 else simulate(run)))
+    violations = [violation for _, result in results for violation in result.violations]
+    outcome = ExperimentResult(experiment, results, [], violations, 0.0)
     for run, result in results:
-        dearest = max(run.site.product, key=lambda product: product.value).name
-        narrate(
-            f"{run.variant:>12}: value in time {result.figures['value']:.3f}, {dearest} "
-            f"{result.figures[f'served.{dearest}']:.3f}, tries a txn {result.figures['tries']:.2f}, "
-            f"rules broken {result.figures['broken']:.0f}"
+        most_valuable = max(run.site.product, key=lambda product: product.value).name
+        print_line(
+            f"{run.variant:>12}: value in time {result.figures['value']:.3f}, {most_valuable} "
+            f"{result.figures[f'served.{most_valuable}']:.3f}, "
+            f"attempts per request {result.figures['tries']:.2f}, "
+            f"rule violations {result.figures['broken']:.0f}"
         )
     for written in write_results(outcome, folder):
-        narrate(f"wrote {written}")
+        print_line(f"wrote {written}")
     return outcome
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -1,14 +1,16 @@
-"""An experiment file: cases by variants by seeds, what is claimed of them, and which charts show it.
+"""Reads an experiment file: the simulations of each case, variant and seed, the claims, and the charts.
 
-    site = "sites/intake.toml"           # beside this file
+    site = "sites/intake.toml"           # relative to the experiment file
     seeds = [1, 2, 3, 4, 5]
     [[variant]]  name = "levels"  levels = "../deploy/levels.toml"  bare = false  [variant.site] ...
     [[case]]     name = "sine"  length_s = 600  variants = [...]  [case.grid] period_s = [20, 60]
-    [[case.load]] ... [[claim]]    text = "..."  cases = "sine*"  figure = "moves_per_min"  variant =
-    "levels"  at_most = 1.0 [[chart]]    kind = "timeline" | "lines" ...
+    [[case.load]] ...
+    [[claim]]    text = "..."  cases = "sine*"  figure = "moves_per_min"  variant = "levels"  at_most = 1.0
+    [[chart]]    kind = "timeline" | "lines" ...
 
-A text "$name" in a case's load, fault or site stands for the grid's value. A claim with `over` is of the
-difference to that variant, paired by seed. Everything is checked before anything is played."""
+The string "$name" in a load, fault or site of a case is replaced by the value that the grid has under this
+name. A claim with `over` is about the difference between its variant and the `over` variant, paired by seed.
+The whole file is checked before the first simulation starts."""
 
 from __future__ import annotations
 
@@ -27,9 +29,9 @@
 from otterrudder.lab.tunables import TUNABLES
 from otterrudder.levels import LevelTable, LevelTableError, read_table
 
-MAX_LENGTH_S = 4 * 3600.0  # s of a day
-QUICK_SEED_COUNT = 2  # seeds of a quick run
-MAX_QUICK_LENGTH_S = 240.0  # s at the most of a day of a quick run
+MAX_LENGTH_S = 4 * 3600.0  # maximum length of a simulation, in s
+QUICK_SEED_COUNT = 2  # number of the file's seeds that --quick uses
+MAX_QUICK_LENGTH_S = 240.0  # maximum length of a simulation with --quick, in s
 
 
 class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -37,21 +39,21 @@
 
 
 class VariantSection(_Strict, kw_only=True):
-    """A variant of the module: its levels, and constants that it changes."""
+    """A variant of the admission module: its service levels, and the constants that it changes."""
 
     name: str
-    levels: str = ""  # a table's file, beside the experiment's; none: no levels
-    bare: bool = False  # its thresholds without windows, stays and damping
-    site: dict[str, Any] = {}  # what differs from the site, as in its file
-    module: dict[str, float] = {}  # constants of the module, by name: what another value would have done
+    levels: str = ""  # path of a level table, relative to the experiment file; empty: no service levels
+    bare: bool = False  # use the thresholds of the table without windows, minimum stays and damping
+    site: dict[str, Any] = {}  # values that replace those of the site file
+    module: dict[str, float] = {}  # values of admission constants, by their names in TUNABLES
 
 
 class CaseSection(_Strict, kw_only=True):
-    """A load with its faults, played by some variants over a grid of values."""
+    """A load with its faults, simulated for some variants at each point of a grid of values."""
 
     name: str
     length_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_LENGTH_S)] = 600.0
-    variants: list[str] = []  # all if empty
+    variants: list[str] = []  # names of variants; empty: all variants
     grid: dict[str, list[float]] = {}
     load: list[dict[str, Any]]
     trouble: list[dict[str, Any]] = []
@@ -60,18 +62,18 @@
 
 
 class ClaimSection(_Strict, kw_only=True):
-    """What the figures of some cases must show."""
+    """A claim about one figure in some cases, with the bounds that the figure must meet."""
 
     text: str
-    cases: str  # a pattern over the names of cases
+    cases: str  # pattern of case names, see `matches_case`
     figure: str
     variant: str
-    over: str = ""  # the variant it is compared with, by seed
-    by: Literal["run", "case", "all"] = "case"  # each of which must hold by itself
+    over: str = ""  # name of the variant to compare with, seed by seed
+    by: Literal["run", "case", "all"] = "case"  # the groups of runs; the claim must hold in each group
     at_least: float | None = None
     at_most: float | None = None
-    above: float | None = None  # with `over`: the whole 95% interval lies above
-    within: float | None = None  # with `over`: the mean difference is no larger
+    above: float | None = None  # with `over`: lower bound of the 95% confidence interval of the difference
+    within: float | None = None  # with `over`: maximum absolute value of the mean difference
 
 
 class ChartSection(_Strict, kw_only=True):
@@ -82,13 +84,13 @@
     title: str
     cases: str
     variants: list[str] = []
-    figures: list[str] = []  # lines: what is drawn
-    x: str = ""  # lines: the grid's name on the x axis
+    figures: list[str] = []  # lines: names of the figures to draw
+    x: str = ""  # lines: name of the grid value on the x axis; empty: one point for each case
 
 
 class _ExperimentFile(_Strict, kw_only=True):
     title: str
-    model: str  # in a sentence: what the figures are of
+    model: str  # one sentence about what is simulated, printed with the figures
     site: str
     seeds: Annotated[list[int], msgspec.Meta(min_length=1)]
     variant: Annotated[list[VariantSection], msgspec.Meta(min_length=1)]
@@ -99,25 +101,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One day to be played: all that it needs, ready for another process."""
+    """The input of one simulation; it can be pickled for a worker process."""
 
-    case: str
-    base: str  # the case without its grid's values
-    values: tuple[tuple[str, float], ...]
+    case: str  # name of the case with its grid values
+    base_case: str  # name of the case alone
+    grid_values: tuple[tuple[str, float], ...]
     variant: str
     seed: int
     site: Site
     load: list[LoadPart]
     faults: list[Fault]
     levels: LevelTable | None
-    bare: bool
-    module: tuple[tuple[str, float], ...]
+    has_bare_thresholds: bool
+    tunables: tuple[tuple[str, float], ...]  # values of admission constants, by their names in TUNABLES
     length_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """A whole experiment, checked: its runs, claims and charts."""
+    """An experiment after all checks: its runs, claims and charts."""
 
     name: str
     title: str
@@ -128,27 +130,27 @@
 
 
 def read_experiment(path: str | Path, seeds: list[int] | None = None, quick: bool = False) -> Experiment:
-    """The experiment in a file, checked whole; InvalidInputError names the file and the key."""
+    """Reads and checks an experiment file. Raises InvalidInputError, which names the file and the key."""
     path = Path(path)
-    where = path.name
-    told: _ExperimentFile = convert(load_toml(path, InvalidInputError), _ExperimentFile, where)
-    for variant in told.variant:
+    source = path.name
+    decoded: _ExperimentFile = convert(load_toml(path, InvalidInputError), _ExperimentFile, source)
+    for variant in decoded.variant:
         for constant in variant.module:
             if constant not in TUNABLES:
                 raise InvalidInputError(
-                    f"{where}: variant {variant.name}: the module has no constant {constant!r}"
+                    f"{source}: variant {variant.name}: there is no tunable constant {constant!r}"
                 )
-    site_values = load_toml(path.parent / told.site, InvalidInputError)
-    site_where = Path(told.site).name
-    site_of(site_values, site_where)
-    variants = {variant.name: variant for variant in told.variant}
-    chosen_seeds = seeds or (told.seeds[:QUICK_SEED_COUNT] if quick else told.seeds)
+    site_values = load_toml(path.parent / decoded.site, InvalidInputError)
+    site_source = Path(decoded.site).name
+    site_of(site_values, site_source)
+    variants = {variant.name: variant for variant in decoded.variant}
+    chosen_seeds = seeds or (decoded.seeds[:QUICK_SEED_COUNT] if quick else decoded.seeds)
     runs: list[Run] = []
-    for n, case in enumerate(told.case, 1):
-        place = f"{where}: case[{n}]"
+    for n, case in enumerate(decoded.case, 1):
+        location = f"{source}: case[{n}]"
         for name in case.variants:
             if name not in variants:
-                raise InvalidInputError(f"{place}.variants: there is no {name!r}")
+                raise InvalidInputError(f"{location}.variants: there is no variant {name!r}")
         if quick and not case.in_quick:
             continue
         length_s = min(case.length_s, MAX_QUICK_LENGTH_S) if quick else case.length_s
@@ -156,44 +158,46 @@
             runs += _build_runs(
                 case,
                 values,
-                place,
+                location,
                 site_values,
-                site_where,
+                site_source,
                 path.parent,
                 [variants[name] for name in case.variants or variants],
                 chosen_seeds,
                 length_s,
             )
-    _check_claims(told, runs, where, quick)
-    return Experiment(path.stem, told.title, told.model, runs, told.claim, told.chart)
+    _check_claims(decoded, runs, source, quick)
+    return Experiment(path.stem, decoded.title, decoded.model, runs, decoded.claim, decoded.chart)
 
 
 def _build_runs(
     case: CaseSection,
     values: dict[str, float],
-    place: str,
+    location: str,
     site_values: dict[str, Any],
-    site_where: str,
+    site_source: str,
     folder: Path,
     variants: list[VariantSection],
     seeds: list[int],
     length_s: float,
 ) -> Iterator[Run]:
-    shown = ",".join(f"{name}={value:g}" for name, value in values.items())
-    name = f"{case.name}[{shown}]" if shown else case.name
-    load = convert(_substitute(case.load, values, f"{place}.load"), list[LoadPart], f"{place}.load")
-    faults = convert(_substitute(case.trouble, values, f"{place}.trouble"), list[Fault], f"{place}.trouble")
+    grid_text = ",".join(f"{name}={value:g}" for name, value in values.items())
+    name = f"{case.name}[{grid_text}]" if grid_text else case.name
+    load = convert(_substitute(case.load, values, f"{location}.load"), list[LoadPart], f"{location}.load")
+    faults = convert(
+        _substitute(case.trouble, values, f"{location}.trouble"), list[Fault], f"{location}.trouble"
+    )
     if not load:
-        raise InvalidInputError(f"{place}.load: it is empty")
+        raise InvalidInputError(f"{location}.load: must not be empty")
     for variant in variants:
         changed = merge_tables(
-            merge_tables(site_values, _substitute(case.site, values, f"{place}.site")), variant.site
+            merge_tables(site_values, _substitute(case.site, values, f"{location}.site")), variant.site
         )
-        site = site_of(changed, f"{site_where} as {place} and {variant.name} change it")
+        site = site_of(changed, f"{site_source} as changed by {location} and variant {variant.name}")
         for k, fault in enumerate(faults, 1):
             if any(not 0 <= number < site.server.count for number in fault.servers):
                 raise InvalidInputError(
-                    f"{place}.trouble[{k}].servers: there are {site.server.count}, counted from 0"
+                    f"{location}.trouble[{k}].servers: there are {site.server.count} servers, numbered from 0"
                 )
         levels = _read_levels(folder, variant, site)
         for seed in seeds:
@@ -227,41 +231,44 @@
         yield dict(zip(grid, values, strict=True))
 
 
-def _substitute(told: Any, values: dict[str, float], where: str) -> Any:
-    """`told` with each "$name" as the grid's value."""
-    if isinstance(told, dict):
-        return {key: _substitute(value, values, f"{where}.{key}") for key, value in told.items()}
-    if isinstance(told, list):
-        return [_substitute(value, values, where) for value in told]
-    if isinstance(told, str) and told.startswith("$"):
-        if told[1:] not in values:
-            raise InvalidInputError(f"{where}: the grid has no {told[1:]!r}")
-        return values[told[1:]]
-    return told
+def _substitute(decoded: Any, values: dict[str, float], location: str) -> Any:
+    """A copy of `decoded` in which each string "$name" is replaced by the grid value of that name."""
+    if isinstance(decoded, dict):
+        return {key: _substitute(value, values, f"{location}.{key}") for key, value in decoded.items()}
+    if isinstance(decoded, list):
+        return [_substitute(value, values, location) for value in decoded]
+    if isinstance(decoded, str) and decoded.startswith("$"):
+        if decoded[1:] not in values:
+            raise InvalidInputError(f"{location}: the grid has no value {decoded[1:]!r}")
+        return values[decoded[1:]]
+    return decoded
 
 
-def _check_claims(told: _ExperimentFile, runs: list[Run], where: str, quick: bool) -> None:
-    names = {variant.name for variant in told.variant}
-    for n, claim in enumerate(told.claim, 1):
-        place = f"{where}: claim[{n}]"
+def _check_claims(decoded: _ExperimentFile, runs: list[Run], source: str, quick: bool) -> None:
+    names = {variant.name for variant in decoded.variant}
+    for n, claim in enumerate(decoded.claim, 1):
+        location = f"{source}: claim[{n}]"
         for key, name in (("variant", claim.variant), ("over", claim.over)):
             if name and name not in names:
-                raise InvalidInputError(f"{place}.{key}: there is no variant {name!r}")
+                raise InvalidInputError(f"{location}.{key}: there is no variant {name!r}")
         bounds = [claim.at_least, claim.at_most, claim.above, claim.within]
         if all(bound is None for bound in bounds):
-            raise InvalidInputError(f"{place}: it states no bound")
+            raise InvalidInputError(f"{location}: no bound is given (at_least, at_most, above or within)")
         if not claim.over and (claim.above is not None or claim.within is not None):
-            raise InvalidInputError(f"{place}.over: above and within are of a difference")
+            raise InvalidInputError(f"{location}.over: above and within need a variant to compare with")
         if not quick and not any(
             matches_case(claim.cases, run) and run.variant == claim.variant for run in runs
         ):
-            raise InvalidInputError(f"{place}.cases: {claim.cases!r} fits no case of {claim.variant}")
+            raise InvalidInputError(
+                f"{location}.cases: {claim.cases!r} matches no case of variant {claim.variant}"
+            )
 
 
 def matches_case(pattern: str, run: Run) -> bool:
-    """Whether a pattern names a run's case: `|` between alternatives, `*` at the end of an alternative."""
+    """Whether a pattern matches the case of a run. `|` separates alternatives; a trailing `*` matches any
+    suffix of the case's name with its grid values."""
     for alternative in pattern.split("|"):
-        if alternative == "*" or alternative in (run.case, run.base):
+        if alternative == "*" or alternative in (run.case, run.base_case):
             return True
         if alternative.endswith("*") and run.case.startswith(alternative[:-1]):
             return True
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -1,4 +1,5 @@
-"""Plays the runs of an experiment, side by side, and gathers their figures in the order of the plan."""
+"""Simulates the runs of an experiment in worker processes and collects their results in the order of the
+runs."""
 
 import os
 import time
@@ -17,45 +18,47 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentResult:
-    """All that an experiment has shown."""
+    """The results of all runs of an experiment, and the verdicts on its claims."""
 
     experiment: Experiment
     results: list[tuple[Run, SimulationResult]]
     verdicts: list[Verdict]
-    broken: list[str]  # rules that any run has broken
+    violations: list[str]  # descriptions of violated rules, over all runs
     took_s: float
 
     @property
     def holds(self) -> bool:
-        """Whether no rule was broken and all claims hold."""
-        return not self.broken and all(verdict.holds for verdict in self.verdicts)
+        """Whether no run violated a rule and all claims hold."""
+        return not self.violations and all(verdict.holds for verdict in self.verdicts)
 
 
 def simulate(run: Run) -> SimulationResult:
-    """One day; the same for the same run on every machine."""
-    kind = BareThresholdSelector if run.bare else LevelSelector
-    with tuned(run.module):
-        return SiteSimulation(run.site, run.load, run.faults, run.levels, run.seed, run.length_s, kind).run()
+    """Simulates one run. The result depends on the run alone, and is the same on every machine."""
+    selector_type = BareThresholdSelector if run.has_bare_thresholds else LevelSelector
+    with tuned(run.tunables):
+        return SiteSimulation(
+            run.site, run.load, run.faults, run.levels, run.seed, run.length_s, selector_type
+        ).run()
 
 
 def run_experiment(
     experiment: Experiment, workers: int = 0, progress: Progress | None = None
 ) -> ExperimentResult:
-    """Plays all runs on `workers` processes (0: one a core; 1: in this one)."""
-    began = time.monotonic()
+    """Simulates all runs on `workers` processes (0: one process for each core; 1: in this process)."""
+    started_at = time.monotonic()
     results: list[tuple[Run, SimulationResult]] = []
     for run, result in _simulate_all(experiment.runs, workers or os.cpu_count() or 1):
         results.append((run, result))
         if progress:
             progress(len(results), len(experiment.runs), run, result)
     figures = [(run, result.figures) for run, result in results]
-    broken = [
-        f"{run.case}, {run.variant}, seed {run.seed}: {what}"
+    violations = [
+        f"{run.case}, {run.variant}, seed {run.seed}: {violation}"
         for run, result in results
-        for what in result.broken
+        for violation in result.violations
     ]
     verdicts = [evaluate(claim, figures) for claim in experiment.claims]
-    return ExperimentResult(experiment, results, verdicts, broken, time.monotonic() - began)
+    return ExperimentResult(experiment, results, verdicts, violations, time.monotonic() - started_at)
 
 
 def _simulate_all(runs: list[Run], workers: int) -> Iterable[tuple[Run, SimulationResult]]:
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -1,4 +1,5 @@
-"""A site of the lab's own: what its TOML file says, checked whole, and what the module is told of it."""
+"""The lab's model of a site: reads and checks a site's TOML file and creates the admission controllers of
+its servers."""
 
 import math
 from collections.abc import Callable
@@ -23,7 +24,7 @@
 
 
 class InvalidInputError(Exception):
-    """What is wrong with a file of the lab, in one line that names the file and the key."""
+    """A file of the lab is invalid. The message is one line that names the file and the key."""
 
 
 class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -31,12 +32,12 @@
 
 
 class ProductSection(_Strict, kw_only=True, frozen=True):
-    """A product and what its requests are like."""
+    """A product and the properties of its requests."""
 
     name: str
     share: Positive
-    work_ms: Positive  # mean on a core of speed 1
-    cv: Positive = 0.8  # of the lognormal work
+    work_ms: Positive  # mean work of a request, in ms on a core of speed 1
+    cv: Positive = 0.8  # coefficient of variation of the lognormal work
     sla_ms: Positive
     expiry_ms: Positive
     value: Positive = 1.0
@@ -45,7 +46,7 @@
     window_ms: float = 0.0
     calls: Annotated[int, msgspec.Meta(ge=0)] = 0
     omit_value: Share = 0.0
-    has_key: bool = True  # names its user
+    has_key: bool = True  # requests carry the key of their user
 
 
 class TenantSection(_Strict, kw_only=True, frozen=True):
@@ -56,56 +57,59 @@
 
 
 class ServerSection(_Strict, kw_only=True, frozen=True):
-    """One kind for all, but for speed."""
+    """The servers. All are alike except for their speed."""
 
     count: Count = 2
     cores: Count = 4
-    speed: tuple[Positive, ...] = (1.0,)  # of a core, given to the servers in turn
-    crowd_at: Positive = 1.3  # runs a core from which on a crowd costs
-    crowd_loss: float = 0.7  # share of the whole lost for each run a core beyond
-    falls_at: Positive = 8.0  # runs a core in the mean of 2 s at which one dies; less while cold
-    read_share: Share = 0.25  # of the mean work: the cost of a read, whatever is then decided
-    cold_from: Share = 0.3  # of its speed a fresh server has
-    cold_s: float = 10.0
-    memory_runs: Positive = 14.0  # running requests a core that fill the memory
-    run_factor: Positive = 16.0
-    held_kb: Positive = 40.0
-    ref_kb: float = 20.0
-    grace_ms: float = 2500.0  # of a drain: what arrives later is not run
-    stop_ms: float = 5000.0  # from the notice to leave to the stop
-    away_most_ms: float = 1000.0
+    speed: tuple[Positive, ...] = (1.0,)  # speeds of a core, assigned to the servers in rotation
+    crowd_at: Positive = 1.3  # running requests per core above which contention slows the server
+    crowd_loss: float = 0.7  # share of the speed lost for each further running request per core
+    falls_at: Positive = (
+        8.0  # running requests per core, mean over 2 s, at which a server crashes; fewer if cold
+    )
+    read_share: Share = 0.25  # work of reading any request, rejected ones too, as a share of the mean work
+    cold_from: Share = 0.3  # share of the full speed right after a cold start
+    cold_s: float = 10.0  # time from a cold start to the full speed, in s
+    memory_runs: Positive = 14.0  # running requests per core that fill the memory
+    run_factor: Positive = 16.0  # memory of a running request as a multiple of a queued one's
+    held_kb: Positive = 40.0  # memory of a queued request, in KB
+    ref_kb: float = 20.0  # memory of an idempotency entry, in KB
+    grace_ms: float = 2500.0  # requests that arrive later than this after the start of a drain are not run
+    stop_ms: float = 5000.0  # time from the shutdown notice to the end of the process, in ms
+    away_most_ms: float = 1000.0  # maximum Retry-After, in ms
     say: Literal["", "credit", "rank"] = "credit"
 
     @property
     def memory_kb(self) -> float:
-        """The limit of a server's memory."""
+        """The memory limit of a server, in KB."""
         return self.held_kb * self.run_factor * self.memory_runs * self.cores
 
 
 class DownstreamSection(_Strict, kw_only=True, frozen=True):
-    """The records tier: so many calls at a time, the rest wait in a bounded line."""
+    """The records service, which runs a fixed number of calls at a time and has a bounded queue."""
 
-    slots: Count = 12
-    call_ms: Positive = 40.0
-    cv: Positive = 0.6
-    line: Count = 40
+    slots: Count = 12  # calls that run at a time
+    call_ms: Positive = 40.0  # mean duration of a call
+    cv: Positive = 0.6  # coefficient of variation of the lognormal duration
+    line: Count = 40  # maximum number of queued calls
 
 
 class GatewaysSection(_Strict, kw_only=True, frozen=True):
-    """What stands in front. Shares are of the gateways: the first so many have the habit."""
+    """The gateways. A share such as `heeds_away` is the share of the gateways, counted from the first, that
+    behave in this way."""
 
     count: Count = 4
     choose: Literal["round", "subject", "least"] = "round"
     tries: Count = 2
-    # of the expiry: the longest that a try may take
+    # maximum time of one attempt, as a share of the request's expiry
     try_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0
-    heeds_away: Share = 0.5
-    heeds_stop: Share = 0.5
-    heeds_load: Share = 0.0
-    marks: bool = True  # further tries are marked
-    notice_ms: float = 1500.0  # until they hear that a server comes or goes
-    leaves: Share = 0.0  # of the callers that go away half-way
-    net_ms: float = 0.5  # one way
+    heeds_away: Share = 0.5  # gateways that honour Retry-After
+    heeds_stop: Share = 0.5  # gateways that do not retry after a final rejection
+    heeds_load: Share = 0.0  # gateways that honour the load advertised by servers
+    marks: bool = True  # retries are marked as such
+    notice_ms: float = 1500.0  # mean delay until a gateway learns that a server was added or removed
+    leaves: Share = 0.0  # share of the callers that disconnect before the expiry
+    net_ms: float = 0.5  # one-way network latency
 
 
 class Site(_Strict, kw_only=True, frozen=True):
@@ -116,11 +120,11 @@
     server: ServerSection = ServerSection()
     below: DownstreamSection = DownstreamSection()
     gateways: GatewaysSection = GatewaysSection()
-    keys: Count = 5000  # distinct users
-    zipf: float = 0.8  # how much more some come than others
-    # requests of a session that goes on as each settles
+    keys: Count = 5000  # number of distinct users
+    zipf: float = 0.8  # exponent of the Zipf distribution of requests over users
+    # mean number of requests in a session, each sent when the one before has completed; None: no sessions
     session_mean: Annotated[float, msgspec.Meta(ge=1)] | None = None
-    keys_known: bool = True  # whether servers are told them
+    keys_known: bool = True  # requests carry the key of their user
 
     @property
     def products(self) -> list[RequestClass]:
@@ -147,46 +151,47 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean work of a request, on a core of speed 1."""
-        whole = sum(p.share for p in self.product)
-        return sum(p.share / whole * p.work_ms for p in self.product)
+        """Mean work of a request, in ms on a core of speed 1."""
+        total_share = sum(p.share for p in self.product)
+        return sum(p.share / total_share * p.work_ms for p in self.product)
 
     @property
     def read_ms(self) -> float:
-        """Work of reading a request."""
+        """Work of reading a request, in ms on a core of speed 1."""
         return self.server.read_share * self.mean_work_ms
 
     @property
     def capacity(self) -> float:
-        """Txns a ms that all cores can read and run, with no crowd."""
+        """Requests per ms that all cores together can read and run without contention."""
         speeds = [self.server.speed[n % len(self.server.speed)] for n in range(self.server.count)]
         return self.server.cores * sum(speeds) / (self.mean_work_ms + self.read_ms)
 
     def create_controller(
         self, instance: int, seed: int
     ) -> Callable[[float, bool, float], AdmissionController]:
-        """What a core makes its AdmissionController with: create_controller(now, warm, up_ms)."""
-        s = self.server
+        """Returns the function create(now, warm, up_ms) with which a request core creates its
+        AdmissionController."""
+        section = self.server
 
-        def make(now: float, warm: bool, up_ms: float) -> AdmissionController:
+        def create(now: float, warm: bool, up_ms: float) -> AdmissionController:
             controller = AdmissionController(
                 now,
                 ControllerSettings(
                     request_classes=self.products,
                     tenants=self.tenants,
-                    cores=s.cores,
+                    cores=section.cores,
                     callers=self.gateways.count,
-                    memory_kb=s.memory_kb,
-                    run_memory_factor=s.run_factor,
-                    idempotency_entry_kb=s.ref_kb,
-                    max_concurrency_per_core=s.falls_at,
+                    memory_kb=section.memory_kb,
+                    run_memory_factor=section.run_factor,
+                    idempotency_entry_kb=section.ref_kb,
+                    max_concurrency_per_core=section.falls_at,
                     is_cold_start=not warm,
-                    slow_start_from=s.cold_from,
-                    slow_start_ms=s.cold_s * 1000,
-                    drain_grace_ms=s.grace_ms,
+                    slow_start_from=section.cold_from,
+                    slow_start_ms=section.cold_s * 1000,
+                    drain_grace_ms=section.grace_ms,
                     clock_tick_ms=4.0,
-                    load_signal=LoadSignal(s.say),
-                    limits=Limits(max_retry_after_ms=s.away_most_ms),
+                    load_signal=LoadSignal(section.say),
+                    limits=Limits(max_retry_after_ms=section.away_most_ms),
                     max_idle_timeout_ms=math.inf,
                     can_stop_requests=False,
                     downstream=DownstreamKind.TIER,
@@ -200,28 +205,31 @@
             controller.start()
             return controller
 
-        return make
+        return create
 
 
-def convert(told: Any, kind: type[Any], where: str) -> Any:
-    """`told` as `kind`; InvalidInputError names the place as msgspec knows it."""
+def convert(values: Any, kind: type[Any], where: str) -> Any:
+    """Converts decoded TOML to `kind`. Raises InvalidInputError with the location that msgspec reports."""
     try:
-        return msgspec.convert(told, kind)
+        return msgspec.convert(values, kind)
     except msgspec.ValidationError as error:
-        what, _, at = str(error).partition(" - at `")
-        key = at.rstrip("`").lstrip("$").lstrip(".")
-        raise InvalidInputError(": ".join(filter(None, (where, key, what)))) from None
+        problem, _, location = str(error).partition(" - at `")
+        key = location.rstrip("`").lstrip("$").lstrip(".")
+        raise InvalidInputError(": ".join(filter(None, (where, key, problem)))) from None
 
 
-def site_of(told: dict[str, Any], where: str) -> Site:
-    """A site from its decoded TOML."""
-    site: Site = convert(told, Site, where)
+def site_of(values: dict[str, Any], where: str) -> Site:
+    """Converts a site's decoded TOML and checks it. Raises InvalidInputError; `where` names the file in its
+    message."""
+    site: Site = convert(values, Site, where)
     for n, product in enumerate(site.product, 1):
         if product.sla_ms > product.expiry_ms:
             raise InvalidInputError(f"{where}: product[{n}].sla_ms: {product.sla_ms:g} is above expiry_ms")
         if product.effect == "referenced" and product.window_ms <= 0:
-            raise InvalidInputError(f"{where}: product[{n}].window_ms: a referenced product needs one")
+            raise InvalidInputError(
+                f"{where}: product[{n}].window_ms: must be above 0 for a referenced product"
+            )
     names = [product.name for product in site.product]
     if len(set(names)) != len(names):
-        raise InvalidInputError(f"{where}: product: a name stands twice")
+        raise InvalidInputError(f"{where}: product: two products have the same name")
     return site
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -134,8 +134,8 @@
     figures = [(run, {"value": 0.5 + better[run.seed] * (run.variant == "levels")}) for run in runs]
 
     def holds(**how: object) -> bool:
-        told = dict(text="t", cases="evening", figure="value", variant="levels") | how
-        return evaluate(ClaimSection(**told), figures).holds
+        claim = dict(text="t", cases="evening", figure="value", variant="levels") | how
+        return evaluate(ClaimSection(**claim), figures).holds
 
     assert holds(over="none", above=0.0) and not holds(over="none", above=0.1)
     assert holds(over="none", within=0.16) and not holds(over="none", within=0.14)
@@ -157,13 +157,13 @@
         (
             'name = "none"',
             'name = "none"\nmodule = { HOLDWAIT = 1 }',
-            "variant none: the module has no constant",
+            "variant none: there is no tunable constant 'HOLDWAIT'",
         ),
         ('"../deploy/levels.toml"', '"../deploy/balancer.toml"', "variant levels: balancer.toml"),
         ('shape = "ramp"', 'shape = "slope"', "case[1].load"),
-        ("at = 0.7", 'at = "$low"', "the grid has no 'low'"),
+        ("at = 0.7", 'at = "$low"', "the grid has no value 'low'"),
         ("length_s = 240", "length_s = -1", "case"),
-        ("length_s = 240", 'length_s = 240\nvariants = ["no"]', "case[1].variants: there is no 'no'"),
+        ("length_s = 240", 'length_s = 240\nvariants = ["no"]', "case[1].variants: there is no variant 'no'"),
         (
             "length_s = 240",
             'length_s = 9\ntrouble = [{ kind = "dead", at_s = 1, servers = [9] }]',
@@ -174,12 +174,12 @@
             "[[chart]]",
             '[[claim]]\ntext = "t"\ncases = "no*"\nfigure = "value"\nvariant = "none"\nat_most = 1\n\n'
             "[[chart]]",
-            "claim[1].cases: 'no*' fits no case",
+            "claim[1].cases: 'no*' matches no case of variant none",
         ),
         (
             "[[chart]]",
             '[[claim]]\ntext = "t"\ncases = "*"\nfigure = "value"\nvariant = "none"\n\n[[chart]]',
-            "claim[1]: it states no bound",
+            "claim[1]: no bound is given (at_least, at_most, above or within)",
         ),
     ],
 )
@@ -219,8 +219,8 @@
         done = lab("run", str(file), "--out", str(tmp_path / "out"), "--seeds", "1,2", "--workers", "2")
         assert done.returncode == code, done.stderr
         assert ("holds" if code == 0 else "FAILS") + "  it is served" in done.stdout
-    told = json.loads((tmp_path / "out/results.json").read_text())
-    assert told["holds"] is False and told["simulated"] is True and len(told["runs"]) == 4
+    results = json.loads((tmp_path / "out/results.json").read_text())
+    assert results["holds"] is False and results["simulated"] is True and len(results["runs"]) == 4
     assert (tmp_path / "out/evening.svg").read_text().lstrip().startswith("<?xml")
     assert (tmp_path / "out/figures.csv").read_text().count("\n") == 5
     assert "FAILS  it is served" in lab("show", str(tmp_path / "out")).stdout
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -47,8 +47,8 @@
 @pytest.mark.parametrize("levels", [None, TABLE], ids=["none", "levels"])
 def test_no_rule_is_broken_and_the_same_seed_gives_the_same_day(levels: object) -> None:
     first, again = day(ALL, levels), day(ALL, levels)
-    assert first.broken == [] and first.figures["broken"] == 0 and first.figures["failed_steps"] == 0
-    assert first.figures == again.figures and first.moves == again.moves
+    assert first.violations == [] and first.figures["broken"] == 0 and first.figures["failed_steps"] == 0
+    assert first.figures == again.figures and first.transitions == again.transitions
     assert first.figures["txns"] > 1000 and 0.1 < first.figures["value"] < 0.9
     assert day(ALL, levels, seed=4).figures != first.figures
 
@@ -63,7 +63,7 @@
         close(at, request)
 
     monkeypatch.setattr(RequestTable, "close", forgets)
-    found = day([]).broken
+    found = day([]).violations
     assert lost and any(what.startswith("rule 1") and "no answer" in what for what in found)
 
 
@@ -78,7 +78,7 @@
         finish_run(at, request, outcome, body)
 
     monkeypatch.setattr(RequestTable, "finish_run", twice)
-    assert any("rule 2" in what and "twice" in what for what in day([]).broken)
+    assert any("rule 2" in what and "twice" in what for what in day([]).violations)
 
 
 def test_a_decline_of_what_has_run_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -89,7 +89,7 @@
 
     monkeypatch.setitem(core._REQUEST_COMMANDS, commands.FailRequest, declines)
     slow = [Fault(kind="slow", at_s=2, for_s=40, times=40.0)]
-    assert any("rule 2" in what and "declined" in what for what in day(slow).broken)
+    assert any("rule 2" in what and "declined" in what for what in day(slow).violations)
 
 
 def test_a_run_past_the_grace_of_a_drain_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -102,7 +102,7 @@
     monkeypatch.setattr(Draining, "_begin", never_stops_taking)
     late = msgspec.structs.replace(SITE.gateways, notice_ms=9000.0)
     site = msgspec.structs.replace(SITE, gateways=late)
-    found = day([Fault(kind="release", at_s=8, for_s=1)], site=site).broken
+    found = day([Fault(kind="release", at_s=8, for_s=1)], site=site).violations
     assert any("rule 3" in what for what in found)
 
 
@@ -110,7 +110,9 @@
     monkeypatch.setattr(ConcurrencyLimiter, "may_start", lambda *_: True)
     monkeypatch.setattr(AdmissionQueues, "_cannot_be_on_time", lambda *_: False)
     monkeypatch.setattr(memory_budget, "MAX_QUEUED_MEMORY_SHARE", 9.0)
-    assert any("rule 4" in what for what in day([], None, load=[LoadPart(shape="constant", at=2.5)]).broken)
+    assert any(
+        "rule 4" in what for what in day([], None, load=[LoadPart(shape="constant", at=2.5)]).violations
+    )
 
 
 def test_bare_thresholds_flip_where_the_ladder_holds() -> None:
