--- a/otterrudder/lab/__init__.py
+++ b/otterrudder/lab/__init__.py
@@ -1,10 +1,11 @@
-"""The lab: whole sites in simulated time, to show what takes minutes of load and many seeds.
+"""The lab: simulates whole sites, for questions that need minutes of load and many seeds.
 
-Each server of a site is a real `net.core.Core` with a real AdmissionController, driven in batches as the
-dispatcher drives it. Cores, the tier below, gateways and faults are models (`cores`, `downstream`,
-`gateways`, `faults`); `checker` keeps a ledger of its own on the four rules. An experiment (`plan`) is a TOML
-file: a site, cases, variants, seeds, claims; `runner` plays it and `report` writes tables and charts. Chance
-comes from numpy generators, a stream for each source (`streams`), so that the same seed gives the same day on
-every machine and variants meet the same arrivals and faults.
+Each server of a site (`server`) is a real `net.core.RequestCore` with a real AdmissionController, driven in
+batches as the dispatcher drives it. The CPU cores, the downstream service, the gateways and the faults are
+models (`cores`, `downstream`, `gateways`, `faults`). `day` runs one simulation, and `checker` checks the four
+rules from records of its own. An experiment (`plan`) is a TOML file with a site, cases, variants, seeds and
+claims; `runner` simulates it and `report` writes tables and charts. Random numbers come from numpy
+generators, one for each source (`streams`): the same seed gives the same simulation on every machine, and all
+variants get the same arrivals and faults.
 
-Its libraries are the extra `lab`; nothing that `serve` uses imports it. All figures are simulated."""
+Its libraries are the extra `lab`, and nothing that `serve` uses imports it. All figures are simulated."""
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -138,7 +138,7 @@
 
     def _continue_session(self, offered: OfferedRequest) -> None:
         if self.engine.now < self.length_ms:
-            next_request = self.arrivals.next_of(offered, self.engine.now)
+            next_request = self.arrivals.next_in_session(offered, self.engine.now)
             self.engine.after(0.0, self.gateways[next_request.gateway].take, next_request)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
@@ -197,20 +197,20 @@
             memory_peak=max(s.memory_peak for s in self.servers),
             crowd_peak=max(s.contention_peak for s in self.servers),
             below_full=self.downstream.full / max(self.downstream.calls, 1),
-            p50_ms=_quantile(statistics.times, 0.5),
-            p99_ms=_quantile(statistics.times, 0.99),
+            p50_ms=_quantile(statistics.response_times, 0.5),
+            p99_ms=_quantile(statistics.response_times, 0.99),
             failed_steps=float(self.log_counts.get("admission command failed", 0)),
         )
         for n, product in enumerate(statistics.products):
             figures[f"served.{product.name}"] = statistics.served(n)
-        ended = sum(statistics.ends.values()) or 1
-        figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.ends.items()}
+        ended = sum(statistics.outcomes.values()) or 1
+        figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.outcomes.items()}
         figures |= self._level_figures(length_s) | self._session_figures(length_s)
         return SimulationResult(figures, self.transitions, checker.violations, self._series())
 
     def _min_value(self, span_s: int) -> float:
         """The lowest served share of value in any span of `span_s` seconds, in steps of 2 s."""
-        seconds = len(self.statistics.seconds)
+        seconds = len(self.statistics.by_second)
         return min(
             (self.statistics.value(s, s + span_s) for s in range(0, max(seconds - span_s, 1), 2)), default=1.0
         )
@@ -273,7 +273,11 @@
         admitted_sessions = [session for session in ended_sessions if session.completed]
         completed = sum(not session.is_broken for session in ended_sessions)
         error = 1 - completed / len(admitted_sessions) if admitted_sessions else 0.0
-        response_s = float(np.mean(self.statistics.times)) / 1000 if self.statistics.times else float("inf")
+        response_s = (
+            float(np.mean(self.statistics.response_times)) / 1000
+            if self.statistics.response_times
+            else float("inf")
+        )
         throughput = completed / length_s
         return dict(
             session_throughput=throughput,
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -158,8 +158,8 @@
         self.open[server.number] = self.open.get(server.number, 0) + 1
         self.engine.after(self.part.net_ms, self._deliver, attempt)
         self.engine.after(wait, attempt.time_out)
-        if offered.patience < time_left:
-            self.engine.after(offered.patience, self._disconnect, attempt)
+        if offered.patience_ms < time_left:
+            self.engine.after(offered.patience_ms, self._disconnect, attempt)
 
     def _deliver(self, attempt: GatewayAttempt) -> None:
         if attempt.server.is_up:
@@ -226,8 +226,8 @@
         if session:
             session.completed += is_completed
             session.is_broken |= not is_completed
-            session.is_over = session.is_broken or not offered.left
-        if is_completed and offered.left:
+            session.is_over = session.is_broken or not offered.remaining_in_session
+        if is_completed and offered.remaining_in_session:
             self._on_completed(offered)
 
     def _choose(self, offered: OfferedRequest, tried: tuple[int, ...]) -> Server | None:
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -225,7 +225,7 @@
             is_retry=attempt.is_marked,
             idempotency_key=f"{offered.number:x}" if is_idempotent else "",
             body=b"",
-            criticality=offered.rank,
+            criticality=offered.criticality,
         )
         self.post_arrival(self.core.handle_arrival, attempt, attempt.number, offered.product, fields)
 
@@ -254,7 +254,7 @@
             self.engine.now, attempt.number, self.products[attempt.offered.product].retention_ms
         )
         offered = attempt.offered
-        run = self.runs[call] = Run(offered.work / (offered.calls + 1), offered.calls)
+        run = self.runs[call] = Run(offered.work_ms / (offered.calls + 1), offered.calls)
         self._work(call, run)
 
     def _work(self, call: str, run: Run) -> None:
