--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -107,8 +107,8 @@
                 seed=seed,
                 incarnations=incarnations,
                 levels=levels,
-                kind=selector_type,
-                logged=self._log,
+                selector_type=selector_type,
+                on_log=self._log,
             )
             for n in range(site.server.count)
         ]
@@ -139,7 +139,7 @@
     def _continue_session(self, offered: OfferedRequest) -> None:
         if self.engine.now < self.length_ms:
             next_request = self.arrivals.next_in_session(offered, self.engine.now)
-            self.engine.after(0.0, self.gateways[next_request.gateway].take, next_request)
+            self.engine.after(0.0, self.gateways[next_request.gateway].accept, next_request)
 
     def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
         self.log_counts[text] = self.log_counts.get(text, 0) + 1
@@ -169,7 +169,7 @@
     def _arrive(self, offered: OfferedRequest) -> None:
         if self.site.session_mean:
             self.statistics.sessions[offered.session] = Session()
-        self.gateways[offered.gateway].take(offered)
+        self.gateways[offered.gateway].accept(offered)
         self._schedule_next_arrival()
 
     def _check(self) -> None:
--- a/otterrudder/lab/faults.py
+++ b/otterrudder/lab/faults.py
@@ -92,8 +92,8 @@
             server.cores.set_factor(1 / fault.times)
             self.engine.after(span, server.cores.set_factor, 1.0)
         elif fault.kind == "freeze":
-            server.freeze(True)
-            self.engine.after(span, server.freeze, False)
+            server.set_frozen(True)
+            self.engine.after(span, server.set_frozen, False)
         elif fault.kind == "dead":
             server.kill()
             self.notifier.removed(server)
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -1,10 +1,9 @@
-"""Gateways and their habits: which server an attempt goes to, how long it waits, and what follows a rejection
-or a failure.
+"""Models of gateways: to which server an attempt is sent, how long it waits, and when it is retried.
 
-A gateway knows only what it was sent itself. Its endpoint list follows the servers' coming and going late.
-One that honours Retry-After leaves a server out for as long as it was asked; one that honours `is_final` does
-not retry; one that honours the load keeps no more open at a server than it advertised, and rejects a request
-itself when no server has capacity left."""
+A gateway knows only what servers have sent to it, and its endpoint list is updated late. Depending on its
+settings, a gateway honours Retry-After (sends nothing to the server for that time), `is_final` (does not
+retry), or the advertised load (keeps no more attempts open at a server than it advertised, and rejects a
+request itself when no server has capacity left)."""
 
 import math
 from collections.abc import Callable
@@ -25,28 +24,28 @@
     RequestRejected,
 )
 
-# Answers as the checker names them.
+# Names of the answers for the checker.
 ANSWERS = {
     RequestCompleted: "settled",
     RequestRejected: "declined",
     RequestFailed: "voided",
     RequestInvalid: "rejected",
 }
-RETRY_DELAY_MS = 1.0  # from a rejection to the next attempt
-MIN_TIME_LEFT_MS = 1.0  # below which there is no further attempt
-LOAD_TIE_BREAK = 97  # a prime above the number of servers
+RETRY_DELAY_MS = 1.0  # delay between a rejection or failure and the next attempt
+MIN_TIME_LEFT_MS = 1.0  # minimum time until the deadline for a further attempt
+LOAD_TIE_BREAK = 97  # modulus for ties between servers: a prime above the number of servers
 
 
 @dataclass(frozen=True, slots=True)
 class RetryState:
-    """What the attempts of a request have come to."""
+    """The previous attempts of a request."""
 
-    started_at: float  # ms, of the first attempt
-    tried: tuple[int, ...] = ()  # servers, in order
+    first_sent_at: float  # time of the first attempt, in ms
+    tried_servers: tuple[int, ...] = ()  # numbers of the servers, in the order of the attempts
 
 
 class GatewayAttempt:
-    """One attempt of a request at one server; the core's answers go to it."""
+    """One attempt of a request at one server. The server's core addresses its answers to this object."""
 
     __slots__ = (
         "at",
@@ -57,7 +56,7 @@
         "offered",
         "retry_state",
         "server",
-        "wait",
+        "max_wait",
     )
 
     def __init__(
@@ -67,7 +66,7 @@
         number: int,
         server: Server,
         at: float,
-        wait: float,
+        max_wait: float,
         retry_state: RetryState,
         is_marked: bool,
     ) -> None:
@@ -76,16 +75,16 @@
         self.number = number
         self.server = server
         self.at = at
-        self.wait = wait
+        self.max_wait = max_wait
         self.retry_state = retry_state
         self.is_marked = is_marked
         self.is_over = False
 
     def receive(self, server: Server, message: ConnectionMessage) -> None:
-        """An answer of the server, on its way to the gateway."""
+        """The server sends an answer, which reaches the gateway after the network latency."""
         self.gateway.checker.answered(self.gateway.engine.now, self.number, ANSWERS[type(message)])
         server.attempt_over(self)
-        self.gateway.engine.after(self.gateway.part.net_ms, self._finish, message)
+        self.gateway.engine.after(self.gateway.settings.net_ms, self._finish, message)
 
     def _finish(self, message: ConnectionMessage | None) -> None:
         if not self.is_over:
@@ -93,16 +92,16 @@
             self.gateway.attempt_finished(self, message)
 
     def reset(self, server: Server) -> None:
-        """The connection breaks with its server."""
+        """The connection to the server is reset."""
         self._finish(None)
 
     def time_out(self) -> None:
-        """It has waited for as long as it may."""
+        """The attempt has reached its maximum waiting time."""
         self._finish(None)
 
 
 class Gateway(EndpointListener):
-    """One gateway: sends its callers' requests to servers, and retries."""
+    """One gateway, which sends its callers' requests to servers and retries them."""
 
     def __init__(
         self,
@@ -119,75 +118,75 @@
         self.engine = engine
         self.checker = checker
         self.statistics = statistics
-        self.part: GatewaysSection = site.gateways
+        self.settings: GatewaysSection = site.gateways
         self.products = site.products
         self.servers = servers
         self.listed: list[int] = []
         self._next_number = next_number
         self._on_completed = on_completed
-        quantile = (number + 0.5) / self.part.count
-        self.honours_retry_after = quantile < self.part.heeds_away
-        self.honours_final = quantile < self.part.heeds_stop
-        self.honours_load = quantile < self.part.heeds_load
-        self.backed_off_until: dict[int, float] = {}  # by server
-        self.max_open: dict[int, float] = {}  # by server: the open attempts that it advertised
-        self.open: dict[int, int] = {}  # attempts by server
+        position = (number + 0.5) / self.settings.count
+        self.honours_retry_after = position < self.settings.heeds_away
+        self.honours_final = position < self.settings.heeds_stop
+        self.honours_load = position < self.settings.heeds_load
+        self.backed_off_until: dict[int, float] = {}  # end of the Retry-After time in ms, by server
+        self.max_open: dict[int, float] = {}  # advertised maximum of open attempts, by server
+        self.open_attempts: dict[int, int] = {}  # number of open attempts, by server
         self._round_robin = number
 
-    def take(self, offered: OfferedRequest) -> None:
-        """A caller asks for a request."""
+    def accept(self, offered: OfferedRequest) -> None:
+        """A caller sends a request."""
         self.statistics.asked(offered.at, offered.product)
         self._attempt(offered, RetryState(self.engine.now))
 
     def _attempt(self, offered: OfferedRequest, state: RetryState) -> None:
         now = self.engine.now
         deadline_ms = self.products[offered.product].deadline_ms
-        time_left = state.started_at + deadline_ms - now
-        may_try = time_left > MIN_TIME_LEFT_MS and len(state.tried) < self.part.tries
-        server = self._choose(offered, state.tried) if may_try else None
+        time_left = state.first_sent_at + deadline_ms - now
+        may_try = time_left > MIN_TIME_LEFT_MS and len(state.tried_servers) < self.settings.tries
+        server = self._choose(offered, state.tried_servers) if may_try else None
         if server is None:
-            self._end(offered, REJECTED if state.tried else UNREACHABLE)
+            self._finish_request(offered, REJECTED if state.tried_servers else UNREACHABLE)
             return
-        wait = min(time_left, deadline_ms * self.part.try_share)
-        arrives_at = now + self.part.net_ms
-        is_marked = bool(state.tried) and self.part.marks
+        max_wait = min(time_left, deadline_ms * self.settings.try_share)
+        arrives_at = now + self.settings.net_ms
+        is_marked = bool(state.tried_servers) and self.settings.marks
         attempt = GatewayAttempt(
-            self, offered, self._next_number(), server, arrives_at, wait, state, is_marked
+            self, offered, self._next_number(), server, arrives_at, max_wait, state, is_marked
         )
         self.statistics.attempts += 1
-        self.open[server.number] = self.open.get(server.number, 0) + 1
-        self.engine.after(self.part.net_ms, self._deliver, attempt)
-        self.engine.after(wait, attempt.time_out)
+        self.open_attempts[server.number] = self.open_attempts.get(server.number, 0) + 1
+        self.engine.after(self.settings.net_ms, self._deliver, attempt)
+        self.engine.after(max_wait, attempt.time_out)
         if offered.patience_ms < time_left:
             self.engine.after(offered.patience_ms, self._disconnect, attempt)
 
     def _deliver(self, attempt: GatewayAttempt) -> None:
         if attempt.server.is_up:
-            attempt.server.take(attempt)
+            attempt.server.receive(attempt)
         else:
             attempt.reset(attempt.server)
 
     def _disconnect(self, attempt: GatewayAttempt) -> None:
-        """The caller has lost its patience."""
+        """The caller disconnects before it has an answer."""
         if attempt.is_over:
             return
         attempt.is_over = True
-        self.open[attempt.server.number] -= 1
+        self.open_attempts[attempt.server.number] -= 1
         if attempt.server.is_up:
             attempt.server.disconnected(attempt)
             attempt.server.attempt_over(attempt)
-        self._end(attempt.offered, FAILED)
+        self._finish_request(attempt.offered, FAILED)
 
     def attempt_finished(self, attempt: GatewayAttempt, message: ConnectionMessage | None) -> None:
-        """`message`: None if there was no answer, be it in time or at all."""
+        """An attempt has ended. `message` is None if there was no answer in time."""
         server = attempt.server.number
-        self.open[server] -= 1
+        self.open_attempts[server] -= 1
         offered = attempt.offered
-        state = replace(attempt.retry_state, tried=(*attempt.retry_state.tried, server))
+        state = replace(attempt.retry_state, tried_servers=(*attempt.retry_state.tried_servers, server))
         match message:
             case RequestCompleted():
                 self._note_load(server, message.load)
-                self._end(offered, COMPLETED)
+                self._finish_request(offered, COMPLETED)
             case RequestRejected():
                 self._note_load(server, message.load)
                 self._handle_rejection(offered, state, server, message)
@@ -204,14 +203,15 @@
             until = self.engine.now + message.retry_after_ms
             self.backed_off_until[server] = max(self.backed_off_until.get(server, 0.0), until)
         if message.is_final and self.honours_final:
-            self._end(offered, REJECTED)
+            self._finish_request(offered, REJECTED)
         else:
             self.engine.after(RETRY_DELAY_MS, self._attempt, offered, state)
 
     def _retry_after_failure(self, offered: OfferedRequest, state: RetryState) -> None:
-        """Only what may run twice goes to another server: servers share no idempotency keys."""
-        if self.products[offered.product].retention_ms or len(state.tried) >= self.part.tries:
-            self._end(offered, FAILED)
+        """Retries a request at another server only if it may run twice, as servers do not share their
+        idempotency keys."""
+        if self.products[offered.product].retention_ms or len(state.tried_servers) >= self.settings.tries:
+            self._finish_request(offered, FAILED)
         else:
             self.engine.after(RETRY_DELAY_MS, self._attempt, offered, state)
 
@@ -219,7 +219,7 @@
         if load is not None:
             self.max_open[server] = load
 
-    def _end(self, offered: OfferedRequest, outcome: str) -> None:
+    def _finish_request(self, offered: OfferedRequest, outcome: str) -> None:
         self.statistics.ended(offered.at, self.engine.now, offered.product, outcome)
         is_completed = outcome == COMPLETED
         session = self.statistics.sessions.get(offered.session)
@@ -230,21 +230,23 @@
         if is_completed and offered.remaining_in_session:
             self._on_completed(offered)
 
-    def _choose(self, offered: OfferedRequest, tried: tuple[int, ...]) -> Server | None:
-        """The server of the next attempt, by the gateway's way to choose; None if none is left."""
+    def _choose(self, offered: OfferedRequest, tried_servers: tuple[int, ...]) -> Server | None:
+        """The server of the next attempt by the `choose` setting; None if no server is available."""
         now = self.engine.now
-        known = [n for n in self.listed if n not in tried]
-        candidates = [n for n in known if self.backed_off_until.get(n, 0.0) <= now] or known
+        untried = [n for n in self.listed if n not in tried_servers]
+        candidates = [n for n in untried if self.backed_off_until.get(n, 0.0) <= now] or untried
         if self.honours_load:
-            candidates = [n for n in candidates if self.open.get(n, 0) < self.max_open.get(n, math.inf)]
+            candidates = [
+                n for n in candidates if self.open_attempts.get(n, 0) < self.max_open.get(n, math.inf)
+            ]
         if not candidates:
             return None
-        if self.part.choose == "subject" and offered.key:
+        if self.settings.choose == "subject" and offered.key:
             return self.servers[candidates[offered.key % len(candidates)]]
-        if self.part.choose == "least":
+        if self.settings.choose == "least":
             return self.servers[min(candidates, key=self._least_open_order)]
         self._round_robin += 1
         return self.servers[candidates[self._round_robin % len(candidates)]]
 
     def _least_open_order(self, server: int) -> tuple[int, int]:
-        return self.open.get(server, 0), (server - self._round_robin) % LOAD_TIE_BREAK
+        return self.open_attempts.get(server, 0), (server - self._round_robin) % LOAD_TIE_BREAK
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -1,9 +1,9 @@
-"""One server of a site: a real request core driven as the dispatcher drives it, on modelled cores.
+"""One server of a site: a real request core, driven as the dispatcher drives it, on a model of CPU cores.
 
-A batch is the time first, then events of the runtime and the downstream service, then arrivals, the tick if
-it is due, then what the core sends; what comes at one instant makes one batch. The process may be killed,
-frozen, slowed or drained by faults, and crashes by itself for want of memory or by contention, as the
-platform's would."""
+All events of one instant form a batch. A batch sets the core's time, handles events of the runtime and the
+downstream service, then arrivals, then the tick if it is due, and delivers the messages that the core sends.
+Faults may kill, freeze, slow down or drain the process. It crashes by itself when its memory is exhausted or
+when too many requests run on its cores."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -34,43 +34,46 @@
 )
 from otterrudder.net.requests import RequestFields
 
-DAY_START_UNIX_MS = 1.7e12
-CLOSE_DELAY_MS = 1.0  # from the command to close to the end of the process
-SPREAD_STEP = 0.618034  # spreads the servers' lags evenly, however many there are
+START_UNIX_MS = 1.7e12  # wall-clock time at the start of the simulation
+CLOSE_DELAY_MS = 1.0  # time from the command to close connections to the end of the process
+SPREAD_STEP = 0.618034  # golden ratio: gives evenly spread values for any number of servers
 SPREAD_START = 0.1
 GAUGES = ["busy", "on_cores"]
-Logged = Callable[[float, int, str, dict[str, Any]], None]
+LogCallback = Callable[[float, int, str, dict[str, Any]], None]
 
 
 class Attempt(Protocol):
-    """One attempt of a request at this server, as its gateway made it; the core's answers go to it."""
+    """One attempt of a request at this server. The core addresses its answers to this object."""
 
     number: int
     offered: OfferedRequest
-    at: float  # ms: when it reached the machine
-    wait: float  # ms that its gateway waits for an answer
-    is_marked: bool  # as a retry
+    at: float  # time at which it reaches the server, in ms
+    max_wait: float  # time for which its gateway waits for an answer, in ms
+    is_marked: bool  # marked as a retry
     is_over: bool
 
     def receive(self, server: "Server", message: ConnectionMessage) -> None:
-        """An answer of the server."""
+        """The server sends an answer."""
 
     def reset(self, server: "Server") -> None:
-        """Its connection breaks with the server."""
+        """The connection is reset because the server's process has ended."""
 
 
-class Run:
-    """A started request on the cores or at a call."""
+class ActiveRun:
+    """A started request, which is running on the cores or waiting for a downstream call.
 
-    __slots__ = ("calls_left", "job", "part")
+    Its work is divided evenly into stages, with one downstream call between two stages.
+    """
 
-    def __init__(self, part: float, calls: int) -> None:
-        self.part, self.calls_left = part, calls  # ms of work between two calls
+    __slots__ = ("calls_left", "job", "stage_work_ms")
+
+    def __init__(self, stage_work_ms: float, calls: int) -> None:
+        self.stage_work_ms, self.calls_left = stage_work_ms, calls
         self.job: Job | None = None
 
 
 class Server:
-    """A server's process, which may be started more than once."""
+    """A server, whose process may be started more than once."""
 
     def __init__(
         self,
@@ -83,8 +86,8 @@
         seed: int,
         incarnations: "Iterator[int]",
         levels: LevelTable | None,
-        kind: type[LevelSelector],
-        logged: Logged,
+        selector_type: type[LevelSelector],
+        on_log: LogCallback,
     ) -> None:
         self.number = number
         self.site = site
@@ -93,36 +96,40 @@
         self.checker = checker
         self.seed = seed
         self.incarnations = incarnations
-        self.table = levels
-        self.selector_type = kind
-        self.logged = logged
+        self.level_table = levels
+        self.selector_type = selector_type
+        self.on_log = on_log
         self.products = site.products
-        part = site.server
-        speed = part.speed[number % len(part.speed)]
-        self.cores = Cores(engine, part.cores, speed, part.crowd_at, part.crowd_loss)
+        section = site.server
+        speed = section.speed[number % len(section.speed)]
+        self.cores = Cores(engine, section.cores, speed, section.crowd_at, section.crowd_loss)
         self.is_up = False
         self.is_frozen = False
         self.is_draining = False
         self.core: RequestCore
         self.incarnation = 0
-        self.memory_limit_kb = part.memory_kb
-        self.memory_peak = 0.0  # share of the limit
-        self.contention_peak = 0.0  # jobs a core over those at which a server crashes
+        self.memory_limit_kb = section.memory_kb
+        self.memory_peak = 0.0  # maximum of the memory in use, as a share of the limit
+        # maximum of the recent jobs per core, as a share of the number at which the server crashes
+        self.contention_peak = 0.0
 
     def spread(self) -> float:
-        """Which share of the longest lag this server's levels have."""
+        """This server's position in the range of delays by which servers spread their level changes, from 0
+        to 1."""
         return (self.number * SPREAD_STEP + SPREAD_START) % 1.0
 
     def start(self, warm: bool) -> None:
-        """The process comes up; cold but at the day's start."""
-        self.incarnation = next(self.incarnations)  # a number for each start, of all servers of the day
-        part = self.site.server
-        self.cores.start(1.0 if warm else part.cold_from, 0.0 if warm else part.cold_s * 1000)
-        controller = LevelController(self.table, self.spread(), self.selector_type) if self.table else None
+        """Starts the process, `warm` only at the start of the simulation."""
+        self.incarnation = next(self.incarnations)  # unique over all servers and starts
+        section = self.site.server
+        self.cores.start(1.0 if warm else section.cold_from, 0.0 if warm else section.cold_s * 1000)
+        controller = (
+            LevelController(self.level_table, self.spread(), self.selector_type) if self.level_table else None
+        )
         create_controller = self.site.create_controller(self.number + 1, self.seed * 1000 + self.incarnation)
         self.core = RequestCore(create_controller, self.products, GAUGES, controller)
         self.attempts: dict[str, Attempt] = {}
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, ActiveRun] = {}
         self.urgent: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.arrivals: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.tick_at = math.inf
@@ -130,19 +137,19 @@
         self.is_up = True
         self.is_draining = False
         self.is_frozen = False
-        self.post(self.core.handle_runtime_ready, warm, part.cold_s * 1000 if warm else 0.0)
+        self.post(self.core.handle_runtime_ready, warm, section.cold_s * 1000 if warm else 0.0)
         self.post(self.core.handle_link_established)
 
     # The mailbox.
 
-    def post(self, act: Callable[..., object], *args: object) -> None:
-        """Puts an event of the runtime or the downstream service into the mailbox."""
-        self.urgent.append((act, args))
+    def post(self, handler: Callable[..., object], *args: object) -> None:
+        """Adds an event of the runtime or the downstream service to the next batch."""
+        self.urgent.append((handler, args))
         self._schedule_batch()
 
-    def post_arrival(self, act: Callable[..., object], *args: object) -> None:
-        """Puts an event of a gateway into the mailbox, to be played after the others."""
-        self.arrivals.append((act, args))
+    def post_arrival(self, handler: Callable[..., object], *args: object) -> None:
+        """Adds an event of a gateway to the next batch, to be handled after the other events."""
+        self.arrivals.append((handler, args))
         self._schedule_batch()
 
     def _schedule_batch(self) -> None:
@@ -157,9 +164,9 @@
         now = self.engine.now
         urgent, self.urgent = self.urgent, []
         arrivals, self.arrivals = self.arrivals, []
-        self.core.advance_to(DAY_START_UNIX_MS + now, now)
-        for act, args in urgent + arrivals:
-            act(*args)
+        self.core.advance_to(START_UNIX_MS + now, now)
+        for handler, args in urgent + arrivals:
+            handler(*args)
         if now >= self.tick_at:
             late_ms = now - self.tick_at
             self.tick_at = math.inf
@@ -172,20 +179,20 @@
 
     def _deliver(self, destination: Any, message: Any) -> None:
         if destination is Destination.RUNTIME:
-            self._runtime(message)
+            self._handle_runtime_message(message)
         elif destination is Destination.RECORDS:
-            self._records(message)
+            self._handle_records_message(message)
         elif destination is Destination.DISPATCHER:
-            self._dispatcher(message)
+            self._handle_dispatcher_message(message)
         elif destination is Destination.GATEWAYS:
             if isinstance(message, CloseConnections):
-                self.engine.after(CLOSE_DELAY_MS, self._stopped, self.incarnation)
+                self.engine.after(CLOSE_DELAY_MS, self._process_stopped, self.incarnation)
         elif destination is not None:
             destination.receive(self, message)
 
-    def _dispatcher(self, message: DispatcherMessage) -> None:
+    def _handle_dispatcher_message(self, message: DispatcherMessage) -> None:
         if isinstance(message, LogEntry):
-            self.logged(self.engine.now, self.number, message.text, message.fields)
+            self.on_log(self.engine.now, self.number, message.text, message.fields)
         else:
             self.tick_at = self.engine.now + message.delay_ms
             self.engine.at(self.tick_at, self._tick, self.incarnation)
@@ -196,29 +203,29 @@
 
     # Arrivals.
 
-    def take(self, attempt: Attempt) -> None:
-        """An attempt reaches the machine: its read waits for a core."""
-        self.cores.read(self.site.read_ms, lambda: self._was_read(attempt, self.incarnation))
+    def receive(self, attempt: Attempt) -> None:
+        """An attempt reaches the server and waits to be read by a core."""
+        self.cores.read(self.site.read_ms, lambda: self._read_finished(attempt, self.incarnation))
 
-    def _was_read(self, attempt: Attempt, incarnation: int) -> None:
+    def _read_finished(self, attempt: Attempt, incarnation: int) -> None:
         if incarnation != self.incarnation or not self.is_up:
             return
-        offered, call = attempt.offered, f"{attempt.number:016x}"
+        offered, request_id = attempt.offered, f"{attempt.number:016x}"
         request_class = self.products[offered.product]
         is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
-        self.attempts[call] = attempt
+        self.attempts[request_id] = attempt
         self.checker.received(
             self.engine.now,
             attempt.number,
             self.incarnation,
             attempt.at,
-            attempt.at + attempt.wait,
+            attempt.at + attempt.max_wait,
             0 if request_class.idempotency is Idempotency.SAFE else offered.number,
         )
         fields = RequestFields(
-            request_id=call,
-            received_at=DAY_START_UNIX_MS + attempt.at,
-            ttl_ms=attempt.wait,
+            request_id=request_id,
+            received_at=START_UNIX_MS + attempt.at,
+            ttl_ms=attempt.max_wait,
             size_kb=self.site.server.held_kb,
             tenant_index=offered.tenant,
             session_key=0 if is_idempotent else offered.key,
@@ -230,75 +237,75 @@
         self.post_arrival(self.core.handle_arrival, attempt, attempt.number, offered.product, fields)
 
     def disconnected(self, attempt: Attempt) -> None:
-        """Its caller has gone away."""
+        """The caller of the attempt has disconnected."""
         self.checker.disconnected(attempt.number)
         self.post_arrival(self.core.handle_disconnect, f"{attempt.number:016x}")
 
     # The runtime and the downstream service.
 
-    def _runtime(self, message: RuntimeMessage) -> None:
+    def _handle_runtime_message(self, message: RuntimeMessage) -> None:
         match message:
-            case StartRun(call):
-                self._start_run(call)
-            case DeliverReply(call) | SkipDownstreamCall(call) if call in self.runs:
-                self._work(call, self.runs[call])
-            case StopRun(call) if call in self.runs:
-                stopped = self.runs.pop(call)
+            case StartRun(request_id):
+                self._start_run(request_id)
+            case DeliverReply(request_id) | SkipDownstreamCall(request_id) if request_id in self.runs:
+                self._run_stage(request_id, self.runs[request_id])
+            case StopRun(request_id) if request_id in self.runs:
+                stopped = self.runs.pop(request_id)
                 if stopped.job:
                     self.cores.cancel(stopped.job)
-                self.post(self.core.handle_run_ended, call, Outcome.CANCELLED, b"")
+                self.post(self.core.handle_run_ended, request_id, Outcome.CANCELLED, b"")
 
-    def _start_run(self, call: str) -> None:
-        attempt = self.attempts[call]
+    def _start_run(self, request_id: str) -> None:
+        attempt = self.attempts[request_id]
         self.checker.started(
             self.engine.now, attempt.number, self.products[attempt.offered.product].retention_ms
         )
         offered = attempt.offered
-        run = self.runs[call] = Run(offered.work_ms / (offered.calls + 1), offered.calls)
-        self._work(call, run)
+        run = self.runs[request_id] = ActiveRun(offered.work_ms / (offered.calls + 1), offered.calls)
+        self._run_stage(request_id, run)
 
-    def _work(self, call: str, run: Run) -> None:
-        run.job = self.cores.run(run.part, lambda: self._worked(call, run))
+    def _run_stage(self, request_id: str, run: ActiveRun) -> None:
+        run.job = self.cores.run(run.stage_work_ms, lambda: self._stage_finished(request_id, run))
 
-    def _worked(self, call: str, run: Run) -> None:
+    def _stage_finished(self, request_id: str, run: ActiveRun) -> None:
         run.job = None
         if run.calls_left:
             run.calls_left -= 1
-            self.post(self.core.handle_call_needed, call, b"")
+            self.post(self.core.handle_call_needed, request_id, b"")
         else:
-            self.runs.pop(call, None)
-            if self.attempts[call].is_over:
-                del self.attempts[call]
-            self.post(self.core.handle_run_ended, call, Outcome.OK, b"done")
+            self.runs.pop(request_id, None)
+            if self.attempts[request_id].is_over:
+                del self.attempts[request_id]
+            self.post(self.core.handle_run_ended, request_id, Outcome.OK, b"done")
 
-    def _records(self, message: RecordsMessage) -> None:
+    def _handle_records_message(self, message: RecordsMessage) -> None:
         if isinstance(message, SendCall):
-            incarnation, call = self.incarnation, message.request_id
-            self.downstream.call(lambda outcome: self._replied(incarnation, call, outcome))
+            incarnation, request_id = self.incarnation, message.request_id
+            self.downstream.call(lambda outcome: self._downstream_replied(incarnation, request_id, outcome))
 
-    def _replied(self, incarnation: int, call: str, outcome: Outcome) -> None:
+    def _downstream_replied(self, incarnation: int, request_id: str, outcome: Outcome) -> None:
         if incarnation == self.incarnation and self.is_up:
-            self.post(self.core.handle_call_ended, call, outcome, b"")
+            self.post(self.core.handle_call_ended, request_id, outcome, b"")
 
-    # Its process.
+    # The process.
 
     def begin_shutdown(self) -> None:
-        """The notice to leave: it drains and ends by itself."""
+        """The process is told to shut down: it drains and then ends."""
         if self.is_up and not self.is_draining:
-            part = self.site.server
+            section = self.site.server
             self.is_draining = True
             now = self.engine.now
-            self.checker.shutdown_began(self.incarnation, now + part.grace_ms)
-            self.post(self.core.begin_graceful_shutdown, part.stop_ms)
-            self.engine.after(part.stop_ms, self._stopped, self.incarnation)
+            self.checker.shutdown_began(self.incarnation, now + section.grace_ms)
+            self.post(self.core.begin_graceful_shutdown, section.stop_ms)
+            self.engine.after(section.stop_ms, self._process_stopped, self.incarnation)
 
-    def _stopped(self, incarnation: int) -> None:
+    def _process_stopped(self, incarnation: int) -> None:
         if incarnation == self.incarnation and self.is_up:
             self.checker.stopped(self.incarnation)
             self._end_process()
 
     def kill(self) -> None:
-        """The process is killed from outside."""
+        """A fault kills the process."""
         if self.is_up:
             self.checker.killed(self.incarnation)
             self._end_process()
@@ -310,33 +317,36 @@
         for attempt in attempts:
             attempt.reset(self)
 
-    def freeze(self, on: bool) -> None:
-        """The process and its cores stand still; what comes waits."""
+    def set_frozen(self, is_frozen: bool) -> None:
+        """Stops or resumes the process and its cores. Events wait while it is frozen."""
         if not self.is_up:
             return
-        self.is_frozen = on
-        self.cores.set_factor(0.0 if on else 1.0)
-        if not on:
+        self.is_frozen = is_frozen
+        self.cores.set_factor(0.0 if is_frozen else 1.0)
+        if not is_frozen:
             self.checker.resumed(self.engine.now, self.incarnation)
             self.is_batch_scheduled = False
             self._schedule_batch()
 
     def attempt_over(self, attempt: Attempt) -> None:
-        """Its answer has gone out, or its caller has; a run that goes on keeps the entry."""
-        call = f"{attempt.number:016x}"
-        if call not in self.runs:
-            self.attempts.pop(call, None)
+        """The attempt was answered or its caller has disconnected. While its run continues, the entry is
+        kept."""
+        request_id = f"{attempt.number:016x}"
+        if request_id not in self.runs:
+            self.attempts.pop(request_id, None)
 
     def _check_crash(self) -> None:
-        part = self.site.server
+        section = self.site.server
         counters = self.core.log_fields()
-        entries_kb = len(self.core.idempotency) * part.ref_kb
-        used = (counters["queued"] + counters["runs"] * part.run_factor) * part.held_kb + entries_kb
+        entries_kb = len(self.core.idempotency) * section.ref_kb
+        used = (counters["queued"] + counters["runs"] * section.run_factor) * section.held_kb + entries_kb
         self.memory_peak = max(self.memory_peak, used / self.memory_limit_kb)
-        max_jobs_per_core = 1 + (part.falls_at - 1) * self.cores.warmth()
+        max_jobs_per_core = 1 + (section.falls_at - 1) * self.cores.warmth()
         contention = self.cores.jobs_per_core / max_jobs_per_core
         self.contention_peak = max(self.contention_peak, contention)
-        why = "memory" if used > self.memory_limit_kb else "a crowd on its cores" if contention > 1 else ""
-        if why:
-            self.checker.crashed(self.engine.now, self.incarnation, why)
+        reason = (
+            "memory" if used > self.memory_limit_kb else "contention on its cores" if contention > 1 else ""
+        )
+        if reason:
+            self.checker.crashed(self.engine.now, self.incarnation, reason)
             self._end_process()
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -63,7 +63,7 @@
     cores: Count = 4
     speed: tuple[Positive, ...] = (1.0,)  # speeds of a core, assigned to the servers in rotation
     crowd_at: Positive = 1.3  # running requests per core above which contention slows the server
-    crowd_loss: float = 0.7  # share of the speed lost for each further running request per core
+    crowd_loss: float = 0.7  # the speed is divided by 1 + crowd_loss * (running requests per core - crowd_at)
     falls_at: Positive = (
         8.0  # running requests per core, mean over 2 s, at which a server crashes; fewer if cold
     )
