--- a/otterrudder/lab/processes/__init__.py
+++ b/otterrudder/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Several processes of the program on loopback, with faults between them, and what they talk to."""
+"""Clusters of server processes on loopback, with their fake peers and injected faults."""
--- a/otterrudder/lab/processes/chart.py
+++ b/otterrudder/lab/processes/chart.py
@@ -1,4 +1,4 @@
-"""The chart of a run: servers down the page, time along it."""
+"""Draws the chart of a run, with servers on the vertical axis and time on the horizontal one."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -16,13 +16,13 @@
 COLOURS = {SAFE_PRODUCT: "#1b7837", KEYED_PRODUCT: "#2166ac"}
 VERSION_COLOUR = "#666666"
 FAULT_COLOUR = "#b2182b"
-MAX_NUMBERED_VERSIONS = 40  # more of them have no room for their numbers
-RECOVERY_EVENTS = ("starts", "healed", "thawed", "room")  # events that begin so are no faults
+MAX_NUMBERED_VERSIONS = 40  # the numbers of more versions would overlap
+RECOVERY_EVENTS = ("starts", "healed", "thawed", "room")  # events whose text begins so are not faults
 
 
 @dataclass(frozen=True, slots=True)
 class ChartData:
-    """What the chart of a run shows."""
+    """The data of a chart."""
 
     title: str
     servers: int
@@ -32,8 +32,10 @@
 
 
 def draw_chart(data: ChartData, path: Path) -> None:
-    """Writes the chart as SVG: a stroke for each completed request, by its product and so by the policies
-    that serve it; versions as lines, faults as crosses."""
+    """Writes the chart as SVG.
+
+    Each completed request is a stroke, coloured by its product and so by the policies that serve it. Versions
+    are vertical lines, and faults are crosses."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -68,7 +70,7 @@
             ms=7,
             color=colour,
             alpha=0.5,
-            rasterized=True,  # there are thousands
+            rasterized=True,  # thousands of vector strokes would make the file large
             label=f"{product} completed",
         )
 
--- a/otterrudder/lab/processes/cluster.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -1,10 +1,10 @@
-"""A process cluster: several servers as the operators start them, their fake neighbours, the fake store, and
-links between them that can be made faulty.
+"""A cluster of processes: several servers, started with the operators' command, their fake peers, the fake
+store, and links between them into which faults can be injected.
 
-Each server has a directory (its disk, kept over a kill), a fake runtime, a fake gateway, and links: from it
-to the store, the runtime and service discovery, and from the gateway to it. Everything is on loopback, on
-ports of the system's choice. All children are ended by their own ids on every way out, Ctrl-C included; the
-fake store also ends with its input."""
+Each server has a directory (its disk, which survives a kill), a fake runtime, a fake gateway, and links: from
+the server to the store, the runtime and service discovery, and from the gateway to the server. All sockets
+listen on loopback, on free ports. Every exit path, Ctrl-C included, kills all child processes by their ids;
+the fake store also exits when its standard input ends."""
 
 import contextlib
 import json
@@ -51,39 +51,39 @@
 )
 from otterrudder.lab.processes.store_process import StoreProcess
 
-FLEET = "rig"  # the fleet's name
-SERVER_START_TIMEOUT_S = 20.0  # until it admits
-LAST_ANSWERS_S = 0.5  # at the end, for what is still open
-STALL_MS = 60.0  # of this process's own loop, from which on it counts as one
+FLEET = "rig"  # name of the fleet
+SERVER_START_TIMEOUT_S = 20.0  # until a server completes a request
+LAST_ANSWERS_S = 0.5  # wait for the answers to open requests at the end of a run
+STALL_MS = 60.0  # a longer delay of this process's event loop is recorded as a stall
 STALL_POLL_S = 0.02
-CLAIM_TIMEOUT_S = 0.5  # from the claim of a failpoint until its process has stopped
-MAX_RUN_WAIT_S = 2.0  # for a request that a server admits
+CLAIM_TIMEOUT_S = 0.5  # maximum time from the claim of a failpoint until its process has stopped
+MAX_RUN_WAIT_S = 2.0  # maximum wait for a server to start a run
 RUN_POLL_S = 0.005
-LONG_RUNS_S = 0.25  # before a drain, in which long runs are started that it has to wait for
+LONG_RUNS_S = 0.25  # time before a drain in which long runs are started, which the drain has to await
 SHOWN_TIMEOUT_S = 3.0
 POLL_S = 0.05
-UNCLEAR = "?"  # in place of a product: what a server rejects is not clear
+UNCLEAR = "?"  # the product that a server rejects could not be determined
 
 
 @dataclass(kw_only=True, slots=True)
 class ClusterOptions:
-    """How the servers of a cluster are configured."""
+    """The configuration of a cluster's servers."""
 
     absent: str = "wait"  # the fleet's rule for absent members
     start: str = "wait"
     bound_ms: float = 1000.0
     lease_ms: float = 3000.0
-    pace_ms: float = 40.0  # between a gateway's requests
-    with_fleet: bool = True  # else each server has a table of levels of its own: the baseline
-    names_store: bool = False  # the fleet's file says which engine is trusted
-    mutant: str = ""  # the seeded fault of the first server's program, see mutants.py
+    pace_ms: float = 40.0  # interval between a gateway's requests
+    with_fleet: bool = True  # False: the baseline, in which each server reads its own table of levels
+    names_store: bool = False  # the fleet file has the cluster id of the trusted store
+    mutant: str = ""  # the seeded fault of the first server, a name in mutants.MUTANTS
 
     def fleet_file(self, store_port: int, directory: str) -> str:
-        """The fleet's file of a server; `directory`: where it keeps its state."""
+        """Returns the fleet file of a server; `directory` is the server's state directory."""
         return self._fleet_file(store_port, self.absent, self.start) + f'folder = "{directory}"\n'
 
     def operator_file(self, store_port: int) -> str:
-        """The fleet's file of an operator's command."""
+        """Returns the fleet file for operator commands."""
         return self._fleet_file(store_port, "leave-out", "wait")
 
     def _fleet_file(self, store_port: int, absent: str, start: str) -> str:
@@ -94,12 +94,12 @@
 
     @property
     def store_id_line(self) -> str:
-        """The line that names the trusted engine, if the file does."""
+        """The line with the cluster id of the trusted store, or "" if `names_store` is false."""
         return f'store_id = "{CLUSTER:x}"\n' if self.names_store else ""
 
 
 class ProcessCluster:
-    """The servers, what is beside them, and what was recorded."""
+    """The servers of a cluster, their fake peers and store, and the recorded history."""
 
     def __init__(self, directory: Path, server_count: int, options: ClusterOptions | None = None) -> None:
         self.directory = directory
@@ -117,17 +117,17 @@
         self.store = StoreProcess(directory, store_port, FLEET, self.events)
         self.servers: list[ServerProcess] = []
         self.drains: list[DrainRecord] = []
-        self.twins: list[subprocess.Popen[bytes]] = []  # processes under a name that is taken
-        self.other_processes: list[subprocess.Popen[bytes]] = []  # of subclasses
+        self.twins: list[subprocess.Popen[bytes]] = []  # they use the name of a running server
+        self.other_processes: list[subprocess.Popen[bytes]] = []  # started by subclasses
         self.server_command = _server_command()
-        self.mutant_command = ""  # of the first server, if it has a seeded fault
+        self.mutant_command = ""  # command of the first server if it has a seeded fault
         if self.options.mutant:
             module = "otterrudder.lab.processes.mutants"
             self.mutant_command = f'exec {sys.executable} -m {module} "{self.options.mutant}"'
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[Self]:
-        """All of it, up and serving; gone at the end."""
+        """Starts the cluster, yields it once all servers serve, and ends all its processes on exit."""
         try:
             self.failpoints.create_directories()
             async with anyio.create_task_group() as self.tasks:
@@ -155,11 +155,11 @@
             self.end_processes()
 
     async def start_fleet(self) -> None:
-        """Starts what the servers of a fleet need: the store."""
+        """Starts the store, which the servers of a fleet need."""
         await self.store.start()
 
     def end_processes(self) -> None:
-        """Kills all children that still run."""
+        """Kills all child processes that still run."""
         children = [server.process for server in self.servers]
         children += [*self.twins, *self.operators.processes, *self.other_processes, self.store.process]
         started = [child for child in children if child]
@@ -203,12 +203,12 @@
             self.tasks.start_soon(link.run)
 
     def write_fleet_file(self, server: ServerProcess) -> None:
-        """Writes the fleet's file as the options are now: read at the server's next start."""
+        """Writes the fleet file from the current options; the server reads it at its next start."""
         store_port = server.links["store"].address[1]
         (server.directory / "fleet.toml").write_text(self.options.fleet_file(store_port, STATE_DIRECTORY))
 
     def start_server(self, server: ServerProcess) -> None:
-        """Starts a new process of a server."""
+        """Starts a new process for a server."""
         server.gateway.incarnation += 1
         server.runtime.begin_incarnation()
         is_mutant = self.mutant_command and server.number == 0
@@ -217,7 +217,7 @@
         server.note_start(self._launch(server.directory, command, *failpoints))
 
     def start_twin(self, server: ServerProcess) -> None:
-        """Starts another process under a server's name, with a directory and a port of its own."""
+        """Starts a second process with the name of a server, and with its own directory and port."""
         directory = self.directory / f"twin-{server.number}-{len(self.twins)}"
         directory.mkdir()
         configuration = json.loads((server.directory / "config.json").read_text())
@@ -229,14 +229,14 @@
         self.events.add(server.number, "its name is tried")
 
     def kill_twins(self) -> None:
-        """Ends the processes under a name that is taken."""
+        """Kills the second processes that use the name of a server."""
         for twin in self.twins:
             if twin.poll() is None:
                 twin.kill()
                 twin.wait()
 
     def _launch(self, directory: Path, command: str, *failpoints: Path) -> subprocess.Popen[bytes]:
-        """Starts the server's program with the files in its directory."""
+        """Starts the server program with the files in a directory."""
         option = "FLEET" if self.options.with_fleet else "LEVELS"
         variables = {
             "NODE_CONFIG": str(directory / "config.json"),
@@ -248,7 +248,7 @@
             return subprocess.Popen(["/bin/sh", "-c", command], cwd=ROOT, env=environment, stderr=log)
 
     async def drain(self, server: ServerProcess) -> None:
-        """Stops a server as operators do, with work in hand."""
+        """Stops a server by SIGTERM, as operators do, while it has runs in progress."""
         if not server.is_up:
             return
         server.runtime.run_ms = LONG_RUN_MS
@@ -262,7 +262,7 @@
         self.tasks.start_soon(self._wait_drained, server, server.process, started_at)
 
     async def _wait_for_run(self, server: ServerProcess) -> None:
-        """Until the server starts a run: on a busy machine there may be none in hand otherwise."""
+        """Waits until the server starts a run; otherwise none might be in progress on a busy machine."""
         started_runs = server.runtime.started_runs
         with anyio.move_on_after(MAX_RUN_WAIT_S):
             while server.runtime.started_runs == started_runs:
@@ -271,7 +271,7 @@
     async def _wait_drained(
         self, server: ServerProcess, process: subprocess.Popen[bytes], started_at: float
     ) -> None:
-        """Records how the drain of a process ends; kills it if it does not end."""
+        """Records how the drain of a process ends, and kills the process if it does not end in time."""
         exit_code = None
         with anyio.move_on_after((STOP_MS + DRAIN_SLACK_MS) / 1000):
             while (exit_code := process.poll()) is None:
@@ -281,13 +281,13 @@
             server.kill()
 
     def server_stopped_at_failpoint(self, pid: int, since: float) -> ServerProcess:
-        """The server whose process stopped there, at some time since then."""
-        server = next(one for one in self.servers if one.process and one.process.pid == pid)
+        """Returns the server whose process stopped at a failpoint, at some time after `since`."""
+        server = next(each for each in self.servers if each.process and each.process.pid == pid)
         server.begin(Disturbance.FROZEN, since)
         return server
 
     async def disarm_failpoints(self, since: float) -> None:
-        """No process stops any more; one that reached its failpoint too late for the fault is resumed."""
+        """Disarms all failpoints, and resumes processes that reached one too late for its fault."""
         for failpoint in list(self.failpoints.armed):
             if not self.failpoints.disarm_unclaimed(failpoint):
                 await self._resume_claimant(failpoint, since)
@@ -301,9 +301,9 @@
     # The baseline.
 
     async def replace_levels(self, rejected_product: str) -> None:
-        """Changes the levels of one server after another by its own file and a signal.
+        """Replaces the table of levels of one server after another by rewriting its file and sending SIGHUP.
 
-        Files are written in a thread: a busy file system must not stall this process."""
+        The files are written in a thread, because a busy file system must not stall this process."""
         began = clock()
         for server in self.servers:
             if not server.is_up or server.links["store"].fault.is_cut:
@@ -315,10 +315,10 @@
         versions.append(VersionInForce(len(versions), rejected_product, began, clock()))
         self.events.add_fleet_wide(f"told one after another: no {rejected_product}")
 
-    # What was seen.
+    # Observation.
 
     async def _watch_stalls(self) -> None:
-        """Records when this process's own loop stood still."""
+        """Records the stalls of this process's own event loop."""
         while True:
             before = clock()
             await anyio.sleep(STALL_POLL_S)
@@ -326,13 +326,13 @@
                 self.wire.stalls.append(TimeSpan(before, clock()))
 
     async def wait_serving(self, server: ServerProcess) -> None:
-        """Waits until the server completes a request; RuntimeError with its last log lines: it does not."""
-        seen = len(self.wire.requests)
+        """Waits until a server completes a request; raises RuntimeError with its last log lines otherwise."""
+        first_index = len(self.wire.requests)
         with anyio.move_on_after(SERVER_START_TIMEOUT_S):
-            while not self._has_completed(server, seen):
+            while not self._has_completed(server, first_index):
                 await anyio.sleep(POLL_S)
             return
-        raise RuntimeError(f"{server.name} does not serve: {server.log_tail}")
+        raise RuntimeError(f"{server.name} completed no request in time: {server.log_tail}")
 
     def _has_completed(self, server: ServerProcess, since_index: int) -> bool:
         return any(
@@ -341,13 +341,15 @@
         )
 
     async def rejected_product(self, server: ServerProcess) -> str:
-        """The product that a server rejects now, by what its gateway sees; "": none, UNCLEAR: not clear in
+        """Returns the product that a server rejects, as its gateway sees it.
+
+        The result is "" if the server rejects none, and UNCLEAR if that cannot be determined in
         time."""
-        seen = len(self.wire.requests)
+        first_index = len(self.wire.requests)
         with anyio.move_on_after(SHOWN_TIMEOUT_S):
             while True:
-                completed = self._products(server, seen, RequestOutcome.COMPLETED)
-                rejected = self._products(server, seen, RequestOutcome.REJECTED)
+                completed = self._products(server, first_index, RequestOutcome.COMPLETED)
+                rejected = self._products(server, first_index, RequestOutcome.REJECTED)
                 if len(completed) == 1 and len(rejected) == 1 and completed != rejected:
                     return rejected.pop()
                 if len(completed) == 2:
@@ -356,7 +358,7 @@
         return UNCLEAR
 
     def _products(self, server: ServerProcess, since_index: int, outcome: RequestOutcome) -> set[str]:
-        """Products of first requests that ended so."""
+        """Returns the products of requests with this outcome, without repeats."""
         return {
             request.product
             for request in self.wire.requests[since_index:]
@@ -364,18 +366,18 @@
         }
 
     def disturbed_spans(self) -> dict[int, list[TimeSpan]]:
-        """By server: when no answer was owed in time."""
+        """Returns, by server number, the spans in which no timely answer is required."""
         return {server.number: server.disturbed_spans() for server in self.servers}
 
     def listings(self) -> dict[str, ListingRecord]:
-        """By server's name: when service discovery received its reports, and when none was owed."""
+        """Returns the times of reports, and the spans in which none is required, by server name."""
         received: dict[str, list[float]] = {server.name: [] for server in self.servers}
         for report in self.discovery.reports:
             received[report.name].append(report.at)
         return {server.name: ListingRecord(received[server.name], server.unlisted) for server in self.servers}
 
     def history(self) -> ClusterHistory:
-        """All that was recorded, for the history checker."""
+        """Returns the recorded history, for the history checker."""
         return ClusterHistory(
             self.wire,
             self.observer.versions,
@@ -388,14 +390,15 @@
 
 
 def _server_command() -> str:
-    """The command by which operators start a server, from the deploy file; without a virtual environment
-    this interpreter's."""
+    """Returns the command of the deploy file that starts a server.
+
+    Without a virtual environment the command uses this process's interpreter."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     return str(command) if (ROOT / ".venv").exists() else f"exec {sys.executable} -m otterrudder"
 
 
 def _configuration(server: ServerProcess, listen: tuple[str, int]) -> dict[str, object]:
-    """A server's configuration file."""
+    """Returns the content of a server's configuration file."""
     return {
         "name": server.name,
         "listen": _endpoint(listen),
--- a/otterrudder/lab/processes/demo.py
+++ b/otterrudder/lab/processes/demo.py
@@ -1,5 +1,5 @@
-"""A demonstration: a change of policy across six processes, while one is killed between its prepared vote and
-its vote, and returns."""
+"""A demonstration: a policy change across six processes, one of which is killed after it saved its vote and
+before it sent it, and is restarted."""
 
 import tempfile
 from pathlib import Path
@@ -19,13 +19,13 @@
 
 
 def show(report: Report) -> bool:
-    """Plays the demonstration; whether all that is promised held."""
+    """Runs the demonstration, and returns whether all guarantees held."""
     with tempfile.TemporaryDirectory() as directory:
         result = anyio.run(_play, Path(directory), report)
     figures = result.check.figures
     report(
         f"{figures['txns']:.0f} requests, {figures['settled']:.0f} completed; under a wrong version "
-        f"{figures['wrong_version']:.0f}; servers that went by another policy {result.outliers}"
+        f"{figures['wrong_version']:.0f}; servers that applied another policy {result.outliers}"
     )
     for violation in result.check.violations:
         report(violation)
@@ -38,7 +38,7 @@
     async with cluster.running():
         start = cluster.events.events[0].at
         result = await play(cluster, [QUIET_ROUND])
-        report("policy 1 is in force on all; now policy 2: n3 is killed once it has saved its vote, unsent")
+        report("policy 1 is in force on all servers; in the change to policy 2, n3 is killed before its vote")
         second = await play(cluster, [KILL_ROUND])
     result.rounds += second.rounds
     result.undecided += second.undecided
@@ -49,8 +49,8 @@
 def _report_events(cluster: ProcessCluster, start: float, report: Report) -> None:
     for event in cluster.events.events:
         if event.server in (FLEET_WIDE, KILLED_SERVER):
-            whose = "the fleet" if event.server == FLEET_WIDE else f"n{KILLED_SERVER}"
-            report(f"{(event.at - start) / 1000:6.1f} s  {whose}: {event.text}")
+            target = "the fleet" if event.server == FLEET_WIDE else f"n{KILLED_SERVER}"
+            report(f"{(event.at - start) / 1000:6.1f} s  {target}: {event.text}")
     for version in cluster.observer.versions[1:]:
         second = (version.by - start) / 1000
-        report(f"{second:6.1f} s  version {version.version} in force: no '{version.rejected_product}'")
+        report(f"{second:6.1f} s  version {version.version} in force: rejects '{version.rejected_product}'")
--- a/otterrudder/lab/processes/experiment.py
+++ b/otterrudder/lab/processes/experiment.py
@@ -1,7 +1,7 @@
-"""An experiment with processes: its file, its runs one after another, its claims, its table and its chart.
+"""An experiment with processes: reads its file, performs its runs in sequence, and writes the results.
 
-A run is determined by its seed; `results.json` has the faults of each round, so a run that broke a claim
-can be played again, and `shrink` leaves rounds and faults out as long as it still breaks one."""
+The faults of a run are determined by its seed, and `results.json` has the faults of each round, so a run with
+violations can be repeated. `shrink` removes rounds and faults as long as the run still has violations."""
 
 import json
 import tempfile
@@ -22,8 +22,8 @@
 from otterrudder.lab.processes.round_runner import Report, RunResult, check_run, play
 from otterrudder.lab.site import InvalidInputError
 
-VERSION = 1  # of the format
-MAX_SERVERS = 24  # processes of one machine; more of them measure its scheduler
+VERSION = 1  # of the file format
+MAX_SERVERS = 24  # with more processes on one machine, runs would measure its scheduler
 TABLE_HEADINGS = (
     "variant",
     "seed",
@@ -43,7 +43,7 @@
 
 
 class VariantSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """`[[variant]]` of the file."""
+    """The section `[[variant]]` of the file."""
 
     name: str
     absent: str = "wait"
@@ -52,7 +52,7 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The file; its fields are the keys."""
+    """The content of an experiment's file; field names are the keys."""
 
     version: int
     name: str
@@ -68,13 +68,13 @@
     variant: list[VariantSection]
 
     def variant_named(self, name: str) -> VariantSection:
-        """The variant of that name."""
+        """Returns the variant with a name."""
         return next(variant for variant in self.variant if variant.name == name)
 
 
 @dataclass(slots=True)
 class Run:
-    """One variant under one seed, played."""
+    """A finished run of one variant with one seed."""
 
     variant: str
     seed: int
@@ -82,29 +82,29 @@
     result: RunResult
     events: list[ClusterEvent]
     versions: list[VersionInForce]
-    requests: list[RequestRecord]  # without repeats: for the chart
+    requests: list[RequestRecord]  # without repeats, for the chart
     servers: int
 
     @property
     def broken(self) -> list[str]:
-        """Claims that did not hold; the baseline claims nothing."""
+        """Descriptions of the violated guarantees; the baseline guarantees nothing."""
         if self.is_baseline:
             return []
         claims = broken_rules(self.result.check.figures)
         if self.result.outliers:
-            claims.append(f"{self.result.outliers} servers went by another policy after a round")
+            claims.append(f"{self.result.outliers} servers applied another policy after a round")
         if self.result.undecided:
-            claims.append(f"{self.result.undecided} changes had no end")
+            claims.append(f"{self.result.undecided} changes did not end in time")
         return claims
 
 
 def broken_rules(figures: dict[str, float]) -> list[str]:
-    """The rules of the history checker that were violated, with how often."""
+    """Returns the violated rules of the history checker, each with the number of violations."""
     return [f"{rule.value}: {figures[rule.figure]:.0f}" for rule in Rule if rule.figure in figures]
 
 
 def read(path: Path) -> Experiment:
-    """The experiment in a file; InvalidInputError names the file and the key."""
+    """Reads an experiment from a file; raises InvalidInputError with the file and the key."""
     experiment = convert(load_toml(path, InvalidInputError), Experiment, f"{path.name}: ", InvalidInputError)
     if experiment.version != VERSION:
         raise InvalidInputError(
@@ -113,19 +113,20 @@
     for key in ("servers", "quick_servers"):
         if not 1 <= getattr(experiment, key) <= MAX_SERVERS:
             raise InvalidInputError(
-                f"{path.name}: {key}: {getattr(experiment, key)} is not from 1 to {MAX_SERVERS}"
+                f"{path.name}: {key}: {getattr(experiment, key)} is not between 1 and {MAX_SERVERS}"
             )
     if not experiment.seeds or not experiment.variant:
-        raise InvalidInputError(f"{path.name}: seeds, variant: one of each is wanted at least")
+        raise InvalidInputError(f"{path.name}: seeds, variant: at least one of each is required")
     return experiment
 
 
 def only(experiment: Experiment, names: tuple[str, ...]) -> Experiment:
-    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that
-    name."""
+    """Returns the experiment with only the named variants, or with all if no name is given.
+
+    Raises InvalidInputError if there is no variant with a given name."""
     known = [variant.name for variant in experiment.variant]
     if unknown := [name for name in names if name not in known]:
-        raise InvalidInputError(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+        raise InvalidInputError(f"--variant: {unknown[0]!r} is not one of {', '.join(known)}")
     variants = [experiment.variant_named(name) for name in names] or experiment.variant
     return msgspec.structs.replace(experiment, variant=variants)
 
@@ -133,7 +134,7 @@
 def perform(
     experiment: Experiment, seeds: list[int], servers: int, changes: int, report: Report
 ) -> list[Run]:
-    """Plays all variants under all seeds, one at a time: they share the cores."""
+    """Performs the runs of all variants with all seeds in sequence, because runs share the cores."""
     runs = []
     for seed in seeds:
         for variant in experiment.variant:
@@ -152,7 +153,7 @@
     report: Report = lambda line: None,
     mutant: str = "",
 ) -> Run:
-    """Plays one variant through these rounds. `mutant`: the seeded fault of the first server."""
+    """Performs one run of a variant with these rounds; `mutant` is the seeded fault of the first server."""
     variant = experiment.variant_named(variant_name)
     options = ClusterOptions(
         absent=variant.absent,
@@ -185,12 +186,12 @@
 
 
 def table(runs: list[Run]) -> str:
-    """The runs as a Markdown table, a line a run."""
+    """Returns a Markdown table with a row for each run."""
     return markdown_table(TABLE_HEADINGS, [_row(run) for run in runs])
 
 
 def markdown_table(headings: tuple[str, ...], rows: list[list[object]]) -> str:
-    """A Markdown table whose first column is text, and the others figures."""
+    """Returns a Markdown table with a left-aligned first column and right-aligned others."""
     lines = ["| " + " | ".join(headings) + " |", "| --- |" + " ---: |" * (len(headings) - 1)]
     lines += ["| " + " | ".join(map(str, row)) + " |" for row in rows]
     return "\n".join(lines)
@@ -218,7 +219,7 @@
 
 
 def write(runs: list[Run], directory: Path, name: str) -> None:
-    """Writes results.json, the table, and a chart of the first run of each variant."""
+    """Writes results.json, table.md, and a chart of the first run of each variant."""
     directory.mkdir(parents=True, exist_ok=True)
     results = [_as_json(run) for run in runs]
     (directory / "results.json").write_text(json.dumps(results, indent=1))
@@ -247,23 +248,23 @@
 
 
 def marks_of(events: list[ClusterEvent]) -> list[tuple[int, int, str]]:
-    """The events in results.json: ms, server, what was done."""
+    """Returns the events as they are written to results.json: time in ms, server number, text."""
     return [(round(event.at), event.server, event.text) for event in events]
 
 
 def shrink_run(experiment: Experiment, run: Run, report: Report) -> list[Round]:
-    """The fewest rounds and faults of a run that broke a claim, each attempt played anew."""
+    """Shrinks the schedule of a run with violations, performing a new run for each attempt."""
 
     def is_broken(rounds: list[Round]) -> bool:
         again = perform_one(experiment, run.variant, run.seed, rounds, run.servers)
-        report(f"  {len(rounds)} rounds: {'; '.join(again.broken) or 'holds'}")
+        report(f"  {len(rounds)} rounds: {'; '.join(again.broken) or 'no violation'}")
         return bool(again.broken)
 
     return shrink(is_broken, draw(run.seed, run.servers, len(run.result.rounds)))
 
 
 def shrink(is_broken: Callable[[list[Round]], bool], rounds: list[Round]) -> list[Round]:
-    """The fewest rounds, with the fewest faults, that still break what all of them broke."""
+    """Removes rounds and then faults, one at a time, as long as `is_broken` holds for the remaining ones."""
     for index in reversed(range(len(rounds))):
         fewer = rounds[:index] + rounds[index + 1 :]
         if fewer and is_broken(fewer):
--- a/otterrudder/lab/processes/failpoints.py
+++ b/otterrudder/lab/processes/failpoints.py
@@ -1,7 +1,7 @@
-"""Failpoints of child processes: an armed one stops the first process that reaches it.
+"""Failpoints of child processes: an armed failpoint stops the first process that reaches it.
 
-A failpoint is armed by a file in a directory that the process was told of. The process that reaches it claims
-the file by renaming it to `POINT.PID`, and stops itself."""
+A failpoint is armed by a file in a failpoint directory of the process's environment. The process that reaches
+the failpoint claims the file by renaming it to `POINT.PID`, and stops itself."""
 
 import contextlib
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArmedFailpoint:
-    """A failpoint, and the directory of the processes that it is armed for."""
+    """An armed failpoint, with the failpoint directory of the processes concerned."""
 
     directory: Path
     point: str
@@ -28,7 +28,7 @@
 
 
 class Failpoints:
-    """The failpoints of a cluster: those for all servers, those for proposers, and which are armed."""
+    """The armed failpoints of a cluster, and the failpoint directories of all servers and of proposers."""
 
     def __init__(self, directory: Path) -> None:
         self.for_all = directory / "failpoints"
@@ -36,18 +36,18 @@
         self.armed: list[ArmedFailpoint] = []
 
     def create_directories(self) -> None:
-        """Once, before the first process is started."""
+        """Creates the failpoint directories; call it once, before the first process starts."""
         for directory in (self.for_all, self.for_proposers):
             directory.mkdir()
 
     def arm(self, directory: Path, point: str) -> None:
-        """Stops the first process that reaches `point`, of those that were told of the directory."""
+        """Arms `point` for the processes whose environment has this failpoint directory."""
         failpoint = ArmedFailpoint(directory, point)
         failpoint.path.touch()
         self.armed.append(failpoint)
 
     async def wait_stopped(self, failpoint: ArmedFailpoint, timeout_s: float) -> int:
-        """The id of the process that has stopped at the failpoint; 0: none has in time."""
+        """Returns the id of the process that stopped at the failpoint, or 0 if none stopped in time."""
         with anyio.move_on_after(timeout_s):
             while True:
                 for claim in failpoint.directory.glob(f"{failpoint.point}.*"):
@@ -60,7 +60,7 @@
         return 0
 
     def disarm_unclaimed(self, failpoint: ArmedFailpoint) -> bool:
-        """Disarms a failpoint; False: a process has claimed it already."""
+        """Disarms a failpoint; returns False if a process has already claimed it."""
         with contextlib.suppress(FileNotFoundError):
             failpoint.path.unlink()
             self.armed.remove(failpoint)
--- a/otterrudder/lab/processes/fake_discovery.py
+++ b/otterrudder/lab/processes/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake of the platform's service discovery: it records the reports of servers."""
+"""A fake of the platform's service discovery, which records the reports of servers."""
 
 import contextlib
 import socket
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """A report as it was received."""
+    """A received report."""
 
     at: float
     name: str
@@ -21,7 +21,7 @@
 
 
 class FakeDiscovery:
-    """Listens on a port of its own; `run` owns its socket."""
+    """Listens on a free UDP port; `run` closes the socket."""
 
     def __init__(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -31,7 +31,7 @@
         self.reports: list[ServerReport] = []
 
     async def run(self) -> None:
-        """Records until cancelled."""
+        """Records reports until cancelled."""
         try:
             while True:
                 await anyio.wait_readable(self.sock)
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -1,25 +1,26 @@
-"""A fake of the store, on sockets: the part of etcd's published v3 API that the fleet uses, around a
-`KeySpace`.
-
-It runs as a process (`python -m otterrudder.lab.processes.fake_etcd`) for tests and `make demo`. It prints
-its port, then reads lines of JSON on standard input, each a fault or its end, and answers each with "ok":
-
-    {"slow_ms": 300}          every response waits so long
-    {"down": true}            no response at all; false: responds again
-    {"lose_answers": 2}       so many commits take effect and get no response
-    {"cancel_watches": 1}     all watches are cancelled
-    {"deaf_watches": true}    watches receive nothing
-    {"flood": 500}            so many events to each watch at once
-    {"strike": "KEY"}         that key is deleted, as when its lease expires
-    {"hold_delete": "KEY"}    commits that delete this key wait; "": they go on
-    {"compact": 1}            the history is compacted away
-    {"empty": 1}              it holds nothing, as another engine
-    {"report": "PREFIX"}      answered with the counters (counters.py), and with the times at which the keys
-                              under that prefix were last written
-
-`--state FILE` keeps its content there over a kill, without the history: earlier watches are compacted away,
-and leases have their whole span again, as with etcd. `--cluster HEX`: its cluster id, for one that is
-restored from another's state. It exits when its input ends: no child outlives its parent."""
+"""A fake of the store: serves the part of etcd's published v3 API that the fleet uses, on a `KeySpace`.
+
+It runs as a process (`python -m otterrudder.lab.processes.fake_etcd`) for tests and `make demo`. The process
+prints its port, then reads lines of JSON from standard input. Each line begins or ends a fault, and is
+answered with "ok":
+
+    {"slow_ms": 300}          delays every response by 300 ms
+    {"down": true}            sends no responses; false: responds again
+    {"lose_answers": 2}       the next 2 commits take effect, but their responses are lost
+    {"cancel_watches": 1}     cancels all watches
+    {"deaf_watches": true}    sends no events to watches
+    {"flood": 500}            sends 500 events to each watch at once
+    {"strike": "KEY"}         deletes the key, as when its lease expires
+    {"hold_delete": "KEY"}    delays commits that delete the key; "": they continue
+    {"compact": 1}            compacts the whole history
+    {"empty": 1}              replaces the content by an empty store with another cluster id
+    {"report": "PREFIX"}      answers with the counters (counters.py), and with the times at which the keys
+                              under the prefix were last written
+
+`--state FILE` keeps the content in a file that survives a kill. The history is not kept: earlier revisions
+count as compacted, and leases restart with their whole TTL, as in etcd. `--cluster HEX` sets the cluster id,
+for a store that is restored from the state of another one. The process exits when its standard input ends, so
+that it does not outlive its parent."""
 
 import argparse
 import asyncio
@@ -43,27 +44,27 @@
 from otterrudder.lab.processes.counters import StoreReport, kind_of
 
 CLUSTER = 0xE7CD  # the default cluster id
-EMPTY_CLUSTER = 0xE7CE  # of an engine that holds nothing
-POLL_S = 0.05  # for expired leases, and the end of a fault
-NEVER_S = 3600.0  # a response that is lost: the caller's deadline ends the wait
-MAX_QUEUED_EVENTS = 4096  # of one watch; past that it is cancelled, as a slow reader is
+EMPTY_CLUSTER = 0xE7CE  # the cluster id after the message "empty"
+POLL_S = 0.05  # interval of checks for expired leases and for the end of a fault
+NEVER_S = 3600.0  # delay of a lost response, far beyond the caller's deadline
+MAX_QUEUED_EVENTS = 4096  # per watch; a watch with more is cancelled as too slow
 
 
 @dataclass(eq=False, slots=True)
 class Watcher:
-    """A watch of a range of keys, with the events that wait for it; None ends it."""
+    """A watch of a range of keys, with its queued events; None in the queue cancels the watch."""
 
     key: bytes
     end: bytes
     queue: asyncio.Queue[Event | None] = field(default_factory=asyncio.Queue)
 
     def covers(self, event: Event) -> bool:
-        """Whether the event's key is in the range."""
+        """Whether the event's key is in the watched range."""
         return self.key <= event.key.encode() < self.end
 
 
 class Engine:
-    """The key space with its faults and its watchers."""
+    """The key space of the store, with the injected faults and the watchers."""
 
     def __init__(self, state: Path | None = None, cluster: int = 0) -> None:
         self.state = state
@@ -74,17 +75,17 @@
             for lease, (span_ms, _) in self.space.leases.items():
                 self.space.leases[lease] = (span_ms, clock() + span_ms)
         self.space.cluster = cluster or self.space.cluster
-        if cluster:  # engines draw the numbers of their leases: no two have the same
+        if cluster:  # offsets lease ids, so that stores with different cluster ids share none
             self.space.granted += cluster
         self.save()
         self.slow_ms = 0.0
         self.is_down = False
         self.are_watches_deaf = False
         self.responses_to_lose = 0
-        self.held_key = ""  # that no commit may delete yet
+        self.held_key = ""  # commits that delete this key wait
         self.watchers: set[Watcher] = set()
         self.report = StoreReport()
-        self._sorted: tuple[int, list[str]] = (0, [])  # the keys in order, as of a revision
+        self._sorted: tuple[int, list[str]] = (0, [])  # a revision, and the keys at that revision in order
 
     def save(self) -> None:
         """Replaces the state file, if there is one."""
@@ -94,7 +95,7 @@
             os.replace(temporary, self.state)
 
     async def delay_response(self, has_taken_effect: bool = False) -> None:
-        """Waits as the faults demand, at most until the caller's deadline."""
+        """Delays a response as the current faults demand; the caller's deadline may end the wait."""
         if self.is_down:
             await asyncio.sleep(NEVER_S)
         if has_taken_effect and self.responses_to_lose > 0:
@@ -104,7 +105,7 @@
             await asyncio.sleep(self.slow_ms / 1000)
 
     def publish(self, before: int) -> None:
-        """Saves, and hands what was written since a revision to the watchers."""
+        """Saves the state, and queues the events after revision `before` for the watchers."""
         self.save()
         written = self.space.events_since("", before + 1) or []
         now = clock()
@@ -121,7 +122,7 @@
                     watcher.queue.put_nowait(event)
 
     def keys_between(self, key: str, end: str) -> list[str]:
-        """The keys from `key` on and before `end`, in order; the one key itself where there is no end."""
+        """Returns the keys from `key` to before `end` in order, or only `key` if `end` is empty."""
         if not end:
             return [key] if key in self.space.keys else []
         if self._sorted[0] != self.space.revision:
@@ -130,20 +131,22 @@
         return ordered[bisect.bisect_left(ordered, key) : bisect.bisect_left(ordered, end)]
 
     def report_line(self, prefix: str) -> bytes:
-        """The counters so far, as a line of JSON."""
-        moments = self.report.written_ms.items()
-        written = {key: at for key, at in moments if key.startswith(prefix)}
+        """Returns the counters since the start as a line of JSON."""
+        written_ms = self.report.written_ms.items()
+        written = {key: at for key, at in written_ms if key.startswith(prefix)}
         return msgspec.json.encode(msgspec.structs.replace(self.report, written_ms=written))
 
     def expire_leases(self) -> None:
-        """Deletes the keys of leases that have expired."""
+        """Deletes the keys of expired leases."""
         before = self.space.revision
         self.space.expire_leases(clock())
         if self.space.revision != before:
             self.publish(before)
 
     def handle_message(self, message: dict[str, Any]) -> None:
-        """Begins or ends faults, by the words of the module's docstring; unknown ones are ignored."""
+        """Begins or ends the faults of a message, whose format is in the module's docstring.
+
+        Unknown names are ignored."""
         handlers: dict[str, Callable[[Any], None]] = {
             "slow_ms": self._set_delay,
             "down": self._set_down,
@@ -156,9 +159,9 @@
             "compact": self._compact,
             "empty": self._empty,
         }
-        for word, value in message.items():
-            if word in handlers:
-                handlers[word](value)
+        for name, value in message.items():
+            if name in handlers:
+                handlers[name](value)
 
     def _set_delay(self, delay_ms: float) -> None:
         self.slow_ms = float(delay_ms)
@@ -197,7 +200,7 @@
         self.space = KeySpace(cluster=EMPTY_CLUSTER)
 
     def header(self) -> Any:
-        """The header of a response."""
+        """Returns the header of a response."""
         space = self.space
         return rpc_pb2.ResponseHeader(cluster_id=space.cluster, revision=space.revision, member_id=1)
 
@@ -209,25 +212,25 @@
         self.engine = engine
 
     async def Txn(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Reads, or writes if all compares hold."""
+        """Executes the operations of a transaction if all its compares hold."""
         engine = self.engine
         if engine.is_down:
             await engine.delay_response()
         writes = [write for op in request.success if (write := _write(op))]
         while any(isinstance(write, Delete) and write.key == engine.held_key for write in writes):
-            await asyncio.sleep(POLL_S)  # the caller's deadline ends it, and then it takes no effect
+            await asyncio.sleep(POLL_S)  # if the caller's deadline ends the wait, nothing is committed
         engine.expire_leases()
         space, before = engine.space, engine.space.revision
         if any(isinstance(w, Put) and w.lease and w.lease not in space.leases for w in writes):
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
-        held = all(space.matches(_compare(compare)) for compare in request.compare)
-        if held and writes:
+        is_matched = all(space.matches(_compare(compare)) for compare in request.compare)
+        if is_matched and writes:
             space.commit((), writes)
             engine.publish(before)
-        parts = [_response(engine, op) for op in request.success] if held else []
-        answer = rpc_pb2.TxnResponse(header=engine.header(), succeeded=held, responses=parts)
+        parts = [_response(engine, op) for op in request.success] if is_matched else []
+        answer = rpc_pb2.TxnResponse(header=engine.header(), succeeded=is_matched, responses=parts)
         engine.report.count(_kind(request, writes), request.ByteSize(), answer.ByteSize())
-        await engine.delay_response(has_taken_effect=bool(held and writes))
+        await engine.delay_response(has_taken_effect=bool(is_matched and writes))
         return answer
 
 
@@ -247,7 +250,7 @@
         return answer
 
     async def LeaseRevoke(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Ends a lease, and deletes its keys."""
+        """Revokes a lease, and deletes its keys."""
         await self.engine.delay_response()
         before = self.engine.space.revision
         if not self.engine.space.revoke(request.ID):
@@ -258,7 +261,7 @@
         return answer
 
     async def LeaseKeepAlive(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
-        """Renews leases, one for each request of the stream."""
+        """Renews a lease for each request of the stream."""
         async for request in requests:
             await self.engine.delay_response()
             self.engine.expire_leases()
@@ -271,13 +274,13 @@
 
 
 class WatchService(rpc_pb2_grpc.WatchServicer):  # type: ignore[misc]
-    """etcd's Watch service, with one watch a stream, which is how the fleet uses it."""
+    """etcd's Watch service; it supports one watch per stream, since the fleet uses no more."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
 
     async def Watch(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
-        """Sends the events of one range of keys."""
+        """Sends the events of a range of keys."""
         engine = self.engine
         first = await anext(aiter(requests))
         await engine.delay_response()
@@ -334,9 +337,9 @@
 def _response(engine: Engine, op: Any) -> Any:
     kind = op.WhichOneof("request")
     if kind == "request_range":
-        asked = op.request_range
-        found = engine.keys_between(asked.key.decode(), asked.range_end.decode())
-        kvs = [_kv(key, engine.space.keys[key]) for key in found]
+        range_request = op.request_range
+        keys = engine.keys_between(range_request.key.decode(), range_request.range_end.decode())
+        kvs = [_kv(key, engine.space.keys[key]) for key in keys]
         return rpc_pb2.ResponseOp(response_range=rpc_pb2.RangeResponse(kvs=kvs, count=len(kvs)))
     if kind == "request_put":
         return rpc_pb2.ResponseOp(response_put=rpc_pb2.PutResponse())
@@ -363,7 +366,7 @@
 
 
 async def serve(port: int, lines: asyncio.StreamReader, engine: Engine) -> None:
-    """Serves until its input ends."""
+    """Serves until `lines` ends."""
     server = grpc.aio.server()
     rpc_pb2_grpc.add_KVServicer_to_server(KeyService(engine), server)
     rpc_pb2_grpc.add_LeaseServicer_to_server(LeaseService(engine), server)
--- a/otterrudder/lab/processes/fake_gateway.py
+++ b/otterrudder/lab/processes/fake_gateway.py
@@ -1,4 +1,4 @@
-"""A fake gateway of one server, by the platform's protocol: it sends requests, and records how they end."""
+"""A fake gateway of one server: sends requests by the platform's protocol and records their outcomes."""
 
 import base64
 import json
@@ -13,18 +13,19 @@
 from otterrudder.lab.processes.history import RequestOutcome, RequestRecord, WireHistory
 from otterrudder.lab.processes.link import Link
 
-MAX_OPEN_REQUESTS = 30  # of one connection: the platform allows 32
-MAX_KNOWN_REQUESTS = 200  # of a connection, whose answers are still recognised
-REPEAT_WITHIN_MS = 15_000.0  # of the original's sending: well within the key's retention
-REPEAT_EVERY = 5  # requests: one of them repeats a completed one
+MAX_OPEN_REQUESTS = 30  # per connection; the platform allows 32
+MAX_KNOWN_REQUESTS = 200  # per connection; answers to older requests are not recognised
+REPEAT_WITHIN_MS = 15_000.0  # after sending the original; well within the key's retention
+REPEAT_EVERY = 5  # at most one request in 5 repeats a completed one
 RECONNECT_MS = 50.0
-REJECTED_CODE = -32014  # of a JSON-RPC error
+REJECTED_CODE = -32014  # JSON-RPC error code of a rejected request
 REQUEST_BODY = b"ask"
 
 
 class FakeGateway:
-    """Sends requests at an even pace, for each product in turn. Now and then it repeats one: what had no
-    answer when its connection ended, or what was completed before."""
+    """Sends requests at a constant rate, for each product in turn.
+
+    Some requests repeat an earlier one that was completed, or unanswered when its connection ended."""
 
     def __init__(
         self, server: int, link: Link, runtime: FakeRuntime, wire: WireHistory, pace_ms: float
@@ -35,17 +36,17 @@
         self.wire = wire
         self.pace_ms = pace_ms
         self.is_sending = True
-        self.incarnation = 0  # of the server's process
+        self.incarnation = 0  # incremented each time the server's process starts
         self._sent = 0
-        self._refused_before = 0  # connections that the link had refused when this one was opened
-        self._has_goaway = False  # the server takes nothing new on this connection
-        # Of one process of the server, for its keys do not outlive it.
+        self._refused_before = 0  # the link's count when this connection was opened
+        self._has_goaway = False  # the server accepts no new requests on this connection
+        # These belong to one incarnation, because idempotency keys do not survive the server process.
         self._completed: list[RequestRecord] = []
         self._unanswered: list[RequestRecord] = []
         self._repeats_of_incarnation = 0
 
     async def run(self) -> None:
-        """Connects, and again after each end, until cancelled."""
+        """Connects, and reconnects after each disconnection, until cancelled."""
         while True:
             self._refused_before = self.link.refused_connections
             try:
@@ -74,7 +75,7 @@
             self._end_open_requests(requests, incarnation)
 
     def _end_open_requests(self, requests: dict[int, RequestRecord], incarnation: int) -> None:
-        """The connection has ended. The same process is asked again for what may have run."""
+        """Records the open requests of an ended connection; keyed ones are repeated to the same process."""
         now = clock()
         was_connected = self.link.refused_connections == self._refused_before
         outcome = RequestOutcome.LOST if was_connected else RequestOutcome.NOT_SENT
@@ -121,7 +122,7 @@
         return RequestRecord(self.server, incarnation, product, call, key, original_call, clock())
 
     def _request_to_repeat(self) -> RequestRecord | None:
-        """The request that is sent again, if it is time for one; after the retention it would run anew."""
+        """Returns the request to repeat, if one is due. After the retention of its key it would run again."""
         while self._unanswered:
             request = self._unanswered.pop()
             if clock() - request.sent_at <= REPEAT_WITHIN_MS:
@@ -132,7 +133,7 @@
         return request if clock() - request.sent_at <= REPEAT_WITHIN_MS else None
 
     async def _receive(self, stream: anyio.abc.SocketStream, requests: dict[int, RequestRecord]) -> None:
-        """Until the connection ends, or nothing is open after a goaway: gateways close it then."""
+        """Receives until the connection ends, or until no request is open after a goaway, as gateways do."""
         data = b""
         while True:
             data += await stream.receive()
@@ -141,7 +142,7 @@
                 message = json.loads(line)
                 self._has_goaway = self._has_goaway or message.get("method") == "noMore"
                 request = requests.get(message.get("id"))
-                if request:  # also if it was answered: a second response is recorded
+                if request:  # even if it was answered, so that a second response is recorded
                     self._handle_response(request, message)
             is_any_open = any(request.outcome is RequestOutcome.OPEN for request in requests.values())
             if self._has_goaway and not is_any_open:
@@ -166,7 +167,7 @@
 
 
 def _encode(rpc_id: int, request: RequestRecord) -> bytes:
-    """A line of JSON-RPC by the platform's protocol."""
+    """Encodes a request as a line of JSON-RPC by the platform's protocol."""
     parameters: dict[str, object] = dict(
         call=request.call,
         recv=round(unix()),
--- a/otterrudder/lab/processes/fake_runtime.py
+++ b/otterrudder/lab/processes/fake_runtime.py
@@ -1,5 +1,5 @@
-"""A fake runtime of one server, by the platform's protocol: it runs what the server starts, and records
-it."""
+"""A fake runtime of one server, which simulates and records the runs that the server starts by the platform's
+protocol."""
 
 import contextlib
 import socket
@@ -14,9 +14,9 @@
 from otterrudder.lab.processes.link import accept_all
 
 RUN_MS = 5.0
-LONG_RUN_MS = 300.0  # of a run that a drain has to wait for
-UPTIME_MS = 60_000.0  # that a runtime claims at its start, so that no server counts as cold
-MAX_NOTICES = 4000  # that are kept for a link that comes up again
+LONG_RUN_MS = 300.0  # duration of runs that a drain has to await
+UPTIME_MS = 60_000.0  # reported at the start, so that no server treats the runtime as cold
+MAX_NOTICES = 4000  # kept for sending after a reconnection
 MAX_LINE = 512  # bytes
 CONNECTION_ERRORS = (
     OSError,
@@ -29,25 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _Notice:
-    """The end of a run, as it was sent."""
+    """The message that reports the end of a run."""
 
     number: int
     data: bytes
 
 
 class FakeRuntime:
-    """Outlives links and the server's processes. Runs go on without a link; a new link receives the notices
-    that it has missed."""
+    """Outlives connections and the server's processes.
+
+    Runs continue without a connection, and a new connection receives the missed notices."""
 
     def __init__(self, server: int, wire: WireHistory) -> None:
         self.server = server
         self.wire = wire
-        # By call and from the gateway: the protocol does not carry either to the runtime.
+        # Set by the fake gateway, by call, because the platform's protocol does not send them to the runtime.
         self.idempotency_keys: dict[str, str] = {}
-        self.finished_calls: set[str] = set()  # that are owed no answer any more
-        self.incarnation = 0  # of the server's process: notices are numbered anew with each
+        self.finished_calls: set[str] = set()  # calls that need no answer any more
+        self.incarnation = 0  # incremented when the server's process starts; notice numbers restart then
         self.run_ms = RUN_MS
-        self.started_runs = 0  # ever
+        self.started_runs = 0  # since the start of the fake runtime
         self.started_at = clock() - UPTIME_MS
         self._notices: list[_Notice] = []
         self._notice_number = 0
@@ -60,7 +61,7 @@
         self.address: tuple[str, int] = self._listener.getsockname()
 
     def begin_incarnation(self) -> None:
-        """The server has another process: what ran for the earlier one ends without a notice."""
+        """Handles a new server process: the runs of the earlier one end without a notice."""
         self.incarnation += 1
         self.run_ms = RUN_MS
         self._notice_number = 0
@@ -101,7 +102,7 @@
         await self._send(stream, f"ready hot {uptime_ms:.0f}\r\n".encode() + missed)
 
     async def _handle_start(self, call: str) -> None:
-        """Nothing happens for a call that runs already, and nothing starts for one that is finished."""
+        """Starts a run, unless the call is running already or is finished."""
         if call in self._running:
             return
         if call in self.finished_calls:
@@ -137,5 +138,5 @@
 
 
 def result_of(call: str) -> bytes:
-    """The body that a run of that call makes."""
+    """Returns the body that a run of this call produces."""
     return f"r:{call}".encode()
--- a/otterrudder/lab/processes/fake_settings.py
+++ b/otterrudder/lab/processes/fake_settings.py
@@ -1,11 +1,11 @@
-"""The settings of the servers here, and what their fake neighbours go by."""
+"""The settings of the cluster's servers, and constants for the fake gateways and runtimes."""
 
-REQUEST_TTL_MS = 4000  # that a gateway waits for an answer
+REQUEST_TTL_MS = 4000  # maximum time that a gateway waits for an answer
 SAFE_PRODUCT = "look"
 KEYED_PRODUCT = "pay"  # its requests carry an idempotency key
 PRODUCTS = (SAFE_PRODUCT, KEYED_PRODUCT)
-RETENTION_US = 20e6  # of an idempotency key
-STOP_MS = 2000  # that a server's drain may take
+RETENTION_US = 20e6  # retention of an idempotency key
+STOP_MS = 2000  # maximum duration of a server's drain
 
 SETTINGS: dict[str, object] = {
     "classes": [
--- a/otterrudder/lab/processes/fault_injector.py
+++ b/otterrudder/lab/processes/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a round into a cluster of plain members, and recovers from them."""
+"""Injects the faults of a round into a cluster of plain members, and ends them afterwards."""
 
 import signal
 import subprocess
@@ -29,17 +29,18 @@
 from otterrudder.lab.processes.server_process import ServerProcess
 from otterrudder.lab.processes.waiting import wait_until
 
-FAILPOINT_TIMEOUT_S = 4.0  # a proposer starts in one second, a member comes forward within two
+FAILPOINT_TIMEOUT_S = 4.0  # a proposer starts within 1 s, a member campaigns within 2 s
 DRAIN_TIMEOUT_S = 20.0
 REMOVAL_TIMEOUT_S = 20.0
 REMOVAL_RETRY_S = 0.3
-# That restarted servers have before other faults end: they start in less.
-RESTART_S = 0.8
+RESTART_S = 0.8  # wait for restarted servers before other faults end; a server starts in less
 
 
 class FaultInjector:
-    """The faults of one round after another. A round calls `prepare`, `inject`, then the methods for faults
-    that meet an open change, and at last `recover`."""
+    """Injects the faults of successive rounds.
+
+    A round calls `prepare`, then `inject`, then the methods for faults that need an open change, and finally
+    `recover`."""
 
     def __init__(self, cluster: ProcessCluster) -> None:
         self.cluster = cluster
@@ -60,11 +61,11 @@
         }
 
     async def prepare(self, fault: Fault) -> None:
-        """Arms failpoints, and removes a leader who could keep others from coming forward."""
+        """Arms the failpoint of a fault, and removes the leader if other servers have to campaign."""
         if not self.cluster.options.with_fleet:
             return
         if fault.kind in PROPOSER_FAULTS:
-            # "after commit" is armed once the proposer has come to its own commit.
+            # "after commit" is armed when the proposer has reached its own commit.
             point = "before commit" if fault.point == "after commit" else fault.point
             self.cluster.failpoints.arm(self.cluster.failpoints.for_proposers, point)
         elif fault.kind in POINT_FAULTS:
@@ -73,7 +74,7 @@
             self.cluster.failpoints.arm(self._failpoint_directory(fault), fault.point)
 
     async def inject(self, fault: Fault) -> None:
-        """Injects what begins with the round; does nothing for faults that meet an open change."""
+        """Injects a fault that begins with the round; ignores faults that need an open change."""
         if fault.kind in AFTER_VOTE_FAULTS:
             return
         if fault.is_of_server:
@@ -88,7 +89,7 @@
             await self.cluster.store.inject(**STORE_MESSAGES[fault.kind])
 
     async def inject_after_vote(self, fault: Fault) -> None:
-        """Injects a fault that waits for a vote."""
+        """Injects a fault that begins after a vote."""
         if not fault.is_of_server:
             await self._store_handlers[fault.kind]()
             return
@@ -108,8 +109,10 @@
             self._server_handlers[fault.kind](server)
 
     async def inject_at_failpoint(self, fault: Fault, since: float) -> bool:
-        """Injects a fault once a server has stopped at its failpoint; whether one has, at some time since
-        then."""
+        """Waits until a server has stopped at the fault's failpoint, and injects the fault.
+
+        Returns False if none stopped within the timeout; `since` is the earliest time at which one may have
+        stopped."""
         failpoint = ArmedFailpoint(self._failpoint_directory(fault), fault.point)
         pid = await self.cluster.failpoints.wait_stopped(failpoint, FAILPOINT_TIMEOUT_S)
         if not pid:
@@ -122,13 +125,13 @@
         return True
 
     def _failpoint_directory(self, fault: Fault) -> Path:
-        """Where its failpoint is armed: of its server, or of all where nobody knows who reaches it."""
+        """Returns the failpoint directory of the fault's server, or the common one for leader points."""
         if fault.point in LEADER_POINTS:
             return self.cluster.failpoints.for_all
         return self.cluster.servers[fault.server].failpoints
 
     async def recover(self, round_: Round) -> None:
-        """Ends all faults: what was killed starts, what was frozen goes on, links work."""
+        """Ends all faults: restarts killed processes, resumes frozen ones, and repairs links."""
         cluster = self.cluster
         if not cluster.options.with_fleet:
             await anyio.sleep(round_.fault_duration_s)
@@ -152,7 +155,7 @@
         await wait_until(lambda: not any(server.is_up for server in draining), DRAIN_TIMEOUT_S)
 
     async def _restart_servers(self, round_: Round) -> None:
-        """Starts servers that are down, and resumes those that were stopped by a signal or at a failpoint."""
+        """Starts servers that are down, and resumes servers stopped by a signal or at a failpoint."""
         down = [server for server in self.cluster.servers if not server.is_up]
         for server in down:
             self.cluster.start_server(server)
@@ -183,8 +186,10 @@
             server.hang_disk(False)
 
     async def _wait_removed(self, server: ServerProcess) -> None:
-        """Under the rule `wait` a server that has lost its state is not admitted until an operator says that
-        the earlier one is gone. That is refused as long as the earlier one's lease lives."""
+        """Removes the earlier member of a server that lost its state, so that the server can register again.
+
+        Under the rule `wait` such a server is not admitted until an operator removes the earlier member, and
+        the removal is refused until that member's lease expires."""
         options = self.cluster.options
         if options.absent != "wait" or not options.with_fleet:
             return
@@ -197,9 +202,10 @@
 async def wait_proposer_stopped(
     cluster: ProcessCluster, point: str, proposer: subprocess.Popen[bytes]
 ) -> bool:
-    """Whether the proposer has stopped at its failpoint.
+    """Waits for the proposer to stop at a failpoint; returns False if it does not stop in time.
 
-    At "after commit" it is first stopped before its own commit: others may commit the change as well."""
+    For "after commit" the proposer is first stopped before its own commit, because servers may commit the
+    change as well."""
     failpoints = cluster.failpoints
     if point == "after commit":
         before = ArmedFailpoint(failpoints.for_proposers, "before commit")
--- a/otterrudder/lab/processes/fault_schedule.py
+++ b/otterrudder/lab/processes/fault_schedule.py
@@ -1,6 +1,6 @@
-"""Draws a schedule of faults from a seed, whole, before anything starts.
+"""Draws a complete schedule of faults from a seed before a run starts.
 
-So a run is played again by its seed, and rounds can be left out one by one."""
+A run can therefore be repeated from its seed, and rounds can be left out one at a time."""
 
 import random
 
@@ -24,14 +24,14 @@
     Round,
 )
 
-FAULT_COUNTS = (1, 1, 2, 3)  # of a round, drawn from these
-FAULT_DURATION_S = (0.4, 2.8)  # that the faults of a round last
-# A change comes about, as far as its commit, with these as without them.
+FAULT_COUNTS = (1, 1, 2, 3)  # the number of faults of a round is drawn from these
+FAULT_DURATION_S = (0.4, 2.8)  # range of the duration of a round's faults
+# Kinds of faults that begin so do not prevent a change from reaching its commit.
 HARMLESS_PREFIXES = ("gateway", "runtime", "list", "watches", "name", "store slow")
 
 
 def draw(seed: int, servers: int, changes: int, is_baseline: bool = False) -> list[Round]:
-    """The schedule of a seed. The baseline has no store and no proposer that could fail."""
+    """Returns the schedule of a seed. The baseline has no faults of the store or of a proposer."""
     schedule = _FaultSchedule(seed, servers)
     return [schedule.next_round(number, is_baseline) for number in range(1, changes + 1)]
 
@@ -45,7 +45,7 @@
         self.deck: list[tuple[str, str]] = []
 
     def next_round(self, number: int, is_baseline: bool) -> Round:
-        """Deals the faults of a round."""
+        """Draws the faults of a round."""
         faults = self._draw_faults()
         if is_baseline:
             faults = [
@@ -57,7 +57,7 @@
         return Round(number, PRODUCTS[number % len(PRODUCTS)], tuple(faults), fault_duration_s)
 
     def _draw_faults(self) -> list[Fault]:
-        """What does not go together with the others of the round is put back, to be drawn later."""
+        """Draws the faults of a round; incompatible ones return to the deck for later rounds."""
         drawn: list[Fault] = []
         put_back: list[tuple[str, str]] = []
         for _ in range(self.random.choice(FAULT_COUNTS)):
@@ -77,19 +77,19 @@
 
 
 def _are_compatible(faults: list[Fault]) -> bool:
-    """Whether each fault has its target for itself, and can come about beside the others."""
+    """Whether no two faults share a target, and each fault can occur together with the others."""
     targets = [target for fault in faults for target in _targets(fault)]
     if len(targets) != len(set(targets)):
         return False
     kinds = {fault.kind for fault in faults}
-    # A server without its state trusts the first engine that answers, unless the fleet's file names one.
+    # A server without state trusts the first store that answers, unless the fleet file names one.
     if "folder lost" in kinds and kinds & set(REPLACED_STORE_FAULTS):
         return False
     return _can_meet_vote(faults, kinds) and _can_meet_commit(faults)
 
 
 def _targets(fault: Fault) -> list[object]:
-    """What a fault needs for itself: a server, the store, the change."""
+    """Returns the targets that a fault needs exclusively: a server, the store, the change."""
     targets: list[object] = []
     if fault.is_of_server:
         targets.append(fault.server)
@@ -101,7 +101,7 @@
 
 
 def _can_meet_vote(faults: list[Fault], kinds: set[str]) -> bool:
-    """Whether faults that wait for a vote, or at a server's failpoint, can still meet it."""
+    """Whether the faults that wait for a vote or for a server's failpoint can still occur."""
     point_faults = [fault for fault in faults if fault.kind in POINT_FAULTS]
     if not point_faults and not kinds & set(AFTER_VOTE_FAULTS):
         return True
@@ -109,12 +109,12 @@
         return False
     if point_faults and "older copy later" in kinds:
         return False
-    # No server saves a vote for a bad policy.
+    # A server does not save a vote for an invalid policy.
     return not ("bad policy" in kinds and any(fault.point.endswith("save") for fault in point_faults))
 
 
 def _can_meet_commit(faults: list[Fault]) -> bool:
-    """Whether faults at a proposer's commit have a change that gets so far."""
+    """Whether a change with faults at the proposer's commit can reach its commit."""
     return all(
         other.kind.startswith(HARMLESS_PREFIXES)
         for fault in faults
--- a/otterrudder/lab/processes/faults.py
+++ b/otterrudder/lab/processes/faults.py
@@ -1,6 +1,6 @@
-"""The faults of a fleet of plain members: their names, the links that they break, and the failpoints.
+"""The faults of a fleet of plain members: their names, the link faults, and the failpoints.
 
-The names stand in results and plans; the order of the tuples decides what a seed draws."""
+The names are written to results and schedules. The order of the tuples determines what a seed draws."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault by its name, and whom it is drawn to."""
+    """A fault, with the server or failpoint at which it is injected."""
 
     kind: str
-    server: int = NO_SERVER  # else it is the store's, or the change's
-    point: str = ""  # the failpoint
+    server: int = NO_SERVER  # NO_SERVER for a fault of the store or of the change
+    point: str = ""  # name of the failpoint, if any
 
     @property
     def is_of_server(self) -> bool:
-        """Whether it is drawn to a server."""
+        """Whether the fault is injected into a server."""
         return self.server >= 0
 
     def __str__(self) -> str:
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """One change of policy, with the faults that go on meanwhile."""
+    """A policy change, with the faults that are injected during it."""
 
     number: int
-    rejected_product: str  # by the policy that is proposed
+    rejected_product: str  # the product that the proposed policy rejects
     faults: tuple[Fault, ...]
-    fault_duration_s: float  # that the faults last
+    fault_duration_s: float
 
     @property
     def kinds(self) -> set[str]:
-        """The names of its faults."""
+        """The kinds of the round's faults."""
         return {fault.kind for fault in self.faults}
 
 
 class BrokenLink(NamedTuple):
-    """A link of a server by its name, and its fault."""
+    """The name of a server's link, and the fault of that link."""
 
     link: str
     fault: LinkFault
@@ -78,15 +78,15 @@
 }
 CUT_AFTER_VOTE = BrokenLink("store", BLOCKED_BACKWARD)
 
-# Failpoints of a server.
-LEADER_POINTS = ("before lead", "after lead")  # who comes forward for the leadership is not known before
+# Failpoints in servers.
+LEADER_POINTS = ("before lead", "after lead")  # which server campaigns is not known in advance
 SERVER_POINTS = ("before save", "after save", "before vote", "after vote", *LEADER_POINTS)
-# Failpoints of a proposer.
+# Failpoints in proposers.
 COMMIT_POINTS = ("before commit", "after commit")
 BEFORE_PROPOSE = "before propose"
 PROPOSER_POINTS = (BEFORE_PROPOSE, "after propose", *COMMIT_POINTS)
 
-# Dealt once its server, or for the store's anybody, has voted.
+# Injected after the vote of the fault's server, or after any vote for a fault of the store.
 AFTER_VOTE_FAULTS = ("freeze later", "cut later", "drain later", "older copy later")
 DRAIN_FAULTS = ("drain", "drain later")
 SERVER_FAULTS = (
@@ -102,7 +102,7 @@
     "folder lost",
     *LINK_FAULTS,
 )
-POINT_FAULTS = ("kill at point", "halt at point", "store killed at point")  # of a server, at each failpoint
+POINT_FAULTS = ("kill at point", "halt at point", "store killed at point")  # at each failpoint of a server
 STORE_FAULTS = (
     "store slow",
     "store loses answers",
@@ -117,14 +117,14 @@
 )
 PROPOSER_FAULTS = ("proposer killed", "store killed at proposal")  # at each failpoint of a proposer
 CHANGE_FAULTS = ("two at once", "bad policy")
-# A schedule deals all of them before it deals one again.
+# A schedule draws each (kind, failpoint) once before it draws any of them again.
 DECK = (
     *((kind, "") for kind in SERVER_FAULTS + STORE_FAULTS + CHANGE_FAULTS),
     *((kind, point) for kind in POINT_FAULTS for point in SERVER_POINTS),
     *((kind, point) for kind in PROPOSER_FAULTS for point in PROPOSER_POINTS),
 )
 REPLACED_STORE_FAULTS = ("older copy answers", "older copy later", "empty store answers")
-# While these last no vote is seen, or the store cannot be told to wait.
+# During these faults no vote can be observed, or the store cannot be made to delay the end of a change.
 NO_VOTES_FAULTS = ("store frozen", "store killed", "older copy answers", "empty store answers")
 STORE_DOWN_FAULTS = (
     "store killed",
@@ -132,7 +132,7 @@
     "store killed at proposal",
     *REPLACED_STORE_FAULTS,
 )
-# What fake_etcd is told for a fault of the store.
+# The messages that inject faults into fake_etcd.
 STORE_MESSAGES: dict[str, dict[str, object]] = {
     "store slow": {"slow_ms": 150},
     "store loses answers": {"lose_answers": 3},
@@ -142,7 +142,7 @@
 }
 STORE_RECOVERY_MESSAGE: dict[str, object] = {"slow_ms": 0, "lose_answers": 0, "deaf_watches": False}
 STORE_FAULTS_THAT_LAST = ("store slow", "store loses answers", "watches deaf")
-# What a fault comes to for servers without a fleet: down, frozen, or out of the operator's reach.
+# The equivalent faults of servers without a fleet: down, frozen, or unreachable for the operator.
 BASELINE_FAULTS = {
     "kill": "kill",
     "folder lost": "kill",
--- a/otterrudder/lab/processes/history.py
+++ b/otterrudder/lab/processes/history.py
@@ -1,35 +1,35 @@
-"""What was recorded of a run: requests and runs as they crossed the wire, versions in force, and faults.
+"""The recorded history of a cluster run: requests and runs as seen on the wire, policy versions, and faults.
 
-The fake servers and the cluster write it, the history checker reads it. All times are monotonic ms of the
-cluster's process."""
+The fake gateways and runtimes and the cluster write the history, and the history checker reads it. All times
+are ms of the monotonic clock in the cluster's process."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
 
-FLEET_WIDE = -1  # in place of a server's number: an event of the store, or of the fleet
+FLEET_WIDE = -1  # server number of an event that concerns the store or the whole fleet
 
 
 class RequestOutcome(Enum):
-    """How a request ended for its gateway."""
+    """The outcome of a request as its gateway saw it."""
 
     OPEN = ""
     COMPLETED = "completed"
     REJECTED = "rejected"
     FAILED = "failed"
-    LOST = "lost"  # the connection ended first
-    NOT_SENT = "not sent"  # no server listened
+    LOST = "lost"  # the connection ended before an answer arrived
+    NOT_SENT = "not sent"  # no server was listening
 
 
 class TimeSpan(NamedTuple):
-    """From when to when something was so."""
+    """A span of time; both ends belong to it."""
 
     start: float
     end: float
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Whether it has a moment in common with another span."""
+        """Whether this span shares any time with the span from `start` to `end`."""
         return self.start <= end and self.end >= start
 
 
@@ -38,11 +38,11 @@
     """One request as its gateway saw it."""
 
     server: int
-    incarnation: int  # of the server's process
+    incarnation: int  # incremented each time the server's process starts
     product: str
     call: str
     idempotency_key: str
-    original_call: str  # the call whose result a repeat is owed; its own otherwise
+    original_call: str  # the call that a repeat repeats; otherwise equal to `call`
     sent_at: float
     answered_at: float = 0.0
     outcome: RequestOutcome = RequestOutcome.OPEN
@@ -51,13 +51,13 @@
 
     @property
     def is_repeat(self) -> bool:
-        """Whether it asks again for an earlier call."""
+        """Whether the request repeats an earlier call."""
         return self.call != self.original_call
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One run that a server has started at its runtime."""
+    """A run that a server started at its runtime."""
 
     server: int
     call: str
@@ -67,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionInForce:
-    """A version of the policy, and between which times it came into force."""
+    """A policy version, which came into force between the times `after` and `by`."""
 
     version: int
-    rejected_product: str  # "": none
+    rejected_product: str  # "" if the policy rejects none
     after: float
     by: float
 
 
 @dataclass(frozen=True, slots=True)
 class VoteRecord:
-    """The first look at the store that showed a vote."""
+    """A vote, with the time of the first poll of the store that returned it."""
 
     at: float
     change: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRecord:
-    """A server that was told to drain, and how its process ended; `exit_code` None: it had to be killed."""
+    """The drain of a server; `exit_code` is None if the process did not end in time and was killed."""
 
     server: int
     started_at: float
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingRecord:
-    """When service discovery received reports of a server, and when none was owed."""
+    """When service discovery received reports of a server, and the spans in which none is required."""
 
     received_at: list[float]
     excused: list[TimeSpan]
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterEvent:
-    """Something that was done to a server, or to the fleet."""
+    """A fault, recovery or operator action on a server or on the whole fleet."""
 
     at: float
     server: int
@@ -113,27 +113,27 @@
 
 @dataclass(slots=True)
 class WireHistory:
-    """All that the fake gateways and runtimes have seen."""
+    """The requests and runs recorded by the fake gateways and runtimes."""
 
     requests: list[RequestRecord] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    # When this process itself stood still: what it should have sent or read then is nobody's fault.
+    # Spans in which the cluster's own process was stalled, so that it sent and read late.
     stalls: list[TimeSpan] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterHistory:
-    """Everything that the history checker goes by."""
+    """The input of the history checker."""
 
     wire: WireHistory
     versions: Sequence[VersionInForce]
     bound_ms: float
-    disturbed: dict[int, list[TimeSpan]] = field(default_factory=dict)  # by server
-    listings: dict[str, ListingRecord] = field(default_factory=dict)  # by server's name
+    disturbed: dict[int, list[TimeSpan]] = field(default_factory=dict)  # by server number
+    listings: dict[str, ListingRecord] = field(default_factory=dict)  # by server name
     drains: Sequence[DrainRecord] = ()
-    stop_ms: float = 0.0  # that a drain may take
+    stop_ms: float = 0.0  # the maximum duration of a drain
 
 
 def no_version_yet() -> VersionInForce:
-    """What is in force at the start."""
+    """Returns version 0, which is in force from the start and rejects no product."""
     return VersionInForce(0, "", float("-inf"), float("-inf"))
--- a/otterrudder/lab/processes/history_checker.py
+++ b/otterrudder/lab/processes/history_checker.py
@@ -1,9 +1,9 @@
-"""Checks a run from its history: what crossed the wire at gateways and runtimes, and when the store had which
-version of the policy. It never asks a server.
+"""Checks the recorded history of a run without querying any server. The history has the messages seen by
+gateways and runtimes, and the times at which the store held each version of the policy.
 
-A policy shows in what is completed: each policy here rejects one product for good, so a completed request
-tells under which versions it may have been admitted. It breaks the bound if none of these was in force, or
-had been within the bound, at any time between its sending and its answer."""
+Each policy here always rejects one product, so a completed request shows which versions may have admitted it.
+A request violates the bound if none of those versions was in force, or had been in force within the bound, at
+any time between sending the request and receiving its answer."""
 
 from collections import Counter
 from collections.abc import Iterator, Sequence
@@ -21,16 +21,16 @@
     VersionInForce,
 )
 
-BOUND_SLACK_MS = 60.0  # on the bound: a look at the store, an iteration of a server's loop, the way there
-STALL_RECOVERY_MS = 50.0  # after this process stalled, until it has read what had arrived
-DRAIN_SLACK_MS = 600.0  # on a drain's time, on a machine whose cores are shared
-ANSWER_SLACK_MS = 400.0  # on a gateway's patience, on a machine whose cores are shared
-MAX_UNLISTED_MS = 3000.0  # without a report until service discovery drops a server
-MAX_LISTED_VIOLATIONS = 12  # of a rule; more are only counted
+BOUND_SLACK_MS = 60.0  # added to the bound: one store poll, one iteration of a server's loop, transit time
+STALL_RECOVERY_MS = 50.0  # time to read the data that arrived while this process was stalled
+DRAIN_SLACK_MS = 600.0  # added to the drain timeout, for scheduling delays on shared cores
+ANSWER_SLACK_MS = 400.0  # added to a gateway's timeout, for scheduling delays on shared cores
+MAX_UNLISTED_MS = 3000.0  # service discovery drops a server after this time without a report
+MAX_LISTED_VIOLATIONS = 12  # per rule; further violations are only counted
 
 
 class Rule(Enum):
-    """What is checked; the values are names in results."""
+    """The rules that are checked; their values are names in results."""
 
     LOST = "lost"
     ANSWERED_TWICE = "answered twice"
@@ -44,26 +44,26 @@
 
     @property
     def figure(self) -> str:
-        """The name of the figure that counts its violations."""
+        """The name of the figure that counts violations of this rule."""
         return f"breaches of {self.value!r}"
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """The violations found, each in a line, and the run's figures."""
+    """The violations found, as one line of text each, and the figures of the run."""
 
     violations: list[str] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
 
 
 def check_history(history: ClusterHistory) -> CheckResult:
-    """Checks all rules."""
+    """Checks a history against all rules."""
     return _HistoryChecker(history).check()
 
 
 def may_have_been_admitted(request: RequestRecord, versions: list[VersionInForce], bound_ms: float) -> bool:
-    """Whether a version that serves the request was in force, or had been within the bound, while it was
-    open."""
+    """Whether a version that serves the request's product was in force, or had been in force within the
+    bound, while the request was open."""
     for index, version in enumerate(versions):
         is_last = index + 1 == len(versions)
         end = float("inf") if is_last else versions[index + 1].by + bound_ms + BOUND_SLACK_MS
@@ -74,7 +74,8 @@
 
 
 class _HistoryChecker:
-    """One check. A request that was open while its server was disturbed is owed no answer in time."""
+    """Checks one history. A request that was open during a disturbance of its server needs no timely
+    answer."""
 
     def __init__(self, history: ClusterHistory) -> None:
         self.history = history
@@ -83,13 +84,13 @@
         self.stalls = [TimeSpan(start, end + STALL_RECOVERY_MS) for start, end in history.wire.stalls]
         self.counts: Counter[Rule] = Counter()
         self.violations: list[str] = []
-        self.first_runs: dict[tuple[int, str], str] = {}  # by server and key: the call that ran
+        self.first_runs: dict[tuple[int, str], str] = {}  # first call by (server, key)
         self.completed = {
             request.call: request for request in self.requests if request.outcome is RequestOutcome.COMPLETED
         }
 
     def check(self) -> CheckResult:
-        """Checks rule by rule."""
+        """Checks all rules, and returns the violations and figures."""
         self._check_runs()
         for request in self.requests:
             self._check_request(request)
@@ -135,7 +136,7 @@
                 return
             case RequestOutcome.OPEN | RequestOutcome.LOST:
                 if not self._is_excused(request):
-                    self._add_request(Rule.LOST, request, "no answer, and nothing was done to its server")
+                    self._add_request(Rule.LOST, request, "no answer, although its server was not disturbed")
                 return
             case RequestOutcome.COMPLETED:
                 self._check_latency(request)
@@ -164,15 +165,18 @@
             self._add_request(Rule.OTHER_RESULT, request, repr(request.body))
         is_own_run = run == request.call
         if is_own_run and not may_have_been_admitted(request, self.versions, self.history.bound_ms):
-            self._add_request(Rule.WRONG_VERSION, request, "no policy that serves it was in force by then")
+            text = "no policy that serves this product was in force within the bound"
+            self._add_request(Rule.WRONG_VERSION, request, text)
 
     def _check_rejected(self, request: RequestRecord) -> None:
-        """A repeat must not be rejected if the same process had completed the original before."""
+        """Checks that no repeat was rejected after the same process had completed the original."""
         original = self.completed.get(request.original_call)
         if original is None or original.incarnation != request.incarnation:
             return
         if original.answered_at <= request.sent_at:
-            self._add_request(Rule.REPEAT_REJECTED, request, f"{request.original_call} had been completed")
+            self._add_request(
+                Rule.REPEAT_REJECTED, request, f"original {request.original_call} had completed"
+            )
 
     def _check_listing(self, name: str, listing: ListingRecord) -> None:
         for gap in _unexcused_gaps(listing):
@@ -186,13 +190,13 @@
             if drain.exit_code != 0 or took_ms > self.history.stop_ms + DRAIN_SLACK_MS:
                 self._add(
                     Rule.DRAIN,
-                    f"server {drain.server}, told at {drain.started_at:.0f}, ended with "
+                    f"server {drain.server}, draining since {drain.started_at:.0f}, ended with exit code "
                     f"{drain.exit_code} after {took_ms:.0f} ms",
                 )
 
 
 def _unexcused_gaps(listing: ListingRecord) -> Iterator[TimeSpan]:
-    """Times without a report that are too long, and that nothing excuses."""
+    """Yields the spans without a report that are too long and overlap no excused span."""
     for start, end in zip(listing.received_at, listing.received_at[1:], strict=False):
         is_long = end - start > MAX_UNLISTED_MS + ANSWER_SLACK_MS
         if is_long and not any(span.overlaps(start, end) for span in listing.excused):
@@ -200,7 +204,7 @@
 
 
 def _figures(history: ClusterHistory, wrong_versions: int) -> dict[str, float]:
-    """What the tables show; the keys are names in results and experiments."""
+    """Returns the figures of a run; the keys are names in results and experiments."""
     wire = history.wire
     outcomes = Counter(
         request.outcome for request in wire.requests if _is_served_by_policy(request, history.versions)
@@ -222,8 +226,9 @@
 
 
 def _is_served_by_policy(request: RequestRecord, versions: Sequence[VersionInForce]) -> bool:
-    """Whether one version was in force while it was open, and serves it. If it is rejected all the same, its
-    server had suspended admission."""
+    """Whether a single version was in force while the request was open, and serves the request's product.
+
+    If such a request is rejected, its server had suspended admission."""
     if request.is_repeat:
         return False
     for index, version in reversed(list(enumerate(versions))):
--- a/otterrudder/lab/processes/launch.py
+++ b/otterrudder/lab/processes/launch.py
@@ -1,4 +1,4 @@
-"""What child processes are started with: the project's root, their environment, and whether one is
+"""Helpers for child processes: the project's root directory, their environment, and whether a process is
 stopped."""
 
 import os
@@ -11,7 +11,7 @@
 
 
 def child_environment(variables: dict[str, str], *failpoint_directories: Path) -> dict[str, str]:
-    """This process's environment with other variables, and the directories in which failpoints are armed."""
+    """Returns this process's environment with these variables and failpoint directories."""
     not_inherited = (CONFIGURATION_VARIABLE, FAILPOINTS_VARIABLE)
     environment = {name: value for name, value in os.environ.items() if name not in not_inherited}
     environment |= variables
@@ -21,7 +21,7 @@
 
 
 def is_stopped(pid: int) -> bool:
-    """Whether a process is stopped by a signal; not if it is dead."""
+    """Whether a process exists and is stopped by a signal."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
--- a/otterrudder/lab/processes/link.py
+++ b/otterrudder/lab/processes/link.py
@@ -1,8 +1,8 @@
-"""Links between two ends on loopback that can be made faulty: cut, held one way, delayed, slow, reset amid a
-message, and working again; for datagrams cut, delayed and lossy.
+"""Proxies on loopback with injectable faults. TCP links can be cut, blocked in one direction, delayed, slow,
+or reset in the middle of a message; datagram links can be cut, delayed or lossy.
 
-A cut link resets its open connections and takes no new ones. A link that is held one way keeps what comes
-from that side, and neither end notices."""
+A cut link resets its open connections and accepts no new ones. A link that is blocked in one direction holds
+the data back without either end noticing."""
 
 import contextlib
 import itertools
@@ -17,17 +17,19 @@
 import anyio
 import anyio.abc
 
-MAX_CHUNK = 65536  # bytes that are moved in one go
-SLOW_READ_S = 0.05  # between reads at a slow reader's rate
-PORTS = range(12_000, 32_000)  # below those that Linux makes connections from by default
-LINGER_RESET = struct.pack("ii", 1, 0)  # a close sends a reset
+MAX_CHUNK = 65536  # bytes per read
+SLOW_READ_S = 0.05  # interval between reads at a limited rate
+PORTS = range(12_000, 32_000)  # below Linux's default range of ephemeral ports
+LINGER_RESET = struct.pack("ii", 1, 0)  # with this SO_LINGER value, closing sends a reset
 
 _port_numbers = itertools.count()
 
 
 def free_port() -> int:
-    """A port for a process that listens itself, and again after its death: no connection is made from it
-    meanwhile. OSError: none was found."""
+    """Returns a free port on which a process can listen, also after a restart.
+
+    The port is outside the ephemeral range, so no outgoing connection takes it in the meantime.
+    Raises OSError if no port is free."""
     for _ in range(len(PORTS)):
         index = zlib.crc32(f"{os.getpid()}/{next(_port_numbers)}".encode()) % len(PORTS)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", PORTS[index])):
@@ -37,15 +39,15 @@
 
 @dataclass(slots=True)
 class LinkFault:
-    """What is wrong with a link. "Forward" is from the end that connects."""
+    """The faults of a link. "Forward" is the direction from the connecting (near) end to the far end."""
 
     is_cut: bool = False
     blocks_forward: bool = False
     blocks_backward: bool = False
     delay_ms: float = 0.0
-    reset_after_bytes: int = 0  # from the far end: a connection is reset then, amid a message; 0: never
-    read_bytes_per_s: float = 0.0  # that the near end reads; 0: no limit
-    loss: float = 0.0  # share of datagrams that are lost, drawn by their number
+    reset_after_bytes: int = 0  # bytes from the far end until a connection is reset; 0: never
+    read_bytes_per_s: float = 0.0  # read rate of the near end; 0: no limit
+    loss: float = 0.0  # fraction of datagrams that are lost, drawn from their numbers
 
     @property
     def is_none(self) -> bool:
@@ -56,7 +58,7 @@
 async def accept_all(
     listener: socket.socket, handler: Callable[[socket.socket], Coroutine[Any, Any, None]]
 ) -> None:
-    """Handles each connection in a task of its own until cancelled; closes the listener then."""
+    """Handles each connection in its own task until cancelled, then closes the listener."""
     async with anyio.create_task_group() as tasks:
         try:
             while True:
@@ -69,7 +71,7 @@
 
 
 class Link:
-    """A TCP proxy on a port of its own; `run` owns its sockets."""
+    """A TCP proxy on a free port; `run` closes its sockets."""
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
@@ -77,12 +79,12 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.address: tuple[str, int] = self.listener.getsockname()
-        self.refused_connections = 0  # that never had a far end
+        self.refused_connections = 0  # connections for which none to the far end was made
         self._connections: set[anyio.CancelScope] = set()
         self._fault_changed = anyio.Event()
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Another fault from now on; a cut resets open connections."""
+        """Replaces the current fault; a cut resets open connections."""
         self.fault = fault
         if fault.is_cut:
             for scope in list(self._connections):
@@ -133,12 +135,12 @@
     async def _pump(
         self, source: socket.socket, sink: socket.socket, is_forward: bool, scope: anyio.CancelScope
     ) -> None:
-        """Moves bytes one way until an end closes; then the whole connection is cancelled."""
-        moved = 0
+        """Copies bytes in one direction until an end closes, then cancels the whole connection."""
+        copied = 0
         with contextlib.suppress(OSError):
             while data := await self._read(source, is_forward):
-                moved += len(data)
-                if not is_forward and 0 < self.fault.reset_after_bytes <= moved:
+                copied += len(data)
+                if not is_forward and 0 < self.fault.reset_after_bytes <= copied:
                     sink.send(data[: max(len(data) // 2, 1)])
                     break
                 await self._hold(is_forward)
@@ -154,7 +156,7 @@
         return data
 
     async def _hold(self, is_forward: bool) -> None:
-        """Waits for the delay, and as long as this way is held."""
+        """Waits for the delay, and while this direction is blocked."""
         if self.fault.delay_ms:
             await anyio.sleep(self.fault.delay_ms / 1000)
         while self.fault.blocks_forward if is_forward else self.fault.blocks_backward:
@@ -169,10 +171,10 @@
 
 
 class DatagramLink:
-    """A UDP proxy, one way, on a port of its own; `run` owns its socket."""
+    """A one-way UDP proxy on a free port; `run` closes its socket."""
 
     def __init__(self, target: tuple[str, int], number: int) -> None:
-        """`number`: of this link among others, which tells its losses from theirs."""
+        """`number` identifies the link, so that each link loses different datagrams."""
         self.target = target
         self.number = number
         self.fault = LinkFault()
@@ -183,7 +185,7 @@
         self.received = 0
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Another fault from now on."""
+        """Replaces the current fault."""
         self.fault = fault
 
     async def run(self) -> None:
@@ -199,8 +201,8 @@
 
     def _forward(self, data: bytes, tasks: anyio.abc.TaskGroup) -> None:
         self.received += 1
-        drawn = zlib.crc32(f"{self.number}/{self.received}".encode()) / 2**32
-        if self.fault.is_cut or drawn < self.fault.loss:
+        draw = zlib.crc32(f"{self.number}/{self.received}".encode()) / 2**32
+        if self.fault.is_cut or draw < self.fault.loss:
             return
         tasks.start_soon(self._send, data, self.fault.delay_ms)
 
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -1,8 +1,8 @@
-"""The server's program with one seeded fault:
+"""The server program with one seeded fault:
 `python -m otterrudder.lab.processes.mutants "never aside"`.
 
-Each rule of the history checker has a mutant here that it finds. Those of the fleet are the mutants of the
-search; those of the request rules are patched into the request core."""
+Each rule of the history checker has a mutant here that the rule detects. The mutants of the fleet are shared
+with the model search; the mutants of the request rules are patched into the request core."""
 
 import asyncio
 import os
@@ -25,14 +25,14 @@
 from otterrudder.net.requests import PendingRequest
 from otterrudder.net.server_files import ServerFiles
 
-SPOILT_EVERY = 6  # requests: one of them is spoilt
-LATE_S = 4.6  # of a late answer: gateways wait 4 s
-REPORT_PERIOD_S = 5.0  # in a fifth of which service discovery receives reports
-REPORT_SHARE = 0.2
+SPOILT_EVERY = 6  # one call in 6 is faulty
+LATE_S = 4.6  # delay of a late answer; gateways wait 4 s
+REPORT_PERIOD_S = 5.0
+REPORT_SHARE = 0.2  # fraction of each period in which reports are sent
 
 
 class _Counter:
-    """Counts calls, and says for which of them a fault is due."""
+    """Counts calls, and selects the faulty ones."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -43,7 +43,7 @@
 
 
 def _patch(owner: object, name: str, replacement: Callable[..., Any]) -> None:
-    """Replaces a method; by `setattr`, for a type checker refuses the assignment."""
+    """Replaces a method, using `setattr` because type checkers reject the assignment."""
     setattr(owner, name, replacement)
 
 
@@ -52,17 +52,17 @@
 
 
 class ServesAtOnce(Member):
-    """Admits from its start by the policy in its state directory, whatever was changed while it was down."""
+    """Admits from its start by the saved policy, ignoring changes that happened while it was down."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """Serving as soon as it starts."""
+        """Returns SERVING while the member is starting or registering."""
         status = super().admission_status(now)
         is_starting = status in (AdmissionStatus.STARTING, AdmissionStatus.REGISTERING)
         return AdmissionStatus.SERVING if is_starting else status
 
 
 def _loses_answers() -> None:
-    """Now and then an answer is never sent."""
+    """Never sends some answers."""
     original = RequestTable._answer
     counter = _Counter()
 
@@ -76,7 +76,7 @@
 
 
 def _runs_twice() -> None:
-    """Recognises no repeat."""
+    """Does not recognise repeats, so their runs start again."""
     original = core.RequestCore.handle_arrival
 
     def handle_arrival(self: core.RequestCore, *arguments: Any) -> None:
@@ -88,7 +88,7 @@
 
 
 def _changes_results() -> None:
-    """Now and then answers with what no run made."""
+    """Sends some answers with a body that no run produced."""
     original = core.RequestCore.handle_run_ended
     counter = _Counter()
 
@@ -99,7 +99,7 @@
 
 
 def _answers_twice() -> None:
-    """Sends each answer again."""
+    """Sends each answer twice."""
     original = RequestTable._answer
 
     def answer(self: RequestTable, request: PendingRequest, *arguments: Any) -> None:
@@ -111,7 +111,7 @@
 
 
 def _answers_late() -> None:
-    """Now and then keeps an answer until its caller has given up."""
+    """Delays some answers until the caller has timed out."""
     original = RequestTable._answer
     counter = _Counter()
 
@@ -131,7 +131,7 @@
 
 
 def _rejects_repeats() -> None:
-    """Rejects a repeat of what ran."""
+    """Rejects repeats of completed requests."""
 
     def reject(self: core.RequestCore, request: PendingRequest, _: object) -> None:
         self.requests.reject(request, False, 0.0)
@@ -142,7 +142,7 @@
 
 
 def _reports_rarely() -> None:
-    """Reports to service discovery in a part of the time only."""
+    """Reports to service discovery only during a fraction of each period."""
     original = discovery.DiscoveryReporter._report
     start = time.monotonic()
 
@@ -154,12 +154,12 @@
 
 
 def _exits_at_drain() -> None:
-    """Told to drain, it exits at once."""
+    """Exits immediately instead of draining."""
     _patch(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: os._exit(0))
 
 
 def _never_drains() -> None:
-    """Told to drain, it serves on."""
+    """Ignores the signal to drain."""
     _patch(core.RequestCore, "begin_graceful_shutdown", lambda self, left_ms: None)
 
 
@@ -181,7 +181,7 @@
 
 
 def serve_from_environment() -> NoReturn:
-    """The server's program, configured by the environment."""
+    """Runs the server program, configured by the environment."""
     files = ServerFiles.from_environment()
     configuration = read_configuration(files.configuration)
     log.configure_logging(configuration.name)
--- a/otterrudder/lab/processes/operators.py
+++ b/otterrudder/lab/processes/operators.py
@@ -1,4 +1,4 @@
-"""The operators' own commands, run as child processes against the cluster's store."""
+"""Runs operator commands as child processes against the cluster's store."""
 
 import signal
 import subprocess
@@ -22,7 +22,7 @@
     """Starts `otterrudder fleet` commands; their output is collected in one file."""
 
     def __init__(self, directory: Path, failpoints: Path, observer: PolicyObserver, events: EventLog) -> None:
-        """`failpoints`: the directory in which failpoints are armed for the commands."""
+        """`failpoints` is the failpoint directory of the commands."""
         self.directory = directory
         self.failpoints = failpoints
         self.observer = observer
@@ -39,7 +39,7 @@
         text: str = "",
         options: tuple[str, ...] = (),
     ) -> subprocess.Popen[bytes]:
-        """Starts a change of policy; `text`: another policy than the usual one, `options`: further ones."""
+        """Proposes a policy change; `text` replaces the generated policy, `options` are further arguments."""
         text = text or policy_text(rejected_product, number)
         self.observer.rejected_products[digest_of(text)] = rejected_product
         path = self.directory / f"policy-{number}.toml"
@@ -56,7 +56,7 @@
         return process
 
     def remove_server(self, server: ServerProcess) -> subprocess.Popen[bytes]:
-        """Starts the command that says that a server is gone for good."""
+        """Starts the command that removes a server from the fleet."""
         process = self.run("gone", server.name)
         self.events.add(server.number, "said to be gone")
         return process
@@ -72,7 +72,7 @@
 
     @staticmethod
     async def wait_ended(process: subprocess.Popen[bytes], timeout_s: float) -> int | None:
-        """Its exit code, or None: it has not ended in time. One that stops at a failpoint is resumed."""
+        """Returns the exit code, or None on timeout; resumes a process that stopped at a failpoint."""
         with anyio.move_on_after(timeout_s):
             while process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/otterrudder/lab/processes/policies.py
+++ b/otterrudder/lab/processes/policies.py
@@ -1,4 +1,4 @@
-"""Policies and tables of levels for the clusters here: each rejects one product from its start to its end."""
+"""Policies and tables of levels for clusters of processes; each of them always rejects one product."""
 
 LEVELS_TEMPLATE = """version = 1
 start = "cut"
@@ -14,11 +14,11 @@
 
 
 def levels_text(rejected_product: str) -> str:
-    """A table of levels that rejects one product."""
+    """Returns a table of levels that rejects one product."""
     return LEVELS_TEMPLATE.format(product=rejected_product)
 
 
 def policy_text(rejected_product: str, number: int) -> str:
-    """A policy that rejects one product; each number gives another digest."""
+    """Returns a policy that rejects one product; its digest differs for each number."""
     table = levels_text(rejected_product).replace("[[level]]", "[[levels.level]]")
     return f"# policy {number}\nversion = 1\n[levels]\n{table}"
--- a/otterrudder/lab/processes/policy_observer.py
+++ b/otterrudder/lab/processes/policy_observer.py
@@ -1,6 +1,6 @@
-"""Observes the store: which version of the policy came into force when, and who has voted on a change.
+"""Polls the store for the times at which policy versions came into force, and for the votes on changes.
 
-Its connection has no link with faults, so it sees the truth that the servers are held against."""
+The observer connects to the store directly, so link faults do not affect the reference data of the checks."""
 
 import contextlib
 from pathlib import Path
@@ -20,14 +20,14 @@
 
 
 class PolicyObserver:
-    """What the store has shown so far."""
+    """The policy versions and votes observed so far."""
 
     def __init__(self) -> None:
-        self.rejected_products: dict[str, str] = {}  # by a policy's digest
+        self.rejected_products: dict[str, str] = {}  # by policy digest
         self.versions: list[VersionInForce] = [no_version_yet()]
-        self.open_change = ""  # its id
+        self.open_change = ""  # id of the open change, or ""
         self.voters: set[str] = set()  # on the open change
-        self.votes: list[VoteRecord] = []  # on all changes, the first look at each
+        self.votes: list[VoteRecord] = []  # on all changes
 
     @property
     def in_force(self) -> VersionInForce:
@@ -39,26 +39,26 @@
         fleet = read_fleet(fleet_file)
         client = Client(fleet)
         keys = Keys(fleet.name)
-        previous_look = clock()
+        previous_poll_ms = clock()
         try:
             while True:
                 await anyio.sleep(POLL_S)
-                began = clock()
+                began_ms = clock()
                 with contextlib.suppress(StoreUnavailableError):
                     snapshot = await client.read([keys.policy, keys.change, keys.votes], REQUEST_TIMEOUT_MS)
-                    if snapshot.cluster != CLUSTER:  # another engine's content is not the fleet's
+                    if snapshot.cluster != CLUSTER:  # another store answers
                         continue
-                    self._note(FleetSnapshot(keys, snapshot), previous_look)
-                    previous_look = began
+                    self._note(FleetSnapshot(keys, snapshot), previous_poll_ms)
+                    previous_poll_ms = began_ms
         finally:
             with anyio.CancelScope(shield=True):
                 await client.close()
 
-    def _note(self, view: FleetSnapshot, previous_look: float) -> None:
+    def _note(self, view: FleetSnapshot, previous_poll_ms: float) -> None:
         head = view.policy
         if head and head.version > self.in_force.version:
             rejected = self.rejected_products.get(head.digest, "")
-            self.versions.append(VersionInForce(head.version, rejected, previous_look, clock()))
+            self.versions.append(VersionInForce(head.version, rejected, previous_poll_ms, clock()))
         self.open_change = view.change.id if view.change else ""
         self._note_voters(set(view.votes))
 
--- a/otterrudder/lab/processes/round_runner.py
+++ b/otterrudder/lab/processes/round_runner.py
@@ -1,6 +1,7 @@
-"""Plays rounds on a cluster of plain members: each a change of policy with its faults under way.
+"""Runs rounds on a cluster of plain members: each round is a policy change during which faults are injected.
 
-After a round all faults are recovered from, and what is in force then has to be what every server goes by."""
+At the end of a round all faults are recovered from, and every server must apply the policy that is in
+force."""
 
 import signal
 import subprocess
@@ -28,31 +29,31 @@
 from otterrudder.lab.processes.server_process import ServerProcess
 from otterrudder.lab.processes.waiting import wait_until
 
-CHANGE_DEADLINE_S = 6.0  # beyond the longest fault
-CHANGE_END_TIMEOUT_S = 20.0  # in which a change must have ended once all has recovered
-CONVERGENCE_TIMEOUT_S = 12.0  # in which all must go by it then
+CHANGE_DEADLINE_S = 6.0  # longer than the longest fault
+CHANGE_END_TIMEOUT_S = 20.0  # maximum time from recovery of all faults to the end of the change
+CONVERGENCE_TIMEOUT_S = 12.0  # maximum time until all servers apply the policy in force
 VOTE_TIMEOUT_S = 3.0
-VOTE_TIMEOUT_UNHELD_S = 0.1  # where the change may have ended before
+VOTE_TIMEOUT_UNHELD_S = 0.1  # if the store does not hold the change open: it may already have ended
 OUTLIERS_POLL_S = 0.3
-UNKNOWN_PRODUCT = "no-such-product"  # in a policy that every server refuses
-SECOND_CHANGE = 100_000  # added to a round's number for the second of two changes at once
+UNKNOWN_PRODUCT = "no-such-product"  # a policy with this product is invalid for every server
+SECOND_CHANGE = 100_000  # added to the round's number for the second of two concurrent changes
 
-Report = Callable[[str], None]  # takes a line for whoever watches
+Report = Callable[[str], None]  # receives progress lines
 
 
 @dataclass(frozen=True, slots=True)
 class RoundResult:
-    """What came of a round."""
+    """The result of a round."""
 
     number: int
     faults: tuple[Fault, ...]
-    missed: tuple[Fault, ...]  # that never came about: a failpoint was not reached, a vote not cast in time
+    missed: tuple[Fault, ...]  # without effect: a failpoint was not reached, or a vote not cast in time
     end: str  # how the change ended
     is_in_force: bool
-    outliers: list[str]  # servers that went by another policy at the end
+    outliers: list[str]  # servers that applied another policy at the end
 
     def as_json(self) -> dict[str, object]:
-        """The round in results.json."""
+        """Returns the round as it is written to results.json."""
         return dict(
             round=self.number,
             faults=names_of(self.faults),
@@ -63,7 +64,7 @@
         )
 
     def line(self) -> str:
-        """The round for whoever watches."""
+        """Returns the round as a progress line."""
         result = "in force" if self.is_in_force else "aborted "
         line = f"{self.number:4}  {result}  {self.end:12}  {names_of(self.faults) or 'no fault'}"
         if self.missed:
@@ -75,55 +76,55 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What came of a run."""
+    """The result of a run."""
 
     check: CheckResult = field(default_factory=CheckResult)
     rounds: list[RoundResult] = field(default_factory=list)
-    undecided: int = 0  # changes that had not ended in time
+    undecided: int = 0  # changes that did not end in time
 
     @property
     def outliers(self) -> int:
-        """Servers that went by another policy at the end of a round, summed up."""
+        """The number of servers that applied another policy at the end of a round, summed over all rounds."""
         return sum(len(result.outliers) for result in self.rounds)
 
     @property
     def outliers_at_end(self) -> int:
-        """Servers that went by another policy at the end of the last round."""
+        """The number of servers that applied another policy at the end of the last round."""
         return len(self.rounds[-1].outliers) if self.rounds else 0
 
     @property
     def committed(self) -> int:
-        """Rounds whose change came into force."""
+        """The number of rounds whose change came into force."""
         return sum(result.is_in_force for result in self.rounds)
 
     @property
     def aborted(self) -> int:
-        """Rounds whose change did not come into force."""
+        """The number of rounds whose change did not come into force."""
         return len(self.rounds) - self.committed
 
     @property
     def injected(self) -> int:
-        """All faults."""
+        """The number of faults in all rounds."""
         return sum(len(result.faults) for result in self.rounds)
 
     @property
     def missed(self) -> int:
-        """Of those, what never came about."""
+        """The number of faults that had no effect."""
         return sum(len(result.missed) for result in self.rounds)
 
 
 def names_of(faults: Iterable[Fault]) -> str:
-    """The faults in one line."""
+    """Returns the names of the faults, separated by commas."""
     return ", ".join(map(str, faults))
 
 
 async def play(cluster: ProcessCluster, rounds: list[Round], report: Report = lambda line: None) -> RunResult:
-    """Plays all rounds on a cluster that runs."""
+    """Runs all rounds on a running cluster."""
     return await _RoundRunner(cluster, report).play(rounds)
 
 
 def check_run(cluster: ProcessCluster, result: RunResult) -> RunResult:
-    """Adds what the history checker finds once the run is over."""
+    """Checks the history of a finished run, and adds what was found to its result."""
     result.check = check_history(cluster.history())
     return result
 
@@ -162,7 +163,7 @@
         return RoundResult(round_.number, round_.faults, tuple(missed), end, is_in_force, outliers)
 
     async def _change_policy(self, round_: Round, missed: list[Fault]) -> str:
-        """Proposes the change, and waits for its end; how it ended."""
+        """Proposes the change, waits until it ends, and returns how it ended."""
         cluster = self.cluster
         proposer = await self._propose_with_faults(round_, missed)
         await self.injector.recover(round_)
@@ -173,10 +174,10 @@
         return "undecided"
 
     async def _propose_with_faults(self, round_: Round, missed: list[Fault]) -> subprocess.Popen[bytes]:
-        """Proposes the change, with the faults that meet it while it is open; the proposer's process.
+        """Proposes the change, injects the faults that need an open change, and returns the proposer process.
 
-        What is to happen between a vote and the end of a change is not left to chance: the store holds the
-        end back until it has been done."""
+        If a fault has to be injected between a vote and the end of the change, the store delays the end
+        until the fault has been injected, so that the order does not depend on timing."""
         store = self.cluster.store
         is_held = not round_.kinds & set(NO_VOTES_FAULTS) and any(map(_needs_open_change, round_.faults))
         if is_held:
@@ -213,7 +214,7 @@
         return proposer
 
     async def _wait_vote(self, fault: Fault, is_held: bool) -> bool:
-        """Waits for its server's vote, or for anybody's where it is the store's."""
+        """Waits for the vote of the fault's server, or for any vote if it is a fault of the store."""
 
         def has_voted() -> bool:
             voters = self.cluster.observer.voters
@@ -231,7 +232,7 @@
 
 
 def _needs_open_change(fault: Fault) -> bool:
-    """Whether a fault has to meet a change that is still open."""
+    """Whether a fault has to be injected while the change is still open."""
     return fault.kind in AFTER_VOTE_FAULTS or fault.point in (*LEADER_POINTS, *COMMIT_POINTS)
 
 
@@ -244,14 +245,14 @@
 
 
 def exit_text(exit_code: int | None) -> str:
-    """How a process ended, for results."""
+    """Returns how a process ended, as text for results."""
     if exit_code is None:
         return "no end"
     return "killed" if exit_code < 0 else f"exit {exit_code}"
 
 
 async def find_outliers(cluster: ProcessCluster) -> list[str]:
-    """Servers that do not go by what is in force, once they have had their time."""
+    """Returns the servers that do not apply the policy in force by the end of the convergence timeout."""
     outliers: list[str] = []
     with anyio.move_on_after(CONVERGENCE_TIMEOUT_S):
         while True:
@@ -269,13 +270,13 @@
 
 
 async def _rejected_products(cluster: ProcessCluster) -> dict[str, str]:
-    """By server's name: the product that it rejects, all looked at together."""
-    found: dict[str, str] = {}
+    """Returns the product that each server rejects, by server name; the servers are probed concurrently."""
+    products: dict[str, str] = {}
 
-    async def look(server: ServerProcess) -> None:
-        found[server.name] = await cluster.rejected_product(server)
+    async def probe(server: ServerProcess) -> None:
+        products[server.name] = await cluster.rejected_product(server)
 
     async with anyio.create_task_group() as tasks:
         for server in cluster.servers:
-            tasks.start_soon(look, server)
-    return found
+            tasks.start_soon(probe, server)
+    return products
--- a/otterrudder/lab/processes/server_process.py
+++ b/otterrudder/lab/processes/server_process.py
@@ -1,4 +1,4 @@
-"""A server of the cluster as a child process, with its directory, its fake neighbours and its faults."""
+"""A server of the cluster as a child process, with its directory, its fake peers and its faults."""
 
 import os
 import shutil
@@ -15,19 +15,19 @@
 from otterrudder.lab.processes.history import TimeSpan
 from otterrudder.lab.processes.link import DatagramLink, Link, LinkFault
 
-STATE_DIRECTORY = "state"  # below the server's own: what outlives its processes
+STATE_DIRECTORY = "state"  # in the server's directory; survives its processes
 LOG_FILE = "log.txt"
 STATE_FILE = "member"
-LOG_TAIL = 3  # lines of the log that an error quotes
-BEFORE_MS = 50.0  # before a fault began: what was sent then may be open still
-LISTING_MS = 1500.0  # that a start, or a link that works again, may take until discovery receives a report
-SERVER_LINKS_ON_ITS_MACHINE = ("runtime",)  # a lost network leaves them alone
+LOG_TAIL = 3  # number of log lines in error messages
+BEFORE_MS = 50.0  # requests sent this long before a fault may still be open when it begins
+LISTING_MS = 1500.0  # maximum time from a start or a repaired link to the next received report
+SERVER_LINKS_ON_ITS_MACHINE = ("runtime",)  # not affected by a network fault
 DISCOVERY = "list"  # the name of the link to service discovery
-NETWORK = "network"  # all links that leave the machine
+NETWORK = "network"  # stands for all links that leave the machine
 
 
 class Disturbance(Enum):
-    """What is done to a server for a while."""
+    """A temporary condition of a server that delays or prevents answers or reports."""
 
     FROZEN = "frozen"
     DOWN = "down"
@@ -36,13 +36,13 @@
     DISCOVERY_LINK = "discovery"
 
 
-# The ms from the end of a disturbance until requests that were open are answered or lost.
+# Maximum ms from the end of a disturbance until the requests that were open are answered or lost.
 RECOVERY_MS = {
     Disturbance.FROZEN: 200.0,
     Disturbance.DOWN: 200.0,
     Disturbance.GATEWAY_LINK: 800.0,
 }
-# Service discovery is owed no report meanwhile.
+# Disturbances during which service discovery needs no report.
 UNLISTED = (Disturbance.FROZEN, Disturbance.DOWN, Disturbance.DRAINING, Disturbance.DISCOVERY_LINK)
 LINK_DISTURBANCES = {
     "gateway": Disturbance.GATEWAY_LINK,
@@ -52,20 +52,20 @@
 
 @dataclass(slots=True)
 class ServerProcess:
-    """One server: it outlives its processes, as a machine with a disk does."""
+    """One server; like a machine with a disk, it outlives its processes."""
 
     number: int
     name: str
     directory: Path
     runtime: FakeRuntime
     gateway: FakeGateway
-    links: dict[str, Link]  # store, runtime, gateway; in cells a relay's address
+    links: dict[str, Link]  # by name: store, runtime, gateway; in cells also by relay address
     discovery_link: DatagramLink
     events: EventLog
     process: subprocess.Popen[bytes] | None = None
-    disturbed: list[TimeSpan] = field(default_factory=list)  # what was open then is owed no answer in time
-    unlisted: list[TimeSpan] = field(default_factory=list)  # service discovery was owed no report
-    ongoing: dict[Disturbance, float] = field(default_factory=dict)  # since when
+    disturbed: list[TimeSpan] = field(default_factory=list)  # spans in which no timely answer is required
+    unlisted: list[TimeSpan] = field(default_factory=list)  # spans in which no report is required
+    ongoing: dict[Disturbance, float] = field(default_factory=dict)  # start times in ms
 
     @property
     def is_up(self) -> bool:
@@ -88,11 +88,11 @@
         return "; ".join((self.directory / LOG_FILE).read_text().splitlines()[-LOG_TAIL:])
 
     def begin(self, disturbance: Disturbance, since: float | None = None) -> None:
-        """Notes that something is done to it from now on, or has been since then."""
+        """Records that a disturbance begins now, or began at `since`."""
         self.ongoing.setdefault(disturbance, clock() if since is None else since)
 
     def end(self, disturbance: Disturbance) -> None:
-        """Notes that it is over, and what was excused by it."""
+        """Records the end of a disturbance, and the spans that it excuses."""
         since = self.ongoing.pop(disturbance, None)
         if since is None:
             return
@@ -103,20 +103,20 @@
             self.unlisted.append(TimeSpan(since - LISTING_MS, now + LISTING_MS))
 
     def disturbed_spans(self) -> list[TimeSpan]:
-        """Spans in which no answer is owed in time, with those that are not over yet."""
+        """Returns the spans in which no timely answer is required, including ongoing disturbances."""
         now = clock()
-        ongoing = [TimeSpan(since, now) for what, since in self.ongoing.items() if what in RECOVERY_MS]
+        ongoing = [TimeSpan(since, now) for kind, since in self.ongoing.items() if kind in RECOVERY_MS]
         return self.disturbed + ongoing
 
     def note_start(self, process: subprocess.Popen[bytes]) -> None:
-        """A new process runs."""
+        """Records the start of a new process."""
         self.process = process
         self.end(Disturbance.DOWN)
         self.end(Disturbance.DRAINING)
         self.events.add(self.number, "starts")
 
     def kill(self) -> None:
-        """Kills its process."""
+        """Kills the server's process."""
         if self.process:
             self.ongoing[Disturbance.DOWN] = clock()
             self.process.kill()
@@ -125,27 +125,28 @@
             self.events.add(self.number, "killed")
 
     def freeze(self) -> None:
-        """Stops its process by a signal."""
+        """Stops the server's process by SIGSTOP."""
         if self.process:
             self.process.send_signal(signal.SIGSTOP)
             self.ongoing[Disturbance.FROZEN] = clock()
             self.events.add(self.number, "frozen")
 
     def thaw(self) -> None:
-        """Resumes its process."""
+        """Resumes the server's process by SIGCONT."""
         if self.process:
             self.process.send_signal(signal.SIGCONT)
             self.end(Disturbance.FROZEN)
             self.events.add(self.number, "thawed")
 
     def reload(self) -> None:
-        """Makes its process read its files again."""
+        """Sends SIGHUP, so that the server's process reads its files again."""
         assert self.process
         self.process.send_signal(signal.SIGHUP)
 
     def set_link(self, event: str, fault: LinkFault, name: str = "store") -> None:
-        """Sets the fault of a link. `name`: of its links, DISCOVERY, or NETWORK for all that leave its
-        machine."""
+        """Sets the fault of a link, and records `event`.
+
+        `name` is a key of `links`, DISCOVERY, or NETWORK for all links that leave the machine."""
         for link_name in self._links_of_network() if name == NETWORK else [name]:
             if link_name == DISCOVERY:
                 self.discovery_link.set_fault(fault)
@@ -168,14 +169,14 @@
 
     @property
     def _new_state_file(self) -> Path:
-        """What its process writes before it replaces the state file."""
+        """The temporary file that the process writes before it replaces the state file."""
         return self.directory / STATE_DIRECTORY / f"{STATE_FILE}.new"
 
     def fill_disk(self, is_full: bool) -> None:
-        """Makes writing its state fail, as with no room: a directory is where the new file has to be."""
+        """Makes writes of the state fail, as on a full disk, by a directory at the temporary file's path."""
         path = self._new_state_file
         if is_full:
-            if path.is_file():  # left by a process that was killed as it wrote
+            if path.is_file():  # left by a process that was killed while writing
                 path.unlink()
             path.mkdir(parents=True, exist_ok=True)
         elif path.is_dir():
@@ -183,21 +184,22 @@
         self.events.add(self.number, "disk full" if is_full else "room again")
 
     def hang_disk(self, is_hanging: bool) -> None:
-        """Makes writing its state hang until this is over, and then fail: a pipe is where the new file has to
-        be."""
+        """Makes writes of the state hang, by a named pipe at the temporary file's path.
+
+        When the fault ends, the hanging write fails."""
         path = self._new_state_file
         if is_hanging:
             path.unlink(missing_ok=True)
             path.parent.mkdir(parents=True, exist_ok=True)
             os.mkfifo(path)
         elif path.is_fifo():
-            # With a reader the writer goes on, and fails, for a pipe cannot be synced.
+            # Once the pipe has a reader, the writer continues and fails, since fsync of a pipe fails.
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
             path.unlink()
             os.close(reader)
         self.events.add(self.number, "disk hangs" if is_hanging else "disk goes on")
 
     def lose_state_directory(self) -> None:
-        """Removes what outlives its processes."""
+        """Removes the state directory."""
         shutil.rmtree(self.directory / STATE_DIRECTORY, ignore_errors=True)
         self.events.add(self.number, "folder lost")
--- a/otterrudder/lab/processes/store_process.py
+++ b/otterrudder/lab/processes/store_process.py
@@ -15,13 +15,13 @@
 from otterrudder.lab.processes.event_log import EventLog
 from otterrudder.lab.processes.launch import ROOT
 
-STATE_FILE = "store"  # what it holds, kept over a kill
+STATE_FILE = "store"  # the content of the store, which survives a kill
 SNAPSHOT_FILE = "snapshot"
-SNAPSHOT_CLUSTER_ID = 0xC0B1  # of an engine that answers in the store's place
+SNAPSHOT_CLUSTER_ID = 0xC0B1  # cluster id of a store that answers in place of the fleet's own
 
 
 class StoreProcess:
-    """The process, its port, and snapshots of its state."""
+    """The process of the fake store, its port, and snapshots of its state."""
 
     def __init__(self, directory: Path, port: int, fleet: str, events: EventLog) -> None:
         self.directory = directory
@@ -32,7 +32,7 @@
         self._snapshots: list[bytes] = []  # the oldest first
 
     async def start(self, state_file: str = STATE_FILE, cluster_id: int = 0) -> None:
-        """Starts the process with what `state_file` holds; `cluster_id` 0: the default."""
+        """Starts the process with the content of `state_file`; `cluster_id` 0 selects the default id."""
         options = [
             str(self.port),
             "--state",
@@ -46,7 +46,7 @@
         self.port = int(await anyio.to_thread.run_sync(self.process.stdout.readline))
 
     def kill(self) -> None:
-        """Kills the process, if there is one."""
+        """Kills the process, if it is running."""
         if self.process:
             self.process.kill()
             self.process.wait()
@@ -54,13 +54,13 @@
             self.events.add_fleet_wide("store killed")
 
     async def restart(self) -> None:
-        """Starts the store itself with all that it held, whatever answers in its place."""
+        """Restarts the fleet's own store with its content; ends a store that answers in its place."""
         self.kill()
         await self.start()
         self.events.add_fleet_wide("store starts")
 
     async def replace(self, with_snapshot: bool) -> None:
-        """Lets another engine answer: one restored from an older state, if there is one, or an empty one."""
+        """Starts another store in place of the fleet's own: restored from an older snapshot, or empty."""
         self.kill()
         snapshot = self.directory / SNAPSHOT_FILE
         snapshot.unlink(missing_ok=True)
@@ -70,24 +70,24 @@
         self.events.add_fleet_wide("an older copy answers" if with_snapshot else "an empty store answers")
 
     def take_snapshot(self) -> None:
-        """Keeps the present state and the one before."""
+        """Takes a snapshot of the state; the two latest snapshots are kept."""
         if self.process:
             self._snapshots = [*self._snapshots[-1:], (self.directory / STATE_FILE).read_bytes()]
 
     async def inject(self, **fault: object) -> None:
-        """Sends a fault, or its end, as fake_etcd knows them; does nothing where the process is killed."""
+        """Sends a message of fake_etcd that begins or ends faults; does nothing if the process is killed."""
         if not self.process:
             return
         await self._send(self.process, fault)
         self.events.add_fleet_wide(" ".join(fault))
 
     async def report(self) -> StoreReport:
-        """What the store has counted; it has to be up."""
+        """Returns the counters of the store, whose process must be running."""
         assert self.process
         return msgspec.json.decode(await self._send(self.process, {"report": ""}), type=StoreReport)
 
     async def suspend_change_end(self, is_held: bool) -> None:
-        """While held no change ends: the commits that would end one are not carried out."""
+        """Begins or ends a delay of the commits that end a change."""
         await self.inject(hold_delete=self.keys.change if is_held else "")
 
     async def expire_leader(self) -> None:
@@ -95,7 +95,7 @@
         await self.inject(strike=self.keys.leader)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Freezes or resumes the process."""
+        """Sends a signal, such as SIGSTOP or SIGCONT, to the process."""
         if self.process:
             self.process.send_signal(number)
             self.events.add_fleet_wide(number.name)
--- a/otterrudder/lab/processes/waiting.py
+++ b/otterrudder/lab/processes/waiting.py
@@ -8,7 +8,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
-    """Waits until `condition` holds; whether it does by the end of the time."""
+    """Waits until `condition` holds or the timeout expires; returns whether it holds."""
     with anyio.move_on_after(timeout_s):
         while not condition():
             await anyio.sleep(POLL_S)
