--- a/otterrudder/lab/processes/cluster.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -53,16 +53,16 @@
 
 FLEET = "rig"  # name of the fleet
 SERVER_START_TIMEOUT_S = 20.0  # until a server completes a request
-LAST_ANSWERS_S = 0.5  # wait for the answers to open requests at the end of a run
+FINAL_ANSWERS_WAIT_S = 0.5  # wait for the answers to open requests at the end of a run
 STALL_MS = 60.0  # a longer delay of this process's event loop is recorded as a stall
 STALL_POLL_S = 0.02
 CLAIM_TIMEOUT_S = 0.5  # maximum time from the claim of a failpoint until its process has stopped
 MAX_RUN_WAIT_S = 2.0  # maximum wait for a server to start a run
 RUN_POLL_S = 0.005
-LONG_RUNS_S = 0.25  # time before a drain in which long runs are started, which the drain has to await
-SHOWN_TIMEOUT_S = 3.0
+LONG_RUNS_LEAD_S = 0.25  # time before a drain in which long runs are started, which the drain has to await
+REJECTED_PRODUCT_TIMEOUT_S = 3.0
 POLL_S = 0.05
-UNCLEAR = "?"  # the product that a server rejects could not be determined
+UNDETERMINED = "?"  # the product that a server rejects could not be determined
 
 
 @dataclass(kw_only=True, slots=True)
@@ -138,7 +138,7 @@
                 for number in range(self.server_count):
                     self.servers.append(self._create_server(number))
                 for server in self.servers:
-                    self._start_neighbours(server)
+                    self._start_peers(server)
                     self.start_server(server)
                 if self.options.with_fleet:
                     self.operators.fleet_file.write_text(self.options.operator_file(self.store.port))
@@ -149,7 +149,7 @@
                 yield self
                 for server in self.servers:
                     server.gateway.is_sending = False
-                await anyio.sleep(LAST_ANSWERS_S)
+                await anyio.sleep(FINAL_ANSWERS_WAIT_S)
                 self.tasks.cancel_scope.cancel()
         finally:
             self.end_processes()
@@ -196,7 +196,7 @@
         self.write_fleet_file(server)
         return server
 
-    def _start_neighbours(self, server: ServerProcess) -> None:
+    def _start_peers(self, server: ServerProcess) -> None:
         self.tasks.start_soon(server.runtime.run)
         self.tasks.start_soon(server.discovery_link.run)
         for link in server.links.values():
@@ -214,7 +214,7 @@
         is_mutant = self.mutant_command and server.number == 0
         command = self.mutant_command if is_mutant else self.server_command
         failpoints = (server.failpoints, self.failpoints.for_all)
-        server.note_start(self._launch(server.directory, command, *failpoints))
+        server.record_start(self._launch(server.directory, command, *failpoints))
 
     def start_twin(self, server: ServerProcess) -> None:
         """Starts a second process with the name of a server, and with its own directory and port."""
@@ -252,7 +252,7 @@
         if not server.is_up:
             return
         server.runtime.run_ms = LONG_RUN_MS
-        await anyio.sleep(LONG_RUNS_S)
+        await anyio.sleep(LONG_RUNS_LEAD_S)
         await self._wait_for_run(server)
         assert server.process
         server.process.terminate()
@@ -343,10 +343,10 @@
     async def rejected_product(self, server: ServerProcess) -> str:
         """Returns the product that a server rejects, as its gateway sees it.
 
-        The result is "" if the server rejects none, and UNCLEAR if that cannot be determined in
+        The result is "" if the server rejects none, and UNDETERMINED if that cannot be determined in
         time."""
         first_index = len(self.wire.requests)
-        with anyio.move_on_after(SHOWN_TIMEOUT_S):
+        with anyio.move_on_after(REJECTED_PRODUCT_TIMEOUT_S):
             while True:
                 completed = self._products(server, first_index, RequestOutcome.COMPLETED)
                 rejected = self._products(server, first_index, RequestOutcome.REJECTED)
@@ -355,7 +355,7 @@
                 if len(completed) == 2:
                     return ""
                 await anyio.sleep(POLL_S)
-        return UNCLEAR
+        return UNDETERMINED
 
     def _products(self, server: ServerProcess, since_index: int, outcome: RequestOutcome) -> set[str]:
         """Returns the products of requests with this outcome, without repeats."""
--- a/otterrudder/lab/processes/counters.py
+++ b/otterrudder/lab/processes/counters.py
@@ -23,7 +23,7 @@
         self.bytes_out += response_bytes
 
 
-def kind_of(verb: str, keys: Iterable[str]) -> str:
+def request_kind(verb: str, keys: Iterable[str]) -> str:
     """Returns the verb and the second path segments of the keys, such as `live` for `FLEET/live/NAME`."""
     parts = {key.split("/")[1] if "/" in key else key for key in keys}
     return f"{verb} {'+'.join(sorted(parts))}"
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -41,12 +41,12 @@
 from otterrudder.clock import monotonic as clock
 from otterrudder.fleet.store import Compare, Delete, Entry, Put, Write
 from otterrudder.lab.keyspace import Event, KeySpace
-from otterrudder.lab.processes.counters import StoreReport, kind_of
+from otterrudder.lab.processes.counters import StoreReport, request_kind
 
 CLUSTER = 0xE7CD  # the default cluster id
 EMPTY_CLUSTER = 0xE7CE  # the cluster id after the message "empty"
 POLL_S = 0.05  # interval of checks for expired leases and for the end of a fault
-NEVER_S = 3600.0  # delay of a lost response, far beyond the caller's deadline
+LOST_RESPONSE_S = 3600.0  # delay of a lost response, far beyond the caller's deadline
 MAX_QUEUED_EVENTS = 4096  # per watch; a watch with more is cancelled as too slow
 
 
@@ -97,10 +97,10 @@
     async def delay_response(self, has_taken_effect: bool = False) -> None:
         """Delays a response as the current faults demand; the caller's deadline may end the wait."""
         if self.is_down:
-            await asyncio.sleep(NEVER_S)
+            await asyncio.sleep(LOST_RESPONSE_S)
         if has_taken_effect and self.responses_to_lose > 0:
             self.responses_to_lose -= 1
-            await asyncio.sleep(NEVER_S)
+            await asyncio.sleep(LOST_RESPONSE_S)
         if self.slow_ms:
             await asyncio.sleep(self.slow_ms / 1000)
 
@@ -330,8 +330,8 @@
 
 def _kind(request: Any, writes: Sequence[Write]) -> str:
     if writes:
-        return kind_of("write", (write.key for write in writes))
-    return kind_of("read", (op.request_range.key.decode() for op in request.success))
+        return request_kind("write", (write.key for write in writes))
+    return request_kind("read", (op.request_range.key.decode() for op in request.success))
 
 
 def _response(engine: Engine, op: Any) -> Any:
--- a/otterrudder/lab/processes/fake_runtime.py
+++ b/otterrudder/lab/processes/fake_runtime.py
@@ -121,7 +121,7 @@
         if incarnation != self.incarnation:
             return
         self._running.discard(call)
-        body = result_of(call)
+        body = result_body(call)
         await self._notify(f"{call} complete {run_ms} {len(body)}", body)
 
     async def _notify(self, text: str, body: bytes) -> None:
@@ -137,6 +137,6 @@
                     await stream.send(data)
 
 
-def result_of(call: str) -> bytes:
+def result_body(call: str) -> bytes:
     """Returns the body that a run of this call produces."""
     return f"r:{call}".encode()
--- a/otterrudder/lab/processes/fault_injector.py
+++ b/otterrudder/lab/processes/fault_injector.py
@@ -14,12 +14,12 @@
     AFTER_VOTE_FAULTS,
     CUT_AFTER_VOTE,
     DRAIN_FAULTS,
+    LASTING_STORE_FAULTS,
     LEADER_POINTS,
     LINK_FAULTS,
     POINT_FAULTS,
     PROPOSER_FAULTS,
     STORE_DOWN_FAULTS,
-    STORE_FAULTS_THAT_LAST,
     STORE_MESSAGES,
     STORE_RECOVERY_MESSAGE,
     Fault,
@@ -170,7 +170,7 @@
             await self._recover_server(fault, self.cluster.servers[fault.server])
         elif fault.kind == "store frozen":
             self.cluster.store.send_signal(signal.SIGCONT)
-        elif fault.kind in STORE_FAULTS_THAT_LAST:
+        elif fault.kind in LASTING_STORE_FAULTS:
             await self.cluster.store.inject(**STORE_RECOVERY_MESSAGE)
 
     async def _recover_server(self, fault: Fault, server: ServerProcess) -> None:
--- a/otterrudder/lab/processes/faults.py
+++ b/otterrudder/lab/processes/faults.py
@@ -141,7 +141,7 @@
     "watches flooded": {"flood": 2000},
 }
 STORE_RECOVERY_MESSAGE: dict[str, object] = {"slow_ms": 0, "lose_answers": 0, "deaf_watches": False}
-STORE_FAULTS_THAT_LAST = ("store slow", "store loses answers", "watches deaf")
+LASTING_STORE_FAULTS = ("store slow", "store loses answers", "watches deaf")
 # The equivalent faults of servers without a fleet: down, frozen, or unreachable for the operator.
 BASELINE_FAULTS = {
     "kill": "kill",
--- a/otterrudder/lab/processes/history.py
+++ b/otterrudder/lab/processes/history.py
@@ -134,6 +134,6 @@
     stop_ms: float = 0.0  # the maximum duration of a drain
 
 
-def no_version_yet() -> VersionInForce:
+def initial_version() -> VersionInForce:
     """Returns version 0, which is in force from the start and rejects no product."""
     return VersionInForce(0, "", float("-inf"), float("-inf"))
--- a/otterrudder/lab/processes/history_checker.py
+++ b/otterrudder/lab/processes/history_checker.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from otterrudder.lab.processes.fake_runtime import result_of
+from otterrudder.lab.processes.fake_runtime import result_body
 from otterrudder.lab.processes.fake_settings import REQUEST_TTL_MS
 from otterrudder.lab.processes.history import (
     ClusterHistory,
@@ -161,7 +161,7 @@
         run = request.call
         if request.idempotency_key:
             run = self.first_runs.get((request.server, request.idempotency_key), request.call)
-        if request.body != result_of(run):
+        if request.body != result_body(run):
             self._add_request(Rule.OTHER_RESULT, request, repr(request.body))
         is_own_run = run == request.call
         if is_own_run and not may_have_been_admitted(request, self.versions, self.history.bound_ms):
@@ -233,7 +233,7 @@
         return False
     for index, version in reversed(list(enumerate(versions))):
         is_last = index + 1 == len(versions)
-        is_until_end = is_last or request.answered_at <= versions[index + 1].after
-        if version.by <= request.sent_at and is_until_end:
+        covers_answer = is_last or request.answered_at <= versions[index + 1].after
+        if version.by <= request.sent_at and covers_answer:
             return version.rejected_product != request.product
     return False
--- a/otterrudder/lab/processes/link.py
+++ b/otterrudder/lab/processes/link.py
@@ -143,7 +143,7 @@
                 if not is_forward and 0 < self.fault.reset_after_bytes <= copied:
                     sink.send(data[: max(len(data) // 2, 1)])
                     break
-                await self._hold(is_forward)
+                await self._wait_deliverable(is_forward)
                 await _send_all(sink, data)
         scope.cancel()
 
@@ -155,7 +155,7 @@
             await anyio.sleep(SLOW_READ_S)
         return data
 
-    async def _hold(self, is_forward: bool) -> None:
+    async def _wait_deliverable(self, is_forward: bool) -> None:
         """Waits for the delay, and while this direction is blocked."""
         if self.fault.delay_ms:
             await anyio.sleep(self.fault.delay_ms / 1000)
--- a/otterrudder/lab/processes/mutants.py
+++ b/otterrudder/lab/processes/mutants.py
@@ -25,8 +25,8 @@
 from otterrudder.net.requests import PendingRequest
 from otterrudder.net.server_files import ServerFiles
 
-SPOILT_EVERY = 6  # one call in 6 is faulty
-LATE_S = 4.6  # delay of a late answer; gateways wait 4 s
+FAULT_EVERY = 6  # one call in 6 is faulty
+LATE_ANSWER_S = 4.6  # delay of a late answer; gateways wait 4 s
 REPORT_PERIOD_S = 5.0
 REPORT_SHARE = 0.2  # fraction of each period in which reports are sent
 
@@ -39,7 +39,7 @@
 
     def is_due(self) -> bool:
         self.count += 1
-        return self.count % SPOILT_EVERY == 0
+        return self.count % FAULT_EVERY == 0
 
 
 def _patch(owner: object, name: str, replacement: Callable[..., Any]) -> None:
@@ -125,7 +125,7 @@
             original(self, request, *arguments)
 
         request.is_answered = True
-        asyncio.get_running_loop().call_later(LATE_S, answer_now)
+        asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_now)
 
     _patch(RequestTable, "_answer", answer)
 
--- a/otterrudder/lab/processes/round_runner.py
+++ b/otterrudder/lab/processes/round_runner.py
@@ -56,8 +56,8 @@
         """Returns the round as it is written to results.json."""
         return dict(
             round=self.number,
-            faults=names_of(self.faults),
-            missed=names_of(self.missed),
+            faults=format_faults(self.faults),
+            missed=format_faults(self.missed),
             how=self.end,
             in_force=self.is_in_force,
             odd=self.outliers,
@@ -66,9 +66,9 @@
     def line(self) -> str:
         """Returns the round as a progress line."""
         result = "in force" if self.is_in_force else "aborted "
-        line = f"{self.number:4}  {result}  {self.end:12}  {names_of(self.faults) or 'no fault'}"
+        line = f"{self.number:4}  {result}  {self.end:12}  {format_faults(self.faults) or 'no fault'}"
         if self.missed:
-            line += f"  (missed: {names_of(self.missed)})"
+            line += f"  (missed: {format_faults(self.missed)})"
         if self.outliers:
             line += f"  OUTLIERS: {self.outliers}"
         return line
@@ -113,7 +113,7 @@
         return sum(len(result.missed) for result in self.rounds)
 
 
-def names_of(faults: Iterable[Fault]) -> str:
+def format_faults(faults: Iterable[Fault]) -> str:
     """Returns the names of the faults, separated by commas."""
     return ", ".join(map(str, faults))
 
--- a/otterrudder/lab/processes/server_process.py
+++ b/otterrudder/lab/processes/server_process.py
@@ -18,9 +18,9 @@
 STATE_DIRECTORY = "state"  # in the server's directory; survives its processes
 LOG_FILE = "log.txt"
 STATE_FILE = "member"
-LOG_TAIL = 3  # number of log lines in error messages
-BEFORE_MS = 50.0  # requests sent this long before a fault may still be open when it begins
-LISTING_MS = 1500.0  # maximum time from a start or a repaired link to the next received report
+LOG_TAIL_LINES = 3  # number of log lines in error messages
+DISTURBANCE_LEAD_MS = 50.0  # requests sent this long before a fault may still be open when it begins
+REPORT_RECOVERY_MS = 1500.0  # maximum time from a start or a repaired link to the next received report
 SERVER_LINKS_ON_ITS_MACHINE = ("runtime",)  # not affected by a network fault
 DISCOVERY = "list"  # the name of the link to service discovery
 NETWORK = "network"  # stands for all links that leave the machine
@@ -43,7 +43,12 @@
     Disturbance.GATEWAY_LINK: 800.0,
 }
 # Disturbances during which service discovery needs no report.
-UNLISTED = (Disturbance.FROZEN, Disturbance.DOWN, Disturbance.DRAINING, Disturbance.DISCOVERY_LINK)
+UNREPORTED_DISTURBANCES = (
+    Disturbance.FROZEN,
+    Disturbance.DOWN,
+    Disturbance.DRAINING,
+    Disturbance.DISCOVERY_LINK,
+)
 LINK_DISTURBANCES = {
     "gateway": Disturbance.GATEWAY_LINK,
     DISCOVERY: Disturbance.DISCOVERY_LINK,
@@ -85,7 +90,7 @@
     @property
     def log_tail(self) -> str:
         """The last lines of its log."""
-        return "; ".join((self.directory / LOG_FILE).read_text().splitlines()[-LOG_TAIL:])
+        return "; ".join((self.directory / LOG_FILE).read_text().splitlines()[-LOG_TAIL_LINES:])
 
     def begin(self, disturbance: Disturbance, since: float | None = None) -> None:
         """Records that a disturbance begins now, or began at `since`."""
@@ -98,9 +103,9 @@
             return
         now = clock()
         if disturbance in RECOVERY_MS:
-            self.disturbed.append(TimeSpan(since - BEFORE_MS, now + RECOVERY_MS[disturbance]))
-        if disturbance in UNLISTED:
-            self.unlisted.append(TimeSpan(since - LISTING_MS, now + LISTING_MS))
+            self.disturbed.append(TimeSpan(since - DISTURBANCE_LEAD_MS, now + RECOVERY_MS[disturbance]))
+        if disturbance in UNREPORTED_DISTURBANCES:
+            self.unlisted.append(TimeSpan(since - REPORT_RECOVERY_MS, now + REPORT_RECOVERY_MS))
 
     def disturbed_spans(self) -> list[TimeSpan]:
         """Returns the spans in which no timely answer is required, including ongoing disturbances."""
@@ -108,7 +113,7 @@
         ongoing = [TimeSpan(since, now) for kind, since in self.ongoing.items() if kind in RECOVERY_MS]
         return self.disturbed + ongoing
 
-    def note_start(self, process: subprocess.Popen[bytes]) -> None:
+    def record_start(self, process: subprocess.Popen[bytes]) -> None:
         """Records the start of a new process."""
         self.process = process
         self.end(Disturbance.DOWN)
@@ -152,13 +157,13 @@
                 self.discovery_link.set_fault(fault)
             else:
                 self.links[link_name].set_fault(fault)
-            self._note_link_fault(link_name, fault)
+            self._record_link_fault(link_name, fault)
         self.events.add(self.number, event)
 
     def _links_of_network(self) -> list[str]:
         return [*(name for name in self.links if name not in SERVER_LINKS_ON_ITS_MACHINE), DISCOVERY]
 
-    def _note_link_fault(self, name: str, fault: LinkFault) -> None:
+    def _record_link_fault(self, name: str, fault: LinkFault) -> None:
         disturbance = LINK_DISTURBANCES.get(name)
         if disturbance is None:
             return
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -19,7 +19,7 @@
 from otterrudder.lab.processes.experiment import Run, perform_one, read, shrink, table, write
 from otterrudder.lab.processes.fault_schedule import draw
 from otterrudder.lab.processes.faults import DECK, Fault, Round
-from otterrudder.lab.processes.history import ClusterHistory, WireHistory, no_version_yet
+from otterrudder.lab.processes.history import ClusterHistory, WireHistory, initial_version
 from otterrudder.lab.processes.history_checker import check_history
 from otterrudder.lab.processes.launch import ROOT
 from otterrudder.lab.processes.round_runner import RunResult, check_run
@@ -275,15 +275,15 @@
 
 def test_the_table_has_a_row_for_each_run() -> None:
     """The columns keep the names of earlier results, such as `txns` for requests."""
-    result = RunResult(check_history(ClusterHistory(WireHistory(), [no_version_yet()], 1000.0)))
+    result = RunResult(check_history(ClusterHistory(WireHistory(), [initial_version()], 1000.0)))
     run = Run("wait", 7, False, result, [], [], [], 3)
     head, _, row = table([run]).splitlines()
     assert head.endswith("| txns |") and row.startswith("| wait | 7 | 0 |") and row.endswith("| 0 |")
 
 
 def test_results_are_written_with_a_table_and_a_chart(tmp_path: Path) -> None:
-    history = ClusterHistory(WireHistory(), [no_version_yet()], 1000.0)
-    run = Run("wait", 7, False, RunResult(check_history(history)), [], [no_version_yet()], [], 3)
+    history = ClusterHistory(WireHistory(), [initial_version()], 1000.0)
+    run = Run("wait", 7, False, RunResult(check_history(history)), [], [initial_version()], [], 3)
     write([run], tmp_path, "one")
     assert {path.name for path in tmp_path.iterdir()} == {"results.json", "table.md", "one-wait.svg"}
     (result,) = json.loads((tmp_path / "results.json").read_text())
