--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -75,14 +75,14 @@
             for lease, (span_ms, _) in self.space.leases.items():
                 self.space.leases[lease] = (span_ms, clock() + span_ms)
         self.space.cluster = cluster or self.space.cluster
-        if cluster:  # offsets lease ids, so that stores with different cluster ids share none
+        if cluster:  # offsets the lease ids, so that they differ from those of other stores
             self.space.granted += cluster
         self.save()
         self.slow_ms = 0.0
         self.is_down = False
         self.are_watches_deaf = False
         self.responses_to_lose = 0
-        self.held_key = ""  # commits that delete this key wait
+        self.held_key = ""  # commits that delete this key are delayed
         self.watchers: set[Watcher] = set()
         self.report = StoreReport()
         self._sorted: tuple[int, list[str]] = (0, [])  # a revision, and the keys at that revision in order
--- a/otterrudder/lab/processes/fake_gateway.py
+++ b/otterrudder/lab/processes/fake_gateway.py
@@ -38,7 +38,7 @@
         self.is_sending = True
         self.incarnation = 0  # incremented each time the server's process starts
         self._sent = 0
-        self._refused_before = 0  # the link's count when this connection was opened
+        self._refused_before = 0  # the link's refused connections when this one was opened
         self._has_goaway = False  # the server accepts no new requests on this connection
         # These belong to one incarnation, because idempotency keys do not survive the server process.
         self._completed: list[RequestRecord] = []
--- a/otterrudder/lab/processes/round_runner.py
+++ b/otterrudder/lab/processes/round_runner.py
@@ -33,7 +33,7 @@
 CHANGE_END_TIMEOUT_S = 20.0  # maximum time from recovery of all faults to the end of the change
 CONVERGENCE_TIMEOUT_S = 12.0  # maximum time until all servers apply the policy in force
 VOTE_TIMEOUT_S = 3.0
-VOTE_TIMEOUT_UNHELD_S = 0.1  # if the store does not hold the change open: it may already have ended
+VOTE_TIMEOUT_UNHELD_S = 0.1  # used if the store does not hold the change open, which may then have ended
 OUTLIERS_POLL_S = 0.3
 UNKNOWN_PRODUCT = "no-such-product"  # a policy with this product is invalid for every server
 SECOND_CHANGE = 100_000  # added to the round's number for the second of two concurrent changes
@@ -47,7 +47,7 @@
 
     number: int
     faults: tuple[Fault, ...]
-    missed: tuple[Fault, ...]  # without effect: a failpoint was not reached, or a vote not cast in time
+    missed: tuple[Fault, ...]  # faults whose failpoint was not reached or whose vote was not cast in time
     end: str  # how the change ended
     is_in_force: bool
     outliers: list[str]  # servers that applied another policy at the end
@@ -80,7 +80,7 @@
 
     check: CheckResult = field(default_factory=CheckResult)
     rounds: list[RoundResult] = field(default_factory=list)
-    undecided: int = 0  # changes that did not end in time
+    undecided: int = 0  # number of changes that did not end in time
 
     @property
     def outliers(self) -> int:
@@ -109,7 +109,7 @@
 
     @property
     def missed(self) -> int:
-        """The number of faults that had no effect."""
+        """The number of faults whose failpoint was not reached or whose vote was not cast in time."""
         return sum(len(result.missed) for result in self.rounds)
 
 
--- a/otterrudder/lab/processes/server_process.py
+++ b/otterrudder/lab/processes/server_process.py
@@ -21,9 +21,9 @@
 LOG_TAIL_LINES = 3  # number of log lines in error messages
 DISTURBANCE_LEAD_MS = 50.0  # requests sent this long before a fault may still be open when it begins
 REPORT_RECOVERY_MS = 1500.0  # maximum time from a start or a repaired link to the next received report
-SERVER_LINKS_ON_ITS_MACHINE = ("runtime",)  # not affected by a network fault
+LOCAL_LINKS = ("runtime",)  # not affected by a network fault
 DISCOVERY = "list"  # the name of the link to service discovery
-NETWORK = "network"  # stands for all links that leave the machine
+NETWORK = "network"  # name for all links that leave the machine, together
 
 
 class Disturbance(Enum):
@@ -161,7 +161,7 @@
         self.events.add(self.number, event)
 
     def _links_of_network(self) -> list[str]:
-        return [*(name for name in self.links if name not in SERVER_LINKS_ON_ITS_MACHINE), DISCOVERY]
+        return [*(name for name in self.links if name not in LOCAL_LINKS), DISCOVERY]
 
     def _record_link_fault(self, name: str, fault: LinkFault) -> None:
         disturbance = LINK_DISTURBANCES.get(name)
