--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -196,7 +196,7 @@
             worst_10s=self._min_value(10),
             memory_peak=max(s.memory_peak for s in self.servers),
             crowd_peak=max(s.contention_peak for s in self.servers),
-            below_full=self.downstream.full / max(self.downstream.calls, 1),
+            below_full=self.downstream.rejected / max(self.downstream.calls, 1),
             p50_ms=_quantile(statistics.response_times, 0.5),
             p99_ms=_quantile(statistics.response_times, 0.99),
             failed_steps=float(self.log_counts.get("admission command failed", 0)),
--- a/otterrudder/lab/faults.py
+++ b/otterrudder/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults on a day's time line: what is injected into which servers, when and for how long."""
+"""Injects faults into servers and the downstream service at the times that an experiment file gives."""
 
 from collections.abc import Sequence
 from typing import Annotated, Literal
@@ -13,25 +13,30 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """One fault of an experiment's file. An empty `servers` means all of them."""
+    """One fault of an experiment file. An empty `servers` means all servers.
+
+    slow: the servers run slower. dead: their processes are killed and restarted cold after `for_s`.
+    freeze: their processes stop and resume. release: the servers are replaced one after another.
+    below: the downstream service loses slots.
+    """
 
     kind: FaultKind
     at_s: Annotated[float, msgspec.Meta(ge=0)]
     for_s: Annotated[float, msgspec.Meta(gt=0)] = 10.0
     servers: list[int] = []
-    times: Annotated[float, msgspec.Meta(gt=1)] = 3.0  # slow: so many times slower
-    size: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.5  # below: the share of its slots that is left
-    gap_s: Annotated[float, msgspec.Meta(gt=0)] = 8.0  # release: from one server's notice to the next one's
+    times: Annotated[float, msgspec.Meta(gt=1)] = 3.0  # slow: factor by which the speed is divided
+    size: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.5  # below: share of the slots that remain
+    gap_s: Annotated[float, msgspec.Meta(gt=0)] = 8.0  # release: time between the shutdowns of two servers
 
 
 class EndpointListener:
-    """Keeps an endpoint list: the servers that it knows of, by number."""
+    """Has an endpoint list: the numbers of the servers that it knows."""
 
     listed: list[int]
 
 
 class EndpointNotifier:
-    """Tells gateways late, each at its own time, that a server was added or removed."""
+    """Tells gateways that a server was added or removed, each gateway after a delay of its own."""
 
     def __init__(self, engine: Engine, listeners: list[EndpointListener], notice_ms: float) -> None:
         self.engine = engine
@@ -39,27 +44,27 @@
         self.notice_ms = notice_ms
 
     def removed(self, server: Server) -> None:
-        """The server is gone from the endpoint list."""
+        """Removes a server from the endpoint lists."""
         self._notify(server.number, is_listed=False)
 
     def added(self, server: Server) -> None:
-        """The server is on the endpoint list again."""
+        """Adds a server to the endpoint lists."""
         self._notify(server.number, is_listed=True)
 
     def _notify(self, number: int, is_listed: bool) -> None:
         for n, listener in enumerate(self.listeners):
-            delay = self.notice_ms * (0.5 + (n + 1) / (len(self.listeners) + 1))
-            self.engine.after(delay, self._update, listener, number, is_listed)
+            delay_ms = self.notice_ms * (0.5 + (n + 1) / (len(self.listeners) + 1))
+            self.engine.after(delay_ms, self._update, listener, number, is_listed)
 
     def _update(self, listener: EndpointListener, number: int, is_listed: bool) -> None:
-        known = set(listener.listed) - {number}
+        numbers = set(listener.listed) - {number}
         if is_listed:
-            known.add(number)
-        listener.listed = sorted(known)
+            numbers.add(number)
+        listener.listed = sorted(numbers)
 
 
 class FaultTimeline:
-    """Injects a day's faults at their times and takes them back."""
+    """Injects the faults of a simulation at their times and ends them."""
 
     def __init__(
         self, engine: Engine, servers: list[Server], downstream: Downstream, notifier: EndpointNotifier
@@ -70,7 +75,7 @@
         self.notifier = notifier
 
     def schedule(self, faults: Sequence[Fault]) -> None:
-        """Puts all faults on the time line."""
+        """Schedules all faults."""
         for fault in faults:
             self.engine.at(fault.at_s * 1000, self._inject, fault)
 
@@ -87,25 +92,25 @@
         self.engine.after(fault.for_s * 1000, setattr, self.downstream, "size", 1.0)
 
     def _inject_into(self, server: Server, fault: Fault, position: int) -> None:
-        span = fault.for_s * 1000
+        span_ms = fault.for_s * 1000
         if fault.kind == "slow":
             server.cores.set_factor(1 / fault.times)
-            self.engine.after(span, server.cores.set_factor, 1.0)
+            self.engine.after(span_ms, server.cores.set_factor, 1.0)
         elif fault.kind == "freeze":
             server.set_frozen(True)
-            self.engine.after(span, server.set_frozen, False)
+            self.engine.after(span_ms, server.set_frozen, False)
         elif fault.kind == "dead":
             server.kill()
             self.notifier.removed(server)
-            self.engine.after(span, self._restart, server)
+            self.engine.after(span_ms, self._restart, server)
         else:
-            self.engine.after(position * fault.gap_s * 1000, self._replace, server, span)
+            self.engine.after(position * fault.gap_s * 1000, self._replace, server, span_ms)
 
-    def _replace(self, server: Server, span: float) -> None:
-        """A release: the old process drains, the new one starts cold once it is gone."""
+    def _replace(self, server: Server, span_ms: float) -> None:
+        """Replaces a server's process: the old process drains and ends, then a new one starts cold."""
         server.begin_shutdown()
         self.notifier.removed(server)
-        self.engine.after(server.site.server.stop_ms + span, self._restart, server)
+        self.engine.after(server.site.server.stop_ms + span_ms, self._restart, server)
 
     def _restart(self, server: Server) -> None:
         if not server.is_up:
--- a/otterrudder/lab/indexed.py
+++ b/otterrudder/lab/indexed.py
@@ -1,5 +1,5 @@
-"""A key space that finds keys by their folder and leases by their end, for fleets of thousands: what a
-request costs does not grow with what else is stored."""
+"""A key space with indexes of keys by folder and of leases by expiry time, for fleets of thousands of
+servers: the cost of a request does not grow with the number of other keys and leases."""
 
 import heapq
 from collections.abc import Sequence
@@ -9,66 +9,67 @@
 
 
 class IndexedKeySpace(KeySpace):
-    """Answers as KeySpace does, without a history."""
+    """Gives the same answers as KeySpace, but keeps no history."""
 
     def __init__(self) -> None:
         super().__init__(has_history=False)
-        self._folders: dict[str, dict[str, None]] = {}  # in the order of writing, which a set has not
-        self._hung: dict[int, set[str]] = {}
-        self._ends: list[tuple[float, int]] = []  # one for each lease, never later than its end
+        self._folders: dict[str, dict[str, None]] = {}  # in the order of writing; a set has no order
+        self._keys_by_lease: dict[int, set[str]] = {}
+        # heap of (time, lease) with an entry for each lease, at its expiry time or earlier
+        self._expiries: list[tuple[float, int]] = []
 
     def read(self, names: Sequence[str]) -> Snapshot:
-        """By the index, in the time of what is found."""
-        plain = (name for name in names if name in self.keys)
-        under = (key for name in names if name.endswith("/") for key in self._folders.get(name, ()))
-        return Snapshot(self.cluster, self.revision, {key: self.keys[key] for key in (*plain, *under)})
+        """Reads by the index, in time proportional to the size of the result."""
+        named = (name for name in names if name in self.keys)
+        in_folders = (key for name in names if name.endswith("/") for key in self._folders.get(name, ()))
+        return Snapshot(self.cluster, self.revision, {key: self.keys[key] for key in (*named, *in_folders)})
 
     def expire_leases(self, now: float) -> None:
-        """Leases whose end has passed go, with the keys that depend on them."""
-        ends = self._ends
-        while ends and ends[0][0] <= now:
-            _, lease = heapq.heappop(ends)
+        """Revokes the leases whose expiry time has passed."""
+        expiries = self._expiries
+        while expiries and expiries[0][0] <= now:
+            _, lease = heapq.heappop(expiries)
             if lease not in self.leases:
                 continue
             until = self.leases[lease][1]
             if until <= now:
                 self.revoke(lease)
             else:
-                heapq.heappush(ends, (until, lease))
+                heapq.heappush(expiries, (until, lease))
 
     def revoke(self, lease: int) -> bool:
-        """Whether there was such a lease."""
+        """Deletes a lease and the keys attached to it. Returns whether the lease existed."""
         if self.leases.pop(lease, None) is None:
             return False
-        hung = sorted(self._hung.pop(lease, ()))
-        if hung:
+        attached = sorted(self._keys_by_lease.pop(lease, ()))
+        if attached:
             self.revision += 1
-            for key in hung:
+            for key in attached:
                 self._delete(key)
         return True
 
     def grant(self, now: float, span_ms: float) -> LeaseResult:
-        """A new lease, whose end is in the index."""
-        leased = super().grant(now, span_ms)
-        heapq.heappush(self._ends, (now + span_ms, leased.lease))
-        return leased
+        """Grants a new lease and adds its expiry time to the index."""
+        granted = super().grant(now, span_ms)
+        heapq.heappush(self._expiries, (now + span_ms, granted.lease))
+        return granted
 
     def _put(self, write: Put) -> None:
-        self._unhang(write.key)
+        self._detach(write.key)
         super()._put(write)
         self._folders.setdefault(_folder_of(write.key), {})[write.key] = None
         if write.lease:
-            self._hung.setdefault(write.lease, set()).add(write.key)
+            self._keys_by_lease.setdefault(write.lease, set()).add(write.key)
 
     def _delete(self, key: str) -> None:
-        self._unhang(key)
+        self._detach(key)
         super()._delete(key)
         del self._folders[_folder_of(key)][key]
 
-    def _unhang(self, key: str) -> None:
-        before = self.keys.get(key)
-        if before and before.lease in self._hung:
-            self._hung[before.lease].discard(key)
+    def _detach(self, key: str) -> None:
+        previous = self.keys.get(key)
+        if previous and previous.lease in self._keys_by_lease:
+            self._keys_by_lease[previous.lease].discard(key)
 
 
 def _folder_of(key: str) -> str:
--- a/otterrudder/lab/tunables.py
+++ b/otterrudder/lab/tunables.py
@@ -1,4 +1,4 @@
-"""Constants of the admission package that an experiment's variant may set, by their names in its TOML."""
+"""Constants of the admission package that a variant of an experiment may set, by their names in its file."""
 
 from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
@@ -17,12 +17,12 @@
 
     @property
     def value(self) -> float:
-        """The constant's present value."""
+        """The present value of the constant."""
         value: float = getattr(self.module, self.constant)
         return value
 
     def set(self, value: float) -> None:
-        """Change the constant for all controllers of this process."""
+        """Changes the constant for all controllers of this process."""
         setattr(self.module, self.constant, value)
 
 
@@ -38,7 +38,7 @@
 
 @contextmanager
 def tuned(values: Iterable[tuple[str, float]]) -> Iterator[None]:
-    """Set constants by their names in TUNABLES, and put the former values back at the end."""
+    """Sets constants by their names in TUNABLES, and restores the former values at the end."""
     chosen = [(TUNABLES[name], value) for name, value in values]
     former = [(tunable, tunable.value) for tunable, _ in chosen]
     try:
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -1,4 +1,4 @@
-"""The lab's models against what is known of them, its files against mistakes, its commands as run."""
+"""The lab's models against known results, errors in experiment files, and the `lab` commands."""
 
 import json
 import subprocess
@@ -23,84 +23,85 @@
 from otterrudder.lab.streams import RandomStreams
 
 
-def cores(count: int = 2, speed: float = 1.0, crowd_at: float = 99.0) -> tuple[Engine, Cores]:
+def create_cores(count: int = 2, speed: float = 1.0, crowd_at: float = 99.0) -> tuple[Engine, Cores]:
     engine = Engine()
     return engine, Cores(engine, count, speed, crowd_at, 0.5)
 
 
-def noting(engine: Engine, ends: dict[int, float], n: int) -> Callable[[], None]:
+def record_end(engine: Engine, ends: dict[int, float], n: int) -> Callable[[], None]:
     return lambda: ends.__setitem__(n, engine.now)
 
 
-def test_jobs_share_the_cores_evenly_and_none_has_more_than_one() -> None:
-    engine, on = cores(2)
+def test_jobs_share_the_cores_evenly_and_a_job_uses_at_most_one() -> None:
+    engine, cpu = create_cores(2)
     ends: dict[int, float] = {}
     for n, work in enumerate((100.0, 100.0, 100.0)):
-        on.run(work, noting(engine, ends, n))
+        cpu.run(work, record_end(engine, ends, n))
     engine.run(10_000.0)
     assert all(end == pytest.approx(150.0) for end in ends.values())  # 3 jobs on 2 cores
-    on.run(100.0, noting(engine, ends, 9))
+    cpu.run(100.0, record_end(engine, ends, 9))
     engine.run(20_000.0)
     assert ends[9] == pytest.approx(10_100.0)  # alone: one core, not two
 
 
-def test_a_slow_frozen_cold_or_crowded_machine_takes_its_time() -> None:
-    engine, on = cores(1)
+def test_faults_cold_start_and_contention_slow_jobs_down() -> None:
+    engine, cpu = create_cores(1)
     ends: dict[int, float] = {}
-    on.run(100.0, noting(engine, ends, 0))
-    engine.at(50.0, on.set_factor, 0.0)
-    engine.at(250.0, on.set_factor, 0.5)
+    cpu.run(100.0, record_end(engine, ends, 0))
+    engine.at(50.0, cpu.set_factor, 0.0)
+    engine.at(250.0, cpu.set_factor, 0.5)
     engine.run(1000.0)
     assert ends[0] == pytest.approx(350.0)
-    engine, on = cores(1, crowd_at=1.0)
+    engine, cpu = create_cores(1, crowd_at=1.0)
     for n in range(2):
-        on.run(100.0, noting(engine, ends, n))
+        cpu.run(100.0, record_end(engine, ends, n))
     engine.run(1000.0)
-    assert ends[1] == pytest.approx(300.0)  # one too many a core costs half: 200 ms at 1 / 1.5
-    engine, on = cores(1)
-    on.start(0.5, 1000.0)
-    on.run(10.0, noting(engine, ends, 0))
+    # One excess job per core divides the speed by 1.5, so that 200 ms of work take 300 ms.
+    assert ends[1] == pytest.approx(300.0)
+    engine, cpu = create_cores(1)
+    cpu.start(0.5, 1000.0)
+    cpu.run(10.0, record_end(engine, ends, 0))
     engine.run(1000.0)
     assert ends[0] == pytest.approx(20.0)
 
 
-def test_reads_go_one_a_core_and_a_dead_process_ends_nothing() -> None:
-    engine, on = cores(2)
+def test_each_core_reads_one_request_and_a_dead_process_completes_no_job() -> None:
+    engine, cpu = create_cores(2)
     ends: dict[int, float] = {}
     for n in range(4):
-        on.read(10.0, noting(engine, ends, n))
+        cpu.read(10.0, record_end(engine, ends, n))
     engine.run(15.0)
-    assert sorted(ends) == [0, 1] and on.jobs == 2 and not on.unread
-    on.clear()
+    assert sorted(ends) == [0, 1] and cpu.jobs == 2 and not cpu.unread
+    cpu.clear()
     engine.run(1000.0)
-    assert sorted(ends) == [0, 1] and on.jobs == 0
+    assert sorted(ends) == [0, 1] and cpu.jobs == 0
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 200), st.floats(0.1, 80)), min_size=1, max_size=40), st.integers(1, 4))
-def test_no_work_is_lost_or_made_up(jobs: list[tuple[float, float]], count: int) -> None:
-    engine, on = cores(count)
+def test_all_work_is_done_exactly_once(jobs: list[tuple[float, float]], count: int) -> None:
+    engine, cpu = create_cores(count)
     ends: dict[int, float] = {}
     for n, (at, work) in enumerate(jobs):
-        engine.at(at, on.run, work, noting(engine, ends, n))
+        engine.at(at, cpu.run, work, record_end(engine, ends, n))
     engine.run(100_000.0)
-    assert len(ends) == len(jobs) and on.jobs == 0
-    assert on.done_ms == pytest.approx(sum(work for _, work in jobs), rel=1e-6, abs=1e-3)
+    assert len(ends) == len(jobs) and cpu.jobs == 0
+    assert cpu.done_ms == pytest.approx(sum(work for _, work in jobs), rel=1e-6, abs=1e-3)
     assert all(ends[n] >= at + work - 1e-3 for n, (at, work) in enumerate(jobs))
 
 
-def test_the_tier_below_holds_to_its_slots_and_line() -> None:
+def test_the_downstream_service_rejects_calls_beyond_its_slots_and_queue() -> None:
     engine = Engine()
-    below = Downstream(engine, 2, 3, 50.0, 0.5, RandomStreams(1).generator("x"))
-    heard: list[Outcome] = []
+    service = Downstream(engine, 2, 3, 50.0, 0.5, RandomStreams(1).generator("x"))
+    outcomes: list[Outcome] = []
     for _ in range(7):
-        below.call(heard.append)
-    assert below.busy == 2
+        service.call(outcomes.append)
+    assert service.busy == 2
     engine.run(5000.0)
-    assert heard.count(Outcome.FULL) == 2 and heard.count(Outcome.OK) == 5 and below.busy == 0
+    assert outcomes.count(Outcome.FULL) == 2 and outcomes.count(Outcome.OK) == 5 and service.busy == 0
 
 
-def test_shapes_add_up_and_a_walk_is_the_same_for_its_seed() -> None:
+def test_shapes_are_summed_and_a_random_walk_depends_on_its_seed() -> None:
     parts = [
         LoadPart(shape="constant", at=0.5),
         LoadPart(shape="ramp", at=1.0, from_s=10, to_s=20),
@@ -110,28 +111,28 @@
     shape = demand(parts, RandomStreams(1), 40.0)
     assert [round(shape(s), 3) for s in (0, 15, 25, 35)] == [0.5, 2.5, 4.0, 4.0]
     walk = [LoadPart(shape="walk", amplitude=0.1, period_s=5), LoadPart(shape="constant", at=1.0)]
-    first, again, other = (demand(walk, RandomStreams(seed), 600.0) for seed in (1, 1, 2))
-    values = [first(s) for s in range(600)]
-    assert values == [again(s) for s in range(600)] != [other(s) for s in range(600)]
+    same_seed, same_seed_again, other_seed = (demand(walk, RandomStreams(seed), 600.0) for seed in (1, 1, 2))
+    values = [same_seed(s) for s in range(600)]
+    assert values == [same_seed_again(s) for s in range(600)] != [other_seed(s) for s in range(600)]
     assert np.std(values) == pytest.approx(0.1, rel=0.4)
     square = [LoadPart(shape="square", amplitude=0.2, period_s=10), LoadPart(shape="constant", at=1)]
     swing = demand(square, RandomStreams(1), 9)
     assert (swing(2), swing(7)) == (pytest.approx(1.2), pytest.approx(0.8))
 
 
-def test_streams_are_their_own() -> None:
+def test_random_number_sources_are_independent() -> None:
     streams = RandomStreams(5)
     before = streams.generator("a").random(3).tolist()
     streams.generator("b").random(1000)
     assert streams.generator("a").random(3).tolist() == before != streams.generator("b").random(3).tolist()
 
 
-def test_claims_are_judged_by_their_intervals() -> None:
-    mean, half = interval([1.0, 2.0, 3.0])
-    assert (mean, half) == (pytest.approx(2.0), pytest.approx(4.303 / 3**0.5, rel=1e-3))
+def test_claims_are_evaluated_on_means_and_intervals() -> None:
+    mean, half_width = interval([1.0, 2.0, 3.0])
+    assert (mean, half_width) == (pytest.approx(2.0), pytest.approx(4.303 / 3**0.5, rel=1e-3))
     runs = read_experiment(ROOT / "experiments/demo.toml", [1, 2, 3]).runs
-    better = {1: 0.1, 2: 0.2, 3: 0.15}
-    figures = [(run, {"value": 0.5 + better[run.seed] * (run.variant == "levels")}) for run in runs]
+    gains = {1: 0.1, 2: 0.2, 3: 0.15}
+    figures = [(run, {"value": 0.5 + gains[run.seed] * (run.variant == "levels")}) for run in runs]
 
     def holds(**how: object) -> bool:
         claim = dict(text="t", cases="evening", figure="value", variant="levels") | how
@@ -147,7 +148,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("seeds = [7]", "seeds = []", "seeds"),
         ("seeds = [7]", 'seeds = "x"', "seeds"),
@@ -183,7 +184,9 @@
         ),
     ],
 )
-def test_a_bad_experiment_is_named_by_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
+def test_an_error_in_an_experiment_file_names_the_key(
+    tmp_path: Path, old: str, new: str, message: str
+) -> None:
     assert old in GOOD
     text = GOOD.replace(old, new, 1)
     for here in ("../deploy", "sites"):
@@ -192,7 +195,7 @@
     file.write_text(text)
     with pytest.raises(InvalidInputError) as raised:
         read_experiment(file)
-    assert says in str(raised.value) and "\n" not in str(raised.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
 def lab(*words: str) -> subprocess.CompletedProcess[str]:
@@ -205,7 +208,7 @@
     )
 
 
-def test_the_commands_leave_results_and_exit_by_what_they_found(tmp_path: Path) -> None:
+def test_the_commands_write_results_and_exit_by_the_verdicts(tmp_path: Path) -> None:
     text = GOOD.replace("length_s = 240", "length_s = 30").replace("at = 0.7", "at = 1.5")
     for here in ("../deploy", "sites"):
         text = text.replace(f'"{here}', f'"{(ROOT / "experiments" / here).resolve()}')
@@ -225,7 +228,7 @@
     assert (tmp_path / "out/figures.csv").read_text().count("\n") == 5
     assert "FAILS  it is served" in lab("show", str(tmp_path / "out")).stdout
     assert "one.toml" in lab("list", str(tmp_path)).stdout
-    assert "on processes" in lab("list").stdout  # all that a checkout has, whoever plays it
+    assert "on processes" in lab("list").stdout  # the default folder includes experiments of `lab processes`
     file.write_text("title = 3")
     done = lab("run", str(file))
     assert done.returncode == 2 and done.stderr.startswith("otterrudder: one.toml: ")
@@ -233,7 +236,7 @@
     assert lab("show", str(file)).returncode == 2
 
 
-def test_serve_imports_nothing_of_the_lab() -> None:
+def test_serve_does_not_import_the_lab() -> None:
     code = (
         "import sys, otterrudder.cli.serve, otterrudder.net.serve, otterrudder.levels; "
         "print([m for m in sys.modules if m.split('.')[0] in ('numpy', 'matplotlib') or '.lab' in m])"
--- a/tests/vrrp/test_search.py
+++ b/tests/vrrp/test_search.py
@@ -56,21 +56,21 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "priorities", "message"),
+    ("machine_type", "priorities", "message"),
     [
-        (NeverStepsDown, (200, 100), "once quiescent the masters are [0, 1]"),
-        (IgnoresTies, (100, 100), "once quiescent the masters are [0, 1]"),
-        (NeverPreempts, (200, 100), "and one of priority 200 should be"),
+        (NeverStepsDown, (200, 100), "quiescent: the masters are [0, 1]"),
+        (IgnoresTies, (100, 100), "quiescent: the masters are [0, 1]"),
+        (NeverPreempts, (200, 100), "expected one of priority 200"),
     ],
 )
 def test_fault_in_the_state_machine_is_found(
-    fault: type[StateMachine], priorities: tuple[int, ...], message: str
+    machine_type: type[StateMachine], priorities: tuple[int, ...], message: str
 ) -> None:
-    def make(n: int, priority: int) -> StateMachine:
+    def create(n: int, priority: int) -> StateMachine:
         copy = create_machine(n, priority)
-        return fault(copy.address, copy.priority, copy.own_interval)
+        return machine_type(copy.address, copy.priority, copy.own_interval)
 
-    result = search(priorities, 8, make)
+    result = search(priorities, 8, create)
     assert result.violation and message in result.violation.description and result.violation.trace
 
 
@@ -85,7 +85,7 @@
     ("transition", "target", "message"),
     [
         ((GateState.OPEN, GateEvent.BACKUP), GateState.OPEN, "the open gates are"),
-        ((GateState.HELD, GateEvent.DEADLINE), GateState.HELD, "once quiescent"),
+        ((GateState.HELD, GateEvent.DEADLINE), GateState.HELD, "quiescent:"),
         ((GateState.DRAINING, GateEvent.DEADLINE), GateState.OPEN, "the open gates are"),
     ],
 )
