--- a/otterrudder/lab/checker.py
+++ b/otterrudder/lab/checker.py
@@ -120,19 +120,19 @@
         for number, entry in self.open_attempts.items():
             if entry.incarnation == incarnation and not entry.answer and not entry.is_disconnected:
                 self._record("rule 3", f"{number} had no answer when its server was stopped")
-        self._forget(incarnation)
+        self._remove_entries(incarnation)
 
     def killed(self, incarnation: int) -> None:
         """A fault kills a process. Its open attempts count as lost with the server, not as violations."""
         self.lost_with_server += sum(
             entry.incarnation == incarnation and not entry.answer for entry in self.open_attempts.values()
         )
-        self._forget(incarnation)
+        self._remove_entries(incarnation)
 
-    def crashed(self, now: float, incarnation: int, why: str) -> None:
+    def crashed(self, now: float, incarnation: int, reason: str) -> None:
         """A process has crashed by itself."""
-        self._record("rule 4", f"at {now:.0f} ms a server crashed: {why}")
-        self._forget(incarnation)
+        self._record("rule 4", f"at {now:.0f} ms a server crashed: {reason}")
+        self._remove_entries(incarnation)
 
     def _has_run(self, now: float, entry: Entry) -> bool:
         return self._blocked_until.get((entry.incarnation, entry.effect), -1.0) > now
@@ -142,6 +142,6 @@
         if len(self.violations) < MAX_DESCRIBED:
             self.violations.append(f"{rule}: {description}")
 
-    def _forget(self, incarnation: int) -> None:
+    def _remove_entries(self, incarnation: int) -> None:
         for number in [n for n, entry in self.open_attempts.items() if entry.incarnation == incarnation]:
             del self.open_attempts[number]
--- a/otterrudder/lab/day.py
+++ b/otterrudder/lab/day.py
@@ -32,9 +32,9 @@
 
     at_s: float
     server: int
-    left: str
-    entered: str
-    why: str
+    from_level: str
+    to_level: str
+    reason: str
 
 
 @dataclass(slots=True)
@@ -141,11 +141,12 @@
             next_request = self.arrivals.next_in_session(offered, self.engine.now)
             self.engine.after(0.0, self.gateways[next_request.gateway].accept, next_request)
 
-    def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
+    def _log(self, now: float, server: int, text: str, fields: dict[str, Any]) -> None:
         self.log_counts[text] = self.log_counts.get(text, 0) + 1
+        # These texts and keys are those of the log lines of the service levels.
         if text in ("service reduced", "service restored"):
-            left, entered, why = (str(facts[key]) for key in ("left", "entered", "why"))
-            self.transitions.append(Transition(now / 1000, server, left, entered, why))
+            from_level, to_level, reason = (str(fields[key]) for key in ("left", "entered", "why"))
+            self.transitions.append(Transition(now / 1000, server, from_level, to_level, reason))
 
     def run(self) -> SimulationResult:
         """Runs the simulation. The result depends only on the arguments and is the same on every machine."""
@@ -154,7 +155,7 @@
         for gateway in self.gateways:
             gateway.listed = list(range(len(self.servers)))
         self._schedule_next_arrival()
-        self._check()
+        self._check_and_sample()
         self.engine.run(self.length_ms + SETTLING_TIME_MS)
         self.checker.check_overdue(self.engine.now)
         return self._result()
@@ -172,14 +173,14 @@
         self.gateways[offered.gateway].accept(offered)
         self._schedule_next_arrival()
 
-    def _check(self) -> None:
+    def _check_and_sample(self) -> None:
         self.checker.check_overdue(self.engine.now)
         names = [level.name for level in self.levels.levels] if self.levels else []
         for n, server in enumerate(self.servers):
             name = server.core.service.levels.name if server.is_up and server.core.service.levels else ""
             self.levels_by_second[n].append(float(names.index(name) + 1 if name in names else 0))
         if self.engine.now < self.length_ms:
-            self.engine.after(CHECK_INTERVAL_MS, self._check)
+            self.engine.after(CHECK_INTERVAL_MS, self._check_and_sample)
 
     def _result(self) -> SimulationResult:
         statistics = self.statistics
@@ -193,7 +194,7 @@
             broken=float(checker.violation_count),
             read_late=float(checker.counts["read late"]),
             lost_with_server=float(checker.lost_with_server),
-            worst_10s=self._min_value(10),
+            worst_10s=self._lowest_value_share(10),
             memory_peak=max(s.memory_peak for s in self.servers),
             crowd_peak=max(s.contention_peak for s in self.servers),
             below_full=self.downstream.rejected / max(self.downstream.calls, 1),
@@ -203,13 +204,14 @@
         )
         for n, product in enumerate(statistics.products):
             figures[f"served.{product.name}"] = statistics.served(n)
-        ended = sum(statistics.outcomes.values()) or 1
-        figures |= {f"share.{outcome}": count / ended for outcome, count in statistics.outcomes.items()}
+        ended_count = sum(statistics.outcomes.values()) or 1
+        figures |= {f"share.{outcome}": count / ended_count for outcome, count in statistics.outcomes.items()}
         figures |= self._level_figures(length_s) | self._session_figures(length_s)
         return SimulationResult(figures, self.transitions, checker.violations, self._series())
 
-    def _min_value(self, span_s: int) -> float:
-        """The lowest served share of value in any span of `span_s` seconds, in steps of 2 s."""
+    def _lowest_value_share(self, span_s: int) -> float:
+        """The lowest share of the value that was served in any span of `span_s` seconds. Spans start every
+        2 s."""
         seconds = len(self.statistics.by_second)
         return min(
             (self.statistics.value(s, s + span_s) for s in range(0, max(seconds - span_s, 1), 2)), default=1.0
@@ -221,9 +223,9 @@
         min_stays_s = {level.name: level.min_stay_ms / 1000 for level in self.levels.levels}
         stay_violations = 0
         for transitions in self._transitions_by_server():
-            own = [transition for transition in transitions if transition.why != "table"]
-            for before, after in zip(own, own[1:], strict=False):
-                min_stay_s = min_stays_s.get(before.entered, min_stays_s.get(after.entered, 0.0))
+            server_transitions = [transition for transition in transitions if transition.reason != "table"]
+            for before, after in zip(server_transitions, server_transitions[1:], strict=False):
+                min_stay_s = min_stays_s.get(before.to_level, min_stays_s.get(after.to_level, 0.0))
                 stay_violations += after.at_s - before.at_s < min_stay_s - 1e-6
         levels_by_second = np.array([row[: int(length_s)] for row in self.levels_by_second])
         return dict(
@@ -244,22 +246,30 @@
     def _last_entry_s(self) -> float:
         """The time in s at which the last server first left full service; the length of the simulation if a
         server never left it."""
-        return max(own[0].at_s if own else self.length_ms / 1000 for own in self._transitions_by_server())
+        return max(
+            server_transitions[0].at_s if server_transitions else self.length_ms / 1000
+            for server_transitions in self._transitions_by_server()
+        )
 
     def _last_return_s(self) -> float:
         """The time in s of the last server's final return to full service; the length of the simulation if a
         server ended at a reduced level. 0 if no server left full service."""
-        ends = [own[-1] if own else None for own in self._transitions_by_server()]
+        last_transitions = [
+            server_transitions[-1] if server_transitions else None
+            for server_transitions in self._transitions_by_server()
+        ]
         return max(
-            0.0 if end is None else end.at_s if end.entered == FULL_SERVICE else self.length_ms / 1000
-            for end in ends
+            0.0 if last is None else last.at_s if last.to_level == FULL_SERVICE else self.length_ms / 1000
+            for last in last_transitions
         )
 
     def _return_spread_s(self) -> float:
         """The time in s between the first and the last server's final return to full service; 0 if no server
         returned."""
         times = [
-            own[-1].at_s for own in self._transitions_by_server() if own and own[-1].entered == FULL_SERVICE
+            server_transitions[-1].at_s
+            for server_transitions in self._transitions_by_server()
+            if server_transitions and server_transitions[-1].to_level == FULL_SERVICE
         ]
         return max(times, default=0.0) - min(times, default=0.0)
 
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -21,31 +21,32 @@
         self.print_line = print_line
         super().__init__(run.site, run.load, run.faults, run.levels, run.seed, run.length_s)
 
-    def _log(self, now: float, server: int, text: str, facts: dict[str, Any]) -> None:
-        super()._log(now, server, text, facts)
+    def _log(self, now: float, server: int, text: str, fields: dict[str, Any]) -> None:
+        super()._log(now, server, text, fields)
         if text in ("service reduced", "service restored"):
-            names = [name for name in facts if f"{name}_bound" in facts]
-            why = ", ".join(f"{name} {facts[name]} ({facts[f'{name}_bound']})" for name in names)
+            names = [name for name in fields if f"{name}_bound" in fields]
+            reason = ", ".join(f"{name} {fields[name]} ({fields[f'{name}_bound']})" for name in names)
             self.print_line(
-                f"{now / 1000:6.1f} s  server {server}: {facts['left']} -> {facts['entered']}"
-                f"  [{facts['why']}: {why}]"
+                f"{now / 1000:6.1f} s  server {server}: {fields['left']} -> {fields['entered']}"
+                f"  [{fields['why']}: {reason}]"
             )
 
-    def _check(self) -> None:
-        super()._check()
+    def _check_and_sample(self) -> None:
+        super()._check_and_sample()
         second = round(self.engine.now / 1000)
         if second and second % LINE_S == 0 and self.engine.now <= self.length_ms:
-            asked = self.demand(second - LINE_S / 2)
-            demand_bar = "#" * round(asked * BAR_COLUMNS / 2)
+            current_demand = self.demand(second - LINE_S / 2)
+            demand_bar = "#" * round(current_demand * BAR_COLUMNS / 2)
             # Requests of the last interval may not have ended yet, so the value of the interval before it
             # is printed.
-            in_time = (
+            value_in_time = (
                 self.statistics.value(max(second - 2 * LINE_S, 0), second - LINE_S)
                 if second > LINE_S
                 else 1.0
             )
             self.print_line(
-                f"{second:6d} s  demand {asked:4.2f} {demand_bar:<{BAR_COLUMNS}} value in time {in_time:.2f}"
+                f"{second:6d} s  demand {current_demand:4.2f} {demand_bar:<{BAR_COLUMNS}} "
+                f"value in time {value_in_time:.2f}"
             )
 
 
--- a/otterrudder/lab/faults.py
+++ b/otterrudder/lab/faults.py
@@ -43,11 +43,11 @@
         self.listeners = listeners
         self.notice_ms = notice_ms
 
-    def removed(self, server: Server) -> None:
+    def notify_removed(self, server: Server) -> None:
         """Removes a server from the endpoint lists."""
         self._notify(server.number, is_listed=False)
 
-    def added(self, server: Server) -> None:
+    def notify_added(self, server: Server) -> None:
         """Adds a server to the endpoint lists."""
         self._notify(server.number, is_listed=True)
 
@@ -101,7 +101,7 @@
             self.engine.after(span_ms, server.set_frozen, False)
         elif fault.kind == "dead":
             server.kill()
-            self.notifier.removed(server)
+            self.notifier.notify_removed(server)
             self.engine.after(span_ms, self._restart, server)
         else:
             self.engine.after(position * fault.gap_s * 1000, self._replace, server, span_ms)
@@ -109,10 +109,10 @@
     def _replace(self, server: Server, span_ms: float) -> None:
         """Replaces a server's process: the old process drains and ends, then a new one starts cold."""
         server.begin_shutdown()
-        self.notifier.removed(server)
+        self.notifier.notify_removed(server)
         self.engine.after(server.site.server.stop_ms + span_ms, self._restart, server)
 
     def _restart(self, server: Server) -> None:
         if not server.is_up:
             server.start(warm=False)
-        self.notifier.added(server)
+        self.notifier.notify_added(server)
--- a/otterrudder/lab/gateways.py
+++ b/otterrudder/lab/gateways.py
@@ -52,11 +52,11 @@
         "gateway",
         "is_marked",
         "is_over",
+        "max_wait_ms",
         "number",
         "offered",
         "retry_state",
         "server",
-        "max_wait",
     )
 
     def __init__(
@@ -66,7 +66,7 @@
         number: int,
         server: Server,
         at: float,
-        max_wait: float,
+        max_wait_ms: float,
         retry_state: RetryState,
         is_marked: bool,
     ) -> None:
@@ -75,7 +75,7 @@
         self.number = number
         self.server = server
         self.at = at
-        self.max_wait = max_wait
+        self.max_wait_ms = max_wait_ms
         self.retry_state = retry_state
         self.is_marked = is_marked
         self.is_over = False
@@ -136,28 +136,28 @@
     def accept(self, offered: OfferedRequest) -> None:
         """A caller sends a request."""
         self.statistics.asked(offered.at, offered.product)
-        self._attempt(offered, RetryState(self.engine.now))
+        self._send_attempt(offered, RetryState(self.engine.now))
 
-    def _attempt(self, offered: OfferedRequest, state: RetryState) -> None:
+    def _send_attempt(self, offered: OfferedRequest, retry_state: RetryState) -> None:
         now = self.engine.now
         deadline_ms = self.products[offered.product].deadline_ms
-        time_left = state.first_sent_at + deadline_ms - now
-        may_try = time_left > MIN_TIME_LEFT_MS and len(state.tried_servers) < self.settings.tries
-        server = self._choose(offered, state.tried_servers) if may_try else None
+        time_left_ms = retry_state.first_sent_at + deadline_ms - now
+        may_send = time_left_ms > MIN_TIME_LEFT_MS and len(retry_state.tried_servers) < self.settings.tries
+        server = self._choose(offered, retry_state.tried_servers) if may_send else None
         if server is None:
-            self._finish_request(offered, REJECTED if state.tried_servers else UNREACHABLE)
+            self._finish_request(offered, REJECTED if retry_state.tried_servers else UNREACHABLE)
             return
-        max_wait = min(time_left, deadline_ms * self.settings.try_share)
+        max_wait_ms = min(time_left_ms, deadline_ms * self.settings.try_share)
         arrives_at = now + self.settings.net_ms
-        is_marked = bool(state.tried_servers) and self.settings.marks
+        is_marked = bool(retry_state.tried_servers) and self.settings.marks
         attempt = GatewayAttempt(
-            self, offered, self._next_number(), server, arrives_at, max_wait, state, is_marked
+            self, offered, self._next_number(), server, arrives_at, max_wait_ms, retry_state, is_marked
         )
         self.statistics.attempts += 1
         self.open_attempts[server.number] = self.open_attempts.get(server.number, 0) + 1
         self.engine.after(self.settings.net_ms, self._deliver, attempt)
-        self.engine.after(max_wait, attempt.time_out)
-        if offered.patience_ms < time_left:
+        self.engine.after(max_wait_ms, attempt.time_out)
+        if offered.patience_ms < time_left_ms:
             self.engine.after(offered.patience_ms, self._disconnect, attempt)
 
     def _deliver(self, attempt: GatewayAttempt) -> None:
@@ -182,22 +182,22 @@
         server = attempt.server.number
         self.open_attempts[server] -= 1
         offered = attempt.offered
-        state = replace(attempt.retry_state, tried_servers=(*attempt.retry_state.tried_servers, server))
+        retry_state = replace(attempt.retry_state, tried_servers=(*attempt.retry_state.tried_servers, server))
         match message:
             case RequestCompleted():
-                self._note_load(server, message.load)
+                self._record_load(server, message.load)
                 self._finish_request(offered, COMPLETED)
             case RequestRejected():
-                self._note_load(server, message.load)
-                self._handle_rejection(offered, state, server, message)
+                self._record_load(server, message.load)
+                self._handle_rejection(offered, retry_state, server, message)
             case RequestFailed():
-                self._note_load(server, message.load)
-                self._retry_after_failure(offered, state)
+                self._record_load(server, message.load)
+                self._retry_after_failure(offered, retry_state)
             case _:
-                self._retry_after_failure(offered, state)
+                self._retry_after_failure(offered, retry_state)
 
     def _handle_rejection(
-        self, offered: OfferedRequest, state: RetryState, server: int, message: RequestRejected
+        self, offered: OfferedRequest, retry_state: RetryState, server: int, message: RequestRejected
     ) -> None:
         if self.honours_retry_after and message.retry_after_ms > 0:
             until = self.engine.now + message.retry_after_ms
@@ -205,17 +205,20 @@
         if message.is_final and self.honours_final:
             self._finish_request(offered, REJECTED)
         else:
-            self.engine.after(RETRY_DELAY_MS, self._attempt, offered, state)
+            self.engine.after(RETRY_DELAY_MS, self._send_attempt, offered, retry_state)
 
-    def _retry_after_failure(self, offered: OfferedRequest, state: RetryState) -> None:
+    def _retry_after_failure(self, offered: OfferedRequest, retry_state: RetryState) -> None:
         """Retries a request at another server only if it may run twice, as servers do not share their
         idempotency keys."""
-        if self.products[offered.product].retention_ms or len(state.tried_servers) >= self.settings.tries:
+        if (
+            self.products[offered.product].retention_ms
+            or len(retry_state.tried_servers) >= self.settings.tries
+        ):
             self._finish_request(offered, FAILED)
         else:
-            self.engine.after(RETRY_DELAY_MS, self._attempt, offered, state)
+            self.engine.after(RETRY_DELAY_MS, self._send_attempt, offered, retry_state)
 
-    def _note_load(self, server: int, load: float | None) -> None:
+    def _record_load(self, server: int, load: float | None) -> None:
         if load is not None:
             self.max_open[server] = load
 
--- a/otterrudder/lab/outcome_statistics.py
+++ b/otterrudder/lab/outcome_statistics.py
@@ -19,9 +19,9 @@
 class SecondCounts:
     """Counts of the requests that arrived in one second, by product."""
 
-    asked: list[int]
-    in_time: list[int]
-    late: list[int]
+    asked: list[int]  # arrived
+    in_time: list[int]  # completed within the latency objective
+    late: list[int]  # completed later
 
 
 @dataclass(slots=True)
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -146,8 +146,8 @@
     variants = {variant.name: variant for variant in decoded.variant}
     chosen_seeds = seeds or (decoded.seeds[:QUICK_SEED_COUNT] if quick else decoded.seeds)
     runs: list[Run] = []
-    for n, case in enumerate(decoded.case, 1):
-        location = f"{source}: case[{n}]"
+    for case_number, case in enumerate(decoded.case, 1):
+        location = f"{source}: case[{case_number}]"
         for name in case.variants:
             if name not in variants:
                 raise InvalidInputError(f"{location}.variants: there is no variant {name!r}")
@@ -194,10 +194,11 @@
             merge_tables(site_values, _substitute(case.site, values, f"{location}.site")), variant.site
         )
         site = site_of(changed, f"{site_source} as changed by {location} and variant {variant.name}")
-        for k, fault in enumerate(faults, 1):
+        for fault_number, fault in enumerate(faults, 1):
             if any(not 0 <= number < site.server.count for number in fault.servers):
                 raise InvalidInputError(
-                    f"{location}.trouble[{k}].servers: there are {site.server.count} servers, numbered from 0"
+                    f"{location}.trouble[{fault_number}].servers: "
+                    f"there are {site.server.count} servers, numbered from 0"
                 )
         levels = _read_levels(folder, variant, site)
         for seed in seeds:
@@ -246,8 +247,8 @@
 
 def _check_claims(decoded: _ExperimentFile, runs: list[Run], source: str, quick: bool) -> None:
     names = {variant.name for variant in decoded.variant}
-    for n, claim in enumerate(decoded.claim, 1):
-        location = f"{source}: claim[{n}]"
+    for claim_number, claim in enumerate(decoded.claim, 1):
+        location = f"{source}: claim[{claim_number}]"
         for key, name in (("variant", claim.variant), ("over", claim.over)):
             if name and name not in names:
                 raise InvalidInputError(f"{location}.{key}: there is no variant {name!r}")
--- a/otterrudder/lab/server.py
+++ b/otterrudder/lab/server.py
@@ -36,7 +36,7 @@
 
 START_UNIX_MS = 1.7e12  # wall-clock time at the start of the simulation
 CLOSE_DELAY_MS = 1.0  # time from the command to close connections to the end of the process
-SPREAD_STEP = 0.618034  # golden ratio: gives evenly spread values for any number of servers
+SPREAD_STEP = 0.618034  # reciprocal of the golden ratio: spreads any number of servers evenly
 SPREAD_START = 0.1
 GAUGES = ["busy", "on_cores"]
 LogCallback = Callable[[float, int, str, dict[str, Any]], None]
@@ -48,7 +48,7 @@
     number: int
     offered: OfferedRequest
     at: float  # time at which it reaches the server, in ms
-    max_wait: float  # time for which its gateway waits for an answer, in ms
+    max_wait_ms: float  # time for which its gateway waits for an answer, in ms
     is_marked: bool  # marked as a retry
     is_over: bool
 
@@ -130,8 +130,8 @@
         self.core = RequestCore(create_controller, self.products, GAUGES, controller)
         self.attempts: dict[str, Attempt] = {}
         self.runs: dict[str, ActiveRun] = {}
-        self.urgent: list[tuple[Callable[..., object], tuple[object, ...]]] = []
-        self.arrivals: list[tuple[Callable[..., object], tuple[object, ...]]] = []
+        self.internal_events: list[tuple[Callable[..., object], tuple[object, ...]]] = []
+        self.gateway_events: list[tuple[Callable[..., object], tuple[object, ...]]] = []
         self.tick_at = math.inf
         self.is_batch_scheduled = False
         self.is_up = True
@@ -140,16 +140,16 @@
         self.post(self.core.handle_runtime_ready, warm, section.cold_s * 1000 if warm else 0.0)
         self.post(self.core.handle_link_established)
 
-    # The mailbox.
+    # Batches of events.
 
     def post(self, handler: Callable[..., object], *args: object) -> None:
         """Adds an event of the runtime or the downstream service to the next batch."""
-        self.urgent.append((handler, args))
+        self.internal_events.append((handler, args))
         self._schedule_batch()
 
     def post_arrival(self, handler: Callable[..., object], *args: object) -> None:
         """Adds an event of a gateway to the next batch, to be handled after the other events."""
-        self.arrivals.append((handler, args))
+        self.gateway_events.append((handler, args))
         self._schedule_batch()
 
     def _schedule_batch(self) -> None:
@@ -162,10 +162,10 @@
             return
         self.is_batch_scheduled = False
         now = self.engine.now
-        urgent, self.urgent = self.urgent, []
-        arrivals, self.arrivals = self.arrivals, []
+        internal_events, self.internal_events = self.internal_events, []
+        gateway_events, self.gateway_events = self.gateway_events, []
         self.core.advance_to(START_UNIX_MS + now, now)
-        for handler, args in urgent + arrivals:
+        for handler, args in internal_events + gateway_events:
             handler(*args)
         if now >= self.tick_at:
             late_ms = now - self.tick_at
@@ -219,13 +219,13 @@
             attempt.number,
             self.incarnation,
             attempt.at,
-            attempt.at + attempt.max_wait,
+            attempt.at + attempt.max_wait_ms,
             0 if request_class.idempotency is Idempotency.SAFE else offered.number,
         )
         fields = RequestFields(
             request_id=request_id,
             received_at=START_UNIX_MS + attempt.at,
-            ttl_ms=attempt.max_wait,
+            ttl_ms=attempt.max_wait_ms,
             size_kb=self.site.server.held_kb,
             tenant_index=offered.tenant,
             session_key=0 if is_idempotent else offered.key,
@@ -339,13 +339,17 @@
         section = self.site.server
         counters = self.core.log_fields()
         entries_kb = len(self.core.idempotency) * section.ref_kb
-        used = (counters["queued"] + counters["runs"] * section.run_factor) * section.held_kb + entries_kb
-        self.memory_peak = max(self.memory_peak, used / self.memory_limit_kb)
+        used_kb = (counters["queued"] + counters["runs"] * section.run_factor) * section.held_kb + entries_kb
+        self.memory_peak = max(self.memory_peak, used_kb / self.memory_limit_kb)
         max_jobs_per_core = 1 + (section.falls_at - 1) * self.cores.warmth()
         contention = self.cores.jobs_per_core / max_jobs_per_core
         self.contention_peak = max(self.contention_peak, contention)
         reason = (
-            "memory" if used > self.memory_limit_kb else "contention on its cores" if contention > 1 else ""
+            "out of memory"
+            if used_kb > self.memory_limit_kb
+            else "contention on its cores"
+            if contention > 1
+            else ""
         )
         if reason:
             self.checker.crashed(self.engine.now, self.incarnation, reason)
--- a/otterrudder/lab/site.py
+++ b/otterrudder/lab/site.py
@@ -38,14 +38,14 @@
     share: Positive
     work_ms: Positive  # mean work of a request, in ms on a core of speed 1
     cv: Positive = 0.8  # coefficient of variation of the lognormal work
-    sla_ms: Positive
-    expiry_ms: Positive
-    value: Positive = 1.0
-    late_value: Share = 0.0
+    sla_ms: Positive  # latency objective
+    expiry_ms: Positive  # deadline
+    value: Positive = 1.0  # priority weight
+    late_value: Share = 0.0  # share of the value that a late request has
     effect: Literal["inquiry-like", "referenced", "once-only"] = "inquiry-like"
-    window_ms: float = 0.0
-    calls: Annotated[int, msgspec.Meta(ge=0)] = 0
-    omit_value: Share = 0.0
+    window_ms: float = 0.0  # retention of idempotency keys
+    calls: Annotated[int, msgspec.Meta(ge=0)] = 0  # number of downstream calls
+    omit_value: Share = 0.0  # share of the value without the downstream call; 0: never skipped
     has_key: bool = True  # requests carry the key of their user
 
 
@@ -64,9 +64,8 @@
     speed: tuple[Positive, ...] = (1.0,)  # speeds of a core, assigned to the servers in rotation
     crowd_at: Positive = 1.3  # running requests per core above which contention slows the server
     crowd_loss: float = 0.7  # the speed is divided by 1 + crowd_loss * (running requests per core - crowd_at)
-    falls_at: Positive = (
-        8.0  # running requests per core, mean over 2 s, at which a server crashes; fewer if cold
-    )
+    # running requests per core (mean over 2 s) at which a server crashes; fewer while it is cold
+    falls_at: Positive = 8.0
     read_share: Share = 0.25  # work of reading any request, rejected ones too, as a share of the mean work
     cold_from: Share = 0.3  # share of the full speed right after a cold start
     cold_s: float = 10.0  # time from a cold start to the full speed, in s
@@ -77,7 +76,7 @@
     grace_ms: float = 2500.0  # requests that arrive later than this after the start of a drain are not run
     stop_ms: float = 5000.0  # time from the shutdown notice to the end of the process, in ms
     away_most_ms: float = 1000.0  # maximum Retry-After, in ms
-    say: Literal["", "credit", "rank"] = "credit"
+    say: Literal["", "credit", "rank"] = "credit"  # load signal that servers send to gateways
 
     @property
     def memory_kb(self) -> float:
@@ -99,8 +98,9 @@
     behave in this way."""
 
     count: Count = 4
+    # how a gateway chooses a server: in rotation, by the user's key, or the one with the fewest open attempts
     choose: Literal["round", "subject", "least"] = "round"
-    tries: Count = 2
+    tries: Count = 2  # maximum number of attempts for a request
     # maximum time of one attempt, as a share of the request's expiry
     try_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0
     heeds_away: Share = 0.5  # gateways that honour Retry-After
@@ -208,28 +208,28 @@
         return create
 
 
-def convert(values: Any, kind: type[Any], where: str) -> Any:
+def convert(values: Any, kind: type[Any], source: str) -> Any:
     """Converts decoded TOML to `kind`. Raises InvalidInputError with the location that msgspec reports."""
     try:
         return msgspec.convert(values, kind)
     except msgspec.ValidationError as error:
         problem, _, location = str(error).partition(" - at `")
         key = location.rstrip("`").lstrip("$").lstrip(".")
-        raise InvalidInputError(": ".join(filter(None, (where, key, problem)))) from None
+        raise InvalidInputError(": ".join(filter(None, (source, key, problem)))) from None
 
 
-def site_of(values: dict[str, Any], where: str) -> Site:
-    """Converts a site's decoded TOML and checks it. Raises InvalidInputError; `where` names the file in its
+def site_of(values: dict[str, Any], source: str) -> Site:
+    """Converts a site's decoded TOML and checks it. Raises InvalidInputError; `source` names the file in its
     message."""
-    site: Site = convert(values, Site, where)
+    site: Site = convert(values, Site, source)
     for n, product in enumerate(site.product, 1):
         if product.sla_ms > product.expiry_ms:
-            raise InvalidInputError(f"{where}: product[{n}].sla_ms: {product.sla_ms:g} is above expiry_ms")
+            raise InvalidInputError(f"{source}: product[{n}].sla_ms: {product.sla_ms:g} is above expiry_ms")
         if product.effect == "referenced" and product.window_ms <= 0:
             raise InvalidInputError(
-                f"{where}: product[{n}].window_ms: must be above 0 for a referenced product"
+                f"{source}: product[{n}].window_ms: must be above 0 for a referenced product"
             )
     names = [product.name for product in site.product]
     if len(set(names)) != len(names):
-        raise InvalidInputError(f"{where}: product: two products have the same name")
+        raise InvalidInputError(f"{source}: product: two products have the same name")
     return site
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -198,7 +198,7 @@
     assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def lab(*words: str) -> subprocess.CompletedProcess[str]:
+def run_lab(*words: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "otterrudder", "lab", *words],
         cwd=ROOT,
@@ -219,21 +219,23 @@
     file = tmp_path / "one.toml"
     for least, code in ((0.01, 0), (0.99, 1)):
         file.write_text(text.replace("[[chart]]", claim.format(least=least), 1))
-        done = lab("run", str(file), "--out", str(tmp_path / "out"), "--seeds", "1,2", "--workers", "2")
+        done = run_lab("run", str(file), "--out", str(tmp_path / "out"), "--seeds", "1,2", "--workers", "2")
         assert done.returncode == code, done.stderr
         assert ("holds" if code == 0 else "FAILS") + "  it is served" in done.stdout
     results = json.loads((tmp_path / "out/results.json").read_text())
     assert results["holds"] is False and results["simulated"] is True and len(results["runs"]) == 4
     assert (tmp_path / "out/evening.svg").read_text().lstrip().startswith("<?xml")
     assert (tmp_path / "out/figures.csv").read_text().count("\n") == 5
-    assert "FAILS  it is served" in lab("show", str(tmp_path / "out")).stdout
-    assert "one.toml" in lab("list", str(tmp_path)).stdout
-    assert "on processes" in lab("list").stdout  # the default folder includes experiments of `lab processes`
+    assert "FAILS  it is served" in run_lab("show", str(tmp_path / "out")).stdout
+    assert "one.toml" in run_lab("list", str(tmp_path)).stdout
+    assert (
+        "on processes" in run_lab("list").stdout
+    )  # the default folder includes experiments of `lab processes`
     file.write_text("title = 3")
-    done = lab("run", str(file))
+    done = run_lab("run", str(file))
     assert done.returncode == 2 and done.stderr.startswith("otterrudder: one.toml: ")
-    assert lab("run", str(file), "--seeds", "x").returncode == 2
-    assert lab("show", str(file)).returncode == 2
+    assert run_lab("run", str(file), "--seeds", "x").returncode == 2
+    assert run_lab("show", str(file)).returncode == 2
 
 
 def test_serve_does_not_import_the_lab() -> None:
