--- a/otterrudder/fleet/cell/limits.py
+++ b/otterrudder/fleet/cell/limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 DEFAULT_LEASE_MS = 3000.0  # span of a server's lease
-DEFAULT_MAX_SESSIONS = 2000  # a zone has some 300 servers
+DEFAULT_MAX_SESSIONS = 2000  # maximum number of sessions; a zone has about 300 servers
 
 
 @dataclass(frozen=True, slots=True)
