--- a/otterrudder/fleet/cell/agent.py
+++ b/otterrudder/fleet/cell/agent.py
@@ -55,7 +55,7 @@
         handled."""
         participant = self.participant
         admission_status = participant.admission_status(now)
-        self.control_sender.send(participant.known, admission_status, participant.status_detail)
+        self.control_sender.send(participant.applied_policy, admission_status, participant.status_detail)
 
     # The agent's own tasks.
 
@@ -84,9 +84,9 @@
             standing=admission_status.label,
             admits=admission_status.admits,
             why=participant.status_detail or admission_status.description,
-            version=participant.known.version,
-            digest=participant.known.digest,
-            head=participant.head,
+            version=participant.applied_policy.version,
+            digest=participant.applied_policy.digest,
+            head=participant.newest_version,
             lease_left_ms=round(max(participant.lease.until - now, 0.0), 1),
             counts=self.counts | {"asides": self.control_sender.suspensions},
         )
@@ -98,7 +98,7 @@
                 self._begin(group, effect)
             return self.participant.due() - clock.monotonic()
         except Exception:  # an error here must not end the server; the next call decides again
-            log.exception("fleet agent: unexpected error", of="effects")
+            log.exception("the fleet agent failed", of="effects")
             return ERROR_RETRY_MS
 
     def _begin(self, group: anyio.abc.TaskGroup, effect: ParticipantEffect) -> None:
@@ -134,7 +134,7 @@
         except* (StreamClosedError, InvalidMessageError) as errors:
             log.info("stream to the relay ended", relay=effect.relay, why=str(errors.exceptions[0]))
         except* Exception:
-            log.exception("fleet agent: unexpected error", of="stream")
+            log.exception("the fleet agent failed", of="stream")
         finally:
             self._streams.pop(connection, None)
             self._scopes.pop(connection, None)
