--- a/otterrudder/fleet/change/coordinator.py
+++ b/otterrudder/fleet/change/coordinator.py
@@ -21,7 +21,7 @@
 MAX_COUNT_INTERVAL_MS = 2000.0
 COUNT_AGE_SHARE = 1 / 8  # interval between two counts as a fraction of the change's age
 QUEUE_POLL_MS = 2000.0  # interval between reads of the queue without a watch event
-# Latency of the store from which on a coordinator waits the longest before it tries to become leader.
+# A coordinator with at least this latency to the store waits the longest before it tries to become leader.
 MAX_LATENCY_MS = 100.0
 
 _RequestT = TypeVar("_RequestT", Read, Commit)
@@ -131,7 +131,7 @@
         if outcome is not None:
             self.latency_ms = now - self._sent
         age = now - self._seen_since
-        self._due_at = now + self._pause(age)
+        self._due_at = now + self._read_delay(age)
         ended, self._ended_snapshot = self._ended_snapshot, None
         if isinstance(outcome, CommitResult) and isinstance(effect, Commit):
             # The member learns from its next read whether it is the leader.
@@ -152,7 +152,7 @@
             self._due_at = now  # the member has just become the leader
         self._is_leader = is_leader
 
-    def _pause(self, age_ms: float) -> float:
+    def _read_delay(self, age_ms: float) -> float:
         """Returns the time until the next read, in ms."""
         if self._has_event:
             return 0.0
--- a/tests/fleet/test_relay_configuration.py
+++ b/tests/fleet/test_relay_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of relays and their servers, and the fingerprint of a server."""
+"""Tests the configuration of relays and their servers, and the fingerprint of a server."""
 
 from dataclasses import fields, replace
 from pathlib import Path
@@ -17,7 +17,7 @@
 from otterrudder.net.server_files import ServerFiles
 
 
-def test_a_fingerprint_covers_each_field_of_a_configuration() -> None:
+def test_fingerprint_covers_each_field_of_the_configuration() -> None:
     request_class = RequestClass("a", Idempotency.SAFE, 1.0, 10.0, 20.0)
     for value, keys in (
         (LocalConfiguration((), ()), fingerprint._configuration_fields(LocalConfiguration((), ()))),
@@ -28,16 +28,16 @@
         assert len(keys) == len(fields(value))
 
 
-def test_a_fingerprint_is_of_what_a_server_validates_by() -> None:
+def test_fingerprint_depends_on_the_configuration_and_the_program_version() -> None:
     own = LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3)
     assert server_fingerprint(own) == server_fingerprint(LocalConfiguration((), (Tenant("t", 0.5, 1.0),), 3))
     others = [replace(own, servers=4), replace(own, tenants=()), replace(own, has_shared_downstream=False)]
-    kinds = [
+    fingerprints = [
         server_fingerprint(own),
         server_fingerprint(own, "another program"),
         *map(server_fingerprint, others),
     ]
-    assert len(set(kinds)) == len(kinds)
+    assert len(set(fingerprints)) == len(fingerprints)
 
 
 RELAY = 'store = ["127.0.0.1:1"]\nbound_ms = 3000\n[relay]\ncell = "a"\naddress = "127.0.0.1:2"\n'
@@ -84,7 +84,7 @@
         ("", "store: must have 1 to 9"),
     ],
 )
-def test_files_that_would_break_a_promise_are_refused_by_their_key(
+def test_invalid_configuration_is_rejected_with_the_key_in_the_error(
     tmp_path: Path, text: str, error: str
 ) -> None:
     path = tmp_path / "cells.toml"
@@ -94,7 +94,7 @@
     assert str(raised.value).startswith(f"cells.toml: {error}"), raised.value
 
 
-def test_files_of_cells_are_read(tmp_path: Path) -> None:
+def test_configuration_files_of_cells_are_read(tmp_path: Path) -> None:
     path = tmp_path / "cells.toml"
     path.write_text(f'version = 1\nfleet = "f"\nbound_ms = 3000\n{SERVER}')
     server = read_fleet(path)
@@ -102,9 +102,9 @@
         server.relays == ("127.0.0.1:2", "127.0.0.1:3") and not server.stores and not server.state_directory
     )
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\n')
-    alone = read_fleet(path)
-    assert alone.state_directory == tmp_path / "f" and not alone.rules.is_shared
-    assert alone.relay and alone.relay.listen == alone.relay.address
+    single = read_fleet(path)
+    assert single.state_directory == tmp_path / "f" and not single.rules.is_shared
+    assert single.relay and single.relay.listen == single.relay.address
     path.write_text(f'version = 1\nfleet = "f"\n{RELAY}folder = "f"\nlisten = "0.0.0.0:4"\n')
     role = read_fleet(path).relay
     assert role and (role.address, role.listen) == ("127.0.0.1:2", "0.0.0.0:4")
@@ -114,7 +114,7 @@
     assert shared.relay.candidates == ("127.0.0.1:2", "127.0.0.1:3")
 
 
-def test_the_example_is_a_relay_s_file_and_each_command_needs_its_own(tmp_path: Path) -> None:
+def test_example_relay_file_is_valid_and_commands_reject_the_wrong_kind_of_file(tmp_path: Path) -> None:
     example = ROOT / "deploy/relay.toml"
     assert read_fleet(example).rules.is_shared
     server = tmp_path / "server.toml"
@@ -126,7 +126,7 @@
         (["relay"], "Missing option"),
         (["status", "--fleet", str(server)], "store: a command needs the store's address"),
     ):
-        found = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
-        assert found.exit_code == 2 and output in found.output, found.output
+        result = runner.invoke(fleet_command, words, env={"TMPDIR": str(tmp_path)})
+        assert result.exit_code == 2 and output in result.output, result.output
     with pytest.raises(ConfigurationError, match="relay: this file configures a relay, not a server"):
         ServerFiles(None, fleet=str(example)).read_fleet()
--- a/tests/net/test_server_configuration.py
+++ b/tests/net/test_server_configuration.py
@@ -86,7 +86,7 @@
 
 def test_check_version_and_help_print_their_output(server: ServerProcess) -> None:
     for word, output in (
-        ("check", b"n3: the configuration is good"),
+        ("check", b"n3: the configuration is valid"),
         ("version", b"otterrudder "),
         ("--help", b"NODE_CONFIG"),
     ):
