--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -43,7 +43,7 @@
 from otterrudder.net.run_delivery import RunDelivery
 from otterrudder.net.service_state import ServiceState
 
-if TYPE_CHECKING:  # a server without levels does not import them
+if TYPE_CHECKING:  # imported at run time only if levels are configured
     from otterrudder.levels import LevelController, LevelTable, LevelUpdate
 
 MIN_TIME_LEFT_MS = 1e-3  # the controller takes 0 for an unknown time left
--- a/otterrudder/net/service_state.py
+++ b/otterrudder/net/service_state.py
@@ -17,7 +17,7 @@
     Tenant,
 )
 
-if TYPE_CHECKING:  # a server without levels does not import them
+if TYPE_CHECKING:  # imported at run time only if levels are configured
     from otterrudder.levels import LevelController, LevelTable, LevelUpdate
 
 
--- a/tests/test_control_stored_bytes.py
+++ b/tests/test_control_stored_bytes.py
@@ -122,7 +122,7 @@
 async def exchange(path: Path, line: bytes) -> bytes:
     """Sends a request and returns the reply, read to the end of the stream."""
 
-    def play() -> bytes:
+    def send_and_receive() -> bytes:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
             sock.settimeout(10.0)
             sock.connect(str(path))
@@ -132,11 +132,11 @@
                 data += more
         return data
 
-    return await anyio.to_thread.run_sync(play)
+    return await anyio.to_thread.run_sync(send_and_receive)
 
 
 def replies(name: str, answers: dict[str, Callable[[], object]], lines: list[bytes]) -> list[bytes]:
-    async def play() -> list[bytes]:
+    async def scenario() -> list[bytes]:
         served = control.ControlSocket(name, answers)
         async with anyio.create_task_group() as group:
             group.start_soon(served.run)
@@ -146,7 +146,7 @@
             group.cancel_scope.cancel()
         return got
 
-    return anyio.run(play)
+    return anyio.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -200,7 +200,7 @@
     path, sent = control.socket_path("n1"), SimpleNamespace(data=b"")
     assert path == tmp_path / "otterrudder-n1.sock"
 
-    async def play() -> dict[str, object]:
+    async def scenario() -> dict[str, object]:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
             listener.settimeout(10.0)
             listener.bind(str(path))
@@ -216,5 +216,5 @@
                 group.start_soon(anyio.to_thread.run_sync, serve)
                 return await anyio.to_thread.run_sync(control.query, "n1", "vrrp")
 
-    assert anyio.run(play) == {"v": 1, "vrrp": []}
+    assert anyio.run(scenario) == {"v": 1, "vrrp": []}
     assert sent.data == b'{"v": 1, "ask": "vrrp"}\n'
