--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -59,9 +59,9 @@
 def fleet_search(walks: int, seed: int, depth: int, workers: int | None) -> None:
     """Search the states of a fleet of a few members. Exits with 1 if an invariant is violated or a seeded
     fault is not found."""
-    from otterrudder.lab.fleet.report import searched
+    from otterrudder.lab.fleet.report import run_model_search
 
-    sys.exit(0 if searched(walks, seed, depth, workers, click.echo) else 1)
+    sys.exit(0 if run_model_search(walks, seed, depth, workers, click.echo) else 1)
 
 
 @lab.command("cell-search")
@@ -79,14 +79,14 @@
 def cell_search(walks: int, seed: int, depth: int, workers: int | None, names: tuple[str, ...]) -> None:
     """Search the states of cells of a few relays and servers. Exits with 1 if an invariant is violated or a
     seeded fault is not found."""
-    from otterrudder.lab.fleet.cell_report import CellSearchPlan, cells_searched, variant_names
+    from otterrudder.lab.fleet.cell_report import CellSearchPlan, run_cell_search, variant_names
 
     if unknown := set(names) - set(variant_names()):
         exit_bad_input(
             f"unknown variants: {', '.join(sorted(unknown))}; known variants: {'; '.join(variant_names())}"
         )
     plan = CellSearchPlan(walks, seed, depth, names)
-    sys.exit(0 if cells_searched(plan, workers, click.echo) else 1)
+    sys.exit(0 if run_cell_search(plan, workers, click.echo) else 1)
 
 
 @lab.command("fleet-simulation")
@@ -99,9 +99,9 @@
 )
 def fleet_simulation(servers: int, plans: int, workers: int | None) -> None:
     """Simulate changes of policy in fleets of SERVERS members under schedules of faults."""
-    from otterrudder.lab.fleet.report import played
+    from otterrudder.lab.fleet.report import run_simulations
 
-    sys.exit(0 if played(servers, plans, workers, click.echo) else 1)
+    sys.exit(0 if run_simulations(servers, plans, workers, click.echo) else 1)
 
 
 def _raise_interrupt_on_signals() -> None:
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -56,9 +56,9 @@
 
 def successor(state: _S, event: Event) -> _S:
     """A copy of the state to which the event has happened."""
-    following = state.copy()
-    apply_event(following, event)
-    return following
+    next_state = state.copy()
+    apply_event(next_state, event)
+    return next_state
 
 
 def _pass_time(span_ms: float, state: CellState) -> None:
--- a/otterrudder/lab/fleet/cell_history_checker.py
+++ b/otterrudder/lab/fleet/cell_history_checker.py
@@ -10,7 +10,7 @@
 from otterrudder.fleet.effects import Commit
 from otterrudder.fleet.records import FleetSnapshot, Keys, MemberStatus, PolicyHead, Vote, decode
 from otterrudder.fleet.store import Put
-from otterrudder.lab.fleet.history_checker import Committed, wrong_commit
+from otterrudder.lab.fleet.history_checker import CommittedVersion, commit_violation
 
 ROUNDING_MS = 0.001  # times of clocks with other rates are computed in floating point
 
@@ -57,7 +57,7 @@
 
     keys: Keys
     bound_ms: float
-    committed: dict[int, Committed] = field(default_factory=dict)  # by version
+    committed: dict[int, CommittedVersion] = field(default_factory=dict)  # by version
     texts: dict[int, str] = field(default_factory=dict)  # by version
     changes: dict[int, str] = field(default_factory=dict)  # digest by the revision that made the change
     bases: dict[str, str] = field(default_factory=dict)  # of queued changes: the digest each was made from
@@ -99,13 +99,13 @@
                 self.registered_at.setdefault(_incarnation_of(write), now)
 
     def _record_policy(self, now: float, head: PolicyHead, before: FleetSnapshot) -> None:
-        if violation := wrong_commit(head, before, self.committed):
+        if violation := commit_violation(head, before, self.committed):
             self._report(violation)
         base = self.bases.get(head.change, "")
         in_force = before.policy.digest if before.policy else ""
         if base and base != in_force:
             self._report(f"{head.change} was made from a policy that was not in force any more")
-        self.committed[head.version] = Committed(head.change, now)
+        self.committed[head.version] = CommittedVersion(head.change, now)
         for history in self.relays.values():
             for lease in history.leases:
                 self._check_lease(lease)
--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -19,7 +19,7 @@
 
 def store_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of requests to the store and their answers."""
-    for at, exchange in enumerate(state.store_exchanges):
+    for index, exchange in enumerate(state.store_exchanges):
         host = state.relays[exchange.host]
         name = f"{host.address}.{exchange.incarnation} {_effect_label(exchange.effect)}"
         has_sender = host.relay is not None and host.incarnation == exchange.incarnation
@@ -27,45 +27,45 @@
             continue  # nobody receives it now
         if not cell_delivery.can_serve(state, exchange):
             if not host.is_frozen:
-                yield Event(f"{name}: no way there", partial(_drop, at))
+                yield Event(f"{name}: no way there", partial(_drop, index))
             continue
         suffix = ": answer" if exchange.is_answer else ""
-        yield Event(f"{name}{suffix}", partial(_deliver_store_exchange, at))
+        yield Event(f"{name}{suffix}", partial(_deliver_store_exchange, index))
         if may_inject and has_sender and not exchange.is_answer and not host.is_frozen:
-            yield from _store_faults(at, name, exchange.effect)
+            yield from _store_faults(index, name, exchange.effect)
 
 
-def _store_faults(at: int, name: str, effect: Effect) -> Iterator[Event]:
+def _store_faults(index: int, name: str, effect: Effect) -> Iterator[Event]:
     if isinstance(effect, Commit):
-        yield Event(f"{name}: took effect, answer lost", partial(_lose_answer, at), 1)
-        yield Event(f"{name}: given up, still on its way", partial(_give_up, at), 1)
+        yield Event(f"{name}: took effect, answer lost", partial(_lose_answer, index), 1)
+        yield Event(f"{name}: given up, still on its way", partial(_give_up, index), 1)
     else:
-        yield Event(f"{name}: slow answer", partial(_answer_slowly, at), 1)
+        yield Event(f"{name}: slow answer", partial(_answer_slowly, index), 1)
 
 
-def _deliver_store_exchange(at: int, state: CellState) -> None:
-    cell_delivery.deliver_store_exchange(state, state.store_exchanges[at])
+def _deliver_store_exchange(index: int, state: CellState) -> None:
+    cell_delivery.deliver_store_exchange(state, state.store_exchanges[index])
 
 
-def _drop(at: int, state: CellState) -> None:
-    cell_delivery.receive_answer(state, state.store_exchanges.pop(at))
+def _drop(index: int, state: CellState) -> None:
+    cell_delivery.receive_answer(state, state.store_exchanges.pop(index))
 
 
-def _lose_answer(at: int, state: CellState) -> None:
-    exchange = state.store_exchanges.pop(at)
+def _lose_answer(index: int, state: CellState) -> None:
+    exchange = state.store_exchanges.pop(index)
     cell_store.serve(state, exchange.effect)
     cell_delivery.receive_answer(state, exchange)
 
 
-def _give_up(at: int, state: CellState) -> None:
+def _give_up(index: int, state: CellState) -> None:
     """It may arrive yet, and nobody waits for it."""
-    exchange = state.store_exchanges[at]
-    state.store_exchanges[at] = replace(exchange, incarnation=-exchange.incarnation)
+    exchange = state.store_exchanges[index]
+    state.store_exchanges[index] = replace(exchange, incarnation=-exchange.incarnation)
     cell_delivery.receive_answer(state, exchange)
 
 
-def _answer_slowly(at: int, state: CellState) -> None:
-    exchange = state.store_exchanges[at]
+def _answer_slowly(index: int, state: CellState) -> None:
+    exchange = state.store_exchanges[index]
     exchange.outcome = cell_store.serve(state, exchange.effect)
     exchange.is_answer = True
 
@@ -81,20 +81,20 @@
 
 def peer_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of requests between relays and their answers."""
-    for at, exchange in enumerate(state.peer_exchanges):
+    for index, exchange in enumerate(state.peer_exchanges):
         name = _peer_label(state, exchange)
         if cell_delivery.can_deliver_peer_exchange(state, exchange):
-            yield Event(name, partial(_deliver_peer_exchange, at))
+            yield Event(name, partial(_deliver_peer_exchange, index))
         if may_inject:
-            yield Event(f"{name}: lost", partial(_lose_peer_exchange, at), 1)
+            yield Event(f"{name}: lost", partial(_lose_peer_exchange, index), 1)
 
 
-def _deliver_peer_exchange(at: int, state: CellState) -> None:
-    cell_delivery.deliver_peer_exchange(state, state.peer_exchanges[at])
+def _deliver_peer_exchange(index: int, state: CellState) -> None:
+    cell_delivery.deliver_peer_exchange(state, state.peer_exchanges[index])
 
 
-def _lose_peer_exchange(at: int, state: CellState) -> None:
-    del state.peer_exchanges[at]
+def _lose_peer_exchange(index: int, state: CellState) -> None:
+    del state.peer_exchanges[index]
 
 
 def _peer_label(state: CellState, exchange: PeerExchange) -> str:
@@ -108,51 +108,51 @@
 
 def stream_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of messages between servers and relays, and of validations by servers."""
-    for at, stream in enumerate(state.streams):
-        yield from _message_events(state, at, stream)
+    for index, stream in enumerate(state.streams):
+        yield from _message_events(state, index, stream)
         if may_inject:
-            yield from _stream_faults(state, at, stream)
-    for place, host in enumerate(state.servers):
+            yield from _stream_faults(state, index, stream)
+    for index, host in enumerate(state.servers):
         if host.runs and host.validations:
-            yield Event(f"{host.name} has validated", partial(_finish_validation, place))
+            yield Event(f"{host.name} has validated", partial(_finish_validation, index))
 
 
-def _message_events(state: CellState, at: int, stream: Stream) -> Iterator[Event]:
+def _message_events(state: CellState, index: int, stream: Stream) -> Iterator[Event]:
     server = state.servers[stream.server].name
     relay = state.relays[stream.relay].address
     if cell_delivery.can_reach_relay(state, stream):
         name = f"{server} to {relay}: {_message_label(stream.to_relay[0])}"
-        yield Event(name, partial(_deliver_to_relay, at))
+        yield Event(name, partial(_deliver_to_relay, index))
     if cell_delivery.can_reach_server(state, stream):
         name = f"{relay} to {server}: {_message_label(stream.to_server[0])}"
-        yield Event(name, partial(_deliver_to_server, at))
+        yield Event(name, partial(_deliver_to_server, index))
 
 
-def _stream_faults(state: CellState, at: int, stream: Stream) -> Iterator[Event]:
+def _stream_faults(state: CellState, index: int, stream: Stream) -> Iterator[Event]:
     server = state.servers[stream.server].name
     relay = state.relays[stream.relay].address
     if not _is_ending(stream):
-        yield Event(f"{server} to {relay}: breaks", partial(_break_stream, at), 1)
+        yield Event(f"{server} to {relay}: breaks", partial(_break_stream, index), 1)
     if stream.to_server and isinstance(stream.to_server[0], PolicyUpdate):
-        yield Event(f"{relay} to {server}: damaged text", partial(_damage_text, at), 1)
+        yield Event(f"{relay} to {server}: damaged text", partial(_damage_text, index), 1)
     if stream.to_server and _grants_version(stream.to_server[0]):
-        yield Event(f"{relay} to {server}: older version", partial(_grant_older_version, at), 1)
+        yield Event(f"{relay} to {server}: older version", partial(_grant_older_version, index), 1)
 
 
-def _deliver_to_relay(at: int, state: CellState) -> None:
-    cell_delivery.deliver_to_relay(state, state.streams[at])
+def _deliver_to_relay(index: int, state: CellState) -> None:
+    cell_delivery.deliver_to_relay(state, state.streams[index])
 
 
-def _deliver_to_server(at: int, state: CellState) -> None:
-    cell_delivery.deliver_to_server(state, state.streams[at])
+def _deliver_to_server(index: int, state: CellState) -> None:
+    cell_delivery.deliver_to_server(state, state.streams[index])
 
 
-def _break_stream(at: int, state: CellState) -> None:
-    cell_delivery.break_stream(state.streams[at])
+def _break_stream(index: int, state: CellState) -> None:
+    cell_delivery.break_stream(state.streams[index])
 
 
-def _finish_validation(place: int, state: CellState) -> None:
-    cell_delivery.finish_validation(state, state.servers[place])
+def _finish_validation(index: int, state: CellState) -> None:
+    cell_delivery.finish_validation(state, state.servers[index])
 
 
 def _is_ending(stream: Stream) -> bool:
@@ -168,9 +168,9 @@
     return isinstance(message, LeaseGrant) and message.version > 0
 
 
-def _grant_older_version(at: int, state: CellState) -> None:
+def _grant_older_version(index: int, state: CellState) -> None:
     """A relay that is wrong in a way that ours never is."""
-    stream = state.streams[at]
+    stream = state.streams[index]
     grant = stream.to_server[0]
     assert isinstance(grant, LeaseGrant)
     version = grant.version - 1
@@ -179,8 +179,8 @@
     stream.to_server[0] = LeaseGrant(grant.sequence, version, change, grant.span_ms)
 
 
-def _damage_text(at: int, state: CellState) -> None:
-    stream = state.streams[at]
+def _damage_text(index: int, state: CellState) -> None:
+    stream = state.streams[index]
     update = stream.to_server[0]
     assert isinstance(update, PolicyUpdate)
     text = f"{update.text} damaged"
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from otterrudder.fleet.cell.messages import PolicyUpdate, Registration
-from otterrudder.lab.fleet.cell_promises import violation_in
+from otterrudder.lab.fleet.cell_promises import current_violation
 from otterrudder.lab.fleet.cell_recovery import recovery_violation_of
 from otterrudder.lab.fleet.cell_state import CellState, Stream
 from otterrudder.lab.fleet.cloning import freeze
@@ -15,7 +15,7 @@
 
     def violation(self) -> str:
         """Which promise does not hold now, "": all do."""
-        return violation_in(self)
+        return current_violation(self)
 
     def recovery_violation(self) -> str:
         """Which promise does not hold once all faults are gone, "": all do."""
--- a/otterrudder/lab/fleet/cell_process_events.py
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -28,71 +28,71 @@
 
 def relay_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of the relays' processes, and their ways to the store."""
-    for place, host in enumerate(state.relays):
+    for index, host in enumerate(state.relays):
         if not host.relay:
-            yield Event(f"{host.address} starts", partial(_start_relay, place))
+            yield Event(f"{host.address} starts", partial(_start_relay, index))
             continue
         if may_inject:
-            yield Event(f"{host.address} dies", partial(_stop_relay, place), 1)
+            yield Event(f"{host.address} dies", partial(_stop_relay, index), 1)
             if not host.is_frozen:
-                yield Event(f"{host.address} shuts down", partial(_shut_down_relay, place), 1)
+                yield Event(f"{host.address} shuts down", partial(_shut_down_relay, index), 1)
         if host.is_frozen:
-            yield Event(f"{host.address} thaws", partial(_thaw_relay, place))
-            yield Event(f"{host.address} thaws and receives first", partial(_thaw_relay_with_messages, place))
+            yield Event(f"{host.address} thaws", partial(_thaw_relay, index))
+            yield Event(f"{host.address} thaws and receives first", partial(_thaw_relay_with_messages, index))
         elif may_inject:
-            yield Event(f"{host.address} freezes", partial(_freeze_relay, place), 1)
-        yield from _store_cut_events(place, host, may_inject)
+            yield Event(f"{host.address} freezes", partial(_freeze_relay, index), 1)
+        yield from _store_cut_events(index, host, may_inject)
 
 
-def _store_cut_events(place: int, host: RelayHost, may_inject: bool) -> Iterator[Event]:
-    for way in STORE_CUTS:
-        if getattr(host, way.attribute):
-            name = f"{host.address} {way.restored}"
-            yield Event(name, partial(_set_store_cut, place, way.attribute, False))
+def _store_cut_events(index: int, host: RelayHost, may_inject: bool) -> Iterator[Event]:
+    for link in STORE_CUTS:
+        if getattr(host, link.attribute):
+            name = f"{host.address} {link.restored}"
+            yield Event(name, partial(_set_store_cut, index, link.attribute, False))
         elif may_inject:
-            yield Event(f"{host.address} {way.cut}", partial(_set_store_cut, place, way.attribute, True), 1)
+            yield Event(f"{host.address} {link.cut}", partial(_set_store_cut, index, link.attribute, True), 1)
 
 
-def _set_store_cut(place: int, attribute: str, is_cut: bool, state: CellState) -> None:
-    setattr(state.relays[place], attribute, is_cut)
+def _set_store_cut(index: int, attribute: str, is_cut: bool, state: CellState) -> None:
+    setattr(state.relays[index], attribute, is_cut)
     if not is_cut:
-        cell_store.begin_watches(state, state.relays[place])
+        cell_store.begin_watches(state, state.relays[index])
 
 
-def _start_relay(place: int, state: CellState) -> None:
-    cell_processes.start_relay(state, place)
+def _start_relay(index: int, state: CellState) -> None:
+    cell_processes.start_relay(state, index)
 
 
-def _stop_relay(place: int, state: CellState) -> None:
-    cell_processes.stop_relay(state, place)
+def _stop_relay(index: int, state: CellState) -> None:
+    cell_processes.stop_relay(state, index)
 
 
-def _shut_down_relay(place: int, state: CellState) -> None:
-    cell_processes.shut_down_relay(state, place)
+def _shut_down_relay(index: int, state: CellState) -> None:
+    cell_processes.shut_down_relay(state, index)
 
 
-def _freeze_relay(place: int, state: CellState) -> None:
-    state.relays[place].is_frozen = True
+def _freeze_relay(index: int, state: CellState) -> None:
+    state.relays[index].is_frozen = True
 
 
-def _thaw_relay(place: int, state: CellState) -> None:
-    state.relays[place].is_frozen = False
-    cell_store.begin_watches(state, state.relays[place])
+def _thaw_relay(index: int, state: CellState) -> None:
+    state.relays[index].is_frozen = False
+    cell_store.begin_watches(state, state.relays[index])
 
 
-def _thaw_relay_with_messages(place: int, state: CellState) -> None:
+def _thaw_relay_with_messages(index: int, state: CellState) -> None:
     """What has waited for the relay is received before its own clock is looked at."""
-    state.relays[place].is_frozen = False
-    answers = [one for one in state.store_exchanges if one.host == place and one.is_answer]
+    state.relays[index].is_frozen = False
+    answers = [one for one in state.store_exchanges if one.host == index and one.is_answer]
     for exchange in answers:
         cell_delivery.deliver_store_exchange(state, exchange)
-    for stream in [stream for stream in state.streams if stream.relay == place]:
+    for stream in [stream for stream in state.streams if stream.relay == index]:
         while _can_still_reach_relay(state, stream):
             cell_delivery.deliver_to_relay(state, stream)
     for peer_exchange in list(state.peer_exchanges):
         is_request = peer_exchange.answer is None
         receiver = peer_exchange.peer if is_request else peer_exchange.sender
-        if receiver == place and cell_delivery.can_deliver_peer_exchange(state, peer_exchange):
+        if receiver == index and cell_delivery.can_deliver_peer_exchange(state, peer_exchange):
             cell_delivery.deliver_peer_exchange(state, peer_exchange)
 
 
@@ -105,62 +105,62 @@
 
 def server_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of the servers' processes."""
-    for place, host in enumerate(state.servers):
+    for index, host in enumerate(state.servers):
         if not host.server:
-            yield Event(f"{host.name} starts", partial(_start_server, place))
+            yield Event(f"{host.name} starts", partial(_start_server, index))
             continue
         if may_inject:
-            yield Event(f"{host.name} dies", partial(_stop_server, place), 1)
+            yield Event(f"{host.name} dies", partial(_stop_server, index), 1)
         if host.is_frozen:
-            yield Event(f"{host.name} thaws", partial(_set_server_frozen, place, False))
-            yield Event(f"{host.name} thaws and receives first", partial(_thaw_server_with_messages, place))
+            yield Event(f"{host.name} thaws", partial(_set_server_frozen, index, False))
+            yield Event(f"{host.name} thaws and receives first", partial(_thaw_server_with_messages, index))
         elif may_inject:
-            yield Event(f"{host.name} freezes", partial(_set_server_frozen, place, True), 1)
+            yield Event(f"{host.name} freezes", partial(_set_server_frozen, index, True), 1)
 
 
-def _start_server(place: int, state: CellState) -> None:
-    cell_processes.start_server(state, place)
+def _start_server(index: int, state: CellState) -> None:
+    cell_processes.start_server(state, index)
 
 
-def _stop_server(place: int, state: CellState) -> None:
-    cell_processes.stop_server(state, place)
+def _stop_server(index: int, state: CellState) -> None:
+    cell_processes.stop_server(state, index)
 
 
-def _set_server_frozen(place: int, is_frozen: bool, state: CellState) -> None:
-    state.servers[place].is_frozen = is_frozen
+def _set_server_frozen(index: int, is_frozen: bool, state: CellState) -> None:
+    state.servers[index].is_frozen = is_frozen
 
 
-def _thaw_server_with_messages(place: int, state: CellState) -> None:
+def _thaw_server_with_messages(index: int, state: CellState) -> None:
     """What has waited for the server is received before its own clock is looked at."""
-    state.servers[place].is_frozen = False
-    for stream in [stream for stream in state.streams if stream.server == place]:
+    state.servers[index].is_frozen = False
+    for stream in [stream for stream in state.streams if stream.server == index]:
         while stream in state.streams and cell_delivery.can_reach_server(state, stream):
             cell_delivery.deliver_to_server(state, stream)
 
 
 # Ways, and the store.
 
-Way = tuple[str, str]  # from whom to whom
+Link = tuple[str, str]  # from whom to whom
 
 
 def cut_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Of the ways among relays, and between relays and servers."""
-    for way in sorted(state.cuts):
-        yield Event(f"{way[0]} to {way[1]}: healed", partial(_set_cut, way, False))
+    for link in sorted(state.cuts):
+        yield Event(f"{link[0]} to {link[1]}: healed", partial(_set_cut, link, False))
     if may_inject:
-        for way in _ways(state):
-            if way not in state.cuts:
-                yield Event(f"{way[0]} to {way[1]}: cut", partial(_set_cut, way, True), 1)
+        for link in _links(state):
+            if link not in state.cuts:
+                yield Event(f"{link[0]} to {link[1]}: cut", partial(_set_cut, link, True), 1)
 
 
-def _set_cut(way: Way, is_cut: bool, state: CellState) -> None:
+def _set_cut(link: Link, is_cut: bool, state: CellState) -> None:
     if is_cut:
-        state.cuts.add(way)
+        state.cuts.add(link)
     else:
-        state.cuts.discard(way)
+        state.cuts.discard(link)
 
 
-def _ways(state: CellState) -> Iterator[Way]:
+def _links(state: CellState) -> Iterator[Link]:
     for host in state.relays:
         yield from ((host.address, other) for other in host.candidates if other != host.address)
     for server in state.servers:
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -37,9 +37,9 @@
 # Starts and ends.
 
 
-def start_relay(state: CellState, place: int) -> None:
+def start_relay(state: CellState, index: int) -> None:
     """A relay's process starts, with what its disk holds."""
-    host = state.relays[place]
+    host = state.relays[index]
     variant = state.variant
     host.incarnation += 1
     host.is_frozen = False
@@ -53,12 +53,12 @@
         variant.limits,
     )
     history = RelayHistory(host.address, incarnation, host.rate)
-    state.checker.relays[place, host.incarnation] = history
+    state.checker.relays[index, host.incarnation] = history
 
 
-def start_server(state: CellState, place: int) -> None:
+def start_server(state: CellState, index: int) -> None:
     """A server's process starts; it remembers nothing."""
-    host = state.servers[place]
+    host = state.servers[index]
     host.incarnation += 1
     host.started = state.now
     host.newest = 0
@@ -70,36 +70,36 @@
     host.server = state.variant.participant(state.clock(host), identity, host.relays, span_ms)
 
 
-def stop_relay(state: CellState, place: int) -> None:
+def stop_relay(state: CellState, index: int) -> None:
     """The process ends, and its streams do."""
-    host = state.relays[place]
+    host = state.relays[index]
     host.relay = None
     for stream in state.streams:
-        if (stream.relay, stream.relay_incarnation) == (place, host.incarnation) and not stream.is_ended:
+        if (stream.relay, stream.relay_incarnation) == (index, host.incarnation) and not stream.is_ended:
             stream.is_ended = True
             stream.to_server.append(StreamSignal.ENDED)
 
 
-def stop_server(state: CellState, place: int) -> None:
+def stop_server(state: CellState, index: int) -> None:
     """The process ends, and its streams do."""
-    host = state.servers[place]
+    host = state.servers[index]
     host.server = None
     for stream in state.streams:
-        if (stream.server, stream.server_incarnation) == (place, host.incarnation):
+        if (stream.server, stream.server_incarnation) == (index, host.incarnation):
             stream.to_relay.append(StreamSignal.ENDED)
             stream.to_server.clear()
 
 
-def shut_down_relay(state: CellState, place: int) -> None:
+def shut_down_relay(state: CellState, index: int) -> None:
     """The relay dismisses its servers, revokes its lease and ends."""
-    host = state.relays[place]
+    host = state.relays[index]
     assert host.relay
     host.relay.begin_shutdown()
     run_effects(state)
     lease = host.relay.member.lease
     if lease and not (state.is_store_unreachable or host.is_send_cut):
         state.store.engine.revoke(lease)
-    stop_relay(state, place)
+    stop_relay(state, index)
 
 
 # Effects.
@@ -110,49 +110,49 @@
     is_busy = True
     while is_busy:
         is_busy = False
-        for place, host in enumerate(state.relays):
-            is_busy = _run_relay(state, place, host) or is_busy
-        for place, server_host in enumerate(state.servers):
-            is_busy = _run_server(state, place, server_host) or is_busy
+        for index, host in enumerate(state.relays):
+            is_busy = _run_relay(state, index, host) or is_busy
+        for index, server_host in enumerate(state.servers):
+            is_busy = _run_server(state, index, server_host) or is_busy
 
 
-def _run_relay(state: CellState, place: int, host: RelayHost) -> bool:
+def _run_relay(state: CellState, index: int, host: RelayHost) -> bool:
     """Whether the relay had any effects."""
     is_busy = False
     while host.runs and host.relay and (effects := host.relay.effects(state.clock(host))):
         is_busy = True
         for effect in effects:
-            _carry_out_relay_effect(state, place, host, effect)
+            _carry_out_relay_effect(state, index, host, effect)
     return is_busy
 
 
-def _run_server(state: CellState, place: int, host: ServerHost) -> bool:
+def _run_server(state: CellState, index: int, host: ServerHost) -> bool:
     """Whether the server had any effects."""
     is_busy = False
     while host.runs and host.server and (effects := host.server.effects(state.clock(host))):
         is_busy = True
         for effect in effects:
-            _carry_out_server_effect(state, place, host, effect)
+            _carry_out_server_effect(state, index, host, effect)
     if host.server:
         host.newest = max(host.newest, host.server.applied_policy.version)
     return is_busy
 
 
-def _carry_out_relay_effect(state: CellState, place: int, host: RelayHost, effect: RelayEffect) -> None:
+def _carry_out_relay_effect(state: CellState, index: int, host: RelayHost, effect: RelayEffect) -> None:
     match effect:
         case SendToServer():
-            _send_to_server(state, place, host, effect)
+            _send_to_server(state, index, host, effect)
         case EndSession():
-            if stream := state.relay_stream(place, host.incarnation, effect.connection):
+            if stream := state.relay_stream(index, host.incarnation, effect.connection):
                 stream.is_ended = True
                 stream.to_server.append(StreamSignal.ENDED)
         case PeerRequest():
-            _send_to_peer(state, place, host, effect)
+            _send_to_peer(state, index, host, effect)
         case _:
-            _carry_out_member_effect(state, place, host, effect)
+            _carry_out_member_effect(state, index, host, effect)
 
 
-def _carry_out_member_effect(state: CellState, place: int, host: RelayHost, effect: Effect) -> None:
+def _carry_out_member_effect(state: CellState, index: int, host: RelayHost, effect: Effect) -> None:
     assert host.relay
     now = state.clock(host)
     if isinstance(effect, SaveState):
@@ -163,8 +163,8 @@
         host.relay.handle_result(now, effect, now, _exchange_at_once(state, host, effect))
     else:
         if isinstance(effect, Commit) and effect.purpose == "vote":
-            state.checker.record_vote(state.now, (place, host.incarnation), effect)
-        state.store_exchanges.append(StoreExchange(place, host.incarnation, effect, now))
+            state.checker.record_vote(state.now, (index, host.incarnation), effect)
+        state.store_exchanges.append(StoreExchange(index, host.incarnation, effect, now))
 
 
 def _exchange_at_once(state: CellState, host: RelayHost, effect: Effect) -> Outcome:
@@ -175,57 +175,59 @@
     return None if host.is_receive_cut else outcome
 
 
-def _send_to_server(state: CellState, place: int, host: RelayHost, effect: SendToServer) -> None:
-    stream = state.relay_stream(place, host.incarnation, effect.connection)
+def _send_to_server(state: CellState, index: int, host: RelayHost, effect: SendToServer) -> None:
+    stream = state.relay_stream(index, host.incarnation, effect.connection)
     if not stream or stream.is_ended:
         return
     stream.to_server.append(effect.message)
     if isinstance(effect.message, LeaseGrant):
-        process = (place, host.incarnation)
+        process = (index, host.incarnation)
         state.checker.record_grant(state.now, process, stream.fingerprint, effect.message)
 
 
-def _send_to_peer(state: CellState, place: int, host: RelayHost, effect: PeerRequest) -> None:
-    peer = next(at for at, other in enumerate(state.relays) if other.address == effect.peer)
-    same = [one for one in state.peer_exchanges if (one.sender, one.peer) == (place, peer)]
+def _send_to_peer(state: CellState, index: int, host: RelayHost, effect: PeerRequest) -> None:
+    peer = next(relay_index for relay_index, other in enumerate(state.relays) if other.address == effect.peer)
+    same = [one for one in state.peer_exchanges if (one.sender, one.peer) == (index, peer)]
     if len(same) >= MAX_PEER_REQUESTS:
         state.peer_exchanges = [one for one in state.peer_exchanges if one is not same[0]]
-    state.peer_exchanges.append(PeerExchange(place, host.incarnation, peer, effect.message))
+    state.peer_exchanges.append(PeerExchange(index, host.incarnation, peer, effect.message))
 
 
 def _carry_out_server_effect(
-    state: CellState, place: int, host: ServerHost, effect: ParticipantEffect
+    state: CellState, index: int, host: ServerHost, effect: ParticipantEffect
 ) -> None:
     match effect:
         case Connect():
-            _connect(state, place, host, effect)
+            _connect(state, index, host, effect)
         case ValidateText():
             host.validations.append(effect)
         case SendToRelay():
-            if stream := state.server_stream(place, host.incarnation, effect.connection):
+            if stream := state.server_stream(index, host.incarnation, effect.connection):
                 stream.to_relay.append(effect.message)
         case Disconnect():
-            if stream := state.server_stream(place, host.incarnation, effect.connection):
+            if stream := state.server_stream(index, host.incarnation, effect.connection):
                 stream.to_relay.append(StreamSignal.ENDED)
                 stream.to_server.clear()
 
 
-def _connect(state: CellState, place: int, host: ServerHost, effect: Connect) -> None:
+def _connect(state: CellState, index: int, host: ServerHost, effect: Connect) -> None:
     assert host.server
-    at = next(at for at, relay in enumerate(state.relays) if relay.address == effect.relay)
+    relay_index = next(
+        relay_index for relay_index, relay in enumerate(state.relays) if relay.address == effect.relay
+    )
     if (host.name, effect.relay) in state.cuts:
         return  # nothing comes back
-    if not state.relays[at].relay:
+    if not state.relays[relay_index].relay:
         host.server.handle_disconnected(state.clock(host), effect.connection)
         return
     state.stream_count += 1
     stream = Stream(
         state.stream_count,
-        place,
+        index,
         host.incarnation,
         effect.connection,
-        at,
-        state.relays[at].incarnation,
+        relay_index,
+        state.relays[relay_index].incarnation,
         host.fingerprint,
     )
     stream.to_server.append(StreamSignal.OPENED)
--- a/otterrudder/lab/fleet/cell_promises.py
+++ b/otterrudder/lab/fleet/cell_promises.py
@@ -2,10 +2,10 @@
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.lab.fleet.cell_state import CellState, ServerHost
-from otterrudder.lab.fleet.history_checker import wrong_admission
+from otterrudder.lab.fleet.history_checker import admission_violation
 
 
-def violation_in(state: CellState) -> str:
+def current_violation(state: CellState) -> str:
     """Which promise does not hold now, "": all do."""
     if state.checker.violation:
         return state.checker.violation
@@ -16,17 +16,17 @@
 
 
 def _server_violation(state: CellState, host: ServerHost, server: Participant) -> str:
-    known = server.applied_policy
-    if known.version < host.newest:
-        return f"it has gone back from version {host.newest} to {known.version}"
+    policy = server.applied_policy
+    if policy.version < host.newest:
+        return f"it has gone back from version {host.newest} to {policy.version}"
     version = server.admits(state.clock(host))
     if version is None:
         return ""
-    if version and known.text != state.checker.texts.get(version):
+    if version and policy.text != state.checker.texts.get(version):
         return f"it admits under {version}, whose text is another one"
-    if host.rejection_of(known.text):
+    if host.rejection_of(policy.text):
         return f"it admits under {version}, which its configuration rejects"
     bound_ms = state.variant.slowest_bound_ms
     committed = state.checker.committed
-    violation = wrong_admission(version, known.change, host.started, state.now, bound_ms, committed)
+    violation = admission_violation(version, policy.change, host.started, state.now, bound_ms, committed)
     return f"it admits under {version}: {violation}" if violation else ""
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -4,7 +4,7 @@
 from otterrudder.lab.fleet import cell_store
 from otterrudder.lab.fleet.cell_delivery import deliver_all, drop_unserved
 from otterrudder.lab.fleet.cell_processes import start_relay, start_server
-from otterrudder.lab.fleet.cell_promises import violation_in
+from otterrudder.lab.fleet.cell_promises import current_violation
 from otterrudder.lab.fleet.cell_state import CellState, ServerHost
 
 STEP_MS = 500.0  # by which time passes
@@ -21,7 +21,7 @@
     recovered = state.copy()
     recover(recovered)
     for _ in range(RECOVERY_STEPS):
-        if violation := deliver_all(recovered) or violation_in(recovered):
+        if violation := deliver_all(recovered) or current_violation(recovered):
             return f"in recovery: {violation}"
         if not disagreements(recovered):
             return _violation_without_store(recovered)
@@ -35,17 +35,17 @@
         cell_store.return_to_primary(state)
     state.is_store_unreachable = False
     state.cuts.clear()
-    for place, host in enumerate(state.relays):
+    for index, host in enumerate(state.relays):
         host.is_frozen = False
         host.is_send_cut = False
         host.is_receive_cut = False
         if not host.relay:
-            start_relay(state, place)
+            start_relay(state, index)
         cell_store.begin_watches(state, host)
-    for place, server_host in enumerate(state.servers):
+    for index, server_host in enumerate(state.servers):
         server_host.is_frozen = False
         if not server_host.server:
-            start_server(state, place)
+            start_server(state, index)
 
 
 def disagreements(state: CellState) -> list[str]:
@@ -87,7 +87,7 @@
 
 def _step_violation(state: CellState) -> str:
     drop_unserved(state)
-    if violation := deliver_all(state) or violation_in(state):
+    if violation := deliver_all(state) or current_violation(state):
         return f"the store is unreachable: {violation}"
     found = disagreements(state) if state.is_store_unreachable else []
     return f"the store is unreachable, nothing is open: {', '.join(found)}" if found else ""
--- a/otterrudder/lab/fleet/cell_report.py
+++ b/otterrudder/lab/fleet/cell_report.py
@@ -8,24 +8,24 @@
 from otterrudder.lab.fleet.cell_seeded_faults import SEEDED_FAULTS
 from otterrudder.lab.fleet.cell_stages import CellStage
 from otterrudder.lab.fleet.cell_variants import all_variants
-from otterrudder.lab.fleet.explore import Found
+from otterrudder.lab.fleet.explore import SearchResult
 
 WALKS_A_TASK = 50
 MAX_FAULTS = 2  # in a search by breadth
 
 Echo = Callable[[str], None]
-Tasks = list[Future[Found]]
+Tasks = list[Future[SearchResult]]
 
 
-def _walk(name: str, seed: str, walks: int) -> Found:
+def _walk(name: str, seed: str, walks: int) -> SearchResult:
     return walk(dict(all_variants())[name], seed, walks)
 
 
-def _search(name: str, stage: str, depth: int) -> Found:
+def _search(name: str, stage: str, depth: int) -> SearchResult:
     return search(dict(all_variants())[name], depth, MAX_FAULTS, CellStage[stage])
 
 
-def _find_fault(name: str) -> Found:
+def _find_fault(name: str) -> SearchResult:
     return find_fault(SEEDED_FAULTS[name])
 
 
@@ -45,7 +45,7 @@
     variants: Sequence[str] = ()
 
 
-def cells_searched(plan: CellSearchPlan, workers: int | None, echo: Echo) -> bool:
+def run_cell_search(plan: CellSearchPlan, workers: int | None, echo: Echo) -> bool:
     """Whether no promise was violated and each seeded fault was found."""
     names = plan.variants or variant_names()
     with ProcessPoolExecutor(workers) as pool:
@@ -55,9 +55,9 @@
             for name in (names if plan.depth else ())
             for stage in CellStage
         }
-        hunted = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
+        fault_searches = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
         is_sound = _print_variants(walked, searched, echo)
-        return _print_faults(hunted, echo) and is_sound
+        return _print_faults(fault_searches, echo) and is_sound
 
 
 def _begin_walks(pool: ProcessPoolExecutor, name: str, seed: int, walks: int) -> Tasks:
@@ -66,7 +66,7 @@
 
 
 def _print_variants(
-    walked: dict[str, Tasks], searched: dict[tuple[str, str], Future[Found]], echo: Echo
+    walked: dict[str, Tasks], searched: dict[tuple[str, str], Future[SearchResult]], echo: Echo
 ) -> bool:
     """Whether no promise was violated."""
     is_sound = True
@@ -84,17 +84,17 @@
     return is_sound
 
 
-def _violation_cell(found: Found | None) -> str:
+def _violation_cell(found: SearchResult | None) -> str:
     return f"{found.violation}: {found.trail}" if found and found.violation else "none"
 
 
-def _print_faults(hunted: dict[str, Future[Found]], echo: Echo) -> bool:
+def _print_faults(fault_searches: dict[str, Future[SearchResult]], echo: Echo) -> bool:
     """Whether each was found."""
     are_found = True
     echo("")
     echo("| seeded fault | found after states | as |")
     echo("| --- | ---: | --- |")
-    for name, task in hunted.items():
+    for name, task in fault_searches.items():
         one = task.result()
         are_found = are_found and bool(one.violation)
         echo(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -15,9 +15,9 @@
 from otterrudder.lab.fleet.cell_events import apply_event, events, successor
 from otterrudder.lab.fleet.cell_model import CellModel
 from otterrudder.lab.fleet.cell_seeded_faults import SeededFault
-from otterrudder.lab.fleet.cell_stages import CellStage, NotConvergedError, converged, staged
+from otterrudder.lab.fleet.cell_stages import CellStage, NotConvergedError, converged_model, model_at_stage
 from otterrudder.lab.fleet.cell_variants import CellVariant
-from otterrudder.lab.fleet.explore import Found, Step
+from otterrudder.lab.fleet.explore import SearchResult, Step
 
 WALK_LENGTH = 100  # events
 MAX_FAULTS = 8  # of them that are faults
@@ -30,42 +30,44 @@
 
 
 @cache
-def _converged(variant: CellVariant) -> CellModel:
-    return converged(variant)
+def _converged_model(variant: CellVariant) -> CellModel:
+    return converged_model(variant)
 
 
 def search(
     variant: CellVariant, depth: int, max_faults: int, stage: CellStage, max_states: int = 1_000_000
-) -> Found:
+) -> SearchResult:
     """Every order of events to a depth, breadth first from a stage."""
 
-    def following(model: CellModel) -> Iterator[CellModel]:
+    def successors(model: CellModel) -> Iterator[CellModel]:
         return (successor(model, event) for event in events(model, max_faults))
 
-    return explore.breadth_first(staged(_converged(variant), stage), following, depth, max_states)
+    return explore.breadth_first(
+        model_at_stage(_converged_model(variant), stage), successors, depth, max_states
+    )
 
 
-def walk(variant: CellVariant, seed: int | str, walks: int) -> Found:
+def walk(variant: CellVariant, seed: int | str, walks: int) -> SearchResult:
     """Long random orders, each with its own weights of events and from a stage of its own."""
     count = 0
     for number in range(walks):
-        chance = random.Random(f"{seed}/{number}")
+        rng = random.Random(f"{seed}/{number}")
         try:
-            model = staged(_converged(variant), chance.choice(list(CellStage)))
+            model = model_at_stage(_converged_model(variant), rng.choice(list(CellStage)))
         except NotConvergedError as error:
-            return Found(count, 0, str(error))
-        found = _walk_from(model, chance)
+            return SearchResult(count, 0, str(error))
+        found = _walk_from(model, rng)
         count += found.states
         if found.violation:
-            return Found(count, found.depth, found.violation, found.trail)
-    return Found(count, WALK_LENGTH)
+            return SearchResult(count, found.depth, found.violation, found.trail)
+    return SearchResult(count, WALK_LENGTH)
 
 
 class _EventWeights:
     """A weight for each kind of event, drawn when it is first asked for."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._weights: dict[str, float] = {}
 
     def of(self, name: str) -> float:
@@ -73,18 +75,18 @@
         kind = _PLACES.sub("", name)
         if kind not in self._weights:
             factor = PROGRESS_WEIGHT if name in PROGRESS else 1.0
-            self._weights[kind] = math.exp(self._chance.uniform(*LOG_WEIGHTS)) * factor
+            self._weights[kind] = math.exp(self._rng.uniform(*LOG_WEIGHTS)) * factor
         return self._weights[kind]
 
 
-def _walk_from(model: CellModel, chance: random.Random) -> Found:
-    max_faults = chance.randint(1, MAX_FAULTS)
-    weights = _EventWeights(chance)
+def _walk_from(model: CellModel, rng: random.Random) -> SearchResult:
+    max_faults = rng.randint(1, MAX_FAULTS)
+    weights = _EventWeights(rng)
 
     def steps(model: CellModel) -> list[Step[CellModel]]:
         return [Step(event.name, partial(_apply, model, event)) for event in events(model, max_faults)]
 
-    return explore.random_walk(model, steps, weights.of, chance, WALK_LENGTH)
+    return explore.random_walk(model, steps, weights.of, rng, WALK_LENGTH)
 
 
 def _apply(model: CellModel, event: Event) -> CellModel:
@@ -97,30 +99,30 @@
     walks: int = FAULT_WALKS,
     relay: type[Relay] | None = None,
     participant: type[Participant] | None = None,
-) -> Found:
+) -> SearchResult:
     """Looks for a seeded fault where it shows; with other parts, whether they pass there without it."""
     variant = replace(
         fault.variant,
         relay=relay or fault.variant.relay,
         participant=participant or fault.variant.participant,
     )
-    if not fault.story:
+    if not fault.scenario:
         return walk(variant, FAULT_SEED, walks)
     try:
-        return replay(variant, fault.stage, fault.story)
+        return replay(variant, fault.stage, fault.scenario)
     except NotConvergedError as error:
-        return Found(0, 0, str(error))
+        return SearchResult(0, 0, str(error))
 
 
-def replay(variant: CellVariant, stage: CellStage, story: tuple[str, ...]) -> Found:
+def replay(variant: CellVariant, stage: CellStage, scenario: tuple[str, ...]) -> SearchResult:
     """One order of events, with the promises checked after each, and the recovery at its end."""
-    model = staged(_converged(variant), stage)
+    model = model_at_stage(_converged_model(variant), stage)
 
     def steps(model: CellModel) -> list[Step[CellModel]]:
-        return [Step(event.name, partial(successor, model, event)) for event in events(model, len(story))]
+        return [Step(event.name, partial(successor, model, event)) for event in events(model, len(scenario))]
 
-    for count, event in enumerate(story, 1):
+    for count, event in enumerate(scenario, 1):
         model = explore.replay(model, steps, (event,))
         if violation := model.violation():
-            return Found(count, len(model.trail), violation, model.trail)
-    return Found(len(story), len(model.trail), model.recovery_violation(), model.trail)
+            return SearchResult(count, len(model.trail), violation, model.trail)
+    return SearchResult(len(scenario), len(model.trail), model.recovery_violation(), model.trail)
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -50,7 +50,7 @@
 
     variant: CellVariant
     stage: CellStage = CellStage.QUIESCENT
-    story: tuple[str, ...] = ()
+    scenario: tuple[str, ...] = ()
 
 
 def _rounds(steps: int) -> tuple[str, ...]:
--- a/otterrudder/lab/fleet/cell_stages.py
+++ b/otterrudder/lab/fleet/cell_stages.py
@@ -42,7 +42,7 @@
     ENDORSED = "the store has been unreachable for longer than its leases"
 
 
-def converged(variant: CellVariant) -> CellModel:
+def converged_model(variant: CellVariant) -> CellModel:
     """Cells at work: all servers are admitted to the fleet, and version 1 is in force."""
     model = CellModel(variant)
     model.checker.bound_ms = variant.rules.bound_ms
@@ -64,20 +64,20 @@
         addresses = tuple(f"r{cell}{number}" for number in range(variant.relays))
         for address in addresses:
             state.relays.append(RelayHost(address, f"c{cell}", addresses))
-    for place, host in enumerate(state.relays):
-        host.rate = variant.relay_rates[place % len(variant.relay_rates)]
-        start_relay(state, place)
+    for index, host in enumerate(state.relays):
+        host.rate = variant.relay_rates[index % len(variant.relay_rates)]
+        start_relay(state, index)
 
 
 def _add_servers(state: CellState) -> None:
     variant = state.variant
-    for place in range(variant.servers):
-        cell = place % variant.cells
+    for index in range(variant.servers):
+        cell = index % variant.cells
         relays = tuple(host.address for host in state.relays if host.cell == f"c{cell}")
-        rejects = variant.has_rejecting_servers and place // variant.cells % 2
-        rate = variant.server_rates[place % len(variant.server_rates)]
-        state.servers.append(ServerHost(f"s{place}", REJECTING if rejects else PLAIN, relays, rate=rate))
-        start_server(state, place)
+        rejects = variant.has_rejecting_servers and index // variant.cells % 2
+        rate = variant.server_rates[index % len(variant.server_rates)]
+        state.servers.append(ServerHost(f"s{index}", REJECTING if rejects else PLAIN, relays, rate=rate))
+        start_server(state, index)
 
 
 def _run(state: CellState, steps: int) -> None:
@@ -90,7 +90,7 @@
     deliver_all(state)
 
 
-def staged(quiescent: CellModel, stage: CellStage) -> CellModel:
+def model_at_stage(quiescent: CellModel, stage: CellStage) -> CellModel:
     """From a model at work, one in which so much has happened."""
     model = quiescent.copy()
     if stage is CellStage.LEADER_LOST:
@@ -107,9 +107,9 @@
 def leader_of(state: CellState, cell: str) -> int:
     """The place of the relay that leads a cell, as the store has it; 0 if none does."""
     status = state.snapshot(of_primary=True).status(cell)
-    for place, host in enumerate(state.relays):
+    for index, host in enumerate(state.relays):
         if status and status.incarnation == f"{host.address}.{host.incarnation}":
-            return place
+            return index
     return 0
 
 
--- a/otterrudder/lab/fleet/cell_state.py
+++ b/otterrudder/lab/fleet/cell_state.py
@@ -199,7 +199,7 @@
     def pass_time(self, span_ms: float) -> None:
         """Time passes, and leases lapse."""
         self.now += span_ms
-        self.store.lapse(self.now)
+        self.store.expire_leases(self.now)
 
 
 def _copy_server(host: ServerHost) -> ServerHost:
--- a/otterrudder/lab/fleet/explore.py
+++ b/otterrudder/lab/fleet/explore.py
@@ -36,15 +36,15 @@
     """An event that may follow, by name, and the state that it leads to, or how to get there."""
 
     name: str
-    then: S | Callable[[], S]
+    target: S | Callable[[], S]
 
-    def take(self) -> S:
+    def next_state(self) -> S:
         """The state after it."""
-        return self.then() if callable(self.then) else self.then
+        return self.target() if callable(self.target) else self.target
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What a search found: how many states, how deep, and the violation where it stopped ("": none)."""
 
     states: int
@@ -54,16 +54,16 @@
 
 
 def breadth_first(
-    first: S, following: Callable[[S], Iterable[S]], depth: int, max_states: int = 1_000_000
-) -> Found:
+    first: S, successors: Callable[[S], Iterable[S]], depth: int, max_states: int = 1_000_000
+) -> SearchResult:
     """Every order of events to the depth, so that what is found is as short as it can be."""
     if violation := first.violation():
-        return Found(1, 0, violation, first.trail)
+        return SearchResult(1, 0, violation, first.trail)
     max_depth = depth + len(first.trail)
     seen, queue = {hash(first.fingerprint())}, deque([first])
     deepest = len(first.trail)
     while queue and depth > 0 and len(seen) < max_states:
-        for state in following(queue.popleft()):
+        for state in successors(queue.popleft()):
             fingerprint = hash(state.fingerprint())
             if fingerprint in seen:
                 continue
@@ -73,10 +73,10 @@
             if not violation and len(seen) % RECOVERY_INTERVAL == 0:
                 violation = state.recovery_violation()
             if violation:
-                return Found(len(seen), deepest, violation, state.trail)
+                return SearchResult(len(seen), deepest, violation, state.trail)
             if deepest < max_depth:  # those at the depth itself are checked, and need not be kept
                 queue.append(state)
-    return Found(len(seen), deepest)
+    return SearchResult(len(seen), deepest)
 
 
 def random_walk(
@@ -85,25 +85,25 @@
     weight: Callable[[str], float],
     rng: random.Random,
     length: int,
-) -> Found:
+) -> SearchResult:
     """One long order of events; its end recovers."""
     for count in range(1, length + 1):
         choices = steps(state)
         weights = [weight(step.name) for step in choices]
-        state = rng.choices(choices, weights)[0].take()
+        state = rng.choices(choices, weights)[0].next_state()
         if violation := state.violation():
-            return Found(count, len(state.trail), violation, state.trail)
-    return Found(length, len(state.trail), state.recovery_violation(), state.trail)
+            return SearchResult(count, len(state.trail), violation, state.trail)
+    return SearchResult(length, len(state.trail), state.recovery_violation(), state.trail)
 
 
-def replay(state: S, steps: Callable[[S], Sequence[Step[S]]], story: tuple[str, ...]) -> S:
+def replay(state: S, steps: Callable[[S], Sequence[Step[S]]], scenario: tuple[str, ...]) -> S:
     """The state that these events lead to, each named by how its name starts; an OPTIONAL one is passed over
     where it can't follow."""
-    for event in story:
+    for event in scenario:
         name = event.removeprefix(OPTIONAL)
         step = next((step for step in steps(state) if step.name.startswith(name)), None)
         if step:
-            state = step.take()
+            state = step.next_state()
         elif name == event:
             possible = sorted(step.name for step in steps(state))
             raise ValueError(f"{event!r} can't follow {state.trail}: {possible}")
--- a/otterrudder/lab/fleet/history_checker.py
+++ b/otterrudder/lab/fleet/history_checker.py
@@ -7,14 +7,16 @@
 from otterrudder.fleet.records import FleetSnapshot, PolicyHead
 
 
-class Committed(NamedTuple):
+class CommittedVersion(NamedTuple):
     """A version that came into force: by which change, and when."""
 
     change: str
     at: float
 
 
-def wrong_commit(head: PolicyHead, before: FleetSnapshot, committed: Mapping[int, Committed]) -> str:
+def commit_violation(
+    head: PolicyHead, before: FleetSnapshot, committed: Mapping[int, CommittedVersion]
+) -> str:
     """Why this version must not be in force, "" if it may be: all must have said yes to it, or been left out
     by their own rule."""
     if head.version in committed:
@@ -30,13 +32,13 @@
     return ""
 
 
-def wrong_admission(
+def admission_violation(
     version: int,
     change: str,
     started: float,
     now: float,
     bound_ms: float,
-    committed: Mapping[int, Committed],
+    committed: Mapping[int, CommittedVersion],
 ) -> str:
     """Why who started then must not admit under that version now, "" if it may. `change`: that it takes the
     version for."""
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -26,7 +26,7 @@
 from otterrudder.fleet.state import AdmissionStatus, MemberState, Rules
 from otterrudder.fleet.store import Put
 from otterrudder.lab.fleet.cloning import clone
-from otterrudder.lab.fleet.history_checker import Committed, wrong_admission, wrong_commit
+from otterrudder.lab.fleet.history_checker import CommittedVersion, admission_violation, commit_violation
 from otterrudder.lab.fleet.model_fingerprint import STEP_MS, member_fingerprint, steps_ago, steps_left
 from otterrudder.lab.fleet.model_store import STORE_ID
 from otterrudder.lab.keyspace import KeySpace
@@ -49,16 +49,16 @@
     members: int = 2
     proposers: int = 2
     has_disk: bool = True
-    has_twin: bool = False  # another process comes up under the first one's name, with a directory of its own
+    has_name_conflict: bool = False  # a process with another state directory starts under the first name
     fills_disks: bool = False
     rejecting_member: int = -1  # it rejects the second proposer's policy
-    has_copies: bool = False  # another engine, restored from an older state or empty, may answer in its place
-    other_rules: Rules | None = None  # of every second process, by host and incarnation
-    names_store: bool = False  # the fleet's file says which engine is trusted
+    has_backups: bool = False  # an engine restored from a backup, or empty, may answer for a while
+    alternate_rules: Rules | None = None  # of every second process, by host and incarnation
+    has_store_id: bool = False  # the fleet's file says which engine is trusted
 
 
 @dataclass(slots=True)
-class Flight:
+class Exchange:
     """A request on its way (`outcome` unset) or the answer to it."""
 
     host: int
@@ -68,9 +68,9 @@
     is_answer: bool = False
     outcome: Outcome = None
 
-    def copy(self) -> "Flight":
+    def copy(self) -> "Exchange":
         """One that goes its own way."""
-        return Flight(self.host, self.incarnation, self.effect, self.sent, self.is_answer, self.outcome)
+        return Exchange(self.host, self.incarnation, self.effect, self.sent, self.is_answer, self.outcome)
 
 
 @dataclass(slots=True)
@@ -116,33 +116,33 @@
     variant: Variant
     store: KeySpace = field(default_factory=lambda: KeySpace(has_history=False))
     hosts: list[Host] = field(default_factory=list)
-    flights: list[Flight] = field(default_factory=list)
+    exchanges: list[Exchange] = field(default_factory=list)
     pending: dict[str, Commit] = field(default_factory=dict)  # by who computed it and has not sent it yet
     proposed: int = 0
     now: float = 0.0
-    committed: dict[int, Committed] = field(default_factory=dict)  # by version
-    spent: int = 0  # faults so far
+    committed: dict[int, CommittedVersion] = field(default_factory=dict)  # by version
+    injected_faults: int = 0  # faults so far
     trail: tuple[str, ...] = ()  # the events that led here
-    wrong_write: str = ""  # something that must never be written was
-    old_copy: KeySpace | None = None  # an older state of the store that somebody has
-    original: KeySpace | None = None  # the store itself, while another engine answers in its place
+    recorded_violation: str = ""  # something that must never be written was
+    backup: KeySpace | None = None  # an older state of the store that somebody has
+    primary: KeySpace | None = None  # the store itself, while another engine answers in its place
 
-    def copy(self, event: str = "", spent: int = 0) -> "ModelState":
+    def copy(self, event: str = "", injected_faults: int = 0) -> "ModelState":
         """One that goes its own way, by an event that costs so many faults."""
         return ModelState(
             self.variant,
             self.store.copy(),
             [host.copy() for host in self.hosts],
-            [flight.copy() for flight in self.flights],
+            [exchange.copy() for exchange in self.exchanges],
             dict(self.pending),
             self.proposed,
             self.now,
             dict(self.committed),
-            self.spent + spent,
+            self.injected_faults + injected_faults,
             (*self.trail, event) if event else self.trail,
-            self.wrong_write,
-            self.old_copy,
-            self.original and self.original.copy(),
+            self.recorded_violation,
+            self.backup,
+            self.primary and self.primary.copy(),
         )
 
     # What happens in it.
@@ -162,48 +162,48 @@
             host.name,
             f"{n}.{host.incarnation}",
             host.directory_id,
-            variant.other_rules if is_other and variant.other_rules else variant.rules,
+            variant.alternate_rules if is_other and variant.alternate_rules else variant.rules,
             lambda text: self.validate(n, text),
             record=host.disk,
             has_disk=variant.has_disk,
-            cluster=STORE_ID if variant.names_store else 0,
+            cluster=STORE_ID if variant.has_store_id else 0,
         )
-        self.begin_effects()
+        self.start_effects()
 
     def validate(self, n: int, text: str) -> str:
         """What is wrong with the text for that host; "": nothing."""
         is_rejected = n == self.variant.rejecting_member and text.endswith(REJECTED_ENDING)
         return "values.look: not known here" if is_rejected else ""
 
-    def begin_effects(self) -> None:
+    def start_effects(self) -> None:
         """The members' effects begin. What no order of events depends on is done at once: leases, saves, and
         reports for operators; their losses are those of a host that is cut off, dies or has a full disk."""
         for n, host in enumerate(self.hosts):
             while host.runs and host.member and (effects := host.member.effects(self.now)):
                 for effect in effects:
-                    self._begin(n, host, effect)
+                    self._start_effect(n, host, effect)
 
-    def _begin(self, n: int, host: Host, effect: Effect) -> None:
-        flight = Flight(n, host.incarnation, effect, self.now)
+    def _start_effect(self, n: int, host: Host, effect: Effect) -> None:
+        exchange = Exchange(n, host.incarnation, effect, self.now)
         if not _is_immediate(effect):
-            self.flights.append(flight)
+            self.exchanges.append(exchange)
             return
         if isinstance(effect, SaveState):
             is_lost = host.is_full
         else:
             is_lost = host.is_cut and not isinstance(effect, ValidatePolicy)
-        flight.outcome = None if is_lost else self.arrive(flight)
-        self.answer(flight)
+        exchange.outcome = None if is_lost else self.serve(exchange)
+        self.deliver_answer(exchange)
 
-    def arrive(self, flight: Flight) -> Outcome:
+    def serve(self, exchange: Exchange) -> Outcome:
         """A request reaches the store or the disk, whether or not its sender still lives."""
-        effect, host = flight.effect, self.hosts[flight.host]
+        effect, host = exchange.effect, self.hosts[exchange.host]
         if isinstance(effect, SaveState):
-            if flight.incarnation == host.incarnation:
+            if exchange.incarnation == host.incarnation:
                 host.disk = effect.record
             return True
         if isinstance(effect, ValidatePolicy):
-            return self.validate(flight.host, effect.text)
+            return self.validate(exchange.host, effect.text)
         return self.write(effect) if isinstance(effect, Commit) else self.store.answer(self.now, effect)
 
     def write(self, commit: Commit) -> Outcome:
@@ -213,7 +213,7 @@
         result = self.store.commit(commit.compares, commit.writes)
         if result.succeeded:
             for put in commit.writes:  # another engine's writes are not the fleet's
-                if isinstance(put, Put) and put.key == KEYS.policy and not self.original:
+                if isinstance(put, Put) and put.key == KEYS.policy and not self.primary:
                     self._record_commit(decode(put.value, PolicyHead), before)
             for host in self.hosts:
                 if host.runs and host.member and not host.is_cut and commit.purpose != "tell":
@@ -223,29 +223,29 @@
     def _record_commit(self, head: PolicyHead, before: FleetSnapshot) -> None:
         """A version is in force from now on: all must have accepted it, or been left out by their own
         rule."""
-        self.wrong_write = wrong_commit(head, before, self.committed) or self.wrong_write
-        self.committed[head.version] = Committed(head.change, self.now)
+        self.recorded_violation = commit_violation(head, before, self.committed) or self.recorded_violation
+        self.committed[head.version] = CommittedVersion(head.change, self.now)
 
-    def answer(self, flight: Flight) -> None:
+    def deliver_answer(self, exchange: Exchange) -> None:
         """An answer reaches the process that asked, if it lives."""
-        host = self.hosts[flight.host]
-        if host.member and host.incarnation == flight.incarnation:
-            host.member.handle_result(self.now, flight.effect, flight.sent, flight.outcome)
+        host = self.hosts[exchange.host]
+        if host.member and host.incarnation == exchange.incarnation:
+            host.member.handle_result(self.now, exchange.effect, exchange.sent, exchange.outcome)
 
     def pass_time(self, span_ms: float = STEP_MS) -> None:
         """Leases lapse as time goes on."""
         self.now += span_ms
         self.store.expire_leases(self.now)
-        if self.original:
-            self.original.expire_leases(self.now)
+        if self.primary:
+            self.primary.expire_leases(self.now)
 
     def switch_store(self, other: KeySpace | None) -> None:
         """Another engine answers from now on, or (None) the store itself again. Watches end, so all read.
         What was computed from one's state is not sent to the other: whoever computes has one channel."""
         if other:
-            self.original, self.store = self.store, other
-        elif self.original:
-            self.store, self.original = self.original, None
+            self.primary, self.store = self.store, other
+        elif self.primary:
+            self.store, self.primary = self.primary, None
         self.pending.clear()
         for host in self.hosts:
             if host.runs and host.member and not host.is_cut:
@@ -255,33 +255,33 @@
         """Of the store that answers now."""
         return FleetSnapshot(KEYS, self.store.read(coordination_keys(KEYS)))
 
-    def deliver_all(self, accepts: Callable[[Flight], bool] = lambda flight: True) -> str:
+    def deliver_all(self, accepts: Callable[[Exchange], bool] = lambda exchange: True) -> str:
         """All that is in flight and accepted arrives, and what follows from it, at this time. "": it is
         quiescent."""
         for _ in range(MAX_DELIVERIES):
-            self.begin_effects()
-            flight = next(filter(accepts, self.flights), None)
-            if not flight:
+            self.start_effects()
+            exchange = next(filter(accepts, self.exchanges), None)
+            if not exchange:
                 return ""
-            self.flights.remove(flight)
-            if not flight.is_answer:
-                flight.outcome = self.arrive(flight)
-            self.answer(flight)
+            self.exchanges.remove(exchange)
+            if not exchange.is_answer:
+                exchange.outcome = self.serve(exchange)
+            self.deliver_answer(exchange)
         return "it is never quiescent"
 
     # What it promises.
 
     def violation(self) -> str:
         """Which promise does not hold now; "": all do."""
-        if self.wrong_write:
-            return self.wrong_write
+        if self.recorded_violation:
+            return self.recorded_violation
         serving: dict[str, int] = {}
         for n, host in enumerate(self.hosts):
             if not host.runs or not host.member:
                 continue
             if (version := host.member.admits(self.now)) is None:
                 continue
-            if wrong := self._wrong_admission(host, host.member, version):
+            if wrong := self._admission_violation(host, host.member, version):
                 return f"{n} ({host.name}) admits under {version} at {self.now / 1000:g} s: {wrong}"
             if (other := serving.setdefault(host.name, n)) != n and self._is_registered(other):
                 return f"{n} serves under the name of {other}, whose lease has not lapsed"
@@ -293,9 +293,9 @@
         status = snapshot.status(host.name)
         return bool(status and host.member and status.incarnation == host.member.identity.incarnation)
 
-    def _wrong_admission(self, host: Host, member: Member, version: int) -> str:
+    def _admission_violation(self, host: Host, member: Member, version: int) -> str:
         change, bound_ms = member.applied_policy.change, self.variant.rules.bound_ms
-        return wrong_admission(version, change, host.started, self.now, bound_ms, self.committed)
+        return admission_violation(version, change, host.started, self.now, bound_ms, self.committed)
 
     def recovery_violation(self) -> str:
         """From here on with all faults over, everything delivered and one that coordinates: "" if all come to
@@ -319,7 +319,7 @@
         return state._disagreement()
 
     def _end_faults(self) -> None:
-        if self.original:
+        if self.primary:
             self.switch_store(None)
         for n, host in enumerate(self.hosts):
             host.is_frozen = host.is_cut = host.is_full = False
@@ -345,7 +345,7 @@
         """Whether the variant lets this member suspend admission for good."""
         status = member.admission_status(self.now)
         if status in (AdmissionStatus.FOREIGN_DIRECTORY, AdmissionStatus.NAME_TAKEN):
-            return self.variant.has_twin
+            return self.variant.has_name_conflict
         return status is AdmissionStatus.POLICY_REJECTED and n == self.variant.rejecting_member
 
     # Whether two states are one.
@@ -355,7 +355,7 @@
         ends = self.store.leases.items()
         return (
             tuple(self._host_fingerprint(host) for host in self.hosts),
-            tuple(sorted(map(self._flight_fingerprint, self.flights))),
+            tuple(sorted(map(self._exchange_fingerprint, self.exchanges))),
             tuple(sorted((lease, steps_left(end, self.now)) for lease, (_, end) in ends)),
             tuple(
                 (version, change, steps_ago(at, self.now))
@@ -363,7 +363,7 @@
             ),
             self.store.revision,
             self.proposed,
-            tuple(map(_store_fingerprint, (self.old_copy, self.original))),
+            tuple(map(_store_fingerprint, (self.backup, self.primary))),
             tuple(sorted(self.store.keys.items())),
             tuple(sorted(map(repr, self.pending.items()))),
         )
@@ -382,9 +382,11 @@
             known_versions,
         )
 
-    def _flight_fingerprint(self, flight: Flight) -> str:
-        sent = steps_ago(flight.sent, self.now)
-        return repr((flight.host, flight.incarnation, flight.effect, sent, flight.is_answer, flight.outcome))
+    def _exchange_fingerprint(self, exchange: Exchange) -> str:
+        sent = steps_ago(exchange.sent, self.now)
+        return repr(
+            (exchange.host, exchange.incarnation, exchange.effect, sent, exchange.is_answer, exchange.outcome)
+        )
 
 
 def _store_fingerprint(store: KeySpace | None) -> tuple[object, ...] | None:
--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -18,96 +18,96 @@
 )
 
 
-def following(state: ModelState, max_faults: int) -> Iterator[ModelState]:
+def successors(state: ModelState, max_faults: int) -> Iterator[ModelState]:
     """All states that one event leads to."""
-    may_inject = state.spent < max_faults
-    for at in range(len(state.flights)):
-        yield from _flight_events(state, at, may_inject)
+    may_inject = state.injected_faults < max_faults
+    for at in range(len(state.exchanges)):
+        yield from _exchange_events(state, at, may_inject)
     yield from _change_events(state, may_inject)
     later = state.copy("time goes on")
     later.pass_time()
     yield _after_effects(later)
     yield from _host_events(state, may_inject)
-    if state.variant.has_copies:
+    if state.variant.has_backups:
         yield from _store_events(state, may_inject)
 
 
 def _after_effects(state: ModelState) -> ModelState:
-    state.begin_effects()
+    state.start_effects()
     return state
 
 
 def _store_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
     """Somebody copies the store; later another engine with the copy, or an empty one, answers for a while."""
-    if state.original:
+    if state.primary:
         back = state.copy("the store itself answers")
         back.switch_store(None)
         yield _after_effects(back)
         return
-    if not state.old_copy:
+    if not state.backup:
         copied = state.copy("the store is copied")
-        copied.old_copy = copied.store.copy()
+        copied.backup = copied.store.copy()
         yield copied
-    for other, label in ((state.old_copy, "an older copy answers"), (KeySpace(), "an empty store answers")):
+    for other, label in ((state.backup, "an older copy answers"), (KeySpace(), "an empty store answers")):
         if may_inject and other:
             switched = state.copy(label, 1)
-            switched.switch_store(restored_engine(other, state.now, state.spent))
+            switched.switch_store(restored_engine(other, state.now, state.injected_faults))
             yield _after_effects(switched)
 
 
-def _flight_events(state: ModelState, at: int, may_inject: bool) -> Iterator[ModelState]:
+def _exchange_events(state: ModelState, at: int, may_inject: bool) -> Iterator[ModelState]:
     """A request or an answer is delivered at once, or lost in one of its ways."""
-    flight = state.flights[at]
-    host = state.hosts[flight.host]
-    label = f"{flight.host}.{flight.incarnation} {effect_name(flight.effect)}"
-    is_dead = not host.member or host.incarnation != flight.incarnation
+    exchange = state.exchanges[at]
+    host = state.hosts[exchange.host]
+    label = f"{exchange.host}.{exchange.incarnation} {effect_name(exchange.effect)}"
+    is_dead = not host.member or host.incarnation != exchange.incarnation
     is_waiting = host.is_frozen and not is_dead
-    if is_waiting and flight.is_answer:
+    if is_waiting and exchange.is_answer:
         return  # nobody takes it now
-    if host.is_cut and not flight.is_answer and not is_dead:
+    if host.is_cut and not exchange.is_answer and not is_dead:
         lost = state.copy(f"{label}: no way there")
-        lost.answer(lost.flights.pop(at))
+        lost.deliver_answer(lost.exchanges.pop(at))
         yield _after_effects(lost)
         return
     yield _delivered(state, at, label, is_waiting)
-    if not may_inject or flight.is_answer or is_dead:
+    if not may_inject or exchange.is_answer or is_dead:
         return
-    if isinstance(flight.effect, Commit):
+    if isinstance(exchange.effect, Commit):
         yield from _lost_answers(state, at, label)
         return
     slow = state.copy(f"{label}: slow answer", 1)
-    slow.flights[at].outcome = slow.arrive(slow.flights[at])
-    slow.flights[at].is_answer = True
+    slow.exchanges[at].outcome = slow.serve(slow.exchanges[at])
+    slow.exchanges[at].is_answer = True
     yield _after_effects(slow)
 
 
 def _delivered(state: ModelState, at: int, label: str, is_waiting: bool) -> ModelState:
     """`is_waiting`: the host is frozen, and takes the answer later."""
-    delivered = state.copy(f"{label}{': answer' if state.flights[at].is_answer else ''}")
-    flight = delivered.flights.pop(at)
-    if not flight.is_answer:
-        flight.outcome = delivered.arrive(flight)
+    delivered = state.copy(f"{label}{': answer' if state.exchanges[at].is_answer else ''}")
+    exchange = delivered.exchanges.pop(at)
+    if not exchange.is_answer:
+        exchange.outcome = delivered.serve(exchange)
     if is_waiting:
-        flight.is_answer = True
-        delivered.flights.append(flight)
+        exchange.is_answer = True
+        delivered.exchanges.append(exchange)
     else:
-        delivered.answer(flight)
+        delivered.deliver_answer(exchange)
     return _after_effects(delivered)
 
 
 def _lost_answers(state: ModelState, at: int, label: str) -> Iterator[ModelState]:
     """Of a commit."""
     unanswered = state.copy(f"{label}: took effect, answer lost", 1)
-    flight = unanswered.flights.pop(at)
-    unanswered.arrive(flight)
-    unanswered.answer(flight)
+    exchange = unanswered.exchanges.pop(at)
+    unanswered.serve(exchange)
+    unanswered.deliver_answer(exchange)
     yield _after_effects(unanswered)
     given_up = state.copy(f"{label}: given up, still on its way", 1)
-    flight = given_up.flights[at]
-    late = flight.copy()
-    late.incarnation = -flight.incarnation  # it may arrive yet, and nobody waits for it
-    given_up.flights[at] = late
-    given_up.answer(flight)
+    exchange = given_up.exchanges[at]
+    late = exchange.copy()
+    late.incarnation = -exchange.incarnation  # it may arrive yet, and nobody waits for it
+    given_up.exchanges[at] = late
+    given_up.deliver_answer(exchange)
     yield _after_effects(given_up)
 
 
@@ -128,14 +128,14 @@
             yield opened
     for is_late in (False, True) if may_inject else (False,):
         commit = state.variant.finish_change(snapshot, is_late)
-        who = "late count" if is_late else "count"
-        if commit and who not in state.pending and (not is_late or commit.purpose == "abort"):
-            counted = state.copy(who, is_late)
-            counted.pending[who] = commit
+        coordinator = "late count" if is_late else "count"
+        if commit and coordinator not in state.pending and (not is_late or commit.purpose == "abort"):
+            counted = state.copy(coordinator, is_late)
+            counted.pending[coordinator] = commit
             yield counted
-    for who, commit in state.pending.items():
-        sent = state.copy(f"{who}: {commit.purpose}")
-        del sent.pending[who]
+    for coordinator, commit in state.pending.items():
+        sent = state.copy(f"{coordinator}: {commit.purpose}")
+        del sent.pending[coordinator]
         sent.write(commit)
         yield _after_effects(sent)
 
@@ -148,7 +148,7 @@
         up = state.copy(f"{n} starts")
         up.start_process(n)
         yield up
-        knows_store = state.variant.names_store or not state.variant.has_copies
+        knows_store = state.variant.has_store_id or not state.variant.has_backups
         if may_inject and not host.is_removed and knows_store:
             yield from _removal(state, n)
 
--- a/otterrudder/lab/fleet/model_stages.py
+++ b/otterrudder/lab/fleet/model_stages.py
@@ -4,7 +4,7 @@
 
 from otterrudder.fleet.change import finish_change, propose
 from otterrudder.fleet.effects import effect_name
-from otterrudder.lab.fleet.model import DEADLINE_MS, Flight, Host, ModelState, Variant
+from otterrudder.lab.fleet.model import DEADLINE_MS, Exchange, Host, ModelState, Variant
 
 CONVERGENCE_ROUNDS = 3
 
@@ -23,28 +23,28 @@
     COMMITTED = "it is committed, and nobody has heard"
 
 
-def staged(variant: Variant, stage: Stage) -> ModelState:
+def state_at_stage(variant: Variant, stage: Stage) -> ModelState:
     """A fleet at work whose first proposer's change has come so far."""
-    state = converged(variant)
+    state = converged_state(variant)
     if stage is Stage.QUIESCENT:
         return state
     state.proposed = 1
     state.write(propose(state.snapshot(), "A", "policy A", "A", "", 0.0, DEADLINE_MS))
-    state.deliver_all(lambda flight: not _is_vote(flight))
+    state.deliver_all(lambda exchange: not _is_vote(exchange))
     if stage is not Stage.OPEN:
-        first = next(flight.host for flight in state.flights if _is_vote(flight))
-        state.deliver_all(lambda flight: stage is not Stage.HALF or flight.host == first)
+        first = next(exchange.host for exchange in state.exchanges if _is_vote(exchange))
+        state.deliver_all(lambda exchange: stage is not Stage.HALF or exchange.host == first)
     if stage is Stage.COMMITTED and (commit := finish_change(state.snapshot(), False)):
         state.write(commit)
-        state.begin_effects()
+        state.start_effects()
     return state
 
 
-def _is_vote(flight: Flight) -> bool:
-    return effect_name(flight.effect) == "vote"
+def _is_vote(exchange: Exchange) -> bool:
+    return effect_name(exchange.effect) == "vote"
 
 
-def converged(variant: Variant) -> ModelState:
+def converged_state(variant: Variant) -> ModelState:
     """A fleet at work: all are of it, and version 1 is in force."""
     state = ModelState(variant)
     for n in range(variant.members):
@@ -61,7 +61,7 @@
     state.deliver_all()
     if [host.member.admits(state.now) for host in state.hosts if host.member] != [1] * variant.members:
         raise NotConvergedError("the fleet does not come together")
-    if variant.has_twin:
+    if variant.has_name_conflict:
         state.hosts.append(Host("n0", "another folder"))
         state.start_process(variant.members)
     return state
--- a/otterrudder/lab/fleet/model_store.py
+++ b/otterrudder/lab/fleet/model_store.py
@@ -40,7 +40,7 @@
         """The store itself, whichever engine answers."""
         return self.primary or self.engine
 
-    def lapse(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Leases whose end has passed lapse, in the store itself as well."""
         self.engine.expire_leases(now)
         if self.primary:
--- a/otterrudder/lab/fleet/report.py
+++ b/otterrudder/lab/fleet/report.py
@@ -5,10 +5,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
 
-from otterrudder.lab.fleet.explore import Found
+from otterrudder.lab.fleet.explore import SearchResult
 from otterrudder.lab.fleet.model_stages import Stage
-from otterrudder.lab.fleet.search import hunt, search, walk
-from otterrudder.lab.fleet.seeded_faults import FAULTS, SOUND
+from otterrudder.lab.fleet.search import find_fault, search, walk
+from otterrudder.lab.fleet.seeded_faults import SEEDED_FAULTS, VARIANTS
 from otterrudder.lab.fleet.simulation import Result, play
 
 WALK_LENGTH = 60  # events of a drawn walk
@@ -19,19 +19,21 @@
 FAULTS_A_PLAN = 8
 
 
-def _walk(name: str, members: int, seed: int, walks: int) -> Found:
-    return walk(replace(SOUND[name], members=members), seed, walks, WALK_LENGTH, MAX_FAULTS)
+def _walk(name: str, members: int, seed: int, walks: int) -> SearchResult:
+    return walk(replace(VARIANTS[name], members=members), seed, walks, WALK_LENGTH, MAX_FAULTS)
 
 
-def _search(name: str, members: int, stage: str, depth: int) -> Found:
-    return search(replace(SOUND[name], members=members), depth, DEPTH_FAULTS, stage=Stage[stage])
+def _search(name: str, members: int, stage: str, depth: int) -> SearchResult:
+    return search(replace(VARIANTS[name], members=members), depth, DEPTH_FAULTS, stage=Stage[stage])
 
 
-def _hunt(name: str) -> Found:
-    return hunt(FAULTS[name])
+def _find_fault(name: str) -> SearchResult:
+    return find_fault(SEEDED_FAULTS[name])
 
 
-def searched(walks: int, seed: int, depth: int, workers: int | None, write: Callable[[str], None]) -> bool:
+def run_model_search(
+    walks: int, seed: int, depth: int, workers: int | None, write: Callable[[str], None]
+) -> bool:
     """Whether no promise broke and each fault was found. `walks`: by variant and number of members; `depth`:
     of the search by breadth with two members, one less with three, two less with four."""
     good = True
@@ -41,17 +43,17 @@
                 pool.submit(_walk, name, members, seed * 1000 + n, min(WALKS_PER_TASK, walks))
                 for n in range(max(walks // WALKS_PER_TASK, 1))
             ]
-            for name in SOUND
+            for name in VARIANTS
             for members in (2, 3, 4)
         }
         deep = {
             (name, members, stage.name): pool.submit(_search, name, members, stage.name, deep)
             for members in (2, 3, 4)
             if (deep := depth + 2 - members) > 0
-            for name in SOUND
+            for name in VARIANTS
             for stage in Stage
         }
-        hunted = {name: pool.submit(_hunt, name) for name in FAULTS}
+        fault_searches = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
         write("| variant | members | states by random walks | broken |")
         write("| --- | ---: | ---: | --- |")
         for (name, members), parts in drawn.items():
@@ -72,14 +74,14 @@
         write("")
         write("| fault put in | found after states | as |")
         write("| --- | ---: | --- |")
-        for name, part in hunted.items():
+        for name, part in fault_searches.items():
             one = part.result()
             good = good and bool(one.violation)
             write(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
     return good
 
 
-def played(servers: int, plans: int, workers: int | None, write: Callable[[str], None]) -> bool:
+def run_simulations(servers: int, plans: int, workers: int | None, write: Callable[[str], None]) -> bool:
     """Whether nobody was past the bound in any plan, and all agreed after it."""
     good = True
     write(
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -37,15 +37,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hunt:
+class SeededFault:
     """Where a seeded fault shows: the model's parts, and events that random walks come to too rarely (`~`:
     one that the unchanged member may not come to). Without a depth, walks find it."""
 
     variant: Variant
     stage: Stage = Stage.QUIESCENT
-    story: tuple[str, ...] = ()
+    scenario: tuple[str, ...] = ()
     depth: int = 0
-    faults: int = 0
+    max_faults: int = 0
 
 
 _LATE_VOTE = (
@@ -136,61 +136,69 @@
     "count: commit",
 )
 # Each fault by its name, and where it shows.
-FAULTS: dict[str, Hunt] = {
-    "votes before the save": Hunt(
+SEEDED_FAULTS: dict[str, SeededFault] = {
+    "votes before the save": SeededFault(
         Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.QUIESCENT, _DISK_FULL, 4, 0
     ),
-    "trusts any state directory": Hunt(
+    "trusts any state directory": SeededFault(
         Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
     ),
-    "trusts its file": Hunt(
-        Variant(TrustsItsFile, rules=LEAVE_OUT, other_rules=FROM_DIRECTORY), Stage.QUIESCENT, _OLD_RULES, 4, 1
+    "trusts its file": SeededFault(
+        Variant(TrustsItsFile, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
+        Stage.QUIESCENT,
+        _OLD_RULES,
+        4,
+        1,
     ),
-    "uses the clock of the last answer": Hunt(Variant(UsesClockOfLastAnswer), Stage.VOTED, (), 7, 1),
-    "counts the bound from the answer": Hunt(Variant(CountsBoundFromAnswer)),
-    "never suspends": Hunt(Variant(NeverSuspends)),
-    "serves without a lease": Hunt(Variant(ServesWithoutLease, rules=LEAVE_OUT)),
-    "retains its sync without a lease": Hunt(
+    "uses the clock of the last answer": SeededFault(Variant(UsesClockOfLastAnswer), Stage.VOTED, (), 7, 1),
+    "counts the bound from the answer": SeededFault(Variant(CountsBoundFromAnswer)),
+    "never suspends": SeededFault(Variant(NeverSuspends)),
+    "serves without a lease": SeededFault(Variant(ServesWithoutLease, rules=LEAVE_OUT)),
+    "retains its sync without a lease": SeededFault(
         Variant(RetainsSyncWithoutLease, rules=LEAVE_OUT, has_disk=False)
     ),
-    "votes for any change": Hunt(Variant(VotesForAnyChange), Stage.OPEN, _LATE_VOTE, 5, 0),
-    "votes for any incarnation": Hunt(
+    "votes for any change": SeededFault(Variant(VotesForAnyChange), Stage.OPEN, _LATE_VOTE, 5, 0),
+    "votes for any incarnation": SeededFault(
         Variant(VotesForAnyIncarnation, rules=LEAVE_OUT, has_disk=False), Stage.OPEN, _OLD_INCARNATION, 5, 0
     ),
-    "syncs before it registers": Hunt(Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)),
-    "registers silently": Hunt(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
-    "takes foreign names": Hunt(
-        Variant(TakesForeignNames, has_twin=True), Stage.QUIESCENT, _NAME_AFTER_LEASE, 6, 0
+    "syncs before it registers": SeededFault(
+        Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)
     ),
-    "shares its name": Hunt(Variant(SharesItsName, has_twin=True)),
-    "applies before the commit": Hunt(Variant(AppliesBeforeCommit)),
-    "forgets its prepared vote": Hunt(
+    "registers silently": SeededFault(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
+    "takes foreign names": SeededFault(
+        Variant(TakesForeignNames, has_name_conflict=True), Stage.QUIESCENT, _NAME_AFTER_LEASE, 6, 0
+    ),
+    "shares its name": SeededFault(Variant(SharesItsName, has_name_conflict=True)),
+    "applies before the commit": SeededFault(Variant(AppliesBeforeCommit)),
+    "forgets its prepared vote": SeededFault(
         Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
     ),
-    "accepts any store": Hunt(Variant(AcceptsAnyStore, has_copies=True)),
-    "accepts any lease": Hunt(
-        Variant(AcceptsAnyLease, rules=LEAVE_OUT, has_copies=True), Stage.QUIESCENT, _LEASE_OF_COPY, 3, 2
+    "accepts any store": SeededFault(Variant(AcceptsAnyStore, has_backups=True)),
+    "accepts any lease": SeededFault(
+        Variant(AcceptsAnyLease, rules=LEAVE_OUT, has_backups=True), Stage.QUIESCENT, _LEASE_OF_COPY, 3, 2
+    ),
+    "trusts a late read": SeededFault(Variant(TrustsLateRead, rules=LEAVE_OUT)),
+    "never reads again": SeededFault(Variant(NeverReadsAgain)),
+    "finishes by majority": SeededFault(Variant(finish_change=finish_by_majority)),
+    "finishes without compares": SeededFault(Variant(finish_change=finish_without_compares)),
+    "finishes despite rejections": SeededFault(
+        Variant(finish_change=finish_despite_rejections, rejecting_member=0)
     ),
-    "trusts a late read": Hunt(Variant(TrustsLateRead, rules=LEAVE_OUT)),
-    "never reads again": Hunt(Variant(NeverReadsAgain)),
-    "finishes by majority": Hunt(Variant(finish_change=finish_by_majority)),
-    "finishes without compares": Hunt(Variant(finish_change=finish_without_compares)),
-    "finishes despite rejections": Hunt(Variant(finish_change=finish_despite_rejections, rejecting_member=0)),
-    "finishes without the absent": Hunt(Variant(finish_change=finish_without_absent)),
+    "finishes without the absent": SeededFault(Variant(finish_change=finish_without_absent)),
 }
 # The unchanged parts, in each surroundings that the promises are made for.
-SOUND: dict[str, Variant] = {
+VARIANTS: dict[str, Variant] = {
     "wait": Variant(),
     "wait, from its state directory": Variant(rules=FROM_DIRECTORY),
     "wait, disks that fill": Variant(rules=FROM_DIRECTORY, fills_disks=True),
     "leave-out": Variant(rules=LEAVE_OUT),
     "leave-out, no state directory": Variant(rules=LEAVE_OUT, has_disk=False),
-    "a name taken": Variant(has_twin=True),
+    "a name taken": Variant(has_name_conflict=True),
     "a policy that is bad for one": Variant(rejecting_member=0),
-    "rules that are mixed and change": Variant(rules=LEAVE_OUT, other_rules=FROM_DIRECTORY),
-    "another engine answers": Variant(has_copies=True),
-    "another engine, leave-out": Variant(rules=LEAVE_OUT, has_copies=True),
+    "rules that are mixed and change": Variant(rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
+    "another engine answers": Variant(has_backups=True),
+    "another engine, leave-out": Variant(rules=LEAVE_OUT, has_backups=True),
     "another engine, no state directory": Variant(
-        rules=LEAVE_OUT, has_disk=False, has_copies=True, names_store=True
+        rules=LEAVE_OUT, has_disk=False, has_backups=True, has_store_id=True
     ),
 }
--- a/tests/fleet/test_cell_search.py
+++ b/tests/fleet/test_cell_search.py
@@ -10,7 +10,7 @@
 from otterrudder.lab.fleet.cell_recovery import STEP_MS
 from otterrudder.lab.fleet.cell_search import WALK_LENGTH, find_fault, search, walk
 from otterrudder.lab.fleet.cell_seeded_faults import SEEDED_FAULTS
-from otterrudder.lab.fleet.cell_stages import CellStage, converged, staged
+from otterrudder.lab.fleet.cell_stages import CellStage, converged_model, model_at_stage
 from otterrudder.lab.fleet.cell_variants import CellVariant, all_variants
 from otterrudder.lab.fleet.cloning import clone, freeze
 
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("stage", CellStage)
 def test_cells_recover_from_each_stage(stage: CellStage) -> None:
-    model = staged(converged(CellVariant(cells=2, servers=3)), stage)
+    model = model_at_stage(converged_model(CellVariant(cells=2, servers=3)), stage)
     assert model.violation() == "" and model.recovery_violation() == ""
 
 
@@ -50,14 +50,14 @@
     assert found.violation, f"no violation in {found.states} states"
 
 
-@pytest.mark.parametrize("name", [name for name, what in SEEDED_FAULTS.items() if what.story])
+@pytest.mark.parametrize("name", [name for name, fault in SEEDED_FAULTS.items() if fault.scenario])
 def test_correct_code_passes_the_scenario_of_each_seeded_fault(name: str) -> None:
     found = find_fault(SEEDED_FAULTS[name], relay=Relay, participant=Participant)
     assert not found.violation, (found.violation, found.trail)
 
 
 def test_copied_model_is_independent_of_the_original() -> None:
-    models = [staged(converged(CellVariant()), CellStage.VOTED)]
+    models = [model_at_stage(converged_model(CellVariant()), CellStage.VOTED)]
     key = models[0].fingerprint()
     for _ in range(3):
         models.append(models[-1].copy())
