--- a/otterrudder/lab/processes/cluster.py
+++ b/otterrudder/lab/processes/cluster.py
@@ -282,7 +282,7 @@
 
     def server_stopped_at_failpoint(self, pid: int, since: float) -> ServerProcess:
         """Returns the server whose process stopped at a failpoint, at some time after `since`."""
-        server = next(each for each in self.servers if each.process and each.process.pid == pid)
+        server = next(running for running in self.servers if running.process and running.process.pid == pid)
         server.begin(Disturbance.FROZEN, since)
         return server
 
--- a/otterrudder/lab/processes/fake_etcd.py
+++ b/otterrudder/lab/processes/fake_etcd.py
@@ -88,7 +88,7 @@
         self._sorted: tuple[int, list[str]] = (0, [])  # a revision, and the keys at that revision in order
 
     def save(self) -> None:
-        """Replaces the state file, if there is one."""
+        """Replaces the state file if one is configured."""
         if self.state:
             temporary = self.state.with_suffix(".new")
             temporary.write_bytes(msgspec.msgpack.encode(replace(self.space, history=[])))
