--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -41,7 +41,7 @@
     assert all(end == pytest.approx(150.0) for end in ends.values())  # 3 jobs on 2 cores
     cpu.run(100.0, record_end(engine, ends, 9))
     engine.run(20_000.0)
-    assert ends[9] == pytest.approx(10_100.0)  # alone: one core, not two
+    assert ends[9] == pytest.approx(10_100.0)  # a single job uses only one of the two cores
 
 
 def test_faults_cold_start_and_contention_slow_jobs_down() -> None:
