--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -13,7 +13,6 @@
 from otterrudder.files import load_toml
 
 try:
-    from otterrudder.lab.day import SimulationResult
     from otterrudder.lab.demo import run_demo
     from otterrudder.lab.plan import Run, read_experiment
     from otterrudder.lab.report import figures_table, verdict_lines, write_results
@@ -21,6 +20,7 @@
     from otterrudder.lab.scale.experiment import is_scale, read_scale
     from otterrudder.lab.scale.play import settings_of
     from otterrudder.lab.site import InvalidInputError
+    from otterrudder.lab.site_simulation import SimulationResult
 except ModuleNotFoundError as missing:
     exit_bad_input(
         f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt"
--- a/otterrudder/lab/demo.py
+++ b/otterrudder/lab/demo.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 from typing import Any
 
-from otterrudder.lab.day import SiteSimulation
 from otterrudder.lab.plan import Experiment, Run, read_experiment
 from otterrudder.lab.report import write_results
 from otterrudder.lab.runner import ExperimentResult, simulate
+from otterrudder.lab.site_simulation import SiteSimulation
 
 LINE_S = 10  # simulated time for each printed line, in s
 BAR_COLUMNS = 40  # width of the bar for a demand of 2
--- a/otterrudder/lab/report.py
+++ b/otterrudder/lab/report.py
@@ -13,9 +13,9 @@
 
 from otterrudder import __version__
 from otterrudder.lab.claims import Group, Verdict, interval
-from otterrudder.lab.day import SimulationResult
 from otterrudder.lab.plan import ChartSection, Run, matches_case
 from otterrudder.lab.runner import ExperimentResult
+from otterrudder.lab.site_simulation import SimulationResult
 
 matplotlib.use("svg")
 matplotlib.rcParams.update(
--- a/otterrudder/lab/runner.py
+++ b/otterrudder/lab/runner.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from otterrudder.lab.claims import Verdict, evaluate
-from otterrudder.lab.day import BareThresholdSelector, SimulationResult, SiteSimulation
 from otterrudder.lab.plan import Experiment, Run
+from otterrudder.lab.site_simulation import BareThresholdSelector, SimulationResult, SiteSimulation
 from otterrudder.lab.tunables import tuned
 from otterrudder.levels import LevelSelector
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -13,12 +13,12 @@
 from otterrudder.admission.draining import Draining
 from otterrudder.admission.interface import Outcome
 from otterrudder.files import load_toml
-from otterrudder.lab.day import BareThresholdSelector, SiteSimulation
 from otterrudder.lab.faults import Fault
 from otterrudder.lab.plan import read_experiment
 from otterrudder.lab.runner import run_experiment, simulate
 from otterrudder.lab.shapes import LoadPart
 from otterrudder.lab.site import InvalidInputError, site_of
+from otterrudder.lab.site_simulation import BareThresholdSelector, SiteSimulation
 from otterrudder.levels import read_table
 from otterrudder.net import core
 from otterrudder.net.core import RequestCore
