--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -163,11 +163,11 @@
     """Run the experiment FILE with processes of the program and faults between them. Exits with 1 if a claim
     does not hold. Also needs the extra `fleet`."""
     try:
-        from otterrudder.lab.processes.cell_experiment import is_of_cells
+        from otterrudder.lab.processes.cell_experiment import is_cell_experiment
     except ModuleNotFoundError as error:
         _exit_without_fleet_extra(error)
     options = ProcessesOptions(file, seed, servers, quick, names, folder)
-    if not is_of_cells(file):
+    if not is_cell_experiment(file):
         sys.exit(0 if _run_with_members(options, shrink) else 1)
     if shrink:
         exit_bad_input("--shrink is not supported for experiments with cells")
--- a/otterrudder/lab/processes/cell_experiment.py
+++ b/otterrudder/lab/processes/cell_experiment.py
@@ -1,4 +1,4 @@
-"""An experiment with cells as processes: its file, its runs one after another, its claims and its table."""
+"""Runs an experiment with cells as processes: reads its file, runs its variants, and writes the results."""
 
 import json
 import shutil
@@ -30,47 +30,47 @@
 from otterrudder.lab.processes.server_process import LOG_FILE
 from otterrudder.lab.site import InvalidInputError
 
-VERSION = 1  # of the format
+VERSION = 1  # version of the file format
 MAX_CELLS = 8
-RELAYS_OF_CELL = 2
+RELAYS_PER_CELL = 2
 TABLE_HEADINGS = (
     "variant",
     "seed",
     "changes",
     "in force",
     "aborted",
-    "store unheard",
-    "odd after a round",
-    "not at work after one",
+    "store unavailable",
+    "another policy after a round",
+    "not serving after a round",
     "wrong version",
     "lost",
     "run twice",
     "quiet rounds",
-    "aside in them",
+    "suspensions in quiet rounds",
     "faults",
     "missed",
     "txns",
-    "aside of all",
+    "share rejected",
     "commit to last server, ms",
-    "without a fault",
+    "commit to last server without a fault, ms",
     "hollow servers",
-    "commit to last of them, ms",
-    "without a fault",
-    "leader's death to vote, ms",
+    "commit to last hollow server, ms",
+    "commit to last hollow server without a fault, ms",
+    "leader killed to next vote, ms",
 )
 
 
 class CellVariantSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """`[[variant]]` of the file."""
+    """A `[[variant]]` table of the file."""
 
     name: str
     absent: str = "wait"
     names_store: bool = False
-    hollow: int = 0  # hollow servers of each cell
+    hollow: int = 0  # number of hollow servers per cell
 
 
 class CellExperiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """The file; its fields are the keys."""
+    """The keys of the file."""
 
     version: int
     name: str
@@ -89,98 +89,99 @@
     variant: list[CellVariantSection]
 
     def variant_named(self, name: str) -> CellVariantSection:
-        """The variant of that name."""
+        """Returns the variant with the given name."""
         return next(variant for variant in self.variant if variant.name == name)
 
 
 @dataclass(frozen=True, slots=True)
 class HollowFigures:
-    """What the hollow servers of a run have reported; the fields are keys of results.json."""
+    """The figures of the hollow servers of a run. The fields are keys of results.json."""
 
     servers: int
-    overdue: int
-    asides: int  # servers that did not admit in a quiet round, summed up
-    switches: dict[int, float]  # by version: ms from its commit until the last one went by it
+    overdue: int  # spans in which a server admitted under an old version past the bound
+    asides: int  # servers that did not admit in a quiet round, summed over the rounds
+    switches: dict[int, float]  # by version: ms from its commit until the last server applied it
 
 
 @dataclass(slots=True)
 class CellRun:
-    """One variant under one seed, played."""
+    """The results of one variant with one seed."""
 
     variant: str
     seed: int
     result: CellRunResult
     check: CheckResult
     suspensions: list[Suspension]
-    switch_times: dict[int, float]  # by version
+    switch_times: dict[int, float]  # ms by version
     events: list[ClusterEvent]
     quiet_rounds: int
     hollow: HollowFigures
 
     @property
     def faultless_switch_times(self) -> list[float]:
-        """Of versions that came into force in rounds without a fault."""
-        return self._of_faultless_rounds(self.switch_times)
+        """Switch times of the versions that came into force in rounds without a fault."""
+        return self._times_of_faultless_rounds(self.switch_times)
 
     @property
     def faultless_hollow_switch_times(self) -> list[float]:
-        """The same, of the hollow servers."""
-        return self._of_faultless_rounds(self.hollow.switches)
+        """Switch times of the hollow servers for the versions of rounds without a fault."""
+        return self._times_of_faultless_rounds(self.hollow.switches)
 
-    def _of_faultless_rounds(self, times: dict[int, float]) -> list[float]:
+    def _times_of_faultless_rounds(self, times: dict[int, float]) -> list[float]:
         versions = {result.version for result in self.result.rounds if not result.faults and result.in_force}
         return [ms for version, ms in times.items() if version in versions]
 
     @property
     def broken(self) -> list[str]:
-        """Claims that did not hold."""
+        """The violated rules and claims, with their counts."""
         counts = {
-            "servers went by another policy after a round": self.result.outliers,
-            "relays, cells or servers were not at work after a round": self.result.not_serving,
-            "changes had no end": self.result.undecided,
+            "servers applied another policy after a round": self.result.outliers,
+            "relays, cells or servers did not serve after a round": self.result.not_serving,
+            "changes did not end in time": self.result.undecided,
             "policies came into force that a kind refuses": self.result.refused_in_force,
-            "servers stood aside in a quiet round": len(self.suspensions),
+            "servers suspended admission in a quiet round": len(self.suspensions),
             "hollow servers admitted past the bound": self.hollow.overdue,
-            "hollow servers stood aside in a quiet round": self.hollow.asides,
+            "hollow servers suspended admission in a quiet round": self.hollow.asides,
         }
         claims = [f"{count} {claim}" for claim, count in counts.items() if count]
         return broken_rules(self.check.figures) + claims
 
 
-def is_of_cells(path: Path) -> bool:
-    """Whether a file is an experiment of this module."""
+def is_cell_experiment(path: Path) -> bool:
+    """Returns whether a file describes an experiment with cells."""
     try:
         return "cells" in tomllib.loads(path.read_text())
     except (OSError, ValueError):
-        return False  # reading it as another experiment gives the reason
+        return False  # the reader of other experiments reports the error
 
 
 def read(path: Path) -> CellExperiment:
-    """The experiment in a file; InvalidInputError names the file and the key."""
+    """Reads an experiment from a file. Raises InvalidInputError, which names the file and the key."""
     experiment = convert(
         load_toml(path, InvalidInputError), CellExperiment, f"{path.name}: ", InvalidInputError
     )
     if experiment.version != VERSION:
-        raise InvalidInputError(
-            f"{path.name}: version: this program reads {VERSION}, not {experiment.version}"
-        )
+        raise InvalidInputError(f"{path.name}: version: must be {VERSION}, not {experiment.version}")
     cells = experiment.cells
     for key in ("servers", "quick_servers"):
         if not len(cells) <= getattr(experiment, key) <= MAX_SERVERS:
-            raise InvalidInputError(f"{path.name}: {key}: not from one a cell to {MAX_SERVERS}")
-    if not 1 <= len(cells) <= MAX_CELLS or set(cells.values()) != {RELAYS_OF_CELL}:
-        raise InvalidInputError(f"{path.name}: cells: from 1 to {MAX_CELLS} of two relays each are wanted")
+            raise InvalidInputError(
+                f"{path.name}: {key}: must be from {len(cells)}, one for each cell, to {MAX_SERVERS}"
+            )
+    if not 1 <= len(cells) <= MAX_CELLS or set(cells.values()) != {RELAYS_PER_CELL}:
+        raise InvalidInputError(f"{path.name}: cells: must be 1 to {MAX_CELLS} cells with two relays each")
     if not experiment.seeds or not experiment.variant:
-        raise InvalidInputError(f"{path.name}: seeds, variant: one of each is wanted at least")
+        raise InvalidInputError(f"{path.name}: seeds, variant: at least one of each is required")
     return experiment
 
 
 def only(experiment: CellExperiment, names: tuple[str, ...]) -> CellExperiment:
-    """The experiment with these variants, or all if none is named; InvalidInputError: there is none of that
-    name."""
+    """Returns the experiment with the named variants only, or with all variants if `names` is empty.
+
+    Raises InvalidInputError if there is no variant with one of the names."""
     known = [variant.name for variant in experiment.variant]
     if unknown := [name for name in names if name not in known]:
-        raise InvalidInputError(f"--variant: {unknown[0]!r} is none of {', '.join(known)}")
+        raise InvalidInputError(f"--variant: {unknown[0]!r} is not one of {', '.join(known)}")
     variants = [experiment.variant_named(name) for name in names] or experiment.variant
     return msgspec.structs.replace(experiment, variant=variants)
 
@@ -193,7 +194,7 @@
     report: Report,
     logs: Path | None = None,
 ) -> list[CellRun]:
-    """Plays all variants under all seeds, one at a time: they share the cores."""
+    """Runs all variants with all seeds. They run one after another, as they would compete for the cores."""
     runs = []
     for seed in seeds:
         for variant in experiment.variant:
@@ -213,10 +214,11 @@
     mutants: CellMutants | None = None,
     logs: Path | None = None,
 ) -> CellRun:
-    """Plays one variant through these rounds. `logs`: where the processes' logs go if a claim does not
-    hold."""
+    """Runs one variant with the given rounds.
+
+    If a claim does not hold, the logs of the processes are copied to a directory in `logs`."""
     variant = experiment.variant_named(variant_name)
-    max_sessions = experiment.sessions_most + RELAYS_OF_CELL * variant.hollow
+    max_sessions = experiment.sessions_most + RELAYS_PER_CELL * variant.hollow
     layout = CellLayout(dict(experiment.cells), experiment.server_lease_ms, max_sessions)
     options = ClusterOptions(
         absent=variant.absent,
@@ -228,22 +230,22 @@
     with tempfile.TemporaryDirectory() as directory:
         cluster = LinkedCellCluster(Path(directory), servers, layout, options, mutants or CellMutants())
         result = anyio.run(_perform, cluster, variant.hollow, rounds, report)
-        run = _check(cluster, variant_name, seed, result)
+        run = _evaluate(cluster, variant_name, seed, result)
         if run.broken and logs:
             _copy_logs(Path(directory), logs / f"{variant_name}-{seed}")
     return run
 
 
 async def _perform(
-    cluster: LinkedCellCluster, hollow_of_cell: int, rounds: list[CellRound], report: Report
+    cluster: LinkedCellCluster, hollow_per_cell: int, rounds: list[CellRound], report: Report
 ) -> CellRunResult:
     async with cluster.running():
-        await cluster.start_hollow(hollow_of_cell)
+        await cluster.start_hollow(hollow_per_cell)
         return await CellRunner(cluster, report).play(rounds)
 
 
-def _check(cluster: LinkedCellCluster, variant: str, seed: int, result: CellRunResult) -> CellRun:
-    """The run with what the history checker finds."""
+def _evaluate(cluster: LinkedCellCluster, variant: str, seed: int, result: CellRunResult) -> CellRun:
+    """Evaluates the history and the reports of a run."""
     return CellRun(
         variant,
         seed,
@@ -263,7 +265,7 @@
     suspended = [hollow.suspended_ms(window.start, window.end) for window in cluster.quiet_windows]
     return HollowFigures(
         hollow.count,
-        hollow.overdue(versions, cluster.options.bound_ms),
+        hollow.count_overdue(versions, cluster.options.bound_ms),
         sum(map(len, suspended)),
         hollow.switch_times(versions),
     )
@@ -276,7 +278,7 @@
 
 
 def table(runs: list[CellRun]) -> str:
-    """The runs as a Markdown table, a line a run."""
+    """Returns a Markdown table with one line for each run."""
     return markdown_table(TABLE_HEADINGS, [_row(run) for run in runs])
 
 
@@ -312,7 +314,7 @@
 
 
 def write(runs: list[CellRun], directory: Path) -> None:
-    """Writes results.json and the table."""
+    """Writes results.json and table.md."""
     directory.mkdir(parents=True, exist_ok=True)
     results = [_as_json(run) for run in runs]
     (directory / "results.json").write_text(json.dumps(results, indent=1))
--- a/otterrudder/lab/processes/cell_fault_injector.py
+++ b/otterrudder/lab/processes/cell_fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a round into a cluster of cells, and recovers from them."""
+"""Injects the faults of a round into a cluster of cells, and ends them."""
 
 import signal
 import subprocess
@@ -41,23 +41,23 @@
 from otterrudder.lab.processes.waiting import wait_until
 
 VOTE_TIMEOUT_S = 4.0
-VOTE_TIMEOUT_UNHELD_S = 0.1  # where the change may have ended before
-FAILPOINT_TIMEOUT_S = 9.0  # a lease expires first, and another relay takes over
+VOTE_TIMEOUT_UNHELD_S = 0.1  # timeout if the change may already have ended
+FAILPOINT_TIMEOUT_S = 9.0  # includes the expiry of a lease and the takeover by another relay
 DRAIN_TIMEOUT_S = 25.0
-FEW_SESSIONS = 2  # of a full relay: half of its servers have to go elsewhere
+FULL_RELAY_SESSIONS = 2  # limit of a full relay: half of its servers have to use another relay
 AFTER_VOTE_SUFFIX = " later"
 
 _NO_LINK = BrokenLink("", LinkFault())
 
 
 class CellFaultInjector:
-    """The faults of one round: a new one is made for each."""
+    """Injects and ends the faults of one round. Each round needs a new injector."""
 
     def __init__(self, cluster: LinkedCellCluster, round_: CellRound) -> None:
         self.cluster = cluster
         self.round = round_
-        self.missed: list[CellFault] = []  # that never came about
-        self._relays: dict[CellFault, LinkedRelay] = {}  # whom a fault is drawn to
+        self.missed: list[CellFault] = []  # faults that did not occur
+        self._relays: dict[CellFault, LinkedRelay] = {}  # target of each fault on a relay
         store = cluster.store
         self._relay_handlers: dict[str, Callable[[LinkedRelay], None]] = {
             "relay killed": cluster.kill_relay,
@@ -82,24 +82,26 @@
         }
 
     async def choose_relay(self, fault: CellFault) -> None:
-        """Chooses the relay that a fault is drawn to, while all serve."""
+        """Chooses the relay that a fault affects. All relays must be serving."""
         if not fault.cell:
             return
         leader = await self.cluster.leader_of(fault.cell)
         if leader is None:
             self.missed.append(fault)
             return
-        is_of_standby = fault.role == STANDBY or fault.point in STANDBY_POINTS
+        targets_standby = fault.role == STANDBY or fault.point in STANDBY_POINTS
         others = [relay for relay in self.cluster.relays_of(fault.cell) if relay is not leader]
-        self._relays[fault] = others[0] if is_of_standby else leader
+        self._relays[fault] = others[0] if targets_standby else leader
 
     async def arm(self, fault: CellFault) -> None:
-        """Arms a failpoint, and removes a leader who could keep others from coming forward."""
+        """Arms the failpoint of a fault.
+
+        For a failpoint of the leadership, the leader is removed first, as nobody else would claim it."""
         failpoints = self.cluster.failpoints
         if fault in self.missed:
             return
         if fault.kind == "proposer killed":
-            # "after commit" is armed once the proposer has come to its own commit.
+            # "after commit" is armed once the proposer has reached its own commit.
             point = "before commit" if fault.point == "after commit" else fault.point
             failpoints.arm(failpoints.for_proposers, point)
         elif fault.kind in POINT_FAULTS:
@@ -112,14 +114,14 @@
             return self.cluster.failpoints.for_all
         return self._relays[fault].failpoints
 
-    # Before the change is proposed.
+    # Injection before the change is proposed
 
     async def inject(self, fault: CellFault) -> None:
-        """Injects what begins with the round; does nothing for faults that meet an open change."""
+        """Injects a fault that begins with the round. Faults that need an open change are left for later."""
         if fault in self.missed or fault.kind.endswith(AFTER_VOTE_SUFFIX):
             return
         if fault.kind in POINT_FAULTS:
-            self._bring_to_failpoint(fault)
+            self._drive_to_failpoint(fault)
         elif fault.is_of_server:
             await self._inject_into_server(fault, self.cluster.servers[fault.server])
         elif fault in self._relays:
@@ -127,8 +129,8 @@
         else:
             await self._inject_into_store(fault)
 
-    def _bring_to_failpoint(self, fault: CellFault) -> None:
-        """Makes the relay that stands by come to its failpoint."""
+    def _drive_to_failpoint(self, fault: CellFault) -> None:
+        """Makes the standby relay reach its failpoint."""
         if fault.point in TAKEOVER_POINTS:
             for relay in self.cluster.relays_of(fault.cell):
                 if relay is not self._relays[fault]:
@@ -147,7 +149,7 @@
             self._relay_handlers[fault.kind](self._relays[fault])
 
     def _inject_into_cell(self, fault: CellFault) -> None:
-        """Injects a fault of all relays, or of all servers, of a cell."""
+        """Injects a fault into all relays or all servers of a cell."""
         cluster = self.cluster
         if fault.kind == "servers restarted":
             for server in cluster.servers_of(fault.cell):
@@ -157,7 +159,7 @@
             return
         for relay in cluster.relays_of(fault.cell):
             if fault.kind == "relay full":
-                cluster.restart_with_sessions(relay, FEW_SESSIONS)
+                cluster.restart_with_sessions(relay, FULL_RELAY_SESSIONS)
             else:
                 self._relay_handlers[fault.kind](relay)
 
@@ -182,7 +184,7 @@
         broken = SERVER_LINK_FAULTS[kind]
         if broken.link == PRESENT_RELAY_LINK:
             status = await self.cluster.server_status(server)
-            addresses = _relays_reached_by(server, str(status.get("relay")))
+            addresses = _relays_behind_link(server, str(status.get("relay")))
             self.cluster.set_links_of_server(server, broken.fault, addresses)
         elif broken.link == RELAYS_LINKS:
             self.cluster.set_links_of_server(server, broken.fault)
@@ -200,12 +202,14 @@
         elif fault.kind in STORE_MESSAGES:
             await store.inject(**STORE_MESSAGES[fault.kind])
 
-    # While the change is open.
+    # Injection while the change is open
 
     async def inject_while_open(
         self, fault: CellFault, proposer: subprocess.Popen[bytes], is_held: bool
     ) -> None:
-        """Injects what meets an open change: at a failpoint, or once the cell has voted."""
+        """Injects a fault that needs an open change: at a failpoint, or once the cell has voted.
+
+        `is_held`: whether the store holds back the end of the change."""
         if fault in self.missed:
             return
         if fault.kind in POINT_FAULTS:
@@ -251,10 +255,10 @@
         else:
             await self._store_handlers[fault.kind]()
 
-    # Recovery.
+    # Recovery
 
     async def recover(self) -> None:
-        """Ends all faults."""
+        """Ends all faults, and restarts the processes that have stopped."""
         cluster = self.cluster
         await cluster.disarm_failpoints(0.0)
         kinds = self.round.kinds
@@ -305,6 +309,6 @@
     relay.store_link.set_fault(CUT)
 
 
-def _relays_reached_by(server: ServerProcess, address: str) -> list[str]:
-    """The relay that a server reaches by that address of a link."""
+def _relays_behind_link(server: ServerProcess, address: str) -> list[str]:
+    """Returns the relay that a server reaches through the link with the given address."""
     return [name for name, link in server.links.items() if "{}:{}".format(*link.address) == address]
--- a/otterrudder/lab/processes/cell_fault_schedule.py
+++ b/otterrudder/lab/processes/cell_fault_schedule.py
@@ -1,4 +1,6 @@
-"""Draws a schedule of faults for a cluster of cells from a seed, whole, before anything starts."""
+"""Draws the schedule of faults for a cluster of cells from a seed.
+
+The whole schedule is drawn before the cluster starts."""
 
 import random
 
@@ -30,20 +32,21 @@
     STORE_FAULTS,
 )
 
-FAULT_COUNTS = (0, 1, 1, 1, 2, 2)  # of a round, drawn from these
-QUIET_EVERY = 5  # rounds: one of them is quiet
-FAULT_DURATION_S = (0.5, 5.0)  # that the faults of a round last: beyond the store's lease at times
+FAULT_COUNTS = (0, 1, 1, 1, 2, 2)  # numbers of faults of a round, from which one is drawn
+QUIET_ROUND_INTERVAL = 5  # every fifth round is quiet
+# Ranges of the duration of the faults of a round. Some faults last longer than the lease of the store.
+FAULT_DURATION_S = (0.5, 5.0)
 QUIET_FAULT_DURATION_S = (4.5, 6.5)
 TWO_LEADERS_DURATION_S = (7.5, 9.5)
 
 
 def draw(seed: int, cells: tuple[str, ...], servers: int, rounds: int, absent: str) -> list[CellRound]:
-    """The schedule of a seed; `absent`: the fleet's rule for absent members."""
+    """Returns the schedule of a seed. `absent` is the rule of the fleet for absent members."""
     return _CellFaultSchedule(seed, cells, servers, absent).draw(rounds)
 
 
 class _CellFaultSchedule:
-    """Shuffled decks of all faults, drawn round by round."""
+    """Draws the rounds one after another from shuffled decks of all faults."""
 
     def __init__(self, seed: int, cells: tuple[str, ...], servers: int, absent: str) -> None:
         self.random = random.Random(f"cells/{seed}")
@@ -57,7 +60,7 @@
         rounds: list[CellRound] = []
         changes = 0
         for number in range(1, count + 1):
-            if number % QUIET_EVERY == 0:
+            if number % QUIET_ROUND_INTERVAL == 0:
                 rounds.append(self._quiet_round(number))
             else:
                 changes += 1
@@ -82,7 +85,7 @@
         return CellRound(number, product, faults, self.random.uniform(*duration_range_s))
 
     def _draw_faults(self) -> tuple[CellFault, ...]:
-        """What does not go together with the others of the round is put back, to be drawn later."""
+        """Draws the faults of a round. A fault that is incompatible with the others is put back for later."""
         drawn: list[CellFault] = []
         put_back: list[Card] = []
         for _ in range(self.random.choice(FAULT_COUNTS)):
@@ -99,7 +102,7 @@
         return tuple(drawn)
 
     def _is_possible(self, card: Card) -> bool:
-        """Nobody is asked for an endorsement under leave-out."""
+        """Returns whether the fault can occur. With `absent` "leave-out", relays request no endorsements."""
         return self.absent == "wait" or card.point not in ENDORSEMENT_POINTS
 
     def _fault(self, card: Card) -> CellFault:
@@ -111,19 +114,19 @@
 
 
 def are_compatible(faults: list[CellFault]) -> bool:
-    """Whether each fault has its target for itself, and can come about beside the others."""
+    """Returns whether no two faults share a target, and each fault can occur together with the others."""
     targets = [target for fault in faults for target in _targets(fault)]
     if len(targets) != len(set(targets)):
         return False
     kinds = {fault.kind for fault in faults}
-    # A server that is away is not asked, and nobody refuses for it.
+    # An absent server is not polled, so that no server would refuse the policy.
     if len(faults) > 1 and kinds & {"kind refuses", "servers restarted"}:
         return False
-    return _can_come_about(faults, kinds)
+    return _can_occur_together(faults, kinds)
 
 
 def _targets(fault: CellFault) -> list[str]:
-    """What a fault needs for itself."""
+    """Returns the names of the targets that a fault must not share with other faults."""
     if fault.point in ENDORSEMENT_POINTS:
         return ["store", f"cell {fault.cell}"]
     if fault.point in ANY_RELAY_POINTS and fault.kind in POINT_FAULTS:
@@ -137,7 +140,7 @@
     return ["change"]
 
 
-def _can_come_about(faults: list[CellFault], kinds: set[str]) -> bool:
+def _can_occur_together(faults: list[CellFault], kinds: set[str]) -> bool:
     points = {fault.point for fault in faults if fault.kind in POINT_FAULTS}
     has_relay_fault = any(fault.cell and fault.point not in ANY_RELAY_POINTS for fault in faults)
     if points & set(ANY_RELAY_POINTS) and has_relay_fault:
@@ -147,19 +150,19 @@
             return False
         if len(faults) > 1 and "bad policy" in kinds:
             return False
-    # A relay that starts anew has no memory, and trusts the first engine that answers.
+    # A restarted relay has lost its state, and trusts the first engine that answers.
     return not (kinds & set(REPLACED_STORE_FAULTS) and any(fault.cell for fault in faults))
 
 
 def _needs_votes(faults: list[CellFault], kinds: set[str], points: set[str]) -> bool:
-    """Whether a fault waits for a vote, or for what comes after it."""
+    """Returns whether a fault waits for a vote or for a later step of the change."""
     if points - set(ENDORSEMENT_POINTS) or any(fault.point in COMMIT_POINTS for fault in faults):
         return True
     return bool(kinds & {*RELAY_AFTER_VOTE_FAULTS, "server frozen later", "older copy later"})
 
 
 def _prevents_votes(faults: list[CellFault], kinds: set[str], points: set[str]) -> bool:
-    """Whether with a fault no vote comes about, or none in time."""
+    """Returns whether a fault prevents or delays the votes."""
     if kinds & {*NO_VOTES_FAULTS, *STORE_ONCE_OPEN_FAULTS, "store slow"}:
         return True
     return bool(points & set(ENDORSEMENT_POINTS)) or any(fault.point == BEFORE_PROPOSE for fault in faults)
--- a/otterrudder/lab/processes/cell_faults.py
+++ b/otterrudder/lab/processes/cell_faults.py
@@ -1,6 +1,6 @@
-"""The faults of a cluster of cells: their names, the links that they break, and the failpoints.
+"""Defines the faults of a cluster of cells: their names, the faulty links, and the failpoints.
 
-The names stand in results; the order of the tuples decides what a seed draws."""
+The names appear in results. The order of the tuples determines which faults a seed draws."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CellFault:
-    """A fault by its name, and whom it is drawn to."""
+    """A fault and its target: a relay, a cell, a server, the store or the change."""
 
     kind: str
-    cell: str = ""  # of a relay's or a cell's fault
-    role: str = ""  # of the relay, as the fault is drawn
+    cell: str = ""  # cell of the relays that the fault affects; "": the fault affects no cell
+    role: str = ""  # role of the relay at the time when the target is chosen
     server: int = NO_SERVER
-    point: str = ""  # the failpoint
+    point: str = ""  # name of the failpoint
 
     @property
     def is_of_server(self) -> bool:
-        """Whether it is drawn to a server."""
+        """Whether the target of the fault is a server."""
         return self.server >= 0
 
     def __str__(self) -> str:
@@ -46,36 +46,37 @@
 
 @dataclass(frozen=True, slots=True)
 class CellRound:
-    """One change of policy with the faults that go on meanwhile, or a quiet round: no change, and one fault
-    that no server's service depends on."""
+    """One change of policy with concurrent faults, or a quiet round.
+
+    A quiet round has no change, and one fault that must not interrupt the service of any server."""
 
     number: int
-    rejected_product: str  # by the policy that is proposed; "": quiet
+    rejected_product: str  # product that the proposed policy rejects; "": quiet round
     faults: tuple[CellFault, ...]
-    fault_duration_s: float  # that the faults last
+    fault_duration_s: float
 
     @property
     def is_quiet(self) -> bool:
-        """Whether no change is made."""
+        """Whether the round has no change of policy."""
         return not self.rejected_product
 
     @property
     def kinds(self) -> set[str]:
-        """The names of its faults."""
+        """The kinds of the faults of this round."""
         return {fault.kind for fault in self.faults}
 
 
 class Card(NamedTuple):
-    """A fault of the deck, before it is drawn to somebody."""
+    """A fault of the deck, which has no target yet."""
 
     kind: str
     role: str = ""
     point: str = ""
 
 
-# The links of a relay.
+# Names of the links of a relay, and the faults on them.
 STORE_LINK = "store"
-PEER_LINK = "peer"  # from the other relay of its cell
+PEER_LINK = "peer"  # link from the other relay of its cell
 SERVERS_LINKS = "servers"
 ALL_LINKS = "all"
 RELAY_LINK_FAULTS = {
@@ -90,7 +91,7 @@
     "relay one way from peer": BrokenLink(PEER_LINK, BLOCKED_FORWARD),
     "relay cut off": BrokenLink(ALL_LINKS, CUT),
 }
-# Dealt once the cell has voted.
+# Faults that are injected once the cell has voted.
 RELAY_AFTER_VOTE_FAULTS = ("relay killed later", "relay frozen later", "relay cut from store later")
 RELAY_FAULTS = (
     "relay killed",
@@ -103,7 +104,7 @@
 LEADER_ONLY_FAULTS = ("relay full", *RELAY_AFTER_VOTE_FAULTS)
 CELL_FAULTS = ("cell killed", "cell frozen", "cell cut from store", "servers restarted")
 
-# The links of a server: its own by name, to all relays, or to its present relay.
+# Names of the links of a server: all links to relays, the link to its present relay, or a single link.
 RELAYS_LINKS = "relays"
 PRESENT_RELAY_LINK = "present"
 SERVER_LINK_FAULTS = {
@@ -126,7 +127,7 @@
 STORE_ONCE_OPEN_FAULTS = ("store killed once open", "store frozen once open")
 CHANGE_FAULTS = ("two at once", "bad policy", "kind refuses")
 
-# Of the relay that leads a cell: while it votes, coordinates, and informs its servers.
+# Failpoints that the leader of a cell passes while it votes, coordinates a change and informs its servers.
 CELL_LEADER_POINTS = (
     "before vote",
     "after vote",
@@ -136,12 +137,13 @@
     "before grant",
     "before in force",
 )
-# Of the one that stands by: the leader is killed, or the store frozen, so that it reaches them.
+# Failpoints of the standby relay of a cell. It reaches the first two after the leader is killed, and the
+# other two after the store is frozen.
 TAKEOVER_POINTS = ("before register", "after register")
 ENDORSEMENT_POINTS = ("before consent", "after consent")
 STANDBY_POINTS = (*TAKEOVER_POINTS, *ENDORSEMENT_POINTS)
 POINTS = (*CELL_LEADER_POINTS, *STANDBY_POINTS)
-ANY_RELAY_POINTS = (*LEADER_POINTS, *COMMIT_POINTS)  # who coordinates is not known before
+ANY_RELAY_POINTS = (*LEADER_POINTS, *COMMIT_POINTS)  # the coordinator is not known in advance
 POINT_FAULTS = ("relay killed at point", "relay halted at point")
 
 DECK = (
@@ -160,7 +162,8 @@
     *(Card(kind, point=point) for kind in POINT_FAULTS for point in POINTS),
     *(Card("proposer killed", point=point) for point in PROPOSER_POINTS),
 )
-# What no server's service depends on: one relay of a cell; the store, under `wait`.
+# Faults that must not interrupt the service of any server: the failure of one relay of a cell, and, where
+# `absent` is "wait", the failure of the store.
 QUIET_RELAY_CARDS = (
     Card("relay killed", LEADER),
     Card("relay frozen", LEADER),
@@ -172,8 +175,9 @@
     Card("relay frozen", STANDBY),
 )
 QUIET_STORE_CARDS = (Card("store killed"), Card("store frozen"), Card("store down"))
-# A leader that is cut off from the store goes on for its lease. The other one takes over, a change is
-# committed, and the bound ends: until then there are two leaders.
+# Faults that can leave a cell with two leaders for a time. A leader that is cut off from the store goes on
+# until its lease expires, while the other relay takes over. They overlap until a change is committed and its
+# bound has passed.
 TWO_LEADERS_FAULTS = (
     "relay cut from store",
     "relay cut from store later",
--- a/otterrudder/lab/processes/cell_hollow.py
+++ b/otterrudder/lab/processes/cell_hollow.py
@@ -1,8 +1,8 @@
-"""Hollow servers beside the real ones of a cluster of cells: some hundreds in a few processes, with the agent
-and the stream of a server and no requests.
+"""Runs hollow servers in a cluster of cells: several hundred of them in a few processes.
 
-They report at once which version they go by and whether they admit, by the clock that all processes of a
-machine share. So a switch is timed exactly, and a suspension is seen."""
+A hollow server has the agent and the stream of a server, and no requests. It reports immediately which
+version of the policy it applies and whether it admits, with the time by the clock that all processes of a
+machine share. From these reports follow the exact time of each switch and the length of each suspension."""
 
 import os
 import subprocess
@@ -21,25 +21,25 @@
 from otterrudder.lab.processes.server_process import LOG_FILE
 from otterrudder.lab.scale.hollow import Switched
 
-MAX_CHUNK = 65536  # bytes that are read in one go
+READ_SIZE_BYTES = 65536
 _DECODER = msgspec.json.Decoder(Switched)
 
 
 @dataclass(frozen=True, slots=True)
 class _ReportSpan:
-    """A report, and until when it was so."""
+    """A report of a server, and the time in ms until which it holds."""
 
     report: Switched
     end: float
 
     def overlap_ms(self, start: float, end: float) -> float:
-        """The time that it has in common with another span; negative if none."""
+        """Returns the overlap with the span from `start` to `end`, in ms; negative if there is none."""
         return min(self.end, end) - max(self.report.at_ms, start)
 
 
 @dataclass(slots=True)
 class HollowServers:
-    """The processes, and all reports of their servers in the order of their times."""
+    """The processes of hollow servers, and all reports in the order in which they were read."""
 
     reports: list[Switched] = field(default_factory=list)
     count: int = 0
@@ -49,7 +49,7 @@
     def start(
         self, fleet_file: Path, configuration: Path, prefix: str, count: int
     ) -> subprocess.Popen[bytes]:
-        """Starts a process of so many servers, in the directory of the fleet's file."""
+        """Starts a process of `count` hollow servers, which use the directory of the fleet file."""
         directory = fleet_file.parent
         arguments = [str(fleet_file), str(configuration), "--count", str(count), "--prefix", prefix]
         arguments += ["--folder", str(directory)]
@@ -67,66 +67,73 @@
         return process
 
     async def listen(self, process: subprocess.Popen[bytes]) -> None:
-        """Records the reports of a process until it ends, or this is cancelled."""
+        """Records the reports of a process until it ends or the call is cancelled."""
         assert process.stdout
         descriptor = process.stdout.fileno()
         os.set_blocking(descriptor, False)
-        rest = b""
+        incomplete_line = b""
         while True:
             await anyio.wait_readable(descriptor)
-            data = os.read(descriptor, MAX_CHUNK)
+            data = os.read(descriptor, READ_SIZE_BYTES)
             if not data:
                 return
-            *lines, rest = (rest + data).split(b"\n")
+            *lines, incomplete_line = (incomplete_line + data).split(b"\n")
             for line in lines:
-                self._note(_DECODER.decode(line))
+                self._record(_DECODER.decode(line))
 
-    def _note(self, report: Switched) -> None:
+    def _record(self, report: Switched) -> None:
         self.reports.append(report)
         self._latest[report.server] = report
 
-    def outdated(self, version: int) -> int:
-        """How many do not admit under that version now."""
+    def count_outdated(self, version: int) -> int:
+        """Returns the number of servers that don't admit under the given version now."""
         current = sum(report.admits and report.version == version for report in self._latest.values())
         return self.count - current
 
     def switch_times(self, versions: list[VersionInForce]) -> dict[int, float]:
-        """By version: ms from its commit until the last server that switched to it had done so."""
-        first: dict[tuple[int, str], float] = {}
+        """Returns by version the time in ms from its commit until the last report of a switch to it.
+
+        A version to which no server switched has no entry."""
+        switched_at: dict[tuple[int, str], float] = {}
         for report in self.reports:
-            first.setdefault((report.version, report.server), report.at_ms)
-        last: dict[int, float] = {}
-        for (version_number, _), at_ms in first.items():
-            last[version_number] = max(last.get(version_number, 0.0), at_ms)
+            switched_at.setdefault((report.version, report.server), report.at_ms)
+        last_switch_ms: dict[int, float] = {}
+        for (version_number, _), at_ms in switched_at.items():
+            last_switch_ms[version_number] = max(last_switch_ms.get(version_number, 0.0), at_ms)
         return {
-            version.version: max(0.0, last[version.version] - version.by)
+            version.version: max(0.0, last_switch_ms[version.version] - version.by)
             for version in versions[1:]
-            if version.version in last
+            if version.version in last_switch_ms
         }
 
-    def overdue(self, versions: list[VersionInForce], bound_ms: float) -> int:
-        """Spans in which a server admitted under a version that had been out of force for longer than the
-        bound."""
-        ends = {
+    def count_overdue(self, versions: list[VersionInForce], bound_ms: float) -> int:
+        """Counts the spans in which a server admitted under an old version after the bound had passed.
+
+        The bound begins when the next version comes into force."""
+        latest_ends_ms = {
             earlier.version: later.by + bound_ms + BOUND_SLACK_MS
             for earlier, later in zip(versions, versions[1:], strict=False)
         }
         return sum(
-            span.report.admits and span.end > ends.get(span.report.version, span.end)
+            span.report.admits and span.end > latest_ends_ms.get(span.report.version, span.end)
             for span in self._spans()
         )
 
     def suspended_ms(self, start: float, end: float) -> dict[str, float]:
-        """By server: how long it did not admit within a span; servers that always did are left out."""
-        found: dict[str, float] = defaultdict(float)
+        """Returns by server how long, in ms, it did not admit between `start` and `end`.
+
+        Servers that admitted all the time have no entry."""
+        suspended: dict[str, float] = defaultdict(float)
         for span in self._spans():
             overlap_ms = span.overlap_ms(start, end)
             if not span.report.admits and overlap_ms > 0:
-                found[span.report.server] += overlap_ms
-        return dict(found)
+                suspended[span.report.server] += overlap_ms
+        return dict(suspended)
 
     def _spans(self) -> Iterator[_ReportSpan]:
-        """Each report with the time of its server's next one, or of the last of all."""
+        """Yields each report with the time of the next report of its server.
+
+        The last report of a server holds until the time of the latest report of all servers."""
         by_server: dict[str, list[Switched]] = defaultdict(list)
         for report in self.reports:
             by_server[report.server].append(report)
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -1,4 +1,6 @@
-"""The program with one rule of cells left out: the history checker has to find each from the wire.
+"""Runs a server or a relay in which one rule of the cell protocol is disabled.
+
+The history checker has to detect each of these mutants from the messages on the wire.
 
 python -m otterrudder.lab.processes.cell_mutants server "ignores its lease's end"
 python -m otterrudder.lab.processes.cell_mutants relay "grants past its authority" relay.toml"""
@@ -23,33 +25,35 @@
 
 
 class IgnoresLeaseEnd(Participant):
-    """Admits by what it last received, for as long as it receives nothing."""
+    """Goes on admitting after its lease has expired."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """Serving where the lease has expired."""
+        """Reports SERVING in place of an expired lease or an outdated policy."""
         status = super().admission_status(now)
         is_outdated = status in (AdmissionStatus.LEASE_EXPIRED, AdmissionStatus.OUTDATED)
         return AdmissionStatus.SERVING if is_outdated else status
 
 
 class GrantsPastAuthority(Relay):
-    """Grants for as long as it believes that it leads, without the store's lease or an endorsement."""
+    """Grants leases while it believes that it leads, without a lease from the store or an endorsement."""
 
     def authority_until(self, now: float) -> float:
-        """For ever while it believes that it leads."""
+        """Returns infinity while the relay believes that it leads."""
         return math.inf if self.leads() else -math.inf
 
 
-class PushesToNobody(Relay):
-    """Sends a newer policy only to servers that have none."""
+class KeepsOldPolicies(Relay):
+    """Sends a policy only to servers that have no policy yet, so that others keep an old one."""
 
     def _push_policy(self, now: float, session: Session) -> None:
         if not session.version:
             super()._push_policy(now, session)
 
 
-def _endorses_always() -> None:
-    """Endorses also while it leads, or reaches the store, and takes part all the same."""
+def _endorse_always() -> None:
+    """Makes relays endorse even while they lead or reach the store.
+
+    A relay that has endorsed is not bound by the endorsement."""
 
     def answer(
         self: EndorsementGiver,
@@ -64,8 +68,8 @@
     setattr(EndorsementGiver, "answer", answer)  # noqa: B010
 
 
-def _votes_without_asking() -> None:
-    """Votes yes for its servers."""
+def _vote_without_polling() -> None:
+    """Makes relays vote yes without polling their servers."""
 
     def next_requests(_self: ValidationPoll, _now: float, _candidates: Iterable[Candidate]) -> list[int]:
         return []
@@ -90,16 +94,16 @@
 }
 RELAY_MUTANTS: dict[str, Callable[[], None]] = {
     "grants past its authority": _with_relay(GrantsPastAuthority),
-    "tells nobody": _with_relay(PushesToNobody),
-    "consents while it leads": _endorses_always,
-    "votes without asking": _votes_without_asking,
+    "tells nobody": _with_relay(KeepsOldPolicies),
+    "consents while it leads": _endorse_always,
+    "votes without asking": _vote_without_polling,
 }
 
 
 def _run_relay(file: Path) -> None:
     fleet = read_fleet(file)
     if not fleet.relay:
-        raise ValueError(f"{file}: relay: the file has no such table")
+        raise ValueError(f"{file}: the file has no [relay] table")
     log.configure_logging(relay.control_name(fleet.relay))
     relay.run(fleet, fleet.relay)
 
--- a/otterrudder/lab/processes/cell_runner.py
+++ b/otterrudder/lab/processes/cell_runner.py
@@ -1,4 +1,4 @@
-"""Plays rounds on a cluster of cells: changes of policy with faults under way, and quiet rounds."""
+"""Runs rounds on a cluster of cells: changes of policy with concurrent faults, and quiet rounds."""
 
 import subprocess
 from collections.abc import Iterable
@@ -22,18 +22,18 @@
 )
 from otterrudder.lab.processes.waiting import wait_until
 
-CHANGE_DEADLINE_S = 14.0  # a cell votes again within some 6 s of its leader's death
-CHANGE_END_TIMEOUT_S = 25.0  # in which a change must have ended once all has recovered
-STORE_UNAVAILABLE = "exit 4"  # of a proposer: the store does not answer
-REFUSED_BY_ONE = "kind refuses"  # a fault: a policy that only one fingerprint has to refuse
-LEADER_DEATH = "relay killed"
+CHANGE_DEADLINE_S = 14.0  # a cell votes again about 6 s after its leader is killed
+CHANGE_END_TIMEOUT_S = 25.0  # maximum time from the recovery of all faults to the end of the change
+STORE_UNAVAILABLE = "exit 4"  # exit code of a proposer that has no answer from the store
+REFUSED_BY_ONE = "kind refuses"  # fault: a policy that only servers with one fingerprint have to refuse
+RELAY_KILLED = "relay killed"
 UNDECIDED = "undecided"
 QUIET = "quiet"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderDeath:
-    """A leader was killed at `at`, and its cell has voted again at `voted_at`, in ms."""
+    """The times, in ms, when the leader of a cell was killed and when the cell next voted."""
 
     at: float
     cell: str
@@ -42,22 +42,22 @@
 
 @dataclass(slots=True)
 class CellRoundResult:
-    """What came of a round."""
+    """The result of a round."""
 
     number: int
     faults: tuple[CellFault, ...]
-    missed: list[CellFault]  # that never came about
+    missed: list[CellFault]  # faults that did not occur
     is_quiet: bool
-    end: str  # how the change ended
+    end: str  # exit codes of the proposers, UNDECIDED or QUIET
     proposals: int
-    in_force: int  # changes that came into force
-    version: int  # in force at its end
-    outliers: list[str]  # servers that went by another policy at its end
-    not_serving: list[str]  # who did not serve again in time
-    is_refused_in_force: bool  # a policy came into force that a server had to refuse
+    in_force: int  # number of changes that came into force
+    version: int  # version in force at the end of the round
+    outliers: list[str]  # servers that applied another policy at the end of the round
+    not_serving: list[str]  # cells, relays and servers that did not serve again in time
+    is_refused_in_force: bool  # whether a policy came into force that a server had to refuse
 
     def as_json(self) -> dict[str, object]:
-        """The round in results.json."""
+        """Returns the entry of this round in results.json."""
         return dict(
             number=self.number,
             faults=_names_of(self.faults),
@@ -70,7 +70,7 @@
         )
 
     def line(self) -> str:
-        """The round for whoever watches."""
+        """Returns the line that reports the progress of the run."""
         result = "" if self.is_quiet else f"in force: {self.in_force}"
         remarks = [f"(missed: {_names_of(self.missed)})"] if self.missed else []
         if self.outliers:
@@ -83,24 +83,24 @@
 
 @dataclass(slots=True)
 class CellRunResult:
-    """What came of a run."""
+    """The results of all rounds of a run."""
 
     rounds: list[CellRoundResult] = field(default_factory=list)
     leader_deaths: list[LeaderDeath] = field(default_factory=list)
 
     @property
     def changes(self) -> int:
-        """All proposals."""
+        """The number of proposed changes."""
         return sum(result.proposals for result in self.rounds)
 
     @property
     def committed(self) -> int:
-        """Changes that came into force."""
+        """The number of changes that came into force."""
         return sum(result.in_force for result in self.rounds)
 
     @property
     def unanswered(self) -> int:
-        """Changes that did not come into force, and whose proposer had no answer from the store."""
+        """The number of changes not in force whose proposer had no answer from the store."""
         return sum(
             min(result.end.count(STORE_UNAVAILABLE), result.proposals - result.in_force)
             for result in self.rounds
@@ -108,42 +108,42 @@
 
     @property
     def aborted(self) -> int:
-        """The other changes that did not come into force."""
+        """The number of the other changes that did not come into force."""
         return self.changes - self.committed - self.unanswered
 
     @property
     def undecided(self) -> int:
-        """Rounds whose change had not ended in time."""
+        """The number of rounds whose change did not end in time."""
         return sum(result.end == UNDECIDED for result in self.rounds)
 
     @property
     def outliers(self) -> int:
-        """Servers that went by another policy at the end of a round, summed up."""
+        """The number of servers that applied another policy at the end of a round, summed over the rounds."""
         return sum(len(result.outliers) for result in self.rounds)
 
     @property
     def not_serving(self) -> int:
-        """Cells, relays and servers that did not serve after a round, summed up."""
+        """The number of cells, relays and servers not serving after a round, summed over the rounds."""
         return sum(len(result.not_serving) for result in self.rounds)
 
     @property
     def injected(self) -> int:
-        """All faults."""
+        """The number of faults that were to be injected."""
         return sum(len(result.faults) for result in self.rounds)
 
     @property
     def missed(self) -> int:
-        """Of those, what never came about."""
+        """The number of faults that did not occur."""
         return sum(len(result.missed) for result in self.rounds)
 
     @property
     def refused_in_force(self) -> int:
-        """Policies in force that a server had to refuse."""
+        """The number of policies that came into force although a server had to refuse them."""
         return sum(result.in_force for result in self.rounds if result.is_refused_in_force)
 
 
 class CellRunner:
-    """Plays rounds on a cluster that runs."""
+    """Runs rounds on a running cluster."""
 
     def __init__(self, cluster: LinkedCellCluster, report: Report = lambda line: None) -> None:
         self.cluster = cluster
@@ -151,14 +151,14 @@
         self.result = CellRunResult()
 
     async def play(self, rounds: list[CellRound]) -> CellRunResult:
-        """Plays all rounds."""
+        """Runs all rounds, or stops after a round in which a policy came into force that a server refuses."""
         await self.cluster.wait_quiescent()
         for round_ in rounds:
             result = await self._play(round_)
             self.result.rounds.append(result)
             self.report(result.line())
             if result.is_refused_in_force:
-                break  # the server that has to refuse it is out from here on
+                break  # the server that has to refuse the policy does not serve any more
         return self.result
 
     async def _play(self, round_: CellRound) -> CellRoundResult:
@@ -172,14 +172,14 @@
         proposers: list[subprocess.Popen[bytes]] = []
         if round_.is_quiet:
             end = QUIET
-            not_serving = await self._keep_quiet(round_, injector)
+            not_serving = await self._run_quiet_round(round_, injector)
         else:
             end = await self._change_policy(round_, injector, proposers)
-        is_to_be_refused = REFUSED_BY_ONE in round_.kinds
+        must_be_refused = REFUSED_BY_ONE in round_.kinds
         is_in_force = cluster.observer.in_force.version > version_before
         outliers: list[str] = []
-        # The server that has to refuse a policy in force suspends admission for good.
-        if not (is_to_be_refused and is_in_force):
+        # A server that has to refuse the policy in force suspends admission permanently.
+        if not (must_be_refused and is_in_force):
             not_serving = not_serving or await cluster.wait_quiescent()
             outliers = await find_outliers(cluster)
         version = cluster.observer.in_force.version
@@ -194,11 +194,11 @@
             version,
             outliers,
             not_serving,
-            is_to_be_refused and version > version_before,
+            must_be_refused and version > version_before,
         )
 
-    async def _keep_quiet(self, round_: CellRound, injector: CellFaultInjector) -> list[str]:
-        """A quiet round; who did not serve again in time."""
+    async def _run_quiet_round(self, round_: CellRound, injector: CellFaultInjector) -> list[str]:
+        """Runs a quiet round, and returns the names of those that did not serve again in time."""
         start = clock()
         for fault in round_.faults:
             await injector.inject(fault)
@@ -211,10 +211,10 @@
     async def _change_policy(
         self, round_: CellRound, injector: CellFaultInjector, proposers: list[subprocess.Popen[bytes]]
     ) -> str:
-        """Proposes the change with its faults, and waits for its end; how its proposers ended.
+        """Proposes the change, injects the faults and waits for the end of the change.
 
-        What is to happen between a vote and the end of a change is not left to chance: the store holds the
-        end back until it has been done."""
+        Returns the exit codes of the proposers, or UNDECIDED. If a fault has to occur between a vote and the
+        end of the change, the store holds back the end until the fault has been injected."""
         cluster = self.cluster
         since = clock()
         for fault in round_.faults:
@@ -236,7 +236,7 @@
         wait_ended = cluster.operators.wait_ended
         ends = [exit_text(await wait_ended(proposer, CHANGE_END_TIMEOUT_S)) for proposer in proposers]
         has_ended = await wait_until(lambda: not cluster.observer.open_change, CHANGE_END_TIMEOUT_S)
-        self._note_leader_death(round_, since)
+        self._record_leader_death(round_, since)
         return ", ".join(ends) if has_ended else UNDECIDED
 
     def _propose(self, round_: CellRound) -> list[subprocess.Popen[bytes]]:
@@ -254,21 +254,21 @@
             proposers.append(operators.propose(number, other_product, CHANGE_DEADLINE_S))
         return proposers
 
-    def _note_leader_death(self, round_: CellRound, since: float) -> None:
-        """Notes how long a cell did not vote whose leader was killed while nothing else was done."""
+    def _record_leader_death(self, round_: CellRound, since: float) -> None:
+        """Records when a leader was killed and when its cell next voted, if no other fault occurred."""
         if len(round_.faults) != 1:
             return
         fault = round_.faults[0]
-        if fault.kind != LEADER_DEATH or fault.role != LEADER:
+        if fault.kind != RELAY_KILLED or fault.role != LEADER:
             return
         votes = [vote.at for vote in self.cluster.observer.votes if vote.voter == fault.cell]
-        later = [at for at in votes if at > since]
-        if later:
-            self.result.leader_deaths.append(LeaderDeath(since, fault.cell, later[0]))
+        later_votes = [at for at in votes if at > since]
+        if later_votes:
+            self.result.leader_deaths.append(LeaderDeath(since, fault.cell, later_votes[0]))
 
 
 def _needs_open_change(fault: CellFault) -> bool:
-    """Whether a fault has to meet a change that is still open."""
+    """Returns whether a fault can only occur while a change is open."""
     if fault.kind == "proposer killed":
         return fault.point in COMMIT_POINTS
     if fault.kind in POINT_FAULTS:
--- a/otterrudder/lab/processes/cells.py
+++ b/otterrudder/lab/processes/cells.py
@@ -1,7 +1,8 @@
-"""A process cluster whose servers belong to cells: relays as processes beside the servers and the store.
+"""A cluster of processes whose servers belong to cells: each relay is a process, as are the servers and the
+store.
 
-A cell of several relays keeps no state; a cell of one has a state directory, as a plain member has. Servers
-can also be plain members."""
+The relays of a cell keep no state on disk if there are several of them. The only relay of a cell has a state
+directory, as a plain member has. Servers can also be plain members."""
 
 import json
 import subprocess
@@ -19,12 +20,12 @@
 from otterrudder.lab.processes.server_process import LOG_FILE, STATE_DIRECTORY, ServerProcess
 from otterrudder.net import control
 
-RELAY_START_TIMEOUT_S = 20.0  # until it answers
+RELAY_START_TIMEOUT_S = 20.0  # maximum time until a started relay answers its control socket
 
 
 @dataclass(slots=True)
 class RelayProcess:
-    """A relay: it outlives its processes."""
+    """A relay of a cell. It stays the same object when its process is restarted."""
 
     cell: str
     address: str
@@ -34,26 +35,26 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process of this relay runs."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def control_socket(self) -> Path:
-        """Where its process answers."""
+        """The path of the control socket of this relay."""
         return self.directory / f"otterrudder-relay-{self.address}.sock"
 
 
 @dataclass(frozen=True, slots=True)
 class CellLayout:
-    """Which cells there are, and how long their leases last."""
+    """The cells with their numbers of relays, and the limits that all cells share."""
 
-    relays: dict[str, int] = field(default_factory=lambda: {"z": 2})  # by cell: how many
+    relays: dict[str, int] = field(default_factory=lambda: {"z": 2})  # number of relays by cell
     server_lease_ms: float = 2000.0
-    max_sessions: int = 100  # of a relay
+    max_sessions: int = 100  # maximum number of sessions of a relay
 
 
 class CellCluster(ProcessCluster):
-    """Servers of cells, their relays, and the store."""
+    """A cluster of the servers of cells, their relays, and the store."""
 
     def __init__(
         self,
@@ -64,19 +65,19 @@
     ) -> None:
         super().__init__(directory, server_count, options or ClusterOptions(bound_ms=3000.0))
         self.layout = layout
-        self.plain_servers: set[int] = set()  # plain members, as of the next write of their fleet's file
+        self.plain_servers: set[int] = set()  # server numbers, read when fleet files are written
         self.relays: list[RelayProcess] = []
         for cell, count in layout.relays.items():
             self.relays += self._create_relays(cell, count)
 
     async def start_fleet(self) -> None:
-        """Starts the store, and the relays if there are servers for them."""
+        """Starts the store, and starts the relays unless all servers are plain members."""
         await super().start_fleet()
         if len(self.plain_servers) < self.server_count:
             await self.start_relays()
 
     async def start_relays(self) -> None:
-        """Starts all that are not up; once this returns, each answers its control socket."""
+        """Starts all relays that are not running, and waits until each relay answers its control socket."""
         for relay in self.relays:
             if not relay.is_up:
                 self.start_relay(relay)
@@ -84,7 +85,7 @@
             await self.wait_answering(relay)
 
     def start_relay(self, relay: RelayProcess) -> None:
-        """Starts a new process of a relay."""
+        """Starts a new process for a relay."""
         relay.directory.mkdir(exist_ok=True)
         path = relay.directory / "relay.toml"
         path.write_text(self._relay_file(relay))
@@ -104,28 +105,28 @@
             self.events.add_fleet_wide(f"relay {relay.address} killed")
 
     async def stop_relay(self, relay: RelayProcess) -> int:
-        """Stops a relay as operators do; its exit code."""
+        """Stops a relay by SIGTERM, as operators do, and returns its exit code."""
         assert relay.process
         relay.process.terminate()
-        self.events.add_fleet_wide(f"relay {relay.address} told to stop")
+        self.events.add_fleet_wide(f"relay {relay.address} receives SIGTERM")
         return await anyio.to_thread.run_sync(relay.process.wait)
 
     async def wait_answering(self, relay: RelayProcess) -> None:
-        """Waits until a relay answers; TimeoutError: it does not."""
+        """Waits until a relay answers its control socket. Raises TimeoutError if it doesn't in time."""
         with anyio.fail_after(RELAY_START_TIMEOUT_S):
             while not await self.relay_status(relay):
                 await anyio.sleep(POLL_S)
 
     async def relay_status(self, relay: RelayProcess) -> dict[str, Any]:
-        """What a relay answers on its control socket; empty: it does not answer."""
+        """Returns the status that a relay reports on its control socket, or {} without an answer."""
         return await _ask_control_socket(relay.control_socket, "relay")
 
     async def server_status(self, server: ServerProcess) -> dict[str, Any]:
-        """What a server answers on its control socket about the fleet; empty: it does not answer."""
+        """Returns the fleet status that a server reports on its control socket, or {} without an answer."""
         return await _ask_control_socket(server.directory / f"otterrudder-{server.name}.sock", "fleet")
 
     def write_fleet_file(self, server: ServerProcess) -> None:
-        """Writes the fleet's file of a server of a cell, or of a plain member."""
+        """Writes the fleet file of a server, which belongs to a cell or is a plain member."""
         if server.number in self.plain_servers:
             super().write_fleet_file(server)
             return
@@ -141,15 +142,17 @@
         ]
 
     def _relay_command(self, _relay: RelayProcess, path: Path) -> list[str]:
-        """The command of a relay whose file is at that path."""
+        """Returns the command that starts a relay with the fleet file at `path`."""
         return [sys.executable, "-m", "otterrudder", "fleet", "relay", "--fleet", str(path)]
 
     def _relay_failpoints(self, _relay: RelayProcess) -> tuple[Path, ...]:
-        """The directories in which failpoints are armed for a relay."""
+        """Returns the directories in which failpoints are armed for a relay."""
         return ()
 
     def _common_section(self, store_port: int = 0) -> str:
-        """The keys that relays' and servers' files share; `store_port` 0: the store's own."""
+        """Returns the keys that the fleet files of relays and servers share.
+
+        `store_port` 0 stands for the port on which the store listens."""
         options = self.options
         return (
             f'version = 1\nfleet = "{FLEET}"\nstore = ["127.0.0.1:{store_port or self.store.port}"]\n'
--- a/otterrudder/lab/processes/linked_cells.py
+++ b/otterrudder/lab/processes/linked_cells.py
@@ -1,8 +1,9 @@
-"""A cluster of cells with a link that can be made faulty between any two of its processes: server and relay,
-relay and store, relay and relay of one cell.
+"""A cluster of cells whose connections pass through links to which faults can be applied.
 
-Servers are spread evenly over the cells. Each one's file lists the relays of its own cell first, then those
-of the others. The last server has another configuration than the rest, and so a fingerprint of its own."""
+There is a link from each server to each relay, from each relay to the store, and to each relay from the other
+relays of its cell. Servers are spread evenly over the cells. The fleet file of a server lists the relays of
+its own cell first, then the relays of the other cells. The configuration of the last server differs from the
+others, so that its fingerprint differs as well."""
 
 import json
 import shutil
@@ -23,19 +24,19 @@
 from otterrudder.lab.processes.link import Link, LinkFault, free_port
 from otterrudder.lab.processes.server_process import ServerProcess
 
-COMMON_PRODUCT = "refund"  # that all servers know but the last one
-QUIESCENCE_TIMEOUT_S = 25.0  # until all relays and servers serve again once all has recovered
+COMMON_PRODUCT = "refund"  # product that is configured on all servers except the last
+QUIESCENCE_TIMEOUT_S = 25.0  # maximum time from the recovery of all faults until all relays and servers serve
 QUIESCENCE_POLL_S = 0.1
 MUTANTS_MODULE = "otterrudder.lab.processes.cell_mutants"
 
-Status = dict[str, Any]  # an answer of a control socket
+Status = dict[str, Any]  # status as a control socket reports it
 
 
 @dataclass(slots=True)
 class LinkedRelay(RelayProcess):
-    """A relay whose links to the store and from the other relays of its cell can be made faulty."""
+    """A relay that other processes reach through links, and that reaches the store through a link."""
 
-    listen: str = field(kw_only=True)  # its address is that of the link to it
+    listen: str = field(kw_only=True)  # address of its process; `address` is that of `peer_link`
     store_link: Link = field(kw_only=True)
     peer_link: Link = field(kw_only=True)
     max_sessions: int = field(kw_only=True)
@@ -43,13 +44,13 @@
 
     @property
     def failpoints(self) -> Path:
-        """The directory in which failpoints are armed for its processes."""
+        """The directory in which failpoints are armed for this relay."""
         return self.directory / "failpoints"
 
 
 @dataclass(frozen=True, slots=True)
 class QuietWindow:
-    """From when to when no change was made, and no server was to suspend admission."""
+    """A period without a change of policy, in which no server may suspend admission; times in ms."""
 
     start: float
     end: float
@@ -58,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CellMutants:
-    """Seeded faults, see cell_mutants.py: of all relays, and of the first server."""
+    """Names of the mutants of cell_mutants.py that replace all relays and the first server; "": none."""
 
     relay: str = ""
     server: str = ""
 
 
 class LinkedCellCluster(CellCluster):
-    """Cells with links between all of their processes."""
+    """A cluster of cells with links between its processes, hollow servers and mutants."""
 
     relays: list[LinkedRelay]  # type: ignore[assignment]
 
@@ -90,30 +91,31 @@
         return list(self.layout.relays)
 
     def cell_of(self, server_number: int) -> str:
-        """The cell of a server."""
+        """Returns the cell of a server."""
         return self.cells[server_number * len(self.cells) // self.server_count]
 
     def servers_of(self, cell: str) -> list[ServerProcess]:
-        """The servers of a cell."""
+        """Returns the servers of a cell."""
         return [server for server in self.servers if self.cell_of(server.number) == cell]
 
     def relays_of(self, cell: str) -> list[LinkedRelay]:
-        """The relays of a cell."""
+        """Returns the relays of a cell."""
         return [relay for relay in self.relays if relay.cell == cell]
 
     async def leader_of(self, cell: str) -> LinkedRelay | None:
-        """The leader by the relays' own answers; frozen ones are not asked."""
+        """Returns the relay that reports that it leads the cell, if any. Frozen relays are not queried."""
         for relay in self.relays_of(cell):
             if not relay.is_frozen and (await self.relay_status(relay)).get("leads"):
                 return relay
         return None
 
-    # Quiescence.
+    # Quiescence
 
     async def wait_quiescent(self) -> list[str]:
         """Waits until each cell has a leader, no relay is bound by an endorsement, and all servers admit.
-        Returns the names of those that are not so in time."""
-        not_serving = ["nobody was asked"]
+
+        Returns the names of the cells, relays and servers that have not reached this state in time."""
+        not_serving = ["no status was queried"]
         with anyio.move_on_after(QUIESCENCE_TIMEOUT_S):
             while not_serving:
                 await anyio.sleep(QUIESCENCE_POLL_S)
@@ -122,8 +124,8 @@
 
     async def _not_serving(self) -> list[str]:
         relays, servers = await self._all_statuses()
-        outdated = self.hollow.outdated(self.observer.in_force.version)
-        names = [f"{outdated} hollow servers"] if outdated else []
+        outdated_count = self.hollow.count_outdated(self.observer.in_force.version)
+        names = [f"{outdated_count} hollow servers"] if outdated_count else []
         names += [cell for cell in self.cells if not self._is_led(cell, relays)]
         names += [
             relay.address for relay in self.relays if relays[relay.address].get("consented_left_ms") != 0.0
@@ -135,58 +137,59 @@
         return len(leaders) == 1 and statuses[leaders[0].address]["authority_left_ms"] != 0.0
 
     async def _all_statuses(self) -> tuple[dict[str, Status], dict[str, Status]]:
-        """The answers of all relays by address, and of all servers by name, asked together."""
+        """Returns the statuses of all relays by address and of all servers by name, queried concurrently."""
         relays: dict[str, Status] = {}
         servers: dict[str, Status] = {}
 
-        async def ask_relay(relay: LinkedRelay) -> None:
+        async def query_relay(relay: LinkedRelay) -> None:
             relays[relay.address] = await self.relay_status(relay)
 
-        async def ask_server(server: ServerProcess) -> None:
+        async def query_server(server: ServerProcess) -> None:
             servers[server.name] = await self.server_status(server)
 
         async with anyio.create_task_group() as tasks:
             for relay in self.relays:
-                tasks.start_soon(ask_relay, relay)
+                tasks.start_soon(query_relay, relay)
             for server in self.servers:
-                tasks.start_soon(ask_server, server)
+                tasks.start_soon(query_server, server)
         return relays, servers
 
-    # Hollow servers.
+    # Hollow servers
+
+    async def start_hollow(self, count_per_cell: int) -> None:
+        """Starts hollow servers, one process per cell, and waits until the cluster is quiescent.
 
-    async def start_hollow(self, count_of_cell: int) -> None:
-        """Starts so many hollow servers of each cell, a process a cell, connected to the relays without
-        links. Once this returns, all admit."""
-        for cell in self.cells if count_of_cell else ():
+        They connect to the relays directly, not through links."""
+        for cell in self.cells if count_per_cell else ():
             directory = self.directory / f"hollow-{cell}"
             directory.mkdir()
             configuration = directory / "config.json"
             shutil.copy(self.servers[0].directory / "config.json", configuration)
-            relays = json.dumps([relay.listen for relay in self._relays_for(cell)])
+            relays = json.dumps([relay.listen for relay in self._relays_in_order_for(cell)])
             fleet_file = directory / "fleet.toml"
             fleet_file.write_text(f"{self._common_section()}relays = {relays}\n")
-            process = self.hollow.start(fleet_file, configuration, f"{cell}-h", count_of_cell)
+            process = self.hollow.start(fleet_file, configuration, f"{cell}-h", count_per_cell)
             self.other_processes.append(process)
             self.tasks.start_soon(self.hollow.listen, process)
         await self.wait_quiescent()
 
-    def _relays_for(self, cell: str) -> list[LinkedRelay]:
-        """All relays, in the order in which a server of that cell tries them."""
+    def _relays_in_order_for(self, cell: str) -> list[LinkedRelay]:
+        """Returns all relays in the order in which a server of the cell tries them."""
         index = self.cells.index(cell)
         cells = [*self.cells[index:], *self.cells[:index]]
         return [relay for name in cells for relay in self.relays_of(name)]
 
-    # Faults of relays and links.
+    # Faults of relays and links
 
     def freeze_relay(self, relay: LinkedRelay) -> None:
-        """Stops the process of a relay by a signal."""
+        """Suspends the process of a relay by SIGSTOP."""
         if relay.is_up and relay.process:
             relay.process.send_signal(signal.SIGSTOP)
             relay.is_frozen = True
             self.events.add_fleet_wide(f"relay {relay.address} frozen")
 
     def thaw_relay(self, relay: LinkedRelay) -> None:
-        """Resumes the process of a relay."""
+        """Resumes the process of a relay by SIGCONT."""
         if relay.is_up and relay.process:
             relay.process.send_signal(signal.SIGCONT)
         relay.is_frozen = False
@@ -199,29 +202,30 @@
         relay.is_frozen = False
 
     def restart_with_sessions(self, relay: LinkedRelay, max_sessions: int) -> None:
-        """Starts a new process that takes so many servers and no more."""
+        """Restarts a relay with another maximum number of sessions."""
         self.kill_relay(relay)
         relay.max_sessions = max_sessions
         self.start_relay(relay)
 
     def set_links_to_relay(self, relay: LinkedRelay, fault: LinkFault) -> None:
-        """Sets the fault of the links from all servers to a relay."""
+        """Applies a fault to the links from all servers to a relay."""
         for server in self.servers:
             server.links[relay.address].set_fault(fault)
-        self.events.add_fleet_wide(f"servers' links to {relay.address}: {fault}")
+        self.events.add_fleet_wide(f"links from all servers to relay {relay.address}: {fault}")
 
     def set_links_of_server(
         self, server: ServerProcess, fault: LinkFault, addresses: Iterable[str] = ()
     ) -> None:
-        """Sets the fault of a server's links to these relays, or to all if none is named."""
+        """Applies a fault to the links from a server to the relays at `addresses`, or to all relays if it is
+        empty."""
         for address in list(addresses) or [relay.address for relay in self.relays]:
             server.links[address].set_fault(fault)
-        self.events.add(server.number, f"its links to relays: {fault}")
+        self.events.add(server.number, f"links to relays: {fault}")
 
-    # Failpoints.
+    # Failpoints
 
     async def wait_relay_stopped(self, failpoint: ArmedFailpoint, timeout_s: float) -> LinkedRelay | None:
-        """The relay that has stopped at an armed failpoint; None: none has in time."""
+        """Returns the relay that stops at an armed failpoint; None if none stops in time."""
         pid = await self.failpoints.wait_stopped(failpoint, timeout_s)
         for relay in self.relays:
             if pid and relay.process and relay.process.pid == pid:
@@ -233,10 +237,10 @@
         if relay := await self.wait_relay_stopped(failpoint, CLAIM_TIMEOUT_S):
             self.thaw_relay(relay)
 
-    # How the parts are started.
+    # Start
 
     async def start_fleet(self) -> None:
-        """Starts the links of the relays, then the store and the relays."""
+        """Starts the links of the relays, then the store, then the relays."""
         for relay in self.relays:
             relay.directory.mkdir(exist_ok=True)
             relay.failpoints.mkdir(exist_ok=True)
@@ -251,12 +255,12 @@
         return server
 
     def write_fleet_file(self, server: ServerProcess) -> None:
-        """Writes the fleet's file of a server, which reaches each relay by a link of its own."""
+        """Writes the fleet file of a server, which reaches each relay through a separate link."""
         for relay in self.relays:
             if relay.address not in server.links:
                 host, port = relay.listen.split(":")
                 server.links[relay.address] = Link((host, int(port)))
-        relays = self._relays_for(self.cell_of(server.number))
+        relays = self._relays_in_order_for(self.cell_of(server.number))
         addresses = [_endpoint(server.links[relay.address].address) for relay in relays]
         text = f"{self._common_section()}relays = {json.dumps(addresses)}\n"
         (server.directory / "fleet.toml").write_text(text)
@@ -298,7 +302,7 @@
 
 
 def _add_common_product(server: ServerProcess) -> None:
-    """Adds a product to a server's configuration."""
+    """Adds COMMON_PRODUCT to the configuration of a server."""
     path = server.directory / "config.json"
     configuration = json.loads(path.read_text())
     classes = SETTINGS["classes"]
