--- a/otterrudder/lab/scale/experiment.py
+++ b/otterrudder/lab/scale/experiment.py
@@ -151,17 +151,17 @@
 
 def read_scale(path: Path) -> Experiment:
     """Raises InvalidInputError, which names the file and the key."""
-    told = load_toml(path, InvalidInputError)
-    experiment: Experiment = convert(told, Experiment, f"{path.name}: ", InvalidInputError)
+    values = load_toml(path, InvalidInputError)
+    experiment: Experiment = convert(values, Experiment, f"{path.name}: ", InvalidInputError)
     error = next(_errors(experiment), None)
     if error:
         raise InvalidInputError(f"{path.name}: {error}")
     return experiment
 
 
-def is_scale(told: dict[str, Any]) -> bool:
+def is_scale(values: dict[str, Any]) -> bool:
     """Whether a file of the lab is one of these."""
-    return "topology" in told
+    return "topology" in values
 
 
 def _errors(experiment: Experiment) -> Iterator[str]:
@@ -190,11 +190,11 @@
     if len(topology.latency_ms) != count or any(len(row) != count for row in topology.latency_ms):
         yield f".topology.latency_ms: not {count} rows of {count} numbers"
         return
-    yield from _distance_errors(experiment)
+    yield from _latency_errors(experiment)
     yield from _store_errors(experiment)
 
 
-def _distance_errors(experiment: Experiment) -> Iterator[str]:
+def _latency_errors(experiment: Experiment) -> Iterator[str]:
     topology = experiment.topology
     for here in range(len(topology.regions)):
         for there in range(here):
@@ -219,9 +219,9 @@
     for number, case in enumerate(experiment.case):
         if not case.sizes:
             yield f".case[{number}].sizes: none is given"
-        for which, fault in enumerate(case.faults):
+        for fault_number, fault in enumerate(case.faults):
             if fault.region and fault.region not in experiment.topology.regions:
-                yield f".case[{number}].faults[{which}].region: {fault.region!r} is no region"
+                yield f".case[{number}].faults[{fault_number}].region: {fault.region!r} is no region"
     rules = experiment.rules
     if rules.server_lease_ms > rules.bound_ms:
         yield ".rules.server_lease_ms: a lease outlasts the bound"
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -26,10 +26,10 @@
 from otterrudder.fleet.policy import LocalConfiguration, PolicyContent, local_configuration_of
 from otterrudder.log import configure_logging
 
-MAX_COUNT = 500  # servers of one process
+MAX_SERVERS = 500  # servers of one process
 START_SPACING_S = 0.01  # s between the starts of two servers
 # s between looks at a server's standing: a server takes turns at least as often as its tick
-PULSE_S = 0.02
+UPDATE_INTERVAL_S = 0.02
 
 
 class Switched(msgspec.Struct, frozen=True, tag=True):
@@ -105,42 +105,44 @@
 async def _update_all(servers: Sequence[HollowServer]) -> None:
     while True:
         now = clock.monotonic()
-        switched = [told for server in servers if (told := server.update_server(now))]
+        switched = [message for server in servers if (message := server.update_server(now))]
         if switched:
             _write(switched)
-        await anyio.sleep(PULSE_S)
+        await anyio.sleep(UPDATE_INTERVAL_S)
 
 
-def _write(told: Sequence[HollowMessage]) -> None:
-    sys.stdout.buffer.write(b"".join(msgspec.json.encode(one) + b"\n" for one in told))
+def _write(messages: Sequence[HollowMessage]) -> None:
+    sys.stdout.buffer.write(b"".join(msgspec.json.encode(message) + b"\n" for message in messages))
     sys.stdout.buffer.flush()
 
 
-def _make_servers(told: argparse.Namespace) -> list[HollowServer]:
-    fleet = read_fleet(told.fleet)
-    own = local_configuration_of(read_configuration(told.configuration).settings)
-    names = [f"{told.prefix}{number}" for number in range(told.first, told.first + told.count)]
-    return [HollowServer(replace(fleet, state_directory=told.folder / name), name, own) for name in names]
+def _make_servers(arguments: argparse.Namespace) -> list[HollowServer]:
+    fleet = read_fleet(arguments.fleet)
+    own = local_configuration_of(read_configuration(arguments.configuration).settings)
+    numbers = range(arguments.first, arguments.first + arguments.count)
+    names = [f"{arguments.prefix}{number}" for number in numbers]
+    folder = arguments.folder
+    return [HollowServer(replace(fleet, state_directory=folder / name), name, own) for name in names]
 
 
-def _parsed(words: Sequence[str]) -> argparse.Namespace:
+def _parse_arguments(command_line: Sequence[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(description="Servers without requests, many in one process.")
     parser.add_argument("fleet", type=Path, help="TOML file of the fleet")
     parser.add_argument("configuration", help="JSON file of a server's configuration")
-    parser.add_argument("--count", type=int, required=True, choices=range(1, MAX_COUNT + 1), metavar="N")
+    parser.add_argument("--count", type=int, required=True, choices=range(1, MAX_SERVERS + 1), metavar="N")
     parser.add_argument("--folder", type=Path, required=True, help="the servers' folders are made there")
     parser.add_argument("--first", type=int, default=0, help="number of the first server")
     parser.add_argument("--prefix", default="h", help="of a server's name, before its number")
-    return parser.parse_args(words)
+    return parser.parse_args(command_line)
 
 
-async def _main(words: Sequence[str]) -> None:
-    told = _parsed(words)
+async def _main(command_line: Sequence[str]) -> None:
+    arguments = _parse_arguments(command_line)
     configure_logging("hollow")
     lines = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    await run_servers(_make_servers(told), lines)
+    await run_servers(_make_servers(arguments), lines)
 
 
 if __name__ == "__main__":
--- a/otterrudder/lab/scale/network.py
+++ b/otterrudder/lab/scale/network.py
@@ -10,7 +10,7 @@
 from otterrudder.lab.scale.experiment import NetworkPart
 from otterrudder.lab.scale.topology import Topology, Zone
 
-RESIZE_EVERY = 1024  # messages of a type after which one is encoded again: numbers grow longer
+MEASURE_INTERVAL = 1024  # messages of a type after which one is encoded again: numbers grow longer
 
 
 @dataclass(slots=True)
@@ -33,16 +33,16 @@
 
     framing: int
     text_bytes: int
-    _known: dict[type, int] = field(default_factory=dict)
+    _size_by_type: dict[type, int] = field(default_factory=dict)
     counts: Counter[type] = field(default_factory=Counter)
 
-    def of(self, message: object) -> int:
+    def size_of(self, message: object) -> int:
         """The size of a message on the wire, in bytes; only some of each type are encoded."""
         kind = type(message)
         self.counts[kind] += 1
-        if self.counts[kind] % RESIZE_EVERY == 1:
-            self._known[kind] = self._measure(message)
-        return self._known[kind]
+        if self.counts[kind] % MEASURE_INTERVAL == 1:
+            self._size_by_type[kind] = self._measure(message)
+        return self._size_by_type[kind]
 
     def _measure(self, message: object) -> int:
         size = self.framing + len(encode(message))  # type: ignore[arg-type]
@@ -55,16 +55,16 @@
 class Network:
     """One-way latencies between zones, and which regions are cut off from the others."""
 
-    def __init__(self, topology: Topology, part: NetworkPart, chance: random.Random) -> None:
+    def __init__(self, topology: Topology, part: NetworkPart, random_source: random.Random) -> None:
         self.part = part
         self.cut_regions: set[int] = set()
-        self._chance = chance
+        self._random = random_source
         self._bounds: dict[tuple[int, int], tuple[float, float]] = {}
         for here in topology.zones:
             for there in topology.zones:
-                self._bounds[here.number, there.number] = self._between(topology, here, there)
+                self._bounds[here.number, there.number] = self._latency_bounds(topology, here, there)
 
-    def _between(self, topology: Topology, here: Zone, there: Zone) -> tuple[float, float]:
+    def _latency_bounds(self, topology: Topology, here: Zone, there: Zone) -> tuple[float, float]:
         if here == there:
             low, high = self.part.in_zone_ms
         elif here.region == there.region:
@@ -74,10 +74,10 @@
             high = low * (1.0 + self.part.jitter)
         return low, high - low
 
-    def way_ms(self, here: int, there: int) -> float:
+    def one_way_ms(self, here: int, there: int) -> float:
         """One way between two zones."""
         low, width = self._bounds[here, there]
-        return low + width * self._chance.random()
+        return low + width * self._random.random()
 
     def is_cut(self, region: int, other: int) -> bool:
         """Whether no message passes between two regions."""
--- a/otterrudder/lab/scale/play.py
+++ b/otterrudder/lab/scale/play.py
@@ -10,9 +10,9 @@
 from otterrudder.lab.scale.experiment import Experiment
 from otterrudder.lab.scale.history_checker import ChangeTimes
 from otterrudder.lab.scale.network import Traffic
-from otterrudder.lab.scale.simulation import CALM_MS, Setting, Simulation
+from otterrudder.lab.scale.simulation import BASELINE_MS, Setting, Simulation
 
-IN_TIME_MS = 4000.0  # from the asking until a change is in force everywhere
+ON_TIME_MS = 4000.0  # from the asking until a change is in force everywhere
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,21 +66,21 @@
     minutes: float | None = None,
 ) -> list[Setting]:
     """Every run that is to be made."""
-    found = []
+    settings = []
     for case in experiment.case:
         if is_quick and not case.is_quick or names and case.name not in names:
             continue
         sizes = experiment.quick_servers if is_quick else case.sizes
         span = experiment.quick_minutes if is_quick else case.minutes or experiment.minutes
         seeds = experiment.seeds[:1] if is_quick else case.seeds or experiment.seeds
-        drawn = itertools.product(
+        combinations = itertools.product(
             (servers,) if servers else sizes,
             case.regions or (None,),
             case.absent,
             seeds if seed is None else (seed,),
         )
-        found += [Setting(case, *one, minutes or span) for one in drawn]
-    return found
+        settings += [Setting(case, *combination, minutes or span) for combination in combinations]
+    return settings
 
 
 def play(
@@ -91,7 +91,7 @@
     """One run, to its end."""
     simulation = make(experiment, setting)
     readings: list[_Reading] = []
-    simulation.events.at(simulation.begin_ms - CALM_MS, _read, simulation, readings)
+    simulation.events.at(simulation.begin_ms - BASELINE_MS, _read, simulation, readings)
     simulation.events.at(simulation.begin_ms, _read, simulation, readings)
     gc.collect()
     gc.freeze()
@@ -114,20 +114,20 @@
 def _notes(simulation: Simulation) -> tuple[str, ...]:
     history = simulation.history
     faults = ", ".join(f"{count} {kind}" for kind, count in sorted(simulation.churn.counts.items()))
-    return (*history.described, *history.aborted[:3], f"churn: {faults or 'none'}")
+    return (*history.breach_descriptions, *history.aborted[:3], f"churn: {faults or 'none'}")
 
 
 def _figures(simulation: Simulation, readings: list[_Reading], took: float) -> dict[str, float]:
-    quiet, begin, end = readings
+    baseline, begin, end = readings
     return {
         **_change_figures(simulation),
-        **_store_figures(simulation, quiet, begin, end),
-        **_wire_figures(simulation, quiet, begin, end),
+        **_store_figures(simulation, baseline, begin, end),
+        **_wire_figures(simulation, baseline, begin, end),
         **_suspension_figures(simulation),
         **_cpu_figures(simulation),
         "cells": float(len(simulation.topology.zones)),
         "breaches": float(simulation.history.breaches),
-        "oldest_ms": simulation.history.oldest_ms,
+        "oldest_ms": simulation.history.max_stale_ms,
         "events": float(simulation.events.played),
         "cpu_s": took,
     }
@@ -135,64 +135,64 @@
 
 def _change_figures(simulation: Simulation) -> dict[str, float]:
     changes = list(simulation.history.changes.values())
-    done = [change for change in changes if change.version and change.everywhere_at < float("inf")]
-    took = sorted(change.took_ms for change in done) or [float("nan")]
-    in_time = sum(change.took_ms <= IN_TIME_MS for change in done)
+    done = [change for change in changes if change.version and change.in_force_at < float("inf")]
+    took = sorted(change.propagation_ms for change in done) or [float("nan")]
+    in_time = sum(change.propagation_ms <= ON_TIME_MS for change in done)
     figures = {
-        "asked": float(simulation.proposers.asked),
+        "asked": float(simulation.proposers.proposed),
         "committed": float(simulation.history.version),
         "aborted": float(len(simulation.history.aborted)),
         "never_opened": float(sum(change.opened_at == float("inf") for change in changes)),
         "in_4_s": in_time / max(len(changes), 1),
-        "took_p50_ms": _rank(took, 0.5),
-        "took_p99_ms": _rank(took, 0.99),
+        "took_p50_ms": _percentile(took, 0.5),
+        "took_p99_ms": _percentile(took, 0.99),
         "took_max_ms": took[-1],
     }
-    return figures | _parts(done)
+    return figures | _stage_medians(done)
 
 
-def _parts(done: list[ChangeTimes]) -> dict[str, float]:
+def _stage_medians(done: list[ChangeTimes]) -> dict[str, float]:
     """Medians of the parts of a change's way."""
     if not done:
         return {}
     parts = {
-        "queueing_ms": [change.queued_at - change.asked_at for change in done],
+        "queueing_ms": [change.queued_at - change.proposed_at for change in done],
         "waiting_ms": [change.opened_at - change.queued_at for change in done],
         "voting_ms": [change.ended_at - change.opened_at for change in done],
-        "spreading_ms": [change.everywhere_at - change.ended_at for change in done],
+        "spreading_ms": [change.in_force_at - change.ended_at for change in done],
     }
     return {name: statistics.median(values) for name, values in parts.items()}
 
 
-def _rank(values: list[float], share: float) -> float:
+def _percentile(values: list[float], share: float) -> float:
     return values[min(int(len(values) * share), len(values) - 1)]
 
 
 def _store_figures(
-    simulation: Simulation, quiet: _Reading, begin: _Reading, end: _Reading
+    simulation: Simulation, baseline: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
     """Requests a change beyond those of the same time without load."""
     changes = max(simulation.history.version, 1)
-    quiet_s = (begin.at_ms - quiet.at_ms) / 1000.0
+    baseline_s = (begin.at_ms - baseline.at_ms) / 1000.0
     load_s = (end.at_ms - begin.at_ms) / 1000.0
     figures = {}
     for name in ("reads", "writes", "renewals"):
-        quiet_per_s = (begin.store.get(name, 0) - quiet.store.get(name, 0)) / quiet_s
-        more = end.store.get(name, 0) - begin.store.get(name, 0) - quiet_per_s * load_s
-        figures[f"{name}_a_change"] = more / changes
-        figures[f"{name}_calm_per_s"] = quiet_per_s
+        baseline_per_s = (begin.store.get(name, 0) - baseline.store.get(name, 0)) / baseline_s
+        added = end.store.get(name, 0) - begin.store.get(name, 0) - baseline_per_s * load_s
+        figures[f"{name}_a_change"] = added / changes
+        figures[f"{name}_calm_per_s"] = baseline_per_s
     figures["watch_events_a_change"] = (end.watch_events - begin.watch_events) / changes
     return figures
 
 
 def _wire_figures(
-    simulation: Simulation, quiet: _Reading, begin: _Reading, end: _Reading
+    simulation: Simulation, baseline: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
     """Both directions together, by server, and of the relay's machine that has the most."""
     servers = len(simulation.servers.hosts)
     network = simulation.experiment.network
     load_s = (end.at_ms - begin.at_ms) / 1000.0
-    quiet_s = (begin.at_ms - quiet.at_ms) / 1000.0
+    baseline_s = (begin.at_ms - baseline.at_ms) / 1000.0
     connects = end.connects - begin.connects
     messages = _messages(end) - _messages(begin) + connects * network.connect_messages
     size = _size(end) - _size(begin) + connects * network.connect_bytes
@@ -205,8 +205,8 @@
     return {
         "server_messages_per_s": messages / servers / load_s,
         "server_bytes_per_s": size / servers / load_s,
-        "server_messages_calm_per_s": (_messages(begin) - _messages(quiet)) / servers / quiet_s,
-        "server_bytes_calm_per_s": (_size(begin) - _size(quiet)) / servers / quiet_s,
+        "server_messages_calm_per_s": (_messages(begin) - _messages(baseline)) / servers / baseline_s,
+        "server_bytes_calm_per_s": (_size(begin) - _size(baseline)) / servers / baseline_s,
         "relay_messages_per_s": max(traffic.messages for traffic in busiest.values()) / run_s,
         "relay_bytes_per_s": max(traffic.size for traffic in busiest.values()) / run_s,
         "connects": float(connects),
@@ -230,7 +230,7 @@
     figures = {f"aside_{cause}": count / samples for cause, count in sorted(servers.suspended.items())}
     scripted = simulation.setting.case.faults
     first_s = scripted[0].at_s if scripted else 0.0
-    suspended_s = servers.suspended_at / 1000.0 - first_s
+    suspended_s = servers.last_suspended_at / 1000.0 - first_s
     return {
         "aside": servers.suspended.total() / samples,
         "aside_server_s": servers.suspended.total() * simulation.setting.case.look_ms / 1000.0,
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -14,7 +14,7 @@
 from otterrudder.lab.scale.topology import Topology
 
 RETRY_MS = 1000.0  # ms until a proposer that had no answer asks again
-NOTE = "a change of the day"
+CHANGE_NOTE = "a change of the day"
 DEADLINE_MS = 30_000.0  # ms of a change, from its opening
 
 
@@ -22,7 +22,7 @@
 class Proposal:
     """A change that is asked for, and from which region."""
 
-    ident: str
+    change_id: str
     region: int
 
 
@@ -37,74 +37,76 @@
         network: Network,
         store: StoreService,
         history: HistoryChecker,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
-        self.asked = 0
-        self.refused = 0
+        self.proposed = 0
+        self.rejected = 0
         self._keys, self._topology, self._events, self._network = keys, topology, events, network
-        self._store, self._history, self._chance = store, history, chance
+        self._store, self._history, self._random = store, history, random_source
         self._regions = sorted({zone.region for zone in topology.zones})
 
     def schedule(self, begin: float, end: float, per_s: float) -> None:
         """Changes at a rate, as they come."""
         if per_s <= 0:
             return
-        at = begin + self._chance.expovariate(per_s) * 1000.0
+        at = begin + self._random.expovariate(per_s) * 1000.0
         while at < end:
-            self._events.at(at, self._ask, self._next())
-            at += self._chance.expovariate(per_s) * 1000.0
+            self._events.at(at, self._propose, self._next_proposal())
+            at += self._random.expovariate(per_s) * 1000.0
 
     def burst(self, begin: float, count: int, span_ms: float) -> None:
         """Schedules so many changes, evenly over a span."""
         for number in range(count):
-            self._events.at(begin + span_ms * number / max(count, 1), self._ask, self._next())
+            self._events.at(begin + span_ms * number / max(count, 1), self._propose, self._next_proposal())
 
-    def _next(self) -> Proposal:
-        self.asked += 1
-        return Proposal(f"change-{self.asked:05}", self._chance.choice(self._regions))
+    def _next_proposal(self) -> Proposal:
+        self.proposed += 1
+        return Proposal(f"change-{self.proposed:05}", self._random.choice(self._regions))
 
-    def _ask(self, proposal: Proposal, _: object) -> None:
-        self._history.asked(self._events.now, proposal.ident)
+    def _propose(self, proposal: Proposal, _: object) -> None:
+        self._history.record_proposal(self._events.now, proposal.change_id)
         self._read(proposal, None)
 
     def _read(self, proposal: Proposal, _: object) -> None:
         names = (self._keys.head, self._keys.queue)
-        self._send(proposal, Read(names), self._queue_it)
+        self._send(proposal, Read(names), self._enqueue)
 
-    def _queue_it(self, proposal: Proposal, outcome: object) -> None:
+    def _enqueue(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, Snapshot)
-        entry = QueuedChange(proposal.ident, author="an operator", note=NOTE, deadline_ms=DEADLINE_MS)
+        entry = QueuedChange(
+            proposal.change_id, author="an operator", note=CHANGE_NOTE, deadline_ms=DEADLINE_MS
+        )
         try:
-            commit = enqueue(FleetSnapshot(self._keys, outcome), entry, f"text of {proposal.ident}")
+            commit = enqueue(FleetSnapshot(self._keys, outcome), entry, f"text of {proposal.change_id}")
         except QueueRejectedError:
-            self.refused += 1
+            self.rejected += 1
             return
-        self._send(proposal, commit, self._queued)
+        self._send(proposal, commit, self._handle_enqueued)
 
-    def _queued(self, proposal: Proposal, outcome: object) -> None:
+    def _handle_enqueued(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, CommitResult)
         if outcome.succeeded:
-            self._send(proposal, Read((self._keys.change, self._keys.queue)), self._placed)
+            self._send(proposal, Read((self._keys.change, self._keys.queue)), self._record_queue_position)
 
-    def _placed(self, proposal: Proposal, outcome: object) -> None:
+    def _record_queue_position(self, proposal: Proposal, outcome: object) -> None:
         assert isinstance(outcome, Snapshot)
-        self._history.changes[proposal.ident].place = queue_position(
-            FleetSnapshot(self._keys, outcome), proposal.ident
+        self._history.changes[proposal.change_id].queue_position = queue_position(
+            FleetSnapshot(self._keys, outcome), proposal.change_id
         )
 
-    def _send(self, proposal: Proposal, request: Read | Commit, then: Handler) -> None:
+    def _send(self, proposal: Proposal, request: Read | Commit, handle_result: Handler) -> None:
         now = self._events.now
         if self._network.is_cut(proposal.region, self._topology.store_regions[0]):
-            self._events.at(now + RETRY_MS, self._again, proposal, (request, then))
+            self._events.at(now + RETRY_MS, self._retry, proposal, (request, handle_result))
             return
         due = now + self._store.arrival_ms(proposal.region, request)
-        self._events.at(due, self._at_store, proposal, (request, then))
+        self._events.at(due, self._handle_arrival, proposal, (request, handle_result))
 
-    def _again(self, proposal: Proposal, argument: tuple[Read | Commit, Handler]) -> None:
+    def _retry(self, proposal: Proposal, argument: tuple[Read | Commit, Handler]) -> None:
         self._send(proposal, *argument)
 
-    def _at_store(self, proposal: Proposal, argument: tuple[StoreRequest, Handler]) -> None:
-        request, then = argument
+    def _handle_arrival(self, proposal: Proposal, argument: tuple[StoreRequest, Handler]) -> None:
+        request, handle_result = argument
         outcome = self._store.answer(self._events.now, request)
         due = self._events.now + self._store.answer_ms(proposal.region)
-        self._events.at(due, then, proposal, outcome)
+        self._events.at(due, handle_result, proposal, outcome)
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -30,7 +30,7 @@
 from otterrudder.lab.scale.topology import Topology
 
 MAX_TIMEOUT_MS = 2000.0  # ms for a request to the store, at most
-TIMEOUT_SHARE = 0.25  # of the bound
+TIMEOUT_RATIO = 0.25  # of the bound
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     def receive(self, stream: Stream, message: RelayMessage) -> None:
         """A message of a relay has arrived."""
 
-    def ended(self, stream: Stream, _: object) -> None:
+    def handle_disconnected(self, stream: Stream, _: object) -> None:
         """The relay's end was closed."""
 
 
@@ -62,26 +62,26 @@
         hosts: list[RelayHost],
         topology: Topology,
         rules: Rules,
-        span_ms: float,
+        lease_ms: float,
         events: EventQueue,
         network: Network,
         sizes: Sizes,
         history: HistoryChecker,
-        chance: random.Random,
+        random_source: random.Random,
         message_cpu: CpuSample,
         store_cpu: CpuSample,
     ) -> None:
-        self.fleet, self.hosts, self.rules, self.span_ms = fleet, hosts, rules, span_ms
+        self.fleet, self.hosts, self.rules, self.lease_ms = fleet, hosts, rules, lease_ms
         self.by_address = {host.address: host for host in hosts}
         self.message_cpu, self.store_cpu = message_cpu, store_cpu
         self.watch_events = 0
         self.peer_messages = 0
-        self.timeout_ms = min(rules.bound_ms * TIMEOUT_SHARE, MAX_TIMEOUT_MS)
+        self.timeout_ms = min(rules.bound_ms * TIMEOUT_RATIO, MAX_TIMEOUT_MS)
         self._topology, self._events, self._network = topology, events, network
-        self._sizes, self._history, self._chance = sizes, history, chance
+        self._sizes, self._history, self._random = sizes, history, random_source
         self._store_region = topology.store_regions[0]
 
-    def use(self, store: StoreService, servers: ServerSide) -> None:
+    def attach(self, store: StoreService, servers: ServerSide) -> None:
         """Sets what was made after the relays."""
         self.store, self.servers = store, servers
 
@@ -94,13 +94,13 @@
         host.incarnation += 1
         host.timer_at = math.inf
         identity = CellIdentity(self.fleet, host.cell, host.address, host.candidates)
-        host.relay = self.make(identity, f"{host.address}.{host.incarnation}")
+        host.relay = self.make_relay(identity, f"{host.address}.{host.incarnation}")
         self._step(host)
         self._watch(host)
 
-    def make(self, identity: CellIdentity, incarnation: str) -> Relay:
+    def make_relay(self, identity: CellIdentity, incarnation: str) -> Relay:
         """A fresh relay."""
-        limits = RelayLimits(span_ms=self.span_ms)
+        limits = RelayLimits(span_ms=self.lease_ms)
         return Relay(self._events.now, identity, RelayStart(incarnation), self.rules, limits)
 
     def stop(self, host: RelayHost, is_silent: bool) -> None:
@@ -113,7 +113,7 @@
             for stream in streams.values():
                 self._end(stream)
 
-    def leave(self, host: RelayHost) -> None:
+    def shut_down(self, host: RelayHost) -> None:
         """The process shuts down in order: servers are told, the lease is given back."""
         relay = host.relay
         if not relay:
@@ -135,8 +135,8 @@
 
     def thaw(self, host: RelayHost, _: object = None) -> None:
         """Lets the process go on with what was deferred."""
-        held, host.deferred = host.deferred, []
-        for handler, subject, argument in held:
+        events, host.deferred = host.deferred, []
+        for handler, subject, argument in events:
             handler(subject, argument)
         if host.relay:
             self._step(host)
@@ -178,10 +178,10 @@
             effects = relay.effects(now)
             due = relay.due()
         for effect in effects:
-            self._carry_out(host, effect)
+            self._execute(host, effect)
         self._schedule(host, due)
 
-    def closed(self, stream: Stream, _: object) -> None:
+    def handle_stream_closed(self, stream: Stream, _: object) -> None:
         """The server's end was closed."""
         host = stream.relay
         if stream.relay_incarnation != host.incarnation or not host.streams.pop(stream.number, None):
@@ -207,7 +207,7 @@
 
     # The store.
 
-    def changed(self, keys: list[str]) -> None:
+    def notify_watchers(self, keys: list[str]) -> None:
         """These keys were written together: whoever watches a prefix of one is told once."""
         for host in self.hosts:
             if not host.relay:
@@ -231,7 +231,7 @@
             due = self._events.now + 2 * self.store.watch_ms(host.zone.region)
             self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
-    def watch_again(self, host: RelayHost) -> None:
+    def restore_watches(self, host: RelayHost) -> None:
         """The store is in reach again: the watches that were cut are begun anew."""
         host.watching = frozenset()
         self._watch(host)
@@ -239,11 +239,11 @@
     def _is_store_cut(self, host: RelayHost) -> bool:
         return self._network.is_cut(host.zone.region, self._store_region)
 
-    def _ask_store(self, host: RelayHost, effect: StoreRequest) -> None:
+    def _send_to_store(self, host: RelayHost, effect: StoreRequest) -> None:
         now = self._events.now
         call = Call(host.incarnation, effect, now)
         if self._is_store_cut(host):
-            self._events.at(now + self.timeout_ms, self._answered, host, call)
+            self._events.at(now + self.timeout_ms, self._handle_store_response, host, call)
             return
         arrives = now + self.store.arrival_ms(host.zone.region, effect)
         self._events.at(arrives, self._at_store, host, call)
@@ -254,17 +254,17 @@
         due = self._events.now + self.store.answer_ms(host.zone.region)
         too_late = call.sent + self.timeout_ms
         if due >= too_late or self._is_store_cut(host):
-            self._events.at(max(too_late, self._events.now), self._answered, host, call)
+            self._events.at(max(too_late, self._events.now), self._handle_store_response, host, call)
         else:
             answered = Call(call.incarnation, call.effect, call.sent, outcome)
-            self._events.at(due, self._answered, host, answered)
+            self._events.at(due, self._handle_store_response, host, answered)
 
-    def _answered(self, host: RelayHost, call: Call) -> None:
+    def _handle_store_response(self, host: RelayHost, call: Call) -> None:
         if not host.relay or host.incarnation != call.incarnation:
             return
         now = self._events.now
         if now < host.frozen_until:
-            host.deferred.append((self._answered, host, call))
+            host.deferred.append((self._handle_store_response, host, call))
             return
         began = thread_time_ns()
         host.relay.handle_result(now, call.effect, call.sent, call.outcome)
@@ -283,7 +283,7 @@
         self.store_cpu.calls += 1
         self.store_cpu.add(began)
         for effect in effects:
-            self._carry_out(host, effect)
+            self._execute(host, effect)
         self._schedule(host, relay.due())
 
     def _schedule(self, host: RelayHost, due: float) -> None:
@@ -292,7 +292,7 @@
             host.timer_at = due
             self._events.at(due, self.fire_timer, host, due)
 
-    def _carry_out(self, host: RelayHost, effect: RelayEffect) -> None:
+    def _execute(self, host: RelayHost, effect: RelayEffect) -> None:
         if isinstance(effect, SendToServer):
             self._send(host, effect)
         elif isinstance(effect, EndSession):
@@ -300,9 +300,9 @@
             if stream:
                 self._end(stream)
         elif isinstance(effect, PeerRequest):
-            self._ask_peer(host, self.by_address[effect.peer], effect.message)
+            self._send_to_peer(host, self.by_address[effect.peer], effect.message)
         elif isinstance(effect, Read | Commit | GrantLease | RenewLease):
-            self._ask_store(host, effect)
+            self._send_to_store(host, effect)
         else:
             raise TypeError(f"a relay has no use for {effect}")
 
@@ -312,14 +312,14 @@
             return
         message = effect.message
         if isinstance(message, LeaseGrant):
-            self._history.granted(self._events.now, message.version, message.span_ms)
-        size = self._sizes.of(message)
+            self._history.record_grant(self._events.now, message.version, message.span_ms)
+        size = self._sizes.size_of(message)
         host.sent.messages += 1
         host.sent.size += size
         region = stream.server.zone.region
         if self._network.is_cut(region, host.zone.region):
             return
-        arrives = self._events.now + self._network.way_ms(host.zone.number, stream.server.zone.number)
+        arrives = self._events.now + self._network.one_way_ms(host.zone.number, stream.server.zone.number)
         arrives = max(arrives, stream.to_server_at)
         stream.to_server_at = arrives
         self._events.at(arrives, self.servers.receive, stream, message)
@@ -328,38 +328,40 @@
         host, server = stream.relay, stream.server
         if self._network.is_cut(server.zone.region, host.zone.region):
             return
-        way = self._network.way_ms(host.zone.number, server.zone.number)
+        way = self._network.one_way_ms(host.zone.number, server.zone.number)
         arrives = max(self._events.now + way, stream.to_server_at)
-        self._events.at(arrives, self.servers.ended, stream, None)
+        self._events.at(arrives, self.servers.handle_disconnected, stream, None)
 
     # The other relays of its cell.
 
-    def _ask_peer(self, host: RelayHost, peer: RelayHost, request: EndorsementRequest) -> None:
+    def _send_to_peer(self, host: RelayHost, peer: RelayHost, request: EndorsementRequest) -> None:
         self.peer_messages += 1
         if self._network.is_cut(host.zone.region, peer.zone.region):
             return
-        arrives = self._events.now + self._network.way_ms(host.zone.number, peer.zone.number)
-        self._events.at(arrives, self._peer_asked, peer, (host, host.incarnation, request))
+        arrives = self._events.now + self._network.one_way_ms(host.zone.number, peer.zone.number)
+        self._events.at(arrives, self._handle_peer_request, peer, (host, host.incarnation, request))
 
-    def _peer_asked(self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]) -> None:
+    def _handle_peer_request(
+        self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]
+    ) -> None:
         host, incarnation, request = argument
         if not peer.relay:
             return
         if self._events.now < peer.frozen_until:
-            peer.deferred.append((self._peer_asked, peer, argument))
+            peer.deferred.append((self._handle_peer_request, peer, argument))
             return
         self.peer_messages += 1
-        consent = peer.relay.handle_endorsement_request(self._events.now, request)
-        arrives = self._events.now + self._network.way_ms(peer.zone.number, host.zone.number)
-        self._events.at(arrives, self._peer_answered, host, (incarnation, consent))
+        endorsement = peer.relay.handle_endorsement_request(self._events.now, request)
+        arrives = self._events.now + self._network.one_way_ms(peer.zone.number, host.zone.number)
+        self._events.at(arrives, self._handle_peer_response, host, (incarnation, endorsement))
         self._step(peer)
 
-    def _peer_answered(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
-        incarnation, consent = argument
+    def _handle_peer_response(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
+        incarnation, endorsement = argument
         if not host.relay or host.incarnation != incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self._peer_answered, host, argument))
+            host.deferred.append((self._handle_peer_response, host, argument))
             return
-        host.relay.handle_endorsement(consent)
+        host.relay.handle_endorsement(endorsement)
         self._step(host)
--- a/otterrudder/lab/scale/report.py
+++ b/otterrudder/lab/scale/report.py
@@ -16,7 +16,7 @@
 import matplotlib.pyplot as plt  # noqa: E402
 
 # What the table shows: a figure, its heading, and how it is written.
-SHOWN = (
+TABLE_COLUMNS = (
     ("committed", "in force", "{:.0f}"),
     ("never_opened", "no turn", "{:.0f}"),
     ("in_4_s", "in 4 s", "{:.1%}"),
@@ -46,13 +46,13 @@
 
 def table(runs: list[Run]) -> list[str]:
     """Lines of a table in Markdown."""
-    heads = ["case", "rule", "cells", "servers", "seed", *(heading for _, heading, _ in SHOWN)]
-    lines = [f"| {' | '.join(heads)} |", f"| --- | --- |{' ---: |' * (len(heads) - 2)}"]
+    headings = ["case", "rule", "cells", "servers", "seed", *(heading for _, heading, _ in TABLE_COLUMNS)]
+    lines = [f"| {' | '.join(headings)} |", f"| --- | --- |{' ---: |' * (len(headings) - 2)}"]
     for run in runs:
         setting = run.setting
-        named = [setting.case.name, setting.absent, f"{run.figures['cells']:.0f}"]
-        cells = [*named, str(setting.servers), str(setting.seed)]
-        cells += [form.format(run.figures[name]) for name, _, form in SHOWN]
+        labels = [setting.case.name, setting.absent, f"{run.figures['cells']:.0f}"]
+        cells = [*labels, str(setting.servers), str(setting.seed)]
+        cells += [number_format.format(run.figures[name]) for name, _, number_format in TABLE_COLUMNS]
         lines.append(f"| {' | '.join(cells)} |")
     return lines
 
@@ -110,9 +110,9 @@
         rows.writerow(["case", "absent", "servers", "regions", "seed", "minutes", *names])
         for run in runs:
             setting = run.setting
-            about = [setting.case.name, setting.absent, setting.servers, setting.regions or ""]
+            setting_columns = [setting.case.name, setting.absent, setting.servers, setting.regions or ""]
             values = [run.figures.get(name, "") for name in names]
-            rows.writerow([*about, setting.seed, setting.minutes, *values])
+            rows.writerow([*setting_columns, setting.seed, setting.minutes, *values])
 
 
 def _chart(runs: list[Run], title: str, names: tuple[str, ...], path: Path) -> bool:
--- a/otterrudder/lab/scale/sampling.py
+++ b/otterrudder/lab/scale/sampling.py
@@ -3,16 +3,16 @@
 from dataclasses import dataclass
 from time import thread_time_ns
 
-SAMPLED_EVERY = 64  # calls of the frequent kinds: the clock itself costs as much as some of them
-CALIBRATION = 2000  # pairs of readings, to know what a reading costs
+SAMPLING_INTERVAL = 64  # calls of the frequent kinds: the clock itself costs as much as some of them
+CALIBRATION_READINGS = 2000  # pairs of readings, to know what a reading costs
 
 
 def reading_cost_ns() -> float:
     """What a pair of readings adds to a sample."""
     before = thread_time_ns()
-    for _ in range(CALIBRATION):
+    for _ in range(CALIBRATION_READINGS):
         thread_time_ns()
-    return (thread_time_ns() - before) / CALIBRATION
+    return (thread_time_ns() - before) / CALIBRATION_READINGS
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     """Of calls of one kind; `every`: of them one is timed."""
 
     overhead_ns: float
-    every: int = SAMPLED_EVERY
+    every: int = SAMPLING_INTERVAL
     calls: int = 0
     timed: int = 0
     spent_ns: float = 0.0
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -18,7 +18,7 @@
 from otterrudder.lab.scale.relays import Relays
 from otterrudder.lab.scale.sampling import CpuSample
 
-SET_UP_WAYS = 3  # ways after the first packet has arrived: TCP's answer, TLS there and back
+HANDSHAKE_TRIPS = 3  # ways after the first packet has arrived: TCP's answer, TLS there and back
 
 
 class Servers:
@@ -34,18 +34,18 @@
         sizes: Sizes,
         load: LoadPart,
         history: HistoryChecker,
-        chance: random.Random,
-        span_ms: float,
+        random_source: random.Random,
+        lease_ms: float,
         cpu: CpuSample,
     ) -> None:
         self.fleet, self.hosts, self.relays = fleet, hosts, relays
-        self.span_ms, self.cpu, self.load = span_ms, cpu, load
+        self.lease_ms, self.cpu, self.load = lease_ms, cpu, load
         self.connects = 0
         self.samples = 0
-        self.suspended_at = -math.inf  # when a server that runs was last seen to stand aside
+        self.last_suspended_at = -math.inf  # when a server that runs was last seen to stand aside
         self.suspended: Counter[str] = Counter()
         self._events, self._network, self._sizes = events, network, sizes
-        self._history, self._chance = history, chance
+        self._history, self._random = history, random_source
         self._by_address: Mapping[str, RelayHost] = relays.by_address
 
     # Its incarnation.
@@ -58,18 +58,20 @@
         host.version, host.lease_until, host.timer_at = 0, -math.inf, math.inf
         incarnation = f"{host.name}.{host.incarnation}"
         identity = ServerIdentity(self.fleet, host.name, incarnation, host.kind, host.zone.name)
-        host.participant = self.make(identity, host.relays)
+        host.participant = self.make_participant(identity, host.relays)
         self._step(host)
 
-    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
+    def make_participant(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
         """A fresh participant."""
-        return Participant(self._events.now, identity, relays, self.span_ms)
+        return Participant(self._events.now, identity, relays, self.lease_ms)
 
     def stop(self, host: ServerHost, is_silent: bool) -> None:
         """The process ends: its machine closes the stream, or is gone as well."""
         if not host.participant:
             return
-        self._history.left(host.version, self._history.version, min(self._events.now, host.lease_until))
+        self._history.record_version_end(
+            host.version, self._history.version, min(self._events.now, host.lease_until)
+        )
         host.participant, host.timer_at = None, math.inf
         host.deferred.clear()
         stream, host.stream = host.stream, None
@@ -84,8 +86,8 @@
     def thaw(self, host: ServerHost, _: object = None) -> None:
         """An admission that waited is the first thing that a server sees, then its messages."""
         self._sample(host)
-        held, host.deferred = host.deferred, []
-        for handler, subject, argument in held:
+        events, host.deferred = host.deferred, []
+        for handler, subject, argument in events:
             handler(subject, argument)
         if host.participant:
             self._step(host)
@@ -128,42 +130,42 @@
         if due <= now:
             self._step(host)
             return
-        self._note(host, participant)
+        self._record_version(host, participant)
         if due < host.timer_at:
             host.timer_at = due
             self._events.at(due, self.fire_timer, host, due)
 
-    def connected(self, stream: Stream, _: object) -> None:
+    def handle_connected(self, stream: Stream, _: object) -> None:
         """The connection to a relay stands."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.connected, stream, None))
+            host.deferred.append((self.handle_connected, stream, None))
             return
         host.participant.handle_connected(self._events.now, stream.connection)
         self._step(host)
 
-    def ended(self, stream: Stream, _: object) -> None:
+    def handle_disconnected(self, stream: Stream, _: object) -> None:
         """The relay's end was closed, or nobody listens there."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.ended, stream, None))
+            host.deferred.append((self.handle_disconnected, stream, None))
             return
         if host.stream is stream:
             host.stream = None
         host.participant.handle_disconnected(self._events.now, stream.connection)
         self._step(host)
 
-    def checked(self, host: ServerHost, argument: tuple[int, str]) -> None:
+    def handle_validated(self, host: ServerHost, argument: tuple[int, str]) -> None:
         """A policy has been validated."""
         incarnation, digest = argument
         if not host.participant or host.incarnation != incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.checked, host, argument))
+            host.deferred.append((self.handle_validated, host, argument))
             return
         host.participant.handle_validated(self._events.now, digest, "")
         self._step(host)
@@ -180,8 +182,8 @@
         else:
             effects = participant.effects(now)
         for effect in effects:
-            self._carry_out(host, effect)
-        self._note(host, participant)
+            self._execute(host, effect)
+        self._record_version(host, participant)
         self._schedule(host, participant)
 
     def _schedule(self, host: ServerHost, participant: Participant) -> None:
@@ -191,23 +193,23 @@
             host.timer_at = due
             self._events.at(due, self.fire_timer, host, due)
 
-    def _note(self, host: ServerHost, participant: Participant) -> None:
+    def _record_version(self, host: ServerHost, participant: Participant) -> None:
         """What it goes by from now on."""
         version = participant.applied_policy.version
         if version != host.version:
             until = min(self._events.now, host.lease_until)
-            self._history.left(host.version, version, until)
+            self._history.record_version_end(host.version, version, until)
             host.version = version
         host.lease_until = participant.lease.until
 
-    def _carry_out(self, host: ServerHost, effect: ParticipantEffect) -> None:
+    def _execute(self, host: ServerHost, effect: ParticipantEffect) -> None:
         if isinstance(effect, SendToRelay):
             self._send(host, effect)
         elif isinstance(effect, Connect):
             self._connect(host, effect)
         elif isinstance(effect, ValidateText):
-            due = self._events.now + self._chance.uniform(*self.load.check_ms)
-            self._events.at(due, self.checked, host, (host.incarnation, effect.digest))
+            due = self._events.now + self._random.uniform(*self.load.check_ms)
+            self._events.at(due, self.handle_validated, host, (host.incarnation, effect.digest))
         else:
             stream, host.stream = host.stream, None
             if stream and stream.connection == effect.connection:
@@ -218,12 +220,12 @@
         if not stream or stream.connection != effect.connection:
             return
         relay = stream.relay
-        size = self._sizes.of(effect.message)
+        size = self._sizes.size_of(effect.message)
         relay.received.messages += 1
         relay.received.size += size
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        arrives = self._events.now + self._network.way_ms(host.zone.number, relay.zone.number)
+        arrives = self._events.now + self._network.one_way_ms(host.zone.number, relay.zone.number)
         arrives = max(arrives, stream.to_relay_at)
         stream.to_relay_at = arrives
         self._events.at(arrives, self.relays.receive, stream, effect.message)
@@ -234,28 +236,28 @@
         stream = Stream(host, host.incarnation, effect.connection, relay)
         host.stream = stream
         if not self._network.is_cut(host.zone.region, relay.zone.region):
-            way = self._network.way_ms(host.zone.number, relay.zone.number)
-            self._events.at(self._events.now + way, self._arrives, stream, way)
+            way = self._network.one_way_ms(host.zone.number, relay.zone.number)
+            self._events.at(self._events.now + way, self._handle_syn, stream, way)
 
-    def _arrives(self, stream: Stream, way: float) -> None:
+    def _handle_syn(self, stream: Stream, way: float) -> None:
         """The first packet is at the relay's machine, which refuses where no process listens."""
         relay = stream.relay
         if not relay.is_machine_up:
             return
         if not relay.relay:
-            self._events.at(self._events.now + way, self.ended, stream, None)
+            self._events.at(self._events.now + way, self.handle_disconnected, stream, None)
             return
         self.relays.accept(stream)
-        stream.to_server_at = self._events.now + SET_UP_WAYS * way
-        self._events.at(stream.to_server_at, self.connected, stream, None)
+        stream.to_server_at = self._events.now + HANDSHAKE_TRIPS * way
+        self._events.at(stream.to_server_at, self.handle_connected, stream, None)
 
     def _send_close(self, stream: Stream) -> None:
         host, relay = stream.server, stream.relay
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        way = self._network.way_ms(host.zone.number, relay.zone.number)
+        way = self._network.one_way_ms(host.zone.number, relay.zone.number)
         arrives = max(self._events.now + way, stream.to_relay_at)
-        self._events.at(arrives, self.relays.closed, stream, None)
+        self._events.at(arrives, self.relays.handle_stream_closed, stream, None)
 
     # What it would answer.
 
@@ -273,19 +275,19 @@
         version = participant.admits(now)
         if version is None:
             self.suspended[participant.admission_status(now).label] += 1
-            self.suspended_at = now
+            self.last_suspended_at = now
         elif version != self._history.version:
-            self._history.admits(now, host.name, version)
+            self._history.check_admission(now, host.name, version)
 
     def close(self) -> None:
         """The run is over: whoever still goes by an older version has left none yet."""
         for host in self.hosts:
             if host.participant and host.version < self._history.version:
                 until = host.lease_until if host.lease_until < self._events.now else math.inf
-                self._left_behind(host, until)
+                self._record_stale_server(host, until)
 
-    def _left_behind(self, host: ServerHost, until: float) -> None:
+    def _record_stale_server(self, host: ServerHost, until: float) -> None:
         """`until`: inf where it still admits."""
-        ends = self._history.admitted_until
+        admitted_until = self._history.admitted_until
         for later in range(host.version + 1, self._history.version + 1):
-            ends[later] = max(ends[later], until)
+            admitted_until[later] = max(admitted_until[later], until)
--- a/otterrudder/lab/scale/simulated.py
+++ b/otterrudder/lab/scale/simulated.py
@@ -24,7 +24,7 @@
     folder: Path
 
 
-def perform(file: Path, choice: Choice, say: Callable[[str], None]) -> list[str]:
+def perform(file: Path, choice: Choice, echo: Callable[[str], None]) -> list[str]:
     """Plays the chosen runs, shows and writes them; what does not hold. Raises InvalidInputError."""
     experiment = read_scale(file)
     settings = settings_of(
@@ -43,10 +43,10 @@
     for setting in settings:
         runs.append(play(experiment, setting))
         if not choice.is_json:
-            say(f"{len(runs)}/{len(settings)} {setting.label} (simulated)")
+            echo(f"{len(runs)}/{len(settings)} {setting.label} (simulated)")
     written = write(experiment, runs, choice.folder)
     for line in [as_json(experiment, runs)] if choice.is_json else table(runs):
-        say(line)
+        echo(line)
     if not choice.is_json:
-        say(f"wrote {', '.join(map(str, written))}")
+        echo(f"wrote {', '.join(map(str, written))}")
     return broken(runs)
--- a/otterrudder/lab/scale/simulation.py
+++ b/otterrudder/lab/scale/simulation.py
@@ -21,11 +21,11 @@
 from otterrudder.lab.scale.topology import Topology, Zone
 
 FLEET = "f"
-LAPSE_MS = 50.0  # between looks of the store for leases that have ended
-CALM_MS = 15_000.0  # before the load, in which the standing cost is counted
-LAST_ASK_MS = 15_000.0  # before the end, from which on no change is asked for
-RELAYS_START_MS = 500.0
-SERVERS_START_MS = 5000.0
+LEASE_EXPIRY_INTERVAL_MS = 50.0  # between looks of the store for leases that have ended
+BASELINE_MS = 15_000.0  # before the load, in which the standing cost is counted
+PROPOSAL_CUTOFF_MS = 15_000.0  # before the end, from which on no change is asked for
+RELAY_START_WINDOW_MS = 500.0
+SERVER_START_WINDOW_MS = 5000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
 
     def __init__(self, experiment: Experiment, setting: Setting) -> None:
         self.experiment, self.setting = experiment, setting
-        self.chance = random.Random(f"scale/{setting.label}/{setting.regions}")
+        self.random = random.Random(f"scale/{setting.label}/{setting.regions}")
         self.topology = Topology.of(experiment, setting.regions)
         self.keys, self.events = Keys(FLEET), EventQueue()
         rules = experiment.rules
         self.history = HistoryChecker(self.keys, rules.bound_ms)
-        self.network = Network(self.topology, experiment.network, self.chance)
+        self.network = Network(self.topology, experiment.network, self.random)
         self.sizes = Sizes(experiment.network.framing_bytes, experiment.load.text_bytes)
         cost = reading_cost_ns()
         self.server_cpu, self.message_cpu = CpuSample(cost), CpuSample(cost)
@@ -66,11 +66,11 @@
         self.relays = self._relays()
         self.servers = self._servers()
         self.store = StoreService(
-            self.topology, experiment.store, self.chance, self._written, self.relays.changed
+            self.topology, experiment.store, self.random, self._handle_commit, self.relays.notify_watchers
         )
-        self.relays.use(self.store, self.servers)
+        self.relays.attach(self.store, self.servers)
         self.proposers = Proposers(
-            self.keys, self.topology, self.events, self.network, self.store, self.history, self.chance
+            self.keys, self.topology, self.events, self.network, self.store, self.history, self.random
         )
         self.churn = Churn(
             self.topology,
@@ -81,14 +81,14 @@
             self.proposers,
             self.network,
             self.events,
-            self.chance,
+            self.random,
         )
 
     def _relays(self) -> Relays:
         rules = self.experiment.rules
         return self.relays_type(
             FLEET,
-            [host for zone in self.topology.zones for host in self._relays_of(zone)],
+            [host for zone in self.topology.zones for host in self._relay_hosts(zone)],
             self.topology,
             Rules(self.setting.absent, rules.bound_ms, rules.store_lease_ms, False, True),
             rules.server_lease_ms,
@@ -96,12 +96,12 @@
             self.network,
             self.sizes,
             self.history,
-            self.chance,
+            self.random,
             self.message_cpu,
             self.store_cpu,
         )
 
-    def _relays_of(self, zone: Zone) -> list[RelayHost]:
+    def _relay_hosts(self, zone: Zone) -> list[RelayHost]:
         """A cell's two relays: on its own zone's machine for control, and on the next zone's."""
         candidates = _addresses(zone)
         zones = (zone, self.topology.neighbour(zone))
@@ -110,7 +110,9 @@
 
     def _servers(self) -> Servers:
         zones = self.topology.zones
-        hosts = [self._server(number, zones[number % len(zones)]) for number in range(self.setting.servers)]
+        hosts = [
+            self._server_host(number, zones[number % len(zones)]) for number in range(self.setting.servers)
+        ]
         return self.servers_type(
             FLEET,
             hosts,
@@ -120,12 +122,12 @@
             self.sizes,
             self.experiment.load,
             self.history,
-            self.chance,
+            self.random,
             self.experiment.rules.server_lease_ms,
             self.server_cpu,
         )
 
-    def _server(self, number: int, zone: Zone) -> ServerHost:
+    def _server_host(self, number: int, zone: Zone) -> ServerHost:
         kind = f"kind {number // len(self.topology.zones) % self.experiment.load.kinds}"
         relays = (*_addresses(zone), *_addresses(self.topology.neighbour(zone)))
         return ServerHost(f"server-{number:05}", zone, kind, relays)
@@ -145,9 +147,9 @@
     def play(self) -> None:
         """To the end; figures are read off the parts."""
         self._start_all()
-        self._load()
+        self._schedule_load()
         self.events.at(self.setting.case.look_ms, self._sample, None)
-        self.events.at(LAPSE_MS, self._lapse, None)
+        self.events.at(LEASE_EXPIRY_INTERVAL_MS, self._expire_leases, None)
         self.events.run(self.end_ms)
         self.servers.sample_all()
         self.servers.close()
@@ -155,40 +157,40 @@
 
     def _start_all(self) -> None:
         for number, relay in enumerate(self.relays.hosts):
-            at = self.chance.uniform(0.0, RELAYS_START_MS)
+            at = self.random.uniform(0.0, RELAY_START_WINDOW_MS)
             if number % 2:
                 at += self.setting.case.standbys_start_s * 1000.0
             self.events.at(at, self.relays.start, relay)
-        down = set(map(id, self.churn.down_at_first())) if self.setting.case.has_churn else set()
+        down = set(map(id, self.churn.initially_down())) if self.setting.case.has_churn else set()
         for server in self.servers.hosts:
-            at = self.chance.uniform(RELAYS_START_MS, SERVERS_START_MS)
+            at = self.random.uniform(RELAY_START_WINDOW_MS, SERVER_START_WINDOW_MS)
             if id(server) not in down:
                 self.events.at(at, self.servers.start, server)
 
-    def _load(self) -> None:
+    def _schedule_load(self) -> None:
         case = self.setting.case
         per_s = self.experiment.load.changes_per_s if case.changes_per_s is None else case.changes_per_s
-        self.proposers.schedule(self.begin_ms, self.end_ms - LAST_ASK_MS, per_s)
+        self.proposers.schedule(self.begin_ms, self.end_ms - PROPOSAL_CUTOFF_MS, per_s)
         if case.has_churn:
-            self.churn.ordinary(self.begin_ms, self.end_ms)
+            self.churn.schedule_ordinary(self.begin_ms, self.end_ms)
         for fault in case.faults:
-            self.churn.script(fault)
+            self.churn.schedule_fault(fault)
 
     def _sample(self, _: object, __: object) -> None:
         self.servers.sample_all()
         self.events.at(self.events.now + self.setting.case.look_ms, self._sample, None)
 
-    def _lapse(self, _: object, __: object) -> None:
-        self.store.lapse(self.events.now)
-        self.events.at(self.events.now + LAPSE_MS, self._lapse, None)
+    def _expire_leases(self, _: object, __: object) -> None:
+        self.store.expire_leases(self.events.now)
+        self.events.at(self.events.now + LEASE_EXPIRY_INTERVAL_MS, self._expire_leases, None)
 
-    def _written(self, commit: Commit) -> None:
+    def _handle_commit(self, commit: Commit) -> None:
         before = self.history.version
-        self.history.wrote(self.events.now, commit)
+        self.history.record_commit(self.events.now, commit)
         if self.history.version != before:
-            self.events.at(self.events.now + self.history.bound_ms, self._look_once, None)
+            self.events.at(self.events.now + self.history.bound_ms, self._sample_once, None)
 
-    def _look_once(self, _: object, __: object) -> None:
+    def _sample_once(self, _: object, __: object) -> None:
         """As the bound of a commit passes."""
         self.servers.sample_all()
 
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -11,18 +11,18 @@
 from otterrudder.lab.scale.experiment import StorePart
 from otterrudder.lab.scale.topology import Topology
 
-COUNTED = {Read: "reads", Commit: "writes", GrantLease: "leases", RenewLease: "renewals"}
+COUNTER_BY_REQUEST = {Read: "reads", Commit: "writes", GrantLease: "leases", RenewLease: "renewals"}
 
 
-class NotingKeySpace(IndexedKeySpace):
+class ChangeTrackingKeySpace(IndexedKeySpace):
     """Remembers which keys were written since it was last asked."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.touched: list[str] = []
+        self.changed_keys: list[str] = []
 
     def _record_event(self, key: str, entry: object) -> None:
-        self.touched.append(key)
+        self.changed_keys.append(key)
 
 
 class StoreService:
@@ -32,58 +32,60 @@
         self,
         topology: Topology,
         part: StorePart,
-        chance: random.Random,
-        written: Callable[[Commit], None],
-        changed: Callable[[list[str]], None],
+        random_source: random.Random,
+        on_commit: Callable[[Commit], None],
+        on_keys_changed: Callable[[list[str]], None],
     ) -> None:
         """`written`: a commit took effect; `changed`: these keys were written or deleted."""
-        self.keys = NotingKeySpace()
+        self.keys = ChangeTrackingKeySpace()
         self.counts: Counter[str] = Counter()
-        self._part, self._chance = part, chance
-        self._written, self._changed = written, changed
-        self._ways = [topology.store_way_ms(region) for region in range(len(topology.regions))]
+        self._part, self._random = part, random_source
+        self._on_commit, self._on_keys_changed = on_commit, on_keys_changed
+        self._store_latency_ms = [
+            topology.store_one_way_ms(region) for region in range(len(topology.regions))
+        ]
         self._quorum_ms = topology.quorum_ms
 
     def arrival_ms(self, region: int, request: StoreRequest) -> float:
         """From the sending of a request until it takes effect."""
         bounds = self._part.read_ms if isinstance(request, Read) else self._part.disk_ms
-        return self._ways[region] + self._quorum_ms + self._chance.uniform(*bounds)
+        return self._store_latency_ms[region] + self._quorum_ms + self._random.uniform(*bounds)
 
     def answer_ms(self, region: int) -> float:
         """From there until its answer is back."""
-        return self._ways[region] + self._chance.uniform(*self._part.read_ms)
+        return self._store_latency_ms[region] + self._random.uniform(*self._part.read_ms)
 
     def watch_ms(self, region: int) -> float:
         """From a write until a watch tells of it."""
-        return self._ways[region] + self._chance.uniform(*self._part.watch_ms)
+        return self._store_latency_ms[region] + self._random.uniform(*self._part.watch_ms)
 
     def answer(self, now: float, request: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
         """Carries a request out."""
-        self.counts[COUNTED[type(request)]] += 1
+        self.counts[COUNTER_BY_REQUEST[type(request)]] += 1
         if isinstance(request, Commit):
             self.counts[request.purpose] += 1
         outcome = self.keys.answer(now, request)
         if isinstance(request, Commit):
             assert isinstance(outcome, CommitResult)
             if outcome.succeeded:
-                self._written(request)
+                self._on_commit(request)
             else:
                 self.counts["fallen"] += 1
-        self._tell()
+        self._notify_changed()
         return outcome
 
-    def lapse(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Leases that have ended go."""
         self.keys.expire_leases(now)
-        self._tell()
+        self._notify_changed()
 
     def revoke(self, lease: int) -> None:
         """Ends a lease and drops its keys."""
         self.counts["leases"] += 1
         self.keys.revoke(lease)
-        self._tell()
+        self._notify_changed()
 
-    def _tell(self) -> None:
-        if self.keys.touched:
-            touched, self.keys.touched = self.keys.touched, []
-            self._changed(touched)
+    def _notify_changed(self) -> None:
+        if self.keys.changed_keys:
+            changed_keys, self.keys.changed_keys = self.keys.changed_keys, []
+            self._on_keys_changed(changed_keys)
--- a/otterrudder/lab/scale/topology.py
+++ b/otterrudder/lab/scale/topology.py
@@ -24,17 +24,17 @@
     store_regions: tuple[int, ...]
 
     @staticmethod
-    def of(experiment: Experiment, regions_most: int | None = None) -> "Topology":
-        """`regions_most`: the first so many regions alone; the store's members stay where they are."""
-        told = experiment.topology
+    def of(experiment: Experiment, max_regions: int | None = None) -> "Topology":
+        """`max_regions`: the first so many regions alone; the store's members stay where they are."""
+        topology = experiment.topology
         zones: list[Zone] = []
-        for region, count in enumerate(told.zones[:regions_most]):
+        for region, count in enumerate(topology.zones[:max_regions]):
             zones += [
-                Zone(len(zones) + which, region, f"{told.regions[region]}-{'abcdefghij'[which]}")
-                for which in range(count)
+                Zone(len(zones) + index, region, f"{topology.regions[region]}-{'abcdefghij'[index]}")
+                for index in range(count)
             ]
-        stores = tuple(told.regions.index(region) for region in experiment.store.regions)
-        return Topology(tuple(zones), told.regions, told.latency_ms, stores)
+        store_regions = tuple(topology.regions.index(region) for region in experiment.store.regions)
+        return Topology(tuple(zones), topology.regions, topology.latency_ms, store_regions)
 
     def neighbour(self, zone: Zone) -> Zone:
         """The next zone of the same region; of the nearest region, where it has no other."""
@@ -49,7 +49,7 @@
             ),
         )
 
-    def store_way_ms(self, region: int) -> float:
+    def store_one_way_ms(self, region: int) -> float:
         """One way from a region to the store's leader, by way of the member over which it is shortest."""
         leader = self.store_regions[0]
         return min(
@@ -60,6 +60,6 @@
     def quorum_ms(self) -> float:
         """From the store's leader to the nearest half of the other members and back."""
         leader = self.store_regions[0]
-        ways = sorted(self.latency_ms[leader][member] for member in self.store_regions[1:])
+        latencies = sorted(self.latency_ms[leader][member] for member in self.store_regions[1:])
         needed = len(self.store_regions) // 2
-        return 2 * ways[needed - 1] if needed else 0.0
+        return 2 * latencies[needed - 1] if needed else 0.0
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -28,7 +28,7 @@
 from otterrudder.lab.site import InvalidInputError
 
 FILE = ROOT / "experiments/capacity.toml"
-NO_TIMES = ("cpu", "_cpu_")  # what a machine's clock goes into
+CPU_TIME_MARKERS = ("cpu", "_cpu_")  # what a machine's clock goes into
 
 
 @pytest.fixture(scope="module")
@@ -36,32 +36,36 @@
     return read_scale(FILE)
 
 
-def short(
-    experiment: Experiment, servers: int, faults: tuple[FaultPart, ...] = (), **more: object
+def short_setting(
+    experiment: Experiment, servers: int, faults: tuple[FaultPart, ...] = (), **case_changes: object
 ) -> Setting:
     """A short run of the first three regions."""
-    case = msgspec.structs.replace(experiment.case[0], faults=faults, **more)
+    case = msgspec.structs.replace(experiment.case[0], faults=faults, **case_changes)
     return Setting(case, servers, 3, "wait", 1, 0.4)
 
 
-def counts(run: Run) -> dict[str, float]:
+def deterministic_figures(run: Run) -> dict[str, float]:
     """The figures without those of the machine's clock."""
-    return {name: value for name, value in run.figures.items() if not any(one in name for one in NO_TIMES)}
+    return {
+        name: value
+        for name, value in run.figures.items()
+        if not any(marker in name for marker in CPU_TIME_MARKERS)
+    }
 
 
 def test_requests_a_change_and_messages_a_server_do_not_grow_with_the_servers(experiment: Experiment) -> None:
-    runs = [play(experiment, short(experiment, servers)) for servers in (45, 180)]
+    runs = [play(experiment, short_setting(experiment, servers)) for servers in (45, 180)]
     assert broken(runs) == []
     for run in runs:
         assert run.figures["committed"] > 5 and run.figures["never_opened"] == 0
 
 
 def test_the_same_seed_gives_the_same_run(experiment: Experiment) -> None:
-    first, again = (counts(play(experiment, short(experiment, 30))) for _ in range(2))
+    first, again = (deterministic_figures(play(experiment, short_setting(experiment, 30))) for _ in range(2))
     assert first == again
 
 
-class IgnoresTheLeaseEnd(Participant):
+class LeaseIgnoringParticipant(Participant):
     """Goes on admitting when its lease has ended."""
 
     __slots__ = ()
@@ -70,7 +74,7 @@
         return self.applied_policy.version if self.has_held_lease else None
 
 
-class GrantsPastAuthority(Relay):
+class OvergrantingRelay(Relay):
     """Takes its authority for longer than it is."""
 
     __slots__ = ()
@@ -80,13 +84,13 @@
 
 
 class FaultyServers(Servers):
-    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
-        return IgnoresTheLeaseEnd(self._events.now, identity, relays, self.span_ms)
+    def make_participant(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
+        return LeaseIgnoringParticipant(self._events.now, identity, relays, self.lease_ms)
 
 
 class FaultyRelays(Relays):
-    def make(self, identity: CellIdentity, incarnation: str) -> Relay:
-        return GrantsPastAuthority(self._events.now, identity, RelayStart(incarnation), self.rules)
+    def make_relay(self, identity: CellIdentity, incarnation: str) -> Relay:
+        return OvergrantingRelay(self._events.now, identity, RelayStart(incarnation), self.rules)
 
 
 class WithFaultyServers(Simulation):
@@ -103,15 +107,15 @@
 ) -> None:
     """A region that is cut off under the rule `leave-out` stands aside, as nothing else makes it."""
     cut = (FaultPart(kind="region-cut", at_s=31.0, region="us-central"),)
-    whole = short(experiment, 30, cut)
-    setting = Setting(whole.case, 30, 3, "leave-out", 1, 0.5)
-    sound = play(experiment, setting)
-    assert sound.figures["breaches"] == 0 and sound.figures["committed"] > 3
-    assert sound.figures["aside_lapsed"] > 0.1
+    base = short_setting(experiment, 30, cut)
+    setting = Setting(base.case, 30, 3, "leave-out", 1, 0.5)
+    fault_free = play(experiment, setting)
+    assert fault_free.figures["breaches"] == 0 and fault_free.figures["committed"] > 3
+    assert fault_free.figures["aside_lapsed"] > 0.1
     assert play(experiment, setting, make).figures["breaches"] > 0
 
 
-def changed(tmp_path: Path, old: str, new: str) -> Path:
+def write_changed_file(tmp_path: Path, old: str, new: str) -> Path:
     text = FILE.read_text()
     assert old in text
     path = tmp_path / "mine.toml"
@@ -120,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "expected_message"),
     [
         ("bound_ms = 3000.0", "bound_ms = -1.0", r"mine.toml: .rules.bound_ms: "),
         ("bound_ms = 3000.0", "bound_mss = 1.0", r"mine.toml: .rules: .*bound_mss"),
@@ -136,9 +140,11 @@
         ('title = "', "title = ", r"mine.toml: not TOML"),
     ],
 )
-def test_a_mistake_in_the_file_is_named_with_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
-    with pytest.raises(InvalidInputError, match=says):
-        read_scale(changed(tmp_path, old, new))
+def test_a_mistake_in_the_file_is_named_with_its_key(
+    tmp_path: Path, old: str, new: str, expected_message: str
+) -> None:
+    with pytest.raises(InvalidInputError, match=expected_message):
+        read_scale(write_changed_file(tmp_path, old, new))
 
 
 def test_the_command_plays_a_case_and_leaves_its_results(tmp_path: Path) -> None:
@@ -154,15 +160,15 @@
         "--seed",
         "1",
     ]
-    done = CliRunner().invoke(lab, [*command, "--minutes", "0.3", "--json", "--out", str(tmp_path)])
-    assert done.exit_code == 0, done.output
-    told = json.loads(done.output)
-    assert told["simulated"] and told["runs"][0]["figures"]["breaches"] == 0
-    assert json.loads((tmp_path / "results.json").read_text()) == told
-    done = CliRunner().invoke(lab, ["scale", str(tmp_path / "none.toml"), "--part", "simulated"])
-    assert done.exit_code != 0 and "none.toml" in done.output
-    done = CliRunner().invoke(lab, ["list", str(FILE.parent)])
-    assert done.exit_code == 0 and "capacity.toml" in done.output
+    result = CliRunner().invoke(lab, [*command, "--minutes", "0.3", "--json", "--out", str(tmp_path)])
+    assert result.exit_code == 0, result.output
+    results = json.loads(result.output)
+    assert results["simulated"] and results["runs"][0]["figures"]["breaches"] == 0
+    assert json.loads((tmp_path / "results.json").read_text()) == results
+    result = CliRunner().invoke(lab, ["scale", str(tmp_path / "none.toml"), "--part", "simulated"])
+    assert result.exit_code != 0 and "none.toml" in result.output
+    result = CliRunner().invoke(lab, ["list", str(FILE.parent)])
+    assert result.exit_code == 0 and "capacity.toml" in result.output
 
 
 def test_the_quick_form_plays_every_case_that_is_marked(experiment: Experiment) -> None:
@@ -190,7 +196,7 @@
 
 
 def test_grants_are_counted_as_they_go_over_the_wire(experiment: Experiment) -> None:
-    simulation = Simulation(experiment, short(experiment, 9))
+    simulation = Simulation(experiment, short_setting(experiment, 9))
     simulation.play()
     assert simulation.sizes.counts[LeaseGrant] > 9 * 30
     assert simulation.history.granted_until[simulation.history.version] > simulation.events.now
