--- a/otterrudder/lab/fleet/__init__.py
+++ b/otterrudder/lab/fleet/__init__.py
@@ -1,6 +1,8 @@
-"""The fleet in the lab: its pure parts as they are, on a key space in simulated time.
+"""Model search and simulation of the fleet's protocol: its pure parts, unchanged, on a key space in simulated
+time.
 
-`world` holds a few members, the store and what is between them, and plays single events; `search` tries every
-order of events to a depth, or long ones drawn from a seed, and says which promise broke and how; `faults` are
-doubles of the parts with one thing left out each, which the search has to find; `hours` plays whole fleets
-through plans of faults in simulated time."""
+`model` holds a few members, the store and the requests between them; `model_events` lists the events that may
+follow a state. `search` explores every order of events to a depth, or random walks from a seed, and reports
+which guarantee was violated by which events. `mutants` has faulty variants of the parts, and `seeded_faults`
+says where each shows; the search has to find all of them. `simulation` runs whole fleets under plans of
+faults in simulated time. The modules `cell_*` do the same for fleets of cells."""
--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the coordination of changes in a relay: the trust in the store, and the queue."""
+"""Mutants of a relay's coordination of changes: its trust in the store, and the queue."""
 
 import math
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 class RelayTrustsAnyStore(MutantRelay):
-    """Trusts an engine that went back to an older state."""
+    """Trusts an engine that has been restored to an older state."""
 
     trust_type = TrustsAnyStore
 
@@ -47,7 +47,7 @@
 
 
 def _without_bases(outcome: Outcome) -> Outcome:
-    """What was read, as if each entry of the queue had been made from any policy."""
+    """Returns the outcome of a read with the base policy removed from each entry of the queue."""
     if not isinstance(outcome, Snapshot):
         return outcome
     entries = dict(outcome.entries)
@@ -59,7 +59,7 @@
 
 
 class OpensChangeFromAnyBase(MutantRelay):
-    """Opens an entry that was made from a policy which is no longer in force."""
+    """Opens a queued change that was made from a policy which is no longer in force."""
 
     coordinator_type = _OpensAnyBase
 
@@ -77,6 +77,6 @@
 
 
 class IgnoresTheQueue(MutantRelay):
-    """Looks for no queued change while none is open."""
+    """Does not read the queue while no change is open."""
 
     coordinator_type = _IgnoresQueue
--- a/otterrudder/lab/fleet/cell_delivery.py
+++ b/otterrudder/lab/fleet/cell_delivery.py
@@ -1,4 +1,4 @@
-"""Deliveries in a model of cells: requests, answers and messages that arrive, one at a time or all."""
+"""Delivers requests, answers and messages in a model of cells, one at a time or all."""
 
 from collections.abc import Callable
 
@@ -15,8 +15,8 @@
     StreamSignal,
 )
 
-MAX_DELIVERIES = 2000  # at one moment; more: the model never comes to rest
-NEVER_IDLE = "it never rests"
+MAX_DELIVERIES = 2000  # maximum deliveries at one simulated time; more indicate an endless exchange
+NEVER_IDLE = "exchanges do not end"
 
 StoreFilter = Callable[[StoreExchange], bool]
 
@@ -24,7 +24,7 @@
 
 
 def can_serve(state: CellState, exchange: StoreExchange) -> bool:
-    """Whether a request arrives at the store, or an answer at whoever asked."""
+    """Whether a request arrives at the store, or an answer at its relay."""
     if exchange.is_answer:
         return True
     host = state.relays[exchange.host]
@@ -33,11 +33,11 @@
 
 
 def deliver_store_exchange(state: CellState, exchange: StoreExchange) -> None:
-    """A request is served and its answer received, or an answer received."""
+    """Serves a request and delivers its answer, or delivers an answer."""
     host = state.relays[exchange.host]
     if not exchange.is_answer:
         exchange.outcome = cell_store.serve(state, exchange.effect)
-    if host.is_frozen and host.relay and host.incarnation == exchange.incarnation:  # it waits for the thaw
+    if host.is_frozen and host.relay and host.incarnation == exchange.incarnation:  # the answer waits
         exchange.is_answer = True
         return
     state.store_exchanges.remove(exchange)
@@ -45,7 +45,7 @@
 
 
 def receive_answer(state: CellState, exchange: StoreExchange) -> None:
-    """The answer reaches the process that asked, if it still runs."""
+    """Delivers an answer to the process that sent the request, if it still runs."""
     host = state.relays[exchange.host]
     if host.relay and host.incarnation == exchange.incarnation:
         outcome = None if host.is_receive_cut else exchange.outcome
@@ -53,7 +53,7 @@
 
 
 def drop_unserved(state: CellState) -> None:
-    """Requests that can't arrive are given up by whoever sent them."""
+    """Fails the requests that cannot arrive, unless their relay is frozen."""
     for exchange in [exchange for exchange in state.store_exchanges if not can_serve(state, exchange)]:
         if not state.relays[exchange.host].is_frozen:
             state.store_exchanges.remove(exchange)
@@ -61,11 +61,11 @@
             receive_answer(state, exchange)
 
 
-# Relays among themselves.
+# Requests between relays.
 
 
 def can_deliver_peer_exchange(state: CellState, exchange: PeerExchange) -> bool:
-    """Whether the request or the answer arrives."""
+    """Whether a request or its answer can arrive."""
     sender = state.relays[exchange.sender]
     peer = state.relays[exchange.peer]
     if exchange.answer is not None:
@@ -74,7 +74,7 @@
 
 
 def deliver_peer_exchange(state: CellState, exchange: PeerExchange) -> None:
-    """A request is answered, and the answer waits; or an answer arrives."""
+    """Has a request answered, with the answer then in flight, or delivers an answer."""
     sender = state.relays[exchange.sender]
     peer = state.relays[exchange.peer]
     if exchange.answer is not None:
@@ -90,18 +90,18 @@
         state.checker.record_endorsement(state.now, (exchange.peer, peer.incarnation))
 
 
-# Servers and relays.
+# Messages between servers and relays.
 
 
 def can_reach_relay(state: CellState, stream: Stream) -> bool:
-    """Whether the next message that way arrives."""
+    """Whether there is a next message to the relay that can arrive."""
     host = state.relays[stream.relay]
     server = state.servers[stream.server]
     return bool(stream.to_relay) and not host.is_frozen and (server.name, host.address) not in state.cuts
 
 
 def can_reach_server(state: CellState, stream: Stream) -> bool:
-    """Whether the next message that way arrives."""
+    """Whether there is a next message to the server that can arrive."""
     host = state.relays[stream.relay]
     server = state.servers[stream.server]
     is_cut = (host.address, server.name) in state.cuts
@@ -109,7 +109,7 @@
 
 
 def deliver_to_relay(state: CellState, stream: Stream) -> None:
-    """The next message that way arrives."""
+    """Delivers the next message to the relay."""
     message = stream.to_relay.pop(0)
     host = state.relays[stream.relay]
     if message is StreamSignal.ENDED:
@@ -131,7 +131,7 @@
 
 
 def deliver_to_server(state: CellState, stream: Stream) -> None:
-    """The next message that way arrives."""
+    """Delivers the next message to the server."""
     message = stream.to_server.pop(0)
     host = state.servers[stream.server]
     if message is StreamSignal.ENDED and stream in state.streams:
@@ -148,19 +148,19 @@
 
 
 def break_stream(stream: Stream) -> None:
-    """What is on its way is lost, and both ends learn that it has ended, each when it can receive that."""
+    """Breaks a stream: messages in flight are lost, and each end is told as soon as it can receive."""
     stream.to_relay[:] = [StreamSignal.ENDED]
     stream.to_server[:] = [StreamSignal.ENDED]
 
 
 def finish_validation(state: CellState, host: ServerHost) -> None:
-    """The text that has waited for longest is validated."""
+    """Completes the oldest validation of a server."""
     task = host.validations.pop(0)
     if host.server:
         host.server.handle_validated(state.clock(host), task.digest, host.rejection_of(task.text))
 
 
-# All.
+# All deliveries.
 
 
 def _any_exchange(_: StoreExchange) -> bool:
@@ -168,8 +168,9 @@
 
 
 def deliver_all(state: CellState, accepts: StoreFilter = _any_exchange) -> str:
-    """All that can arrive now does, and what follows from it. `accepts`: of the store's requests. "", or why
-    it does not end."""
+    """Delivers everything that can arrive now, and everything that follows from it.
+
+    `accepts` selects exchanges with the store. Returns "", or a violation if the deliveries do not end."""
     for _ in range(MAX_DELIVERIES):
         run_effects(state)
         if not _deliver_one(state, accepts):
@@ -178,7 +179,7 @@
 
 
 def _deliver_one(state: CellState, accepts: StoreFilter) -> bool:
-    """Whether anything could arrive."""
+    """Makes the first possible delivery; returns whether there was one."""
     return (
         _deliver_one_store_exchange(state, accepts)
         or _deliver_one_peer_exchange(state)
--- a/otterrudder/lab/fleet/cell_events.py
+++ b/otterrudder/lab/fleet/cell_events.py
@@ -1,4 +1,4 @@
-"""What may happen next in a model of cells: each event by its name, and what it does."""
+"""The events that may happen next in a model of cells."""
 
 from functools import partial
 from typing import TypeVar
@@ -28,7 +28,7 @@
 
 
 def events(state: CellState, max_faults: int) -> list[Event]:
-    """All that may happen next, while no more than `max_faults` are injected."""
+    """Returns all events that may happen next. Faults are injected up to `max_faults`."""
     may_inject = state.injected_faults < max_faults
     return [
         Event("time passes", partial(_pass_time, STEP_MS)),
@@ -47,7 +47,7 @@
 
 
 def apply_event(state: CellState, event: Event) -> None:
-    """The event happens to the state itself."""
+    """Applies the event to the state in place."""
     event.action(state)
     state.injected_faults += event.faults
     state.trail = (*state.trail, event.name)
@@ -55,7 +55,7 @@
 
 
 def successor(state: _S, event: Event) -> _S:
-    """A copy of the state to which the event has happened."""
+    """Returns a copy of the state with the event applied."""
     next_state = state.copy()
     apply_event(next_state, event)
     return next_state
--- a/otterrudder/lab/fleet/cell_history_checker.py
+++ b/otterrudder/lab/fleet/cell_history_checker.py
@@ -1,5 +1,5 @@
-"""The history checker of a model of cells: what was written to the store, sent on the wire and endorsed, and
-which promise that breaks. It never asks the code under test."""
+"""The history checker of a model of cells. It records what was written to the store, sent between processes
+and endorsed, and reports violations of the guarantees. It never uses the state of the code under test."""
 
 import math
 from dataclasses import dataclass, field
@@ -12,20 +12,20 @@
 from otterrudder.fleet.store import Put
 from otterrudder.lab.fleet.history_checker import CommittedVersion, commit_violation
 
-ROUNDING_MS = 0.001  # times of clocks with other rates are computed in floating point
+ROUNDING_MS = 0.001  # tolerance for rounding errors in times of clocks with different rates
 
-RelayProcess = tuple[int, int]  # the place of a relay, and the number of its process there
+RelayProcess = tuple[int, int]  # index of a relay's host, and the number of the process on it
 
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
-    """A lease that a process of a relay has granted. Times are by the store's clock."""
+    """A lease that a process of a relay has granted. Times are in ms by the store's clock."""
 
     relay: str
     fingerprint: str
     version: int
     until: float
-    bound_ms: float  # as long as the bound is by the relay's own clock
+    bound_ms: float  # the bound as the relay's clock measures it
 
 
 @dataclass(slots=True)
@@ -34,13 +34,14 @@
 
     name: str
     incarnation: str
-    rate: float = 1.0  # of its clock
+    rate: float = 1.0  # rate of its clock: ms that it counts in one ms of the store's clock
     leases: list[GrantedLease] = field(default_factory=list)
-    results: dict[tuple[str, str], str] = field(default_factory=dict)  # by fingerprint and digest
-    rejections: set[tuple[int, str]] = field(default_factory=set)  # the change's revision, and the digest
+    # Rejection by (fingerprint, digest); "" if the text was accepted.
+    results: dict[tuple[str, str], str] = field(default_factory=dict)
+    rejections: set[tuple[int, str]] = field(default_factory=set)  # (revision of the change, digest)
 
     def copy(self) -> "RelayHistory":
-        """A copy that goes its own way."""
+        """Returns an independent copy."""
         return RelayHistory(
             self.name,
             self.incarnation,
@@ -53,21 +54,21 @@
 
 @dataclass(slots=True)
 class CellHistoryChecker:
-    """Records events as they happen; `violation` is the first promise that one of them broke."""
+    """Records events as they happen; `violation` is the first violation of a guarantee, or ""."""
 
     keys: Keys
     bound_ms: float
     committed: dict[int, CommittedVersion] = field(default_factory=dict)  # by version
-    texts: dict[int, str] = field(default_factory=dict)  # by version
-    changes: dict[int, str] = field(default_factory=dict)  # digest by the revision that made the change
-    bases: dict[str, str] = field(default_factory=dict)  # of queued changes: the digest each was made from
+    texts: dict[int, str] = field(default_factory=dict)  # policy text by version
+    changes: dict[int, str] = field(default_factory=dict)  # digest by the revision that opened the change
+    bases: dict[str, str] = field(default_factory=dict)  # digest of the base policy by queued change
     registered_at: dict[str, float] = field(default_factory=dict)  # by incarnation
-    endorsed_until: dict[str, float] = field(default_factory=dict)  # by relay, whatever its process
+    endorsed_until: dict[str, float] = field(default_factory=dict)  # by relay, over all its processes
     relays: dict[RelayProcess, RelayHistory] = field(default_factory=dict)
     violation: str = ""
 
     def copy(self) -> "CellHistoryChecker":
-        """A copy that goes its own way."""
+        """Returns an independent copy."""
         return CellHistoryChecker(
             self.keys,
             self.bound_ms,
@@ -87,14 +88,14 @@
     # The store.
 
     def record_commit(self, now: float, commit: Commit, before: FleetSnapshot) -> None:
-        """A commit took effect."""
+        """Records a commit that took effect. `before` is the state of the store before it."""
         for write in commit.writes:
             if not isinstance(write, Put):
                 continue
             if write.key == self.keys.policy:
                 self._record_policy(now, decode(write.value, PolicyHead), before)
             elif write.key == self.keys.change and before.change and commit.purpose in ("open", "propose"):
-                self._report(f"{commit.purpose}: a change was opened over {before.change.id}")
+                self._report(f"{commit.purpose}: a change was opened while {before.change.id} was open")
             elif write.key.startswith(self.keys.statuses) and commit.purpose == "register":
                 self.registered_at.setdefault(_incarnation_of(write), now)
 
@@ -104,24 +105,24 @@
         base = self.bases.get(head.change, "")
         in_force = before.policy.digest if before.policy else ""
         if base and base != in_force:
-            self._report(f"{head.change} was made from a policy that was not in force any more")
+            self._report(f"{head.change} was made from a policy that was no longer in force")
         self.committed[head.version] = CommittedVersion(head.change, now)
         for history in self.relays.values():
             for lease in history.leases:
                 self._check_lease(lease)
 
-    # The wire.
+    # Messages and votes.
 
     def record_grant(self, now: float, process: RelayProcess, fingerprint: str, grant: LeaseGrant) -> None:
-        """A relay has sent a grant; its own clock counts from now."""
+        """Records a grant that a relay has sent. The lease begins now by the relay's clock."""
         history = self.relays[process]
         until = now + grant.span_ms / history.rate
         bound_ms = self.bound_ms / history.rate
         lease = GrantedLease(history.name, fingerprint, grant.version, until, bound_ms)
-        history.leases = [one for one in history.leases if one.until > now]
+        history.leases = [earlier for earlier in history.leases if earlier.until > now]
         history.leases.append(lease)
-        if self._is_bound(now, history):
-            self._report(f"{history.name} grants a lease though it has endorsed another relay's")
+        if self._has_endorsed(now, history):
+            self._report(f"{history.name} grants a lease although it has endorsed another relay")
         self._check_lease(lease)
 
     def _check_lease(self, lease: GrantedLease) -> None:
@@ -135,31 +136,34 @@
     def record_result(
         self, process: RelayProcess, fingerprint: str, digest: str, rejection: str, change_revision: int
     ) -> None:
-        """A relay has received a validation result, while the change of that revision was open."""
+        """Records a validation result that a relay has received while the given change was open."""
         history = self.relays[process]
         history.results[fingerprint, digest] = rejection
         if rejection:
             history.rejections.add((change_revision, digest))
 
     def record_endorsement(self, now: float, process: RelayProcess) -> None:
-        """A relay has endorsed another one's lease."""
+        """Records that a relay has endorsed the lease of another relay."""
         history = self.relays[process]
         self.endorsed_until[history.name] = now + ENDORSEMENT_MS / history.rate
 
     def record_vote(self, now: float, process: RelayProcess, commit: Commit) -> None:
-        """A relay sends a vote. It is checked against the change that it names, whether that is still open
-        or not."""
+        """Records and checks a vote that a relay sends.
+
+        The vote is checked against the change that it names, even if the change is no longer open."""
         history = self.relays[process]
-        if self._is_bound(now, history):
-            self._report(f"{history.name} votes though it has endorsed another relay's lease")
-        if now < self._may_vote_from(history) - ROUNDING_MS:
-            self._report(f"{history.name} votes as soon as it has taken its cell over")
+        if self._has_endorsed(now, history):
+            self._report(f"{history.name} votes although it has endorsed another relay")
+        if now < self._earliest_vote_at(history) - ROUNDING_MS:
+            self._report(f"{history.name} votes too early after it has taken over its cell")
         revision = next(compare.equals for compare in commit.compares if compare.key == self.keys.change)
         digest = self.changes.get(revision)
-        if not _is_yes(commit) or digest is None:  # of another engine's change: it counts nowhere
+        if (
+            not _is_acceptance(commit) or digest is None
+        ):  # a vote for a change of another engine has no effect
             return
         if (revision, digest) in history.rejections:
-            self._report(f"{history.name} votes yes though a server has rejected the text")
+            self._report(f"{history.name} votes to accept although a server has rejected the text")
         for lease in history.leases:
             if lease.until > now + ROUNDING_MS:
                 self._check_result(history, lease, digest)
@@ -167,19 +171,19 @@
     def _check_result(self, history: RelayHistory, lease: GrantedLease, digest: str) -> None:
         result = history.results.get((lease.fingerprint, digest))
         if result != "":
-            missing = "were not asked" if result is None else "have rejected the text"
-            self._report(f"{history.name} votes yes though servers of {lease.fingerprint} {missing}")
+            missing = "have not validated the text" if result is None else "have rejected the text"
+            self._report(f"{history.name} votes to accept although servers of {lease.fingerprint} {missing}")
 
-    def _is_bound(self, now: float, history: RelayHistory) -> bool:
-        """Whether its endorsement binds the relay."""
+    def _has_endorsed(self, now: float, history: RelayHistory) -> bool:
+        """Whether the relay has endorsed another relay and must neither grant nor vote."""
         return now < self.endorsed_until.get(history.name, 0.0) - ROUNDING_MS
 
-    def _may_vote_from(self, history: RelayHistory) -> float:
+    def _earliest_vote_at(self, history: RelayHistory) -> float:
         registered_at = self.registered_at.get(history.incarnation, -math.inf)
         return registered_at + TAKEOVER_VOTE_DELAY_MS / history.rate
 
 
-def _is_yes(commit: Commit) -> bool:
+def _is_acceptance(commit: Commit) -> bool:
     return any(isinstance(write, Put) and decode(write.value, Vote).accepted for write in commit.writes)
 
 
--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -1,4 +1,4 @@
-"""What may happen next to requests, answers and messages in a model of cells, and to changes."""
+"""The events of requests, answers, messages and changes that may happen next in a model of cells."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import replace
@@ -14,17 +14,17 @@
 from otterrudder.lab.fleet.cell_stages import text_of
 from otterrudder.lab.fleet.cell_state import DEADLINE_MS, CellState, PeerExchange, Stream, StreamSignal
 
-# The store's requests and answers.
+# Requests to the store and their answers.
 
 
 def store_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of requests to the store and their answers."""
+    """Yields the events of requests to the store and of their answers."""
     for index, exchange in enumerate(state.store_exchanges):
         host = state.relays[exchange.host]
         name = f"{host.address}.{exchange.incarnation} {_effect_label(exchange.effect)}"
         has_sender = host.relay is not None and host.incarnation == exchange.incarnation
         if host.is_frozen and exchange.is_answer and has_sender:
-            continue  # nobody receives it now
+            continue  # a frozen process receives no answer
         if not cell_delivery.can_serve(state, exchange):
             if not host.is_frozen:
                 yield Event(f"{name}: no way there", partial(_drop, index))
@@ -58,7 +58,7 @@
 
 
 def _give_up(index: int, state: CellState) -> None:
-    """It may arrive yet, and nobody waits for it."""
+    """The sender stops waiting for a request that may still arrive."""
     exchange = state.store_exchanges[index]
     state.store_exchanges[index] = replace(exchange, incarnation=-exchange.incarnation)
     cell_delivery.receive_answer(state, exchange)
@@ -76,11 +76,11 @@
     return "count" if effect.lane is Lane.COORDINATE else effect_name(effect)
 
 
-# Relays among themselves.
+# Requests between relays.
 
 
 def peer_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of requests between relays and their answers."""
+    """Yields the events of requests between relays and of their answers."""
     for index, exchange in enumerate(state.peer_exchanges):
         name = _peer_label(state, exchange)
         if cell_delivery.can_deliver_peer_exchange(state, exchange):
@@ -103,11 +103,11 @@
     return f"{peer} answers {sender}" if exchange.answer else f"{sender} asks {peer}"
 
 
-# Servers and relays.
+# Messages between servers and relays.
 
 
 def stream_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of messages between servers and relays, and of validations by servers."""
+    """Yields the events of messages between servers and relays, and of validations by servers."""
     for index, stream in enumerate(state.streams):
         yield from _message_events(state, index, stream)
         if may_inject:
@@ -131,7 +131,7 @@
 def _stream_faults(state: CellState, index: int, stream: Stream) -> Iterator[Event]:
     server = state.servers[stream.server].name
     relay = state.relays[stream.relay].address
-    if not _is_ending(stream):
+    if not _has_ended(stream):
         yield Event(f"{server} to {relay}: breaks", partial(_break_stream, index), 1)
     if stream.to_server and isinstance(stream.to_server[0], PolicyUpdate):
         yield Event(f"{relay} to {server}: damaged text", partial(_damage_text, index), 1)
@@ -155,7 +155,7 @@
     cell_delivery.finish_validation(state, state.servers[index])
 
 
-def _is_ending(stream: Stream) -> bool:
+def _has_ended(stream: Stream) -> bool:
     ended = StreamSignal.ENDED
     return stream.is_ended or ended in stream.to_relay or ended in stream.to_server
 
@@ -169,7 +169,7 @@
 
 
 def _grant_older_version(index: int, state: CellState) -> None:
-    """A relay that is wrong in a way that ours never is."""
+    """Changes a grant to one for an older version, as only a faulty relay would send it."""
     stream = state.streams[index]
     grant = stream.to_server[0]
     assert isinstance(grant, LeaseGrant)
@@ -193,7 +193,9 @@
 
 
 def change_events(state: CellState) -> Iterator[Event]:
-    """A is queued, B is proposed directly; what was computed is sent, now or much later."""
+    """Yields the events of changes.
+
+    A and C are queued, B is proposed directly. A commit that was computed is sent, possibly much later."""
     if state.is_store_unreachable:
         return
     proposals: tuple[tuple[str, Proposal], ...] = (("A", _enqueue), ("B", _propose), ("C", _enqueue))
--- a/otterrudder/lab/fleet/cell_model.py
+++ b/otterrudder/lab/fleet/cell_model.py
@@ -1,4 +1,4 @@
-"""The model of cells that a search explores: its states, with their promises and fingerprints."""
+"""The model of cells that a search explores: its states, with their guarantees and fingerprints."""
 
 from dataclasses import dataclass
 
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True)
 class CellModel(CellState):
-    """A state that `explore` can search from."""
+    """A state of the model with the methods that `explore` needs."""
 
     def violation(self) -> str:
-        """Which promise does not hold now, "": all do."""
+        """Returns the guarantee that is violated now, or "" if all hold."""
         return current_violation(self)
 
     def recovery_violation(self) -> str:
-        """Which promise does not hold once all faults are gone, "": all do."""
+        """Returns the guarantee that is violated after all faults end, or "" if all hold."""
         return recovery_violation_of(self)
 
     def fingerprint(self) -> int:
-        """Equal for two states at the same time that behave alike from here on."""
+        """Returns a value that is equal for two states at the same time that behave the same from here on."""
         relays = tuple(
             (
                 host.incarnation,
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of a server's participant, each without one rule that the design rests on."""
+"""Mutants of a server's participant, each without one rule on which the design depends."""
 
 from dataclasses import replace
 from typing import Any
@@ -9,17 +9,17 @@
 
 
 class CountsFromTheAnswer(Participant):
-    """Its lease begins when the grant arrives."""
+    """Counts its lease from the arrival of the grant, not from the request."""
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
-        """A grant's request counts as sent now."""
+        """Handles a grant as if its request had been sent now."""
         if isinstance(message, LeaseGrant) and message.sequence in self.requests:
             self.requests._sent_at[message.sequence] = now
         super().handle_message(now, connection, message)
 
 
 class TrustsFullSpan(Participant):
-    """Takes its clock and the relay's for one."""
+    """Trusts the full span of a lease, as if its clock and the relay's ran at the same rate."""
 
     def _extend_lease(self, version: int, until: float) -> None:
         sent_at = until - self._span * TRUSTED_SHARE
@@ -31,7 +31,7 @@
 
 
 class UsesStaleClock(Participant):
-    """Goes by the time of its last event: one that was frozen admits when it runs again."""
+    """Uses the time of its last event, so that after a freeze it still admits."""
 
     __slots__ = ("last_event_at",)
 
@@ -40,17 +40,17 @@
         self.last_event_at = now
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """By the time of the last event."""
+        """Returns the status at the time of the last event."""
         return super().admission_status(self.last_event_at)
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
-        """The clock is looked at."""
+        """Reads the clock and handles the message."""
         self.last_event_at = now
         super().handle_message(now, connection, message)
 
 
 class ExtendsLeaseOfOldVersion(Participant):
-    """Takes a lease for a newer version as one for its own."""
+    """Extends its lease by a grant for a newer version."""
 
     def _extend_lease(self, version: int, until: float) -> None:
         super()._extend_lease(version, until)
@@ -58,7 +58,7 @@
 
 
 class GoesBackAVersion(Participant):
-    """Trusts the last relay that sent a message."""
+    """Trusts the relay that sent the last message, even with an older version."""
 
     def _distrust_reason(self, version: int, change: str) -> str:
         self.newest_version = version
@@ -76,7 +76,7 @@
 
 
 class SkipsValidation(Participant):
-    """Switches to a text as it comes."""
+    """Switches to a policy text without validation."""
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
         if update.version > self.applied_policy.version:
@@ -87,7 +87,7 @@
 
 
 class IgnoresDigests(Participant):
-    """Takes a damaged text for the one that its digest names."""
+    """Accepts a text that does not match its digest."""
 
     def _handle_update(self, now: float, update: PolicyUpdate) -> None:
         if update.version > self.applied_policy.version:
--- a/otterrudder/lab/fleet/cell_process_events.py
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -1,4 +1,4 @@
-"""What may happen next to processes, ways and the store in a model of cells."""
+"""The events of processes, network links and the store that may happen next in a model of cells."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCut:
-    """One way between a relay and the store that may be cut: the host's attribute, and event names."""
+    """A direction between a relay and the store that may be cut: the host's attribute and the event names."""
 
     attribute: str
     cut: str
@@ -27,7 +27,7 @@
 
 
 def relay_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of the relays' processes, and their ways to the store."""
+    """Yields the events of the relays' processes and of their links to the store."""
     for index, host in enumerate(state.relays):
         if not host.relay:
             yield Event(f"{host.address} starts", partial(_start_relay, index))
@@ -56,7 +56,7 @@
 def _set_store_cut(index: int, attribute: str, is_cut: bool, state: CellState) -> None:
     setattr(state.relays[index], attribute, is_cut)
     if not is_cut:
-        cell_store.begin_watches(state, state.relays[index])
+        cell_store.restart_watches(state, state.relays[index])
 
 
 def _start_relay(index: int, state: CellState) -> None:
@@ -77,13 +77,15 @@
 
 def _thaw_relay(index: int, state: CellState) -> None:
     state.relays[index].is_frozen = False
-    cell_store.begin_watches(state, state.relays[index])
+    cell_store.restart_watches(state, state.relays[index])
 
 
 def _thaw_relay_with_messages(index: int, state: CellState) -> None:
-    """What has waited for the relay is received before its own clock is looked at."""
+    """The relay receives all messages that have waited for it before it reads its clock."""
     state.relays[index].is_frozen = False
-    answers = [one for one in state.store_exchanges if one.host == index and one.is_answer]
+    answers = [
+        exchange for exchange in state.store_exchanges if exchange.host == index and exchange.is_answer
+    ]
     for exchange in answers:
         cell_delivery.deliver_store_exchange(state, exchange)
     for stream in [stream for stream in state.streams if stream.relay == index]:
@@ -104,7 +106,7 @@
 
 
 def server_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of the servers' processes."""
+    """Yields the events of the servers' processes."""
     for index, host in enumerate(state.servers):
         if not host.server:
             yield Event(f"{host.name} starts", partial(_start_server, index))
@@ -131,20 +133,20 @@
 
 
 def _thaw_server_with_messages(index: int, state: CellState) -> None:
-    """What has waited for the server is received before its own clock is looked at."""
+    """The server receives all messages that have waited for it before it reads its clock."""
     state.servers[index].is_frozen = False
     for stream in [stream for stream in state.streams if stream.server == index]:
         while stream in state.streams and cell_delivery.can_reach_server(state, stream):
             cell_delivery.deliver_to_server(state, stream)
 
 
-# Ways, and the store.
+# Links and the store.
 
-Link = tuple[str, str]  # from whom to whom
+Link = tuple[str, str]  # sender and receiver
 
 
 def cut_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of the ways among relays, and between relays and servers."""
+    """Yields the events of the links between relays, and between relays and servers."""
     for link in sorted(state.cuts):
         yield Event(f"{link[0]} to {link[1]}: healed", partial(_set_cut, link, False))
     if may_inject:
@@ -170,7 +172,7 @@
 
 
 def engine_events(state: CellState, may_inject: bool) -> Iterator[Event]:
-    """Of the store: it is unreachable and comes back, or another engine answers in its place."""
+    """Yields the events of the store: it becomes unreachable or reachable, or another engine answers."""
     if state.is_store_unreachable:
         yield Event("the store is back", partial(_set_store_unreachable, False))
     elif may_inject:
@@ -180,7 +182,7 @@
     if state.store.primary:
         yield Event("the store itself answers", cell_store.return_to_primary)
     elif not state.store.backup:
-        yield Event("a backup is taken", _back_up)
+        yield Event("a backup is taken", _take_backup)
     elif may_inject:
         yield Event("an older copy answers", cell_store.restore_backup, 1)
 
@@ -189,8 +191,8 @@
     state.is_store_unreachable = is_unreachable
     if not is_unreachable:
         for host in state.relays:
-            cell_store.begin_watches(state, host)
+            cell_store.restart_watches(state, host)
 
 
-def _back_up(state: CellState) -> None:
-    state.store.back_up()
+def _take_backup(state: CellState) -> None:
+    state.store.take_backup()
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -1,4 +1,4 @@
-"""The processes of a model of cells: they start and stop, and their effects are carried out."""
+"""Starts and stops the processes of a model of cells, and performs their effects."""
 
 from dataclasses import replace
 
@@ -32,13 +32,13 @@
 )
 from otterrudder.lab.fleet.model_store import STORE_ID
 
-MAX_PEER_REQUESTS = 2  # on their way from one relay to another; older ones are lost
+MAX_PEER_REQUESTS = 2  # maximum requests in flight from one relay to another; older requests are lost
 
-# Starts and ends.
+# Starts and stops.
 
 
 def start_relay(state: CellState, index: int) -> None:
-    """A relay's process starts, with what its disk holds."""
+    """Starts a relay's process with the state saved on its disk."""
     host = state.relays[index]
     variant = state.variant
     host.incarnation += 1
@@ -57,7 +57,7 @@
 
 
 def start_server(state: CellState, index: int) -> None:
-    """A server's process starts; it remembers nothing."""
+    """Starts a server's process, which has no saved state."""
     host = state.servers[index]
     host.incarnation += 1
     host.started = state.now
@@ -71,7 +71,7 @@
 
 
 def stop_relay(state: CellState, index: int) -> None:
-    """The process ends, and its streams do."""
+    """Stops a relay's process abruptly; its streams end."""
     host = state.relays[index]
     host.relay = None
     for stream in state.streams:
@@ -81,7 +81,7 @@
 
 
 def stop_server(state: CellState, index: int) -> None:
-    """The process ends, and its streams do."""
+    """Stops a server's process abruptly; its streams end."""
     host = state.servers[index]
     host.server = None
     for stream in state.streams:
@@ -91,7 +91,7 @@
 
 
 def shut_down_relay(state: CellState, index: int) -> None:
-    """The relay dismisses its servers, revokes its lease and ends."""
+    """Shuts a relay down in order: it dismisses its servers, revokes its lease and stops."""
     host = state.relays[index]
     assert host.relay
     host.relay.begin_shutdown()
@@ -106,7 +106,7 @@
 
 
 def run_effects(state: CellState) -> None:
-    """All effects of relays and servers are carried out, until there are none."""
+    """Performs the effects of all relays and servers until there are none."""
     is_busy = True
     while is_busy:
         is_busy = False
@@ -117,28 +117,28 @@
 
 
 def _run_relay(state: CellState, index: int, host: RelayHost) -> bool:
-    """Whether the relay had any effects."""
+    """Performs the effects of a relay; returns whether there were any."""
     is_busy = False
     while host.runs and host.relay and (effects := host.relay.effects(state.clock(host))):
         is_busy = True
         for effect in effects:
-            _carry_out_relay_effect(state, index, host, effect)
+            _perform_relay_effect(state, index, host, effect)
     return is_busy
 
 
 def _run_server(state: CellState, index: int, host: ServerHost) -> bool:
-    """Whether the server had any effects."""
+    """Performs the effects of a server; returns whether there were any."""
     is_busy = False
     while host.runs and host.server and (effects := host.server.effects(state.clock(host))):
         is_busy = True
         for effect in effects:
-            _carry_out_server_effect(state, index, host, effect)
+            _perform_server_effect(state, index, host, effect)
     if host.server:
         host.newest = max(host.newest, host.server.applied_policy.version)
     return is_busy
 
 
-def _carry_out_relay_effect(state: CellState, index: int, host: RelayHost, effect: RelayEffect) -> None:
+def _perform_relay_effect(state: CellState, index: int, host: RelayHost, effect: RelayEffect) -> None:
     match effect:
         case SendToServer():
             _send_to_server(state, index, host, effect)
@@ -149,10 +149,10 @@
         case PeerRequest():
             _send_to_peer(state, index, host, effect)
         case _:
-            _carry_out_member_effect(state, index, host, effect)
+            _perform_member_effect(state, index, host, effect)
 
 
-def _carry_out_member_effect(state: CellState, index: int, host: RelayHost, effect: Effect) -> None:
+def _perform_member_effect(state: CellState, index: int, host: RelayHost, effect: Effect) -> None:
     assert host.relay
     now = state.clock(host)
     if isinstance(effect, SaveState):
@@ -160,15 +160,17 @@
         host.disk = effect.record
         host.relay.handle_result(now, effect, now, True)
     elif effect.lane is Lane.LEASE or isinstance(effect, Commit) and effect.purpose == "tell":
-        host.relay.handle_result(now, effect, now, _exchange_at_once(state, host, effect))
+        host.relay.handle_result(now, effect, now, _perform_immediate_effect(state, host, effect))
     else:
         if isinstance(effect, Commit) and effect.purpose == "vote":
             state.checker.record_vote(state.now, (index, host.incarnation), effect)
         state.store_exchanges.append(StoreExchange(index, host.incarnation, effect, now))
 
 
-def _exchange_at_once(state: CellState, host: RelayHost, effect: Effect) -> Outcome:
-    """The order of other events does not depend on leases, nor on what is reported for operators."""
+def _perform_immediate_effect(state: CellState, host: RelayHost, effect: Effect) -> Outcome:
+    """Completes a lease request or a status report for operators at once, and returns its outcome.
+
+    No order of other events depends on when these are completed."""
     if state.is_store_unreachable or host.is_send_cut:
         return None
     outcome = cell_store.serve(state, effect)
@@ -187,15 +189,13 @@
 
 def _send_to_peer(state: CellState, index: int, host: RelayHost, effect: PeerRequest) -> None:
     peer = next(relay_index for relay_index, other in enumerate(state.relays) if other.address == effect.peer)
-    same = [one for one in state.peer_exchanges if (one.sender, one.peer) == (index, peer)]
+    same = [earlier for earlier in state.peer_exchanges if (earlier.sender, earlier.peer) == (index, peer)]
     if len(same) >= MAX_PEER_REQUESTS:
-        state.peer_exchanges = [one for one in state.peer_exchanges if one is not same[0]]
+        state.peer_exchanges = [earlier for earlier in state.peer_exchanges if earlier is not same[0]]
     state.peer_exchanges.append(PeerExchange(index, host.incarnation, peer, effect.message))
 
 
-def _carry_out_server_effect(
-    state: CellState, index: int, host: ServerHost, effect: ParticipantEffect
-) -> None:
+def _perform_server_effect(state: CellState, index: int, host: ServerHost, effect: ParticipantEffect) -> None:
     match effect:
         case Connect():
             _connect(state, index, host, effect)
@@ -216,7 +216,7 @@
         relay_index for relay_index, relay in enumerate(state.relays) if relay.address == effect.relay
     )
     if (host.name, effect.relay) in state.cuts:
-        return  # nothing comes back
+        return  # the connection attempt gets no answer
     if not state.relays[relay_index].relay:
         host.server.handle_disconnected(state.clock(host), effect.connection)
         return
--- a/otterrudder/lab/fleet/cell_promises.py
+++ b/otterrudder/lab/fleet/cell_promises.py
@@ -1,4 +1,4 @@
-"""What a fleet of cells promises at each moment, checked on a state of its model."""
+"""The guarantees of a fleet of cells, checked on a state of its model."""
 
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.lab.fleet.cell_state import CellState, ServerHost
@@ -6,7 +6,7 @@
 
 
 def current_violation(state: CellState) -> str:
-    """Which promise does not hold now, "": all do."""
+    """Returns the guarantee that is violated now, or "" if all hold."""
     if state.checker.violation:
         return state.checker.violation
     for host in state.servers:
@@ -18,15 +18,15 @@
 def _server_violation(state: CellState, host: ServerHost, server: Participant) -> str:
     policy = server.applied_policy
     if policy.version < host.newest:
-        return f"it has gone back from version {host.newest} to {policy.version}"
+        return f"the server has gone back from version {host.newest} to {policy.version}"
     version = server.admits(state.clock(host))
     if version is None:
         return ""
     if version and policy.text != state.checker.texts.get(version):
-        return f"it admits under {version}, whose text is another one"
+        return f"the server admits under version {version} with a different text"
     if host.rejection_of(policy.text):
-        return f"it admits under {version}, which its configuration rejects"
+        return f"the server admits under version {version}, which its configuration rejects"
     bound_ms = state.variant.slowest_bound_ms
     committed = state.checker.committed
     violation = admission_violation(version, policy.change, host.started, state.now, bound_ms, committed)
-    return f"it admits under {version}: {violation}" if violation else ""
+    return f"the server admits under version {version}: {violation}" if violation else ""
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -1,4 +1,4 @@
-"""The recovery of a model of cells: with all faults gone, it has to become quiescent and agree."""
+"""The recovery of a model of cells: after all faults end, the cells have to become quiescent and agree."""
 
 from otterrudder.fleet.state import AdmissionStatus
 from otterrudder.lab.fleet import cell_store
@@ -7,30 +7,32 @@
 from otterrudder.lab.fleet.cell_promises import current_violation
 from otterrudder.lab.fleet.cell_state import CellState, ServerHost
 
-STEP_MS = 500.0  # by which time passes
-RECOVERY_STEPS = 100  # in which all have to agree
-SETTLING_STEPS = (
-    RECOVERY_STEPS // 5
-)  # before the store is unreachable: a relay that has just started may endorse
-UNREACHABLE_STEPS = 30  # without the store, after recovery
+STEP_MS = 500.0  # simulated time of a step
+RECOVERY_STEPS = 100  # steps within which all servers have to agree
+# Steps with a reachable store before it becomes unreachable. A relay that has just started may have endorsed
+# another one before its restart, so it takes no part in votes and grants for a while.
+SETTLING_STEPS = RECOVERY_STEPS // 5
+UNREACHABLE_STEPS = 30  # steps without the store after the recovery
 
 
 def recovery_violation_of(state: CellState) -> str:
-    """From here on with everything delivered and every process up: "" if all come to admit under the one
-    version in force with no change open and none queued, and admit on while the store is unreachable."""
+    """Returns the guarantee that is violated after all faults end, or "" if all hold.
+
+    From this state on, everything is delivered and every process runs. All servers have to admit under the
+    version in force, with no change open or queued, and have to continue while the store is unreachable."""
     recovered = state.copy()
     recover(recovered)
     for _ in range(RECOVERY_STEPS):
         if violation := deliver_all(recovered) or current_violation(recovered):
-            return f"in recovery: {violation}"
+            return f"during recovery: {violation}"
         if not disagreements(recovered):
             return _violation_without_store(recovered)
         recovered.pass_time(STEP_MS)
-    return f"after recovery not all agree: {', '.join(disagreements(recovered))}"
+    return f"after recovery not all servers agree: {', '.join(disagreements(recovered))}"
 
 
 def recover(state: CellState) -> None:
-    """All faults are gone: processes run, nothing is cut, and the store itself answers."""
+    """Ends all faults: all processes run, no link is cut, and the store itself answers."""
     if state.store.primary:
         cell_store.return_to_primary(state)
     state.is_store_unreachable = False
@@ -41,7 +43,7 @@
         host.is_receive_cut = False
         if not host.relay:
             start_relay(state, index)
-        cell_store.begin_watches(state, host)
+        cell_store.restart_watches(state, host)
     for index, server_host in enumerate(state.servers):
         server_host.is_frozen = False
         if not server_host.server:
@@ -49,14 +51,14 @@
 
 
 def disagreements(state: CellState) -> list[str]:
-    """What is not as it has to be in the end."""
+    """Returns descriptions of all differences from a quiescent fleet whose servers agree."""
     snapshot = state.snapshot()
     version = snapshot.policy.version if snapshot.policy else 0
-    found = [f"{entry.id} waits" for entry in snapshot.queue]
+    differences = [f"{entry.id} is queued" for entry in snapshot.queue]
     if snapshot.change:
-        found.append(f"{snapshot.change.id} is open")
-    found += [_disagreement(state, host, version) for host in state.servers]
-    return [disagreement for disagreement in found if disagreement]
+        differences.append(f"{snapshot.change.id} is open")
+    differences += [_disagreement(state, host, version) for host in state.servers]
+    return [disagreement for disagreement in differences if disagreement]
 
 
 def _disagreement(state: CellState, host: ServerHost, version: int) -> str:
@@ -71,9 +73,11 @@
 
 
 def _violation_without_store(state: CellState) -> str:
-    """Under `wait` servers admit on while the store is unreachable and all relays of their cell are up.
+    """Returns the guarantee that is violated while the store is unreachable, or "" if all hold.
 
-    A relay that has just started takes part in nothing for a while, so the store stays a little."""
+    Under the rule `wait` servers have to continue to admit without the store while all relays of their cell
+    run. A relay that has just started neither votes nor grants for a while, so the store stays reachable for
+    SETTLING_STEPS first."""
     if state.variant.rules.absent != "wait":
         return ""
     for steps, is_unreachable in ((SETTLING_STEPS, False), (UNREACHABLE_STEPS, True)):
@@ -89,5 +93,5 @@
     drop_unserved(state)
     if violation := deliver_all(state) or current_violation(state):
         return f"the store is unreachable: {violation}"
-    found = disagreements(state) if state.is_store_unreachable else []
-    return f"the store is unreachable, nothing is open: {', '.join(found)}" if found else ""
+    differences = disagreements(state) if state.is_store_unreachable else []
+    return f"the store is unreachable and no change is open: {', '.join(differences)}" if differences else ""
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of a relay, each without one rule that the design rests on: leases, endorsement, validation."""
+"""Mutants of a relay, each without one rule of leases, endorsement or validation that the design needs."""
 
 import math
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 class MutantRelay(Relay):
-    """May have attributes of its own, and mutants of its parts."""
+    """A relay with mutants of its parts. As it has no __slots__, a mutant may add attributes."""
 
     member_type: type[Member] = Member
     registration_type: type[MemberRegistration] = MemberRegistration
@@ -42,16 +42,16 @@
 
 
 class GrantsPastAuthority(MutantRelay):
-    """Grants a full span whenever it may grant at all."""
+    """Grants a lease of the full span while it has any authority, even past the end of its authority."""
 
     def authority_until(self, now: float) -> float:
-        """Endless, where there is any authority."""
+        """Returns infinity if there is any authority."""
         until = super().authority_until(now)
         return math.inf if until > now else until
 
 
 class GrantsPastTheBound(MutantRelay):
-    """Its leases last for longer than a change waits for them."""
+    """Grants leases that last longer than a change waits for them."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
@@ -59,7 +59,7 @@
 
 
 class GrantsToNewServersAtOnce(MutantRelay):
-    """Assumes that a change which was open when it last read is open still."""
+    """Assumes that a change that was open at the last read is still open."""
 
     def _may_have_missed_commit(self, session: Session) -> bool:
         return False
@@ -76,7 +76,7 @@
 
 
 class TrustsOneEndorsement(MutantRelay):
-    """Goes on as soon as one of the others has endorsed."""
+    """Continues as soon as one other relay has endorsed it, instead of all."""
 
     collector_type = _AnyEndorsement
 
@@ -91,13 +91,13 @@
 
 
 class EndorsesWhileItLeads(MutantRelay):
-    """Endorses another relay while it leads itself."""
+    """Endorses another relay while it is the leader."""
 
     giver_type = _EndorsesAsLeader
 
 
 class ForgetsEndorsementAtRestart(MutantRelay):
-    """Starts as if no process had run there before."""
+    """Starts as if no earlier process of the relay could have endorsed."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
@@ -107,20 +107,20 @@
 
 
 class VotesThoughItEndorsed(MutantRelay):
-    """Its endorsement binds its grants alone."""
+    """Votes although it has endorsed another relay; it only grants no leases."""
 
     def _abstain(self) -> None:
         return
 
 
 class GrantsThoughItEndorsed(MutantRelay):
-    """Its endorsement binds its votes alone."""
+    """Grants leases although it has endorsed another relay; it only does not vote."""
 
     def _abstain(self) -> None:
         self._abstain_until(self.endorsement_giver.until)
 
     def authority_until(self, now: float) -> float:
-        """That of the member, whatever was endorsed."""
+        """Returns the authority of the member, regardless of endorsements."""
         return -math.inf if self._is_shutting_down else self.member.authority_until(now)
 
 
@@ -130,7 +130,7 @@
 
 
 class EndorsementUnderLeaveOut(MutantRelay):
-    """Goes on with the others' endorsement where a change may leave the cell out."""
+    """Continues with the endorsement of the others under the rule that lets a change leave the cell out."""
 
     registration_type = _EndorsedUnderAnyRule
 
@@ -151,13 +151,13 @@
 
 
 class GrantsWithoutLease(MutantRelay):
-    """Goes on under `wait` without a lease, as a member whose name nobody shares may."""
+    """Continues under `wait` without a lease, which is correct only if no other process shares its name."""
 
     member_type = _AsIfAlone
 
 
 class RequestsEndorsementTooLate(MutantRelay):
-    """Asks for endorsements a second after its lease has ended."""
+    """Requests endorsements 1 s after its lease has ended."""
 
     def _endorsements_needed_at(self) -> float:
         return self.member.registration.lease_until + 1000.0
@@ -167,7 +167,7 @@
 
 
 class VotesWithoutAsking(MutantRelay):
-    """Accepts a change without its servers."""
+    """Accepts a change without validation by its servers."""
 
     def _start_validation(self, now: float, task: ValidatePolicy) -> None:
         self.member.handle_result(now, task, now, "")
@@ -190,7 +190,7 @@
 
 
 class IgnoresRejections(MutantRelay):
-    """Takes each result for an acceptance."""
+    """Treats each validation result as an acceptance."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
@@ -203,22 +203,22 @@
 
 
 class ReusesOldResult(MutantRelay):
-    """The result of one poll counts for later changes and fingerprints."""
+    """Reuses the result of one poll for later changes and fingerprints."""
 
     def _review_validation(self, now: float) -> None:
         return
 
 
 class ForgetsClosedStreams(MutantRelay):
-    """Does not wait for a server whose stream has ended, though its lease has not."""
+    """Does not wait for a server whose stream has ended but whose lease is still valid."""
 
     def handle_stream_closed(self, connection: int) -> None:
-        """The lease is forgotten with its session."""
+        """Removes the session with its lease."""
         self.sessions._sessions.pop(connection, None)
 
 
 class VotesAtTakeover(MutantRelay):
-    """Votes as soon as it leads."""
+    """Votes as soon as it becomes the leader."""
 
     def _handle_store_outcome(self, now: float) -> None:
         self._was_leading = self.leads()
--- a/otterrudder/lab/fleet/cell_report.py
+++ b/otterrudder/lab/fleet/cell_report.py
@@ -1,4 +1,4 @@
-"""The search of cells on all cores, and its tables: what `lab cell-search` prints."""
+"""Runs the search of cells on all cores and prints its tables, for `lab cell-search`."""
 
 from collections.abc import Callable, Sequence
 from concurrent.futures import Future, ProcessPoolExecutor
@@ -10,8 +10,8 @@
 from otterrudder.lab.fleet.cell_variants import all_variants
 from otterrudder.lab.fleet.explore import SearchResult
 
-WALKS_A_TASK = 50
-MAX_FAULTS = 2  # in a search by breadth
+WALKS_PER_TASK = 50  # random walks per task of the process pool
+MAX_FAULTS = 2  # maximum number of faults in a breadth-first search
 
 Echo = Callable[[str], None]
 Tasks = list[Future[SearchResult]]
@@ -30,14 +30,16 @@
 
 
 def variant_names() -> list[str]:
-    """The variants that can be searched."""
+    """Returns the names of the variants that can be searched."""
     return [name for name, _ in all_variants()]
 
 
 @dataclass(frozen=True, slots=True)
 class CellSearchPlan:
-    """`walks`: by variant; `depth`: of the search by breadth from each stage; `variants`: these alone, or
-    all."""
+    """The extent of a search.
+
+    `walks` is the number of random walks per variant, `depth` the depth of the breadth-first search from each
+    stage, and `variants` the names of the variants to search; empty for all."""
 
     walks: int
     seed: int
@@ -46,10 +48,10 @@
 
 
 def run_cell_search(plan: CellSearchPlan, workers: int | None, echo: Echo) -> bool:
-    """Whether no promise was violated and each seeded fault was found."""
+    """Runs the search; returns whether no guarantee was violated and each seeded fault was found."""
     names = plan.variants or variant_names()
     with ProcessPoolExecutor(workers) as pool:
-        walked = {name: _begin_walks(pool, name, plan.seed, plan.walks) for name in names}
+        walked = {name: _submit_walks(pool, name, plan.seed, plan.walks) for name in names}
         searched = {
             (name, stage.name): pool.submit(_search, name, stage.name, plan.depth)
             for name in (names if plan.depth else ())
@@ -60,42 +62,44 @@
         return _print_faults(fault_searches, echo) and is_sound
 
 
-def _begin_walks(pool: ProcessPoolExecutor, name: str, seed: int, walks: int) -> Tasks:
-    sizes = [min(WALKS_A_TASK, walks - done) for done in range(0, walks, WALKS_A_TASK)]
+def _submit_walks(pool: ProcessPoolExecutor, name: str, seed: int, walks: int) -> Tasks:
+    sizes = [min(WALKS_PER_TASK, walks - done) for done in range(0, walks, WALKS_PER_TASK)]
     return [pool.submit(_walk, name, f"{seed}/{number}", size) for number, size in enumerate(sizes)]
 
 
 def _print_variants(
     walked: dict[str, Tasks], searched: dict[tuple[str, str], Future[SearchResult]], echo: Echo
 ) -> bool:
-    """Whether no promise was violated."""
+    """Prints the table of the variants; returns whether no guarantee was violated."""
     is_sound = True
     echo("| variant | states | violation |")
     echo("| --- | ---: | --- |")
     for name, tasks in walked.items():
-        found = [task.result() for task in tasks]
-        violating = next((one for one in found if one.violation), None)
+        results = [task.result() for task in tasks]
+        violating = next((result for result in results if result.violation), None)
         is_sound = is_sound and not violating
-        echo(f"| {name}, drawn | {sum(one.states for one in found)} | {_violation_cell(violating)} |")
+        states = sum(result.states for result in results)
+        echo(f"| {name}, random walks | {states} | {_violation_cell(violating)} |")
     for (name, stage), task in searched.items():
-        one = task.result()
-        is_sound = is_sound and not one.violation
-        echo(f"| {name}, from {stage.lower()} to depth {one.depth} | {one.states} | {_violation_cell(one)} |")
+        result = task.result()
+        is_sound = is_sound and not result.violation
+        variant = f"{name}, from {stage.lower()} to depth {result.depth}"
+        echo(f"| {variant} | {result.states} | {_violation_cell(result)} |")
     return is_sound
 
 
-def _violation_cell(found: SearchResult | None) -> str:
-    return f"{found.violation}: {found.trail}" if found and found.violation else "none"
+def _violation_cell(result: SearchResult | None) -> str:
+    return f"{result.violation}: {result.trail}" if result and result.violation else "none"
 
 
 def _print_faults(fault_searches: dict[str, Future[SearchResult]], echo: Echo) -> bool:
-    """Whether each was found."""
+    """Prints the table of the seeded faults; returns whether each was found."""
     are_found = True
     echo("")
     echo("| seeded fault | found after states | as |")
     echo("| --- | ---: | --- |")
     for name, task in fault_searches.items():
-        one = task.result()
-        are_found = are_found and bool(one.violation)
-        echo(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
+        result = task.result()
+        are_found = are_found and bool(result.violation)
+        echo(f"| {name} | {result.states} | {result.violation or 'NOT FOUND'} |")
     return are_found
--- a/otterrudder/lab/fleet/cell_search.py
+++ b/otterrudder/lab/fleet/cell_search.py
@@ -1,5 +1,5 @@
-"""Searches of the model of cells: long orders of events drawn from a seed, every order to a small depth, and
-the search for seeded faults."""
+"""Searches of the model of cells: random walks from a seed, all orders of events to a small depth, and the
+search for seeded faults."""
 
 import math
 import random
@@ -19,14 +19,14 @@
 from otterrudder.lab.fleet.cell_variants import CellVariant
 from otterrudder.lab.fleet.explore import SearchResult, Step
 
-WALK_LENGTH = 100  # events
-MAX_FAULTS = 8  # of them that are faults
-FAULT_WALKS = 400
+WALK_LENGTH = 100  # events of a random walk
+MAX_FAULTS = 8  # maximum number of faults of a random walk
+FAULT_WALKS = 400  # random walks in the search for a seeded fault
 FAULT_SEED = 7
-PROGRESS = ("all is delivered", "time passes")  # events without which nothing gets anywhere
+PROGRESS = ("all is delivered", "time passes")  # events without which the fleet makes no progress
 PROGRESS_WEIGHT = 3.0
-LOG_WEIGHTS = (-2.5, 1.5)  # from which the weight of an event is drawn
-_PLACES = re.compile(r"\b[rs]\d+(\.-?\d+)?")  # in an event's name: what it happens to
+LOG_WEIGHTS = (-2.5, 1.5)  # range of the logarithm of an event's weight
+_PROCESS_NAMES = re.compile(r"\b[rs]\d+(\.-?\d+)?")  # the relays and servers in an event's name
 
 
 @cache
@@ -37,7 +37,7 @@
 def search(
     variant: CellVariant, depth: int, max_faults: int, stage: CellStage, max_states: int = 1_000_000
 ) -> SearchResult:
-    """Every order of events to a depth, breadth first from a stage."""
+    """Searches all orders of events to a depth, breadth first from a stage."""
 
     def successors(model: CellModel) -> Iterator[CellModel]:
         return (successor(model, event) for event in events(model, max_faults))
@@ -48,7 +48,7 @@
 
 
 def walk(variant: CellVariant, seed: int | str, walks: int) -> SearchResult:
-    """Long random orders, each with its own weights of events and from a stage of its own."""
+    """Searches by random walks. Each walk draws its own stage and its own weights of events."""
     count = 0
     for number in range(walks):
         rng = random.Random(f"{seed}/{number}")
@@ -56,23 +56,23 @@
             model = model_at_stage(_converged_model(variant), rng.choice(list(CellStage)))
         except NotConvergedError as error:
             return SearchResult(count, 0, str(error))
-        found = _walk_from(model, rng)
-        count += found.states
-        if found.violation:
-            return SearchResult(count, found.depth, found.violation, found.trail)
+        result = _walk_from(model, rng)
+        count += result.states
+        if result.violation:
+            return SearchResult(count, result.depth, result.violation, result.trail)
     return SearchResult(count, WALK_LENGTH)
 
 
 class _EventWeights:
-    """A weight for each kind of event, drawn when it is first asked for."""
+    """Weights of the kinds of events; each is drawn when it is first needed."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._weights: dict[str, float] = {}
 
     def of(self, name: str) -> float:
-        """The weight of the event with this name."""
-        kind = _PLACES.sub("", name)
+        """Returns the weight of the event with this name."""
+        kind = _PROCESS_NAMES.sub("", name)
         if kind not in self._weights:
             factor = PROGRESS_WEIGHT if name in PROGRESS else 1.0
             self._weights[kind] = math.exp(self._rng.uniform(*LOG_WEIGHTS)) * factor
@@ -100,7 +100,9 @@
     relay: type[Relay] | None = None,
     participant: type[Participant] | None = None,
 ) -> SearchResult:
-    """Looks for a seeded fault where it shows; with other parts, whether they pass there without it."""
+    """Searches for a seeded fault where it shows.
+
+    With `relay` or `participant`, the same search checks that this part violates no guarantee."""
     variant = replace(
         fault.variant,
         relay=relay or fault.variant.relay,
@@ -115,7 +117,7 @@
 
 
 def replay(variant: CellVariant, stage: CellStage, scenario: tuple[str, ...]) -> SearchResult:
-    """One order of events, with the promises checked after each, and the recovery at its end."""
+    """Applies a scenario, checks the guarantees after each event, and checks the recovery at the end."""
     model = model_at_stage(_converged_model(variant), stage)
 
     def steps(model: CellModel) -> list[Step[CellModel]]:
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are put in, and where each shows: the search has to find every one of them."""
+"""The seeded faults of cells, and where each shows. The search has to find all of them."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -45,8 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """Where a fault shows: the world's parts, and a story from a stage that drawn walks come to too rarely
-    (`~`: an event that the sound part may not come to). Without a story walks find it."""
+    """Where a seeded fault shows: the variant with the mutant, and a scenario that starts at a stage.
+
+    A scenario is needed where random walks reach the fault too rarely; without a scenario, random walks find
+    it. An event with the prefix `~` may not be possible with the correct part."""
 
     variant: CellVariant
     stage: CellStage = CellStage.QUIESCENT
@@ -107,18 +109,18 @@
     *(("~s0 to r00: LeaseRenewal", "~r00 to s0: PolicyUpdate", "~r00 to s0: LeaseGrant", "time passes") * 8),
 )
 _LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time passes", "s0 to r00: LeaseRenewal")
-_FROZEN = ("s0 freezes", *("time passes",) * 8, "s0 thaws")
-_SET_BACK = (
+_SERVER_FROZEN = ("s0 freezes", *("time passes",) * 8, "s0 thaws")
+_OLDER_VERSION = (
     "time passes",
     "time passes",
     "s0 to r00: LeaseRenewal",
     "r00 to s0: older version",
     "r00 to s0: LeaseGrant",
 )
-_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has validated")
+_DAMAGED_TEXT = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has validated")
 _STANDBY_CUT_OFF = ("r00 cannot send", "r01 cannot send", *_rounds(14), *_PROPOSED, *_rounds(8))
 _LEADER_CUT_OFF = ("r00 cannot send", "r00 to r01: cut", *_rounds(14), *_PROPOSED, *_rounds(8))
-_TWO_LEAD = (
+_TWO_LEADERS = (
     "r00 cannot send",
     *_rounds(16),
     *_PROPOSED,
@@ -135,7 +137,7 @@
     "~r00 to s0: opened",
     "~s0 to r00: Registration",
 )
-_RESTARTED = (
+_STANDBY_RESTARTED = (
     "r00 cannot send",
     "r01 dies",
     "the store is back",
@@ -182,7 +184,7 @@
     return SeededFault(CellVariant(participant=participant, **parts))
 
 
-# A step of time falls between this bound and the end of a lease that was counted from a late answer.
+# A time step falls between this bound and the end of a lease that is counted from a late answer.
 _TIGHT = replace(RULES, bound_ms=2900.0)
 _LEAVE_OUT = replace(RULES, absent="leave-out")
 SEEDED_FAULTS: dict[str, SeededFault] = {
@@ -206,26 +208,26 @@
         _SLOW_CLOCK,
     ),
     "frozen, goes by a stale clock": SeededFault(
-        CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _FROZEN
+        CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _SERVER_FROZEN
     ),
     "goes on under the old version": SeededFault(
         CellVariant(participant=ExtendsLeaseOfOldVersion), CellStage.COMMITTED, _SLOW_CHECK
     ),
     "goes back a version": SeededFault(
-        CellVariant(participant=GoesBackAVersion), CellStage.QUIESCENT, _SET_BACK
+        CellVariant(participant=GoesBackAVersion), CellStage.QUIESCENT, _OLDER_VERSION
     ),
     "switches without validation": _of_server(SkipsValidation, servers=3, has_rejecting_servers=True),
     "takes a damaged text": SeededFault(
-        CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED
+        CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED_TEXT
     ),
     "trusts one endorsement of two": SeededFault(
         CellVariant(relay=TrustsOneEndorsement, relays=3), CellStage.QUIESCENT, _STANDBY_CUT_OFF
     ),
     "endorses while it leads": SeededFault(
-        CellVariant(relay=EndorsesWhileItLeads), CellStage.QUIESCENT, _TWO_LEAD
+        CellVariant(relay=EndorsesWhileItLeads), CellStage.QUIESCENT, _TWO_LEADERS
     ),
     "forgets its endorsement in a restart": SeededFault(
-        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.ENDORSED, _RESTARTED
+        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.ENDORSED, _STANDBY_RESTARTED
     ),
     "votes though it has endorsed": SeededFault(
         CellVariant(relay=VotesThoughItEndorsed), CellStage.ENDORSED, _STORE_BACK_FOR_STANDBY
--- a/otterrudder/lab/fleet/cell_stages.py
+++ b/otterrudder/lab/fleet/cell_stages.py
@@ -21,29 +21,29 @@
 )
 from otterrudder.lab.fleet.cell_variants import CellVariant
 
-SETUP_STEPS = 20  # until processes have registered, and until a change has come into force
-UNREACHABLE_STEPS = 16  # longer than the leases
+SETUP_STEPS = 20  # time steps until processes have registered, and until a change has come into force
+UNREACHABLE_STEPS = 16  # time steps without the store; longer than the leases
 
 
 class NotConvergedError(Exception):
-    """The cells never became a fleet: a mutant's fault can be that plain."""
+    """Raised if the cells do not form a fleet; the fault of some mutants prevents it."""
 
 
 class CellStage(Enum):
-    """Where a search begins."""
-
-    QUIESCENT = "none is open"
-    OPEN = "a change is open, and nobody has read it"
-    HALF = "one vote is in, the others are on their way"
-    VOTED = "all votes are in, and nobody has counted them"
-    COMMITTED = "it is committed, and no relay has read that"
-    LEADER_LOST = "the leading relay of the first cell has just died"
-    STORE_LOST = "the store has just gone"
+    """The situation at the start of a search."""
+
+    QUIESCENT = "no change is open"
+    OPEN = "a change is open, and no relay has read it"
+    HALF = "one vote is in the store, the others are in flight"
+    VOTED = "all votes are in the store, and no relay has counted them"
+    COMMITTED = "a change is committed, and no relay has read that"
+    LEADER_LOST = "the leader of the first cell has just stopped"
+    STORE_LOST = "the store has just become unreachable"
     ENDORSED = "the store has been unreachable for longer than its leases"
 
 
 def converged_model(variant: CellVariant) -> CellModel:
-    """Cells at work: all servers are admitted to the fleet, and version 1 is in force."""
+    """Returns a model whose servers have all registered, with version 1 in force."""
     model = CellModel(variant)
     model.checker.bound_ms = variant.rules.bound_ms
     _add_relays(model)
@@ -53,8 +53,8 @@
     _run(model, SETUP_STEPS)
     if violation := model.violation():
         raise NotConvergedError(violation)
-    if found := disagreements(model):
-        raise NotConvergedError(f"the fleet does not converge: {', '.join(found)}")
+    if differences := disagreements(model):
+        raise NotConvergedError(f"the fleet does not converge: {', '.join(differences)}")
     return model
 
 
@@ -81,7 +81,7 @@
 
 
 def _run(state: CellState, steps: int) -> None:
-    """Time passes with everything delivered."""
+    """Advances the time by a number of steps, with everything delivered."""
     for _ in range(steps):
         drop_unserved(state)
         if violation := deliver_all(state):
@@ -91,7 +91,7 @@
 
 
 def model_at_stage(quiescent: CellModel, stage: CellStage) -> CellModel:
-    """From a model at work, one in which so much has happened."""
+    """Returns a copy of a converged model that has reached the stage."""
     model = quiescent.copy()
     if stage is CellStage.LEADER_LOST:
         stop_relay(model, leader_of(model, "c0"))
@@ -105,7 +105,7 @@
 
 
 def leader_of(state: CellState, cell: str) -> int:
-    """The place of the relay that leads a cell, as the store has it; 0 if none does."""
+    """Returns the index of the relay that leads a cell according to the store, or 0 if none does."""
     status = state.snapshot(of_primary=True).status(cell)
     for index, host in enumerate(state.relays):
         if status and status.incarnation == f"{host.address}.{host.incarnation}":
@@ -128,7 +128,7 @@
 
 
 def text_of(ident: str) -> str:
-    """The text of a change. B and C have the same, which servers may reject."""
+    """Returns the policy text of a change. B and C have the same text, which some servers reject."""
     return "policy A" if ident == "A" else f"policy B{BAD_ENDING}"
 
 
--- a/otterrudder/lab/fleet/cell_state.py
+++ b/otterrudder/lab/fleet/cell_state.py
@@ -1,8 +1,8 @@
-"""The state of a model of cells: a few relays and servers, the store, and what is on its way between them.
+"""The state of a model of cells: a few relays and servers, the store, and the messages between them.
 
-All decisions are the fleet's own code. The state holds which processes run, are frozen or gone, and which
-ways are cut; its history checker records what was written and sent. `cell_events` lists what may happen
-next."""
+All decisions are made by the fleet's own code. The state holds which processes run, are frozen or have
+stopped, and which links are cut; its history checker records what was written and sent. `cell_events` lists
+the events that may happen next."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -23,16 +23,16 @@
 
 FLEET = "f"
 KEYS = Keys(FLEET)
-DEADLINE_MS = 8000.0  # of the changes
-REJECTING = "rejecting"  # the fingerprint of servers that reject a text with the bad ending
-PLAIN = "plain"  # that of the others
-BAD_ENDING = "!"
+DEADLINE_MS = 8000.0  # deadline of each change
+BAD_ENDING = "!"  # ends a policy text that some servers reject
+REJECTING = "rejecting"  # the fingerprint of servers that reject a text with BAD_ENDING
+PLAIN = "plain"  # the fingerprint of servers that accept every text
 
 _S = TypeVar("_S", bound="CellState")
 
 
 class StreamSignal(Enum):
-    """What a stream carries beside messages."""
+    """The start and the end of a stream, which are delivered in order with its messages."""
 
     OPENED = "opened"
     ENDED = "ended"
@@ -40,18 +40,18 @@
 
 @dataclass(slots=True)
 class RelayHost:
-    """A place where a relay's process runs. `incarnation` counts its processes."""
+    """A host that runs a relay's process. `incarnation` counts its processes."""
 
     address: str
     cell: str
     candidates: tuple[str, ...]
     relay: Relay | None = None
     incarnation: int = 0
-    disk: MemberState | None = None  # of a cell of one relay
+    disk: MemberState | None = None  # saved by the relay if its cell has no other
     is_frozen: bool = False
     is_send_cut: bool = False  # its requests do not reach the store
     is_receive_cut: bool = False  # the store's answers and watch events do not reach it
-    rate: float = 1.0  # of its clock: ms of its own in a ms of the store
+    rate: float = 1.0  # rate of its clock: ms that it counts in one ms of the store's clock
 
     @property
     def runs(self) -> bool:
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class ServerHost:
-    """A place where a server's process runs. `incarnation` counts its processes."""
+    """A host that runs a server's process. `incarnation` counts its processes."""
 
     name: str
     fingerprint: str
@@ -69,10 +69,10 @@
     server: Participant | None = None
     incarnation: int = 0
     started: float = 0.0
-    newest: int = 0  # version that this process has gone by
+    newest: int = 0  # newest version that this process has applied
     is_frozen: bool = False
-    validations: list[ValidateText] = field(default_factory=list)  # under way
-    rate: float = 1.0
+    validations: list[ValidateText] = field(default_factory=list)  # in progress
+    rate: float = 1.0  # rate of its clock: ms that it counts in one ms of the store's clock
 
     @property
     def runs(self) -> bool:
@@ -80,14 +80,14 @@
         return self.server is not None and not self.is_frozen
 
     def rejection_of(self, text: str) -> str:
-        """Why this server rejects a text, "" if it accepts it."""
+        """Returns why this server rejects a text, or "" if it accepts it."""
         is_bad = self.fingerprint == REJECTING and text.endswith(BAD_ENDING)
         return "values.look: not known here" if is_bad else ""
 
 
 @dataclass(slots=True)
 class StoreExchange:
-    """A relay's request on its way to the store (`outcome` unset) or the answer to it."""
+    """A relay's request to the store (`outcome` is not set) or its answer, in flight."""
 
     host: int
     incarnation: int
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class PeerExchange:
-    """A relay's request to another one of its cell, or the answer to it."""
+    """A relay's request to another relay of its cell, or its answer."""
 
     sender: int
     incarnation: int
@@ -110,27 +110,27 @@
 
 @dataclass(slots=True)
 class Stream:
-    """Between a server's process and a relay's; each way keeps the order of messages."""
+    """A stream between a server's process and a relay's; messages in each direction stay in order."""
 
     number: int
     server: int
     server_incarnation: int
-    connection: int  # the server's number for it
+    connection: int  # the server's number of the stream
     relay: int
     relay_incarnation: int
     fingerprint: str
     to_relay: list[ServerMessage | StreamSignal] = field(default_factory=list)
     to_server: list[RelayMessage | StreamSignal] = field(default_factory=list)
-    is_ended: bool = False  # by the relay: it receives nothing more
+    is_ended: bool = False  # the relay has ended it and receives no more messages
 
     def copy(self) -> "Stream":
-        """A copy that goes its own way."""
+        """Returns an independent copy."""
         return replace(self, to_relay=list(self.to_relay), to_server=list(self.to_server))
 
 
 @dataclass(slots=True)
 class CellState:
-    """One state of the model. `trail`: the events that led to it."""
+    """A state of the model. `trail` holds the names of the events that led to it."""
 
     variant: CellVariant
     store: ModelStore = field(default_factory=ModelStore)
@@ -139,18 +139,18 @@
     streams: list[Stream] = field(default_factory=list)
     store_exchanges: list[StoreExchange] = field(default_factory=list)
     peer_exchanges: list[PeerExchange] = field(default_factory=list)
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # from whom to whom nothing arrives
-    pending: dict[str, Commit] = field(default_factory=dict)  # by who computed it and has not sent it yet
+    cuts: set[tuple[str, str]] = field(default_factory=set)  # (sender, receiver) of links that are cut
+    pending: dict[str, Commit] = field(default_factory=dict)  # computed and not yet sent, by proposer
     proposed: set[str] = field(default_factory=set)
     now: float = 0.0
     is_store_unreachable: bool = False
-    stream_count: int = 0  # so far
-    injected_faults: int = 0  # so far
+    stream_count: int = 0  # number of streams opened
+    injected_faults: int = 0
     trail: tuple[str, ...] = ()
     checker: CellHistoryChecker = field(default_factory=lambda: CellHistoryChecker(KEYS, RULES.bound_ms))
 
     def copy(self: _S) -> _S:
-        """A copy that goes its own way."""
+        """Returns an independent copy."""
         return type(self)(
             self.variant,
             self.store.copy(),
@@ -171,33 +171,33 @@
         )
 
     def clock(self, host: RelayHost | ServerHost) -> float:
-        """The time by the clock of a host."""
+        """Returns the time by the clock of a host, in ms."""
         return self.now * host.rate
 
     def snapshot(self, *, of_primary: bool = False) -> FleetSnapshot:
-        """All that the store holds. `of_primary`: the store itself, also while another engine answers."""
+        """Returns a snapshot of the engine that answers, or of the store itself if `of_primary` is set."""
         engine = self.store.authority if of_primary else self.store.engine
         return FleetSnapshot(KEYS, engine.read(coordination_keys(KEYS)))
 
     def change_revision(self) -> int:
-        """The revision that created the open change in the store itself; 0: none is open."""
+        """Returns the revision that created the open change in the store itself, or 0 if none is open."""
         entry = self.store.authority.keys.get(KEYS.change)
         return entry.created if entry else 0
 
     def relay_stream(self, relay: int, incarnation: int, number: int) -> Stream | None:
-        """The stream with a relay's number for it."""
+        """Returns the stream with this number of a relay's process, if it exists."""
         key = (relay, incarnation, number)
         found = (s for s in self.streams if (s.relay, s.relay_incarnation, s.number) == key)
         return next(found, None)
 
     def server_stream(self, server: int, incarnation: int, connection: int) -> Stream | None:
-        """The stream with a server's number for it."""
+        """Returns the stream with this number of a server's process, if it exists."""
         key = (server, incarnation, connection)
         found = (s for s in self.streams if (s.server, s.server_incarnation, s.connection) == key)
         return next(found, None)
 
     def pass_time(self, span_ms: float) -> None:
-        """Time passes, and leases lapse."""
+        """Advances the simulated time and expires leases."""
         self.now += span_ms
         self.store.expire_leases(self.now)
 
--- a/otterrudder/lab/fleet/cell_store.py
+++ b/otterrudder/lab/fleet/cell_store.py
@@ -1,4 +1,4 @@
-"""The store in a model of cells: commits, what the history checker records of them, and watch events."""
+"""The store in a model of cells: commits, their records in the history checker, and watch events."""
 
 from otterrudder.fleet.effects import Commit, Effect, Outcome
 from otterrudder.fleet.records import QueuedChange, decode
@@ -7,19 +7,19 @@
 
 
 def serve(state: CellState, effect: Effect) -> Outcome:
-    """A request reaches the store, whether or not its sender still runs."""
+    """Serves a request at the store, even if its sender has stopped, and returns the outcome."""
     if isinstance(effect, Commit):
         return write(state, effect)
     return state.store.engine.answer(state.now, effect)  # type: ignore[arg-type]
 
 
 def write(state: CellState, commit: Commit) -> Outcome:
-    """A commit at the store, which is recorded, and watch events to all relays that can receive them."""
+    """Commits to the store, records the commit, and notifies all relays that can receive watch events."""
     state.store.engine.expire_leases(state.now)
     before = state.snapshot()
     done = state.store.engine.commit(commit.compares, commit.writes)
     if done.succeeded:
-        if not state.store.primary:  # what another engine holds is not the fleet's
+        if not state.store.primary:  # writes to another engine are not part of the fleet's history
             state.checker.record_commit(state.now, commit, before)
             _record_texts(state, commit)
         if commit.purpose != "tell":
@@ -51,27 +51,27 @@
                 host.relay.handle_watch_event(state.clock(host), prefix)
 
 
-def begin_watches(state: CellState, host: RelayHost) -> None:
-    """The watches of a relay are begun anew."""
+def restart_watches(state: CellState, host: RelayHost) -> None:
+    """Starts the watches of a relay again, so that it reads all watched keys."""
     if host.runs and host.relay:
         for prefix in host.relay.watched_prefixes():
             host.relay.handle_watch_event(state.clock(host), prefix)
 
 
 def restore_backup(state: CellState) -> None:
-    """An engine with an older state answers in the store's place."""
+    """Makes an engine with an older state answer instead of the store."""
     state.store.restore_backup(state.now, state.injected_faults)
     _change_engine(state)
 
 
 def return_to_primary(state: CellState) -> None:
-    """The store itself answers again."""
+    """Makes the store itself answer again."""
     state.store.return_to_primary()
     _change_engine(state)
 
 
 def _change_engine(state: CellState) -> None:
-    """What was computed from the state of one engine is not sent to another."""
+    """Drops commits computed from the state of the previous engine, and starts all watches again."""
     state.pending.clear()
     for host in state.relays:
-        begin_watches(state, host)
+        restart_watches(state, host)
--- a/otterrudder/lab/fleet/cloning.py
+++ b/otterrudder/lab/fleet/cloning.py
@@ -1,5 +1,4 @@
-"""Copies and fingerprints of the parts of a model state: a copy that goes its own way, and a value by which
-two are told apart."""
+"""Independent copies of the parts of a model state, and hashable values for their comparison."""
 
 from collections import OrderedDict
 from typing import Any, TypeVar
@@ -33,7 +32,7 @@
     StoreTrust,
     Voting,
 )
-# What changes after it was made; everything else is a plain value and is shared.
+# Types whose instances change after their creation. All other values are immutable, and copies share them.
 _MUTABLE = (
     Member,
     *_MEMBER_PARTS,
@@ -61,13 +60,13 @@
 
 
 def clone(value: _T) -> _T:
-    """Parts that are shared within it are shared within the copy."""
+    """Returns an independent copy. Parts that are shared within the value are shared within the copy."""
     copy: _T = _clone(value, {})
     return copy
 
 
 def freeze(value: Any) -> Any:
-    """A hashable value; equal for two states that behave alike from here on."""
+    """Returns a hashable value that is equal for two states that behave the same from here on."""
     if isinstance(value, FleetSnapshot):
         return ("view", value.raw.revision)
     if names := _attributes(type(value)):
@@ -82,13 +81,13 @@
 
 def _clone(value: Any, copies: dict[int, Any]) -> Any:
     if names := _attributes(type(value)):
-        if (known := copies.get(id(value))) is not None:
-            return known
+        if (existing := copies.get(id(value))) is not None:
+            return existing
         copy = copies[id(value)] = object.__new__(type(value))
         for name in names:
             item = getattr(value, name)
             setattr(copy, name, item if type(item) in _PLAIN else _clone(item, copies))
-        if hasattr(value, "__dict__"):  # a mutant's own
+        if hasattr(value, "__dict__"):  # attributes that a mutant has added
             copy.__dict__.update(value.__dict__)
         return copy
     if isinstance(value, dict):
@@ -100,7 +99,7 @@
 
 
 def _attributes(kind: type) -> tuple[str, ...]:
-    """() for a plain value."""
+    """Returns the names of the attributes of a mutable type, or () for an immutable type."""
     if (names := _ATTRIBUTES.get(kind)) is None:
         bases = kind.__mro__ if issubclass(kind, _MUTABLE) else ()
         slots = [name for base in bases for name in getattr(base, "__slots__", ())]
--- a/otterrudder/lab/fleet/explore.py
+++ b/otterrudder/lab/fleet/explore.py
@@ -1,7 +1,8 @@
-"""Explores orders of events, whatever the model: breadth first to a depth, by random walks, or along a story.
+"""Explores orders of events of any model: breadth first to a depth, by random walks, or along a scenario.
 
-A search stops at the first state that violates a promise, and reports the events that led to it. Each state
-that is reached is checked; some also recover with all faults over, to see that they come to agree."""
+A search stops at the first state that violates a guarantee, and reports the events that led to it. Each
+state that is reached is checked. For some states the search also ends all faults and checks that the fleet
+recovers."""
 
 import random
 from collections import deque
@@ -9,23 +10,23 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-RECOVERY_INTERVAL = 64  # states from one that recovers to the next: that costs as much as a hundred others
-OPTIONAL = "~"  # before an event of a story that may not be possible
+RECOVERY_INTERVAL = 64  # the recovery of one state in 64 is checked; it costs as much as 100 other states
+OPTIONAL = "~"  # prefix of a scenario's event that is skipped if it is not possible
 
 
 class Explorable(Protocol):
-    """A state of a model: the events that led to it, and what it promises."""
+    """A state of a model, with the events that led to it and the checks of its guarantees."""
 
     trail: tuple[str, ...]
 
     def violation(self) -> str:
-        """Which promise does not hold now; "": all do."""
+        """Returns the guarantee that is violated now, or "" if all hold."""
 
     def recovery_violation(self) -> str:
-        """Which promise does not hold once all faults are over and it is quiescent; "": all do."""
+        """Returns the guarantee that is violated after all faults end, or "" if all hold."""
 
     def fingerprint(self) -> Hashable:
-        """Equal for two states from which the same follows."""
+        """Returns a value that is equal for two states that behave the same from here on."""
 
 
 S = TypeVar("S", bound=Explorable)
@@ -33,19 +34,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Step(Generic[S]):
-    """An event that may follow, by name, and the state that it leads to, or how to get there."""
+    """An event that may follow, and the state that it leads to or a function that returns that state."""
 
     name: str
     target: S | Callable[[], S]
 
     def next_state(self) -> S:
-        """The state after it."""
+        """Returns the state after the event."""
         return self.target() if callable(self.target) else self.target
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search found: how many states, how deep, and the violation where it stopped ("": none)."""
+    """The result of a search. `violation` is the violated guarantee, or "" for none; `trail` holds the events
+    that led to it."""
 
     states: int
     depth: int
@@ -56,7 +58,8 @@
 def breadth_first(
     first: S, successors: Callable[[S], Iterable[S]], depth: int, max_states: int = 1_000_000
 ) -> SearchResult:
-    """Every order of events to the depth, so that what is found is as short as it can be."""
+    """Searches all orders of events up to the depth, so that a violation is found with as few events as
+    possible."""
     if violation := first.violation():
         return SearchResult(1, 0, violation, first.trail)
     max_depth = depth + len(first.trail)
@@ -74,7 +77,7 @@
                 violation = state.recovery_violation()
             if violation:
                 return SearchResult(len(seen), deepest, violation, state.trail)
-            if deepest < max_depth:  # those at the depth itself are checked, and need not be kept
+            if deepest < max_depth:  # states at the maximum depth are checked, but not expanded
                 queue.append(state)
     return SearchResult(len(seen), deepest)
 
@@ -86,7 +89,7 @@
     rng: random.Random,
     length: int,
 ) -> SearchResult:
-    """One long order of events; its end recovers."""
+    """Applies random events in sequence, and checks that the last state recovers."""
     for count in range(1, length + 1):
         choices = steps(state)
         weights = [weight(step.name) for step in choices]
@@ -97,8 +100,10 @@
 
 
 def replay(state: S, steps: Callable[[S], Sequence[Step[S]]], scenario: tuple[str, ...]) -> S:
-    """The state that these events lead to, each named by how its name starts; an OPTIONAL one is passed over
-    where it can't follow."""
+    """Returns the state that the events of a scenario lead to.
+
+    Each event is given by the start of its name. An event with the prefix OPTIONAL is skipped if it is not
+    possible; otherwise ValueError is raised."""
     for event in scenario:
         name = event.removeprefix(OPTIONAL)
         step = next((step for step in steps(state) if step.name.startswith(name)), None)
@@ -106,5 +111,7 @@
             state = step.next_state()
         elif name == event:
             possible = sorted(step.name for step in steps(state))
-            raise ValueError(f"{event!r} can't follow {state.trail}: {possible}")
+            raise ValueError(
+                f"event {event!r} is not possible after {state.trail}; possible events: {possible}"
+            )
     return state
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -1,10 +1,9 @@
-"""A model of a few members of a fleet, the store, and what is between them: a state that one event after
-another leads on from.
+"""A model of a few members of a fleet, the store, and the requests and answers between them.
 
-All that is decided is the fleet's own code. A model state has what a request or an answer in flight may do,
-who is up, frozen or down, and its own history of what was committed and when, from the store's writes and
-nothing else; `violation` checks the promises against this history. Which events may follow is in
-`model_events.py`."""
+All decisions are made by the fleet's own code. A model state holds the requests and answers in flight, which
+processes are running, frozen or stopped, and a history of what was committed and when, which is taken only
+from the writes to the store. `violation` checks the guarantees against this history. `model_events.py` lists
+the events that may follow a state."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -33,15 +32,16 @@
 
 KEYS = Keys("f")
 RULES = Rules(bound_ms=2000.0, lease_ms=4000.0)
-DEADLINE_MS = 8000.0  # of the changes
-RECOVERY_STEPS = 40  # of time in which all have to agree once faults end: some leases, a deadline and polls
-MAX_DELIVERIES = 400  # at one time while it recovers; more: it is never quiescent
-REJECTED_ENDING = "!"  # of a policy's text that one member may reject
+DEADLINE_MS = 8000.0  # deadline of each change
+# Time steps within which all members have to agree after faults end: several leases, a deadline and polls.
+RECOVERY_STEPS = 40
+MAX_DELIVERIES = 400  # maximum deliveries at one simulated time; more indicate an endless exchange
+REJECTED_ENDING = "!"  # ends a policy text that one member may reject
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """The parts that a model is made of; a mutant takes the place of one."""
+    """The parts and settings of a model; a mutant replaces one of the parts."""
 
     member: type[Member] = Member
     finish_change: Callable[[FleetSnapshot, bool], Commit | None] = finish_change
@@ -50,32 +50,32 @@
     proposers: int = 2
     has_disk: bool = True
     has_name_conflict: bool = False  # a process with another state directory starts under the first name
-    fills_disks: bool = False
-    rejecting_member: int = -1  # it rejects the second proposer's policy
+    fills_disks: bool = False  # disks may become full
+    rejecting_member: int = -1  # index of a member that rejects the second proposer's policy; -1: none
     has_backups: bool = False  # an engine restored from a backup, or empty, may answer for a while
-    alternate_rules: Rules | None = None  # of every second process, by host and incarnation
-    has_store_id: bool = False  # the fleet's file says which engine is trusted
+    alternate_rules: Rules | None = None  # rules of every second process, by host and incarnation
+    has_store_id: bool = False  # the fleet's file names the engine that is trusted
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A request on its way (`outcome` unset) or the answer to it."""
+    """A request in flight (`outcome` is not set) or its answer."""
 
     host: int
-    incarnation: int  # of the process that sent it; negative: it waits for no answer
+    incarnation: int  # of the process that sent the request; negative if it no longer waits for the answer
     effect: Effect
     sent: float
     is_answer: bool = False
     outcome: Outcome = None
 
     def copy(self) -> "Exchange":
-        """One that goes its own way."""
+        """Returns an independent copy."""
         return Exchange(self.host, self.incarnation, self.effect, self.sent, self.is_answer, self.outcome)
 
 
 @dataclass(slots=True)
 class Host:
-    """A place where a member's process runs, with its state directory. `incarnation` counts its processes."""
+    """A host that runs a member's process, and its state directory. `incarnation` counts its processes."""
 
     name: str
     directory_id: str
@@ -83,18 +83,18 @@
     incarnation: int = 0
     disk: MemberState | None = None
     is_frozen: bool = False
-    is_cut: bool = False  # off the store
+    is_cut: bool = False  # disconnected from the store
     started: float = 0.0
-    is_removed: bool = False  # by an operator: it comes back with a directory of its own
-    is_full: bool = False  # its disk
+    is_removed: bool = False  # removed by an operator: its next process has a new state directory
+    is_full: bool = False  # the disk is full
 
     @property
     def runs(self) -> bool:
-        """Whether its process is up and not frozen."""
+        """Whether the process is running and not frozen."""
         return self.member is not None and not self.is_frozen
 
     def copy(self) -> "Host":
-        """One that goes its own way."""
+        """Returns an independent copy."""
         return Host(
             self.name,
             self.directory_id,
@@ -111,24 +111,24 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """The state of a model at one time."""
+    """The state of a model at one simulated time."""
 
     variant: Variant
     store: KeySpace = field(default_factory=lambda: KeySpace(has_history=False))
     hosts: list[Host] = field(default_factory=list)
     exchanges: list[Exchange] = field(default_factory=list)
-    pending: dict[str, Commit] = field(default_factory=dict)  # by who computed it and has not sent it yet
-    proposed: int = 0
+    pending: dict[str, Commit] = field(default_factory=dict)  # computed and not yet sent, by sender
+    proposed: int = 0  # number of proposals
     now: float = 0.0
     committed: dict[int, CommittedVersion] = field(default_factory=dict)  # by version
-    injected_faults: int = 0  # faults so far
+    injected_faults: int = 0
     trail: tuple[str, ...] = ()  # the events that led here
-    recorded_violation: str = ""  # something that must never be written was
-    backup: KeySpace | None = None  # an older state of the store that somebody has
-    primary: KeySpace | None = None  # the store itself, while another engine answers in its place
+    recorded_violation: str = ""  # last violation by a write to the store
+    backup: KeySpace | None = None  # an older state of the store
+    primary: KeySpace | None = None  # the store itself while another engine answers
 
     def copy(self, event: str = "", injected_faults: int = 0) -> "ModelState":
-        """One that goes its own way, by an event that costs so many faults."""
+        """Returns an independent copy; `event` is added to its trail and injects that many faults."""
         return ModelState(
             self.variant,
             self.store.copy(),
@@ -145,10 +145,10 @@
             self.primary and self.primary.copy(),
         )
 
-    # What happens in it.
+    # Events.
 
     def start_process(self, n: int) -> None:
-        """A process starts at that host, with what its state directory has."""
+        """Starts a process on host `n` with the content of its state directory."""
         host, variant = self.hosts[n], self.variant
         host.incarnation += 1
         host.started, host.is_frozen = self.now, False
@@ -171,13 +171,15 @@
         self.start_effects()
 
     def validate(self, n: int, text: str) -> str:
-        """What is wrong with the text for that host; "": nothing."""
+        """Returns why host `n` rejects the text, or "" if it accepts it."""
         is_rejected = n == self.variant.rejecting_member and text.endswith(REJECTED_ENDING)
         return "values.look: not known here" if is_rejected else ""
 
     def start_effects(self) -> None:
-        """The members' effects begin. What no order of events depends on is done at once: leases, saves, and
-        reports for operators; their losses are those of a host that is cut off, dies or has a full disk."""
+        """Starts all effects of the members.
+
+        Effects on which no order of events depends are completed at once: lease requests, saves and status
+        reports for operators. They are lost only if the host is disconnected, stops or has a full disk."""
         for n, host in enumerate(self.hosts):
             while host.runs and host.member and (effects := host.member.effects(self.now)):
                 for effect in effects:
@@ -196,7 +198,7 @@
         self.deliver_answer(exchange)
 
     def serve(self, exchange: Exchange) -> Outcome:
-        """A request reaches the store or the disk, whether or not its sender still lives."""
+        """Serves a request at the store or the disk, even if its sender has stopped."""
         effect, host = exchange.effect, self.hosts[exchange.host]
         if isinstance(effect, SaveState):
             if exchange.incarnation == host.incarnation:
@@ -207,12 +209,12 @@
         return self.write(effect) if isinstance(effect, Commit) else self.store.answer(self.now, effect)
 
     def write(self, commit: Commit) -> Outcome:
-        """A commit at the store, entered in the history, and a watch event to all who can hear it."""
+        """Commits to the store, records the commit, and notifies each connected member."""
         self.store.expire_leases(self.now)
         before = self.snapshot()
         result = self.store.commit(commit.compares, commit.writes)
         if result.succeeded:
-            for put in commit.writes:  # another engine's writes are not the fleet's
+            for put in commit.writes:  # writes to another engine are not part of the fleet's history
                 if isinstance(put, Put) and put.key == KEYS.policy and not self.primary:
                     self._record_commit(decode(put.value, PolicyHead), before)
             for host in self.hosts:
@@ -221,27 +223,28 @@
         return result
 
     def _record_commit(self, head: PolicyHead, before: FleetSnapshot) -> None:
-        """A version is in force from now on: all must have accepted it, or been left out by their own
-        rule."""
+        """Records that a version is in force, and checks that the commit was allowed."""
         self.recorded_violation = commit_violation(head, before, self.committed) or self.recorded_violation
         self.committed[head.version] = CommittedVersion(head.change, self.now)
 
     def deliver_answer(self, exchange: Exchange) -> None:
-        """An answer reaches the process that asked, if it lives."""
+        """Delivers an answer to the process that sent the request, if it still runs."""
         host = self.hosts[exchange.host]
         if host.member and host.incarnation == exchange.incarnation:
             host.member.handle_result(self.now, exchange.effect, exchange.sent, exchange.outcome)
 
     def pass_time(self, span_ms: float = STEP_MS) -> None:
-        """Leases lapse as time goes on."""
+        """Advances the simulated time and expires leases."""
         self.now += span_ms
         self.store.expire_leases(self.now)
         if self.primary:
             self.primary.expire_leases(self.now)
 
     def switch_store(self, other: KeySpace | None) -> None:
-        """Another engine answers from now on, or (None) the store itself again. Watches end, so all read.
-        What was computed from one's state is not sent to the other: whoever computes has one channel."""
+        """Makes another engine answer, or the store itself again if `other` is None.
+
+        All watches end, so that all members read again. Commits that were computed from the state of one
+        engine are dropped: a client has one connection, and does not send them to another engine."""
         if other:
             self.primary, self.store = self.store, other
         elif self.primary:
@@ -252,12 +255,13 @@
                 host.member.handle_watch_event()
 
     def snapshot(self) -> FleetSnapshot:
-        """Of the store that answers now."""
+        """Returns a snapshot of the engine that answers now."""
         return FleetSnapshot(KEYS, self.store.read(coordination_keys(KEYS)))
 
     def deliver_all(self, accepts: Callable[[Exchange], bool] = lambda exchange: True) -> str:
-        """All that is in flight and accepted arrives, and what follows from it, at this time. "": it is
-        quiescent."""
+        """Delivers all exchanges that `accepts` selects, and those that follow, at the current time.
+
+        Returns "", or a violation if the deliveries do not end."""
         for _ in range(MAX_DELIVERIES):
             self.start_effects()
             exchange = next(filter(accepts, self.exchanges), None)
@@ -267,12 +271,12 @@
             if not exchange.is_answer:
                 exchange.outcome = self.serve(exchange)
             self.deliver_answer(exchange)
-        return "it is never quiescent"
+        return "exchanges do not end"
 
-    # What it promises.
+    # Guarantees.
 
     def violation(self) -> str:
-        """Which promise does not hold now; "": all do."""
+        """Returns the guarantee that is violated now, or "" if all hold."""
         if self.recorded_violation:
             return self.recorded_violation
         serving: dict[str, int] = {}
@@ -282,9 +286,9 @@
             if (version := host.member.admits(self.now)) is None:
                 continue
             if wrong := self._admission_violation(host, host.member, version):
-                return f"{n} ({host.name}) admits under {version} at {self.now / 1000:g} s: {wrong}"
+                return f"{n} ({host.name}) admits under version {version} at {self.now / 1000:g} s: {wrong}"
             if (other := serving.setdefault(host.name, n)) != n and self._is_registered(other):
-                return f"{n} serves under the name of {other}, whose lease has not lapsed"
+                return f"{n} serves under the name of {other}, whose lease has not expired"
         return ""
 
     def _is_registered(self, n: int) -> bool:
@@ -298,8 +302,10 @@
         return admission_violation(version, change, host.started, self.now, bound_ms, self.committed)
 
     def recovery_violation(self) -> str:
-        """From here on with all faults over, everything delivered and one that coordinates: "" if all come to
-        admit under the one version in force and no change stays open."""
+        """Returns the guarantee that is violated after all faults end, or "" if all hold.
+
+        From this state on, everything is delivered and one coordinator runs. All members have to admit under
+        the one version in force, and no change may stay open."""
         state = self.copy()
         state._end_faults()
         opened = -1.0
@@ -314,7 +320,7 @@
                 if violation := state.deliver_all():
                     return violation
             if violation := state.violation():
-                return f"while it recovers: {violation}"
+                return f"during recovery: {violation}"
             state.pass_time()
         return state._disagreement()
 
@@ -327,10 +333,10 @@
                 self.start_process(n)
 
     def _disagreement(self) -> str:
-        """Which members do not admit under the version in force, though nothing hinders them."""
+        """Returns the members that do not admit under the version in force without a reason, or ""."""
         snapshot = self.snapshot()
         if snapshot.change:
-            return "recovered, a change stays open"
+            return "after recovery a change stays open"
         version = snapshot.policy.version if snapshot.policy else 0
         differing = [
             f"{n} {host.member.admission_status(self.now).name}"
@@ -339,19 +345,23 @@
             and host.member.admits(self.now) != version
             and not self._may_suspend(n, host.member)
         ]
-        return f"recovered, not all admit under {version}: {', '.join(differing)}" if differing else ""
+        return (
+            f"after recovery not all admit under version {version}: {', '.join(differing)}"
+            if differing
+            else ""
+        )
 
     def _may_suspend(self, n: int, member: Member) -> bool:
-        """Whether the variant lets this member suspend admission for good."""
+        """Whether the variant allows this member to suspend admission permanently."""
         status = member.admission_status(self.now)
         if status in (AdmissionStatus.FOREIGN_DIRECTORY, AdmissionStatus.NAME_TAKEN):
             return self.variant.has_name_conflict
         return status is AdmissionStatus.POLICY_REJECTED and n == self.variant.rejecting_member
 
-    # Whether two states are one.
+    # Fingerprints.
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Equal for two states from which the same follows."""
+        """Returns a value that is equal for two states that behave the same from here on."""
         ends = self.store.leases.items()
         return (
             tuple(self._host_fingerprint(host) for host in self.hosts),
@@ -369,7 +379,8 @@
         )
 
     def _host_fingerprint(self, host: Host) -> tuple[object, ...]:
-        # How many versions were committed before it started: all that the promises ask of its age.
+        # The number of versions committed before the process started. The guarantees depend on its start time
+        # in no other way.
         known_versions = sum(at < host.started for _, at in self.committed.values())
         return (
             host.incarnation,
@@ -394,7 +405,7 @@
 
 
 def _is_immediate(effect: Effect) -> bool:
-    """Whether no order of events depends on it."""
+    """Whether no order of events depends on when the effect is completed."""
     if isinstance(effect, Commit):
         return effect.purpose == "tell"
     return isinstance(effect, SaveState | GrantLease | RenewLease | ValidatePolicy)
--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -1,5 +1,7 @@
-"""The events that may follow a model state: each is named in the trail of the state that it leads to. Those
-that inject a fault are bounded by `max_faults`."""
+"""The events that may follow a model state.
+
+The trail of a state names the events that led to it. `max_faults` limits the number of events that inject a
+fault."""
 
 from collections.abc import Iterator
 
@@ -10,7 +12,7 @@
 from otterrudder.lab.keyspace import KeySpace
 
 PROPOSERS = "AB"
-# Faults of a host that end again: its attribute, and the events that begin and end it.
+# Faults of a host that may end: the attribute of the host, and the events that begin and end the fault.
 _HOST_FAULTS = (
     ("is_frozen", "freezes", "wakes"),
     ("is_cut", "is cut off", "is healed"),
@@ -19,7 +21,7 @@
 
 
 def successors(state: ModelState, max_faults: int) -> Iterator[ModelState]:
-    """All states that one event leads to."""
+    """Yields all states that one event leads to."""
     may_inject = state.injected_faults < max_faults
     for at in range(len(state.exchanges)):
         yield from _exchange_events(state, at, may_inject)
@@ -38,7 +40,7 @@
 
 
 def _store_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
-    """Somebody copies the store; later another engine with the copy, or an empty one, answers for a while."""
+    """A backup of the store is taken; later an engine with it, or an empty one, answers for a while."""
     if state.primary:
         back = state.copy("the store itself answers")
         back.switch_store(None)
@@ -56,24 +58,24 @@
 
 
 def _exchange_events(state: ModelState, at: int, may_inject: bool) -> Iterator[ModelState]:
-    """A request or an answer is delivered at once, or lost in one of its ways."""
+    """A request or an answer is delivered, or is lost in one of several ways."""
     exchange = state.exchanges[at]
     host = state.hosts[exchange.host]
     label = f"{exchange.host}.{exchange.incarnation} {effect_name(exchange.effect)}"
     is_dead = not host.member or host.incarnation != exchange.incarnation
     is_waiting = host.is_frozen and not is_dead
     if is_waiting and exchange.is_answer:
-        return  # nobody takes it now
+        return  # a frozen process receives no answer
     if host.is_cut and not exchange.is_answer and not is_dead:
         lost = state.copy(f"{label}: no way there")
         lost.deliver_answer(lost.exchanges.pop(at))
         yield _after_effects(lost)
         return
-    yield _delivered(state, at, label, is_waiting)
+    yield _after_delivery(state, at, label, is_waiting)
     if not may_inject or exchange.is_answer or is_dead:
         return
     if isinstance(exchange.effect, Commit):
-        yield from _lost_answers(state, at, label)
+        yield from _lost_answer_events(state, at, label)
         return
     slow = state.copy(f"{label}: slow answer", 1)
     slow.exchanges[at].outcome = slow.serve(slow.exchanges[at])
@@ -81,8 +83,8 @@
     yield _after_effects(slow)
 
 
-def _delivered(state: ModelState, at: int, label: str, is_waiting: bool) -> ModelState:
-    """`is_waiting`: the host is frozen, and takes the answer later."""
+def _after_delivery(state: ModelState, at: int, label: str, is_waiting: bool) -> ModelState:
+    """Returns the state after a delivery. `is_waiting`: the host is frozen and receives the answer later."""
     delivered = state.copy(f"{label}{': answer' if state.exchanges[at].is_answer else ''}")
     exchange = delivered.exchanges.pop(at)
     if not exchange.is_answer:
@@ -95,8 +97,8 @@
     return _after_effects(delivered)
 
 
-def _lost_answers(state: ModelState, at: int, label: str) -> Iterator[ModelState]:
-    """Of a commit."""
+def _lost_answer_events(state: ModelState, at: int, label: str) -> Iterator[ModelState]:
+    """Yields the states after a commit whose answer is lost, or whose sender stops waiting for it."""
     unanswered = state.copy(f"{label}: took effect, answer lost", 1)
     exchange = unanswered.exchanges.pop(at)
     unanswered.serve(exchange)
@@ -105,14 +107,14 @@
     given_up = state.copy(f"{label}: given up, still on its way", 1)
     exchange = given_up.exchanges[at]
     late = exchange.copy()
-    late.incarnation = -exchange.incarnation  # it may arrive yet, and nobody waits for it
+    late.incarnation = -exchange.incarnation  # it may still arrive, but its sender does not wait
     given_up.exchanges[at] = late
     given_up.deliver_answer(exchange)
     yield _after_effects(given_up)
 
 
 def _change_events(state: ModelState, may_inject: bool) -> Iterator[ModelState]:
-    """Somebody proposes; somebody counts the votes; what was computed is sent, now or much later."""
+    """A change is proposed, votes are counted, or a commit that was computed is sent, possibly much later."""
     snapshot = state.snapshot()
     if state.proposed < state.variant.proposers:
         name = PROPOSERS[state.proposed]
@@ -150,11 +152,11 @@
         yield up
         knows_store = state.variant.has_store_id or not state.variant.has_backups
         if may_inject and not host.is_removed and knows_store:
-            yield from _removal(state, n)
+            yield from _removal_events(state, n)
 
 
 def _process_events(state: ModelState, n: int, host: Host, may_inject: bool) -> Iterator[ModelState]:
-    """A process dies, or a fault of its host begins or ends."""
+    """A process stops abruptly, or a fault of its host begins or ends."""
     if may_inject:
         down = state.copy(f"{n} dies", 1)
         down.hosts[n].member = None
@@ -169,8 +171,8 @@
             yield _after_effects(changed)
 
 
-def _removal(state: ModelState, n: int) -> Iterator[ModelState]:
-    """An operator removes the server for good: it comes back with another state directory."""
+def _removal_events(state: ModelState, n: int) -> Iterator[ModelState]:
+    """An operator removes the server permanently; it starts again with another state directory."""
     try:
         commit = remove_member(state.snapshot(), state.hosts[n].name)
     except ChangeRejectedError:
--- a/otterrudder/lab/fleet/model_fingerprint.py
+++ b/otterrudder/lab/fleet/model_fingerprint.py
@@ -1,15 +1,15 @@
-"""The part of a model state's fingerprint that is a member's, with times as steps."""
+"""The fingerprint of a member in a model state, in which times are numbers of steps."""
 
 import math
 
 from otterrudder.fleet.member import Member
 
-STEP_MS = 1000.0  # by which time goes on in a model: a half of the bound
-MAX_STEPS = 99.0  # of time in a fingerprint: all later times are one
-NEVER_STEPS = 100.0  # of a time that never comes or never was
-NOW_STEPS = -1.0  # left of a time that has come
+STEP_MS = 1000.0  # time step of a model: half of the bound
+MAX_STEPS = 99.0  # maximum number of steps in a fingerprint; longer times are not distinguished
+NEVER_STEPS = 100.0  # stands for a time that never comes or never was
+NOW_STEPS = -1.0  # stands for a time that has already come
 
-# Attributes of a member's parts that are times: how much is left of some, how long ago others were.
+# Attributes of a member's parts that are times in the future, and those that are times in the past.
 _TIMES_LEFT = frozenset(
     {
         "abstains_until",
@@ -24,13 +24,14 @@
     }
 )
 _TIMES_AGO = frozenset({"confirmed_open_at", "read_at"})
-# By which members never differ, or which nothing depends on from here on.
+# Attributes that are the same for all members, or that no later behaviour depends on.
 _PASSED_OVER = frozenset({"answered_at", "cluster", "failures", "has_disk", "identity", "rules", "template"})
 
 
 def member_fingerprint(member: Member, now: float) -> tuple[object, ...]:
-    """Equal for two members that behave alike from here on: times as what is left or has passed of them, in
-    steps, for time goes on by whole steps."""
+    """Returns a value that is equal for two members that behave the same from here on.
+
+    Times are numbers of steps before or after `now`, because the simulated time advances in whole steps."""
     parts = (
         member.policies,
         member.registration,
@@ -56,12 +57,14 @@
 
 
 def steps_left(at: float, now: float) -> float:
-    """Steps until then. inf // STEP_MS would be nan, which no fingerprint may hold: it equals nothing."""
+    """Returns the steps until a time.
+
+    An infinite time is a special case: inf // STEP_MS is nan, which is not equal to itself."""
     if at == math.inf:
         return NEVER_STEPS
     return NOW_STEPS if at <= now else min((at - now + STEP_MS - 1) // STEP_MS, MAX_STEPS)
 
 
 def steps_ago(at: float, now: float) -> float:
-    """Steps since then."""
+    """Returns the steps since a time."""
     return NEVER_STEPS if at == -math.inf else min((now - at) // STEP_MS, MAX_STEPS)
--- a/otterrudder/lab/fleet/model_stages.py
+++ b/otterrudder/lab/fleet/model_stages.py
@@ -10,21 +10,21 @@
 
 
 class NotConvergedError(Exception):
-    """The members never became a fleet: a mutant's fault can be that plain."""
+    """Raised if the members do not form a fleet; the fault of some mutants prevents it."""
 
 
 class Stage(Enum):
-    """Where a search begins: how far a change has come."""
+    """The progress of a change at the start of a search."""
 
-    QUIESCENT = "none is open"
-    OPEN = "it is open, and all votes are on their way"
-    HALF = "one vote is in, the others are on their way"
-    VOTED = "all votes are in"
-    COMMITTED = "it is committed, and nobody has heard"
+    QUIESCENT = "no change is open"
+    OPEN = "the change is open, and all votes are in flight"
+    HALF = "one vote is in the store, the others are in flight"
+    VOTED = "all votes are in the store"
+    COMMITTED = "the change is committed, and no member has read that"
 
 
 def state_at_stage(variant: Variant, stage: Stage) -> ModelState:
-    """A fleet at work whose first proposer's change has come so far."""
+    """Returns the state of a converged fleet in which the first proposer's change has reached the stage."""
     state = converged_state(variant)
     if stage is Stage.QUIESCENT:
         return state
@@ -45,7 +45,7 @@
 
 
 def converged_state(variant: Variant) -> ModelState:
-    """A fleet at work: all are of it, and version 1 is in force."""
+    """Returns the state of a fleet whose members have all registered, with version 1 in force."""
     state = ModelState(variant)
     for n in range(variant.members):
         state.hosts.append(Host(f"n{n}", f"folder {n}"))
@@ -60,7 +60,7 @@
         state.pass_time()
     state.deliver_all()
     if [host.member.admits(state.now) for host in state.hosts if host.member] != [1] * variant.members:
-        raise NotConvergedError("the fleet does not come together")
+        raise NotConvergedError("not all members admit under version 1")
     if variant.has_name_conflict:
         state.hosts.append(Host("n0", "another folder"))
         state.start_process(variant.members)
--- a/otterrudder/lab/fleet/mutants.py
+++ b/otterrudder/lab/fleet/mutants.py
@@ -1,5 +1,6 @@
-"""Mutants of the fleet's parts, each with one thing left out that the design rests on: the model search has
-to find every one of them. Where each shows is in `seeded_faults.py`."""
+"""Mutants of the fleet's parts, each without one rule on which the design depends.
+
+The model search has to find all of them. `seeded_faults.py` says where each shows."""
 
 import math
 from dataclasses import replace
@@ -18,47 +19,47 @@
 
 
 class UsesClockOfLastAnswer(Member):
-    """Goes by the time when it last heard the store: a frozen process wakes and admits."""
+    """Uses the time of the last answer of the store, so that after a freeze it still admits."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """By the time of the last answer."""
+        """Returns the status at the time of the last answer."""
         return super().admission_status(min(now, self.__dict__.get("heard_at", now)))
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
-        """Notes the time."""
+        """Records the time of an answer, and handles it."""
         if effect.lane is Lane.STORE and outcome is not None:
             self.__dict__["heard_at"] = now
         super().handle_result(now, effect, sent, outcome)
 
 
 class CountsBoundFromAnswer(Member):
-    """Counts the bound from when an answer came, not from when its question was sent."""
+    """Counts the bound from the arrival of an answer, not from the request."""
 
     def handle_result(self, now: float, effect: Effect, sent: float, outcome: Outcome) -> None:
-        """As if it was sent now."""
+        """Handles the result as if the request had been sent now."""
         super().handle_result(now, effect, now, outcome)
 
 
 class NeverSuspends(Member):
-    """Has voted and serves on, for as long as it hears nothing."""
+    """Continues to serve after its vote for as long as it gets no answer from the store."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """Without OUTCOME_UNKNOWN."""
+        """Returns PREPARED instead of OUTCOME_UNKNOWN."""
         status = super().admission_status(now)
         return AdmissionStatus.PREPARED if status is AdmissionStatus.OUTCOME_UNKNOWN else status
 
 
 class ServesWithoutLease(Member):
-    """Serves on without a lease where others may leave it out."""
+    """Continues to serve without a lease under the rule that lets others leave it out."""
 
     def admission_status(self, now: float) -> AdmissionStatus:
-        """Without LEASE_EXPIRED."""
+        """Returns SERVING instead of LEASE_EXPIRED."""
         status = super().admission_status(now)
         return AdmissionStatus.SERVING if status is AdmissionStatus.LEASE_EXPIRED else status
 
 
 class SyncsBeforeRegistration(Member):
-    """Admits by what it read before it had registered."""
+    """Admits on the basis of a read before its registration."""
 
     def _accept(self, now: float, sent: float, snapshot: FleetSnapshot) -> None:
         super()._accept(now, sent, snapshot)
@@ -67,7 +68,7 @@
 
 
 class AppliesBeforeCommit(Member):
-    """Goes over to a change as soon as it has accepted it."""
+    """Applies a change as soon as it has accepted it, before the commit."""
 
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
         commit = super()._vote(now, observed)
@@ -80,7 +81,7 @@
 
 
 class VotesBeforeSave(Member):
-    """Votes though its prepared vote was not written: the directory then says that there is none."""
+    """Votes before its prepared vote is saved, so that the state directory does not contain the vote."""
 
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
         state = self.local_state
@@ -97,7 +98,7 @@
 
 
 class TrustsAnyDirectory(Member):
-    """Starts by its state directory, whatever it has voted."""
+    """Trusts its state directory at the start, even after a vote."""
 
     def _may_trust_directory(self) -> bool:
         self.voting.prepared_vote = None
@@ -105,7 +106,7 @@
 
 
 class TrustsItsFile(Member):
-    """Starts by its state directory because its file says `wait` now, whatever the roster says."""
+    """Trusts its state directory because its file now says `wait`, even if the roster says otherwise."""
 
     def _may_trust_directory(self) -> bool:
         is_joined = self.rules.starts_from_directory and self.registration.joined
@@ -114,7 +115,7 @@
 
 class _ForgetfulVoting(Voting):
     def update(self, sent: float, observed: ObservedState, is_up_to_date: bool) -> None:
-        """The vote ends with its change."""
+        """Drops the prepared vote as soon as its change is no longer open."""
         change = observed.open
         if not change or self.prepared_vote != PreparedVote(change.id, change.created):
             self.prepared_vote = None
@@ -122,7 +123,7 @@
 
 
 class ForgetsPreparedVote(Member):
-    """Drops a prepared vote once the change has ended, before it has what is in force since."""
+    """Drops a prepared vote as soon as the change has ended, before it has read the version now in force."""
 
     voting_type = _ForgetfulVoting
 
@@ -131,14 +132,14 @@
 
 
 class VotesForAnyChange(Member):
-    """Its vote names no change: one that is late counts in the next."""
+    """Votes without comparing the change, so that a late vote counts for the next change."""
 
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
         return _without_compare(super()._vote(now, observed), self.keys.change)
 
 
 class VotesForAnyIncarnation(Member):
-    """Its vote names no process: one sent before a crash counts after it."""
+    """Votes without comparing the process, so that a vote sent before a crash counts after it."""
 
     def _vote(self, now: float, observed: ObservedState) -> Commit | None:
         return _without_compare(super()._vote(now, observed), self.keys.status(self.name))
@@ -148,64 +149,64 @@
 
 
 class RetainsSyncWithoutLease(Member):
-    """After its lease has lapsed it trusts, once it has one again, what it read before."""
+    """Trusts reads from before the end of its lease after it has registered again."""
 
     def lose_registration(self) -> None:
-        """But keeps what it knew."""
+        """Loses the registration, but stays synchronized."""
         has_synced, until = self.registration.has_synced, self.registration.lease_until
         super().lose_registration()
         self.registration.has_synced, self.registration.lease_until = has_synced, until
 
 
 class TrustsLateRead(Member):
-    """A read that was sent before its lease was lost, and comes after, counts as synced."""
+    """Accepts a read that was sent before the loss of its lease and answered after it."""
 
     def lose_registration(self) -> None:
-        """But takes the read under way."""
+        """Loses the registration, but accepts the read in progress."""
         super().lose_registration()
         self.reads.is_discarded = False
 
 
 class _SilentRegistration(Registration):
     def commit(self, observed: ObservedState, status: MemberStatus) -> Commit:
-        """Without the key that whoever counts compares."""
+        """Returns the registration without the key that the count of votes compares."""
         commit = super().commit(observed, status)
         joined = self.identity.keys.joined
         return replace(commit, writes=tuple(write for write in commit.writes if write.key != joined))
 
 
 class RegistersSilently(Member):
-    """Registers unseen by who counts the votes: whoever has counted without it commits."""
+    """Registers without invalidating a count of votes, so that a count without this member still commits."""
 
     registration_type = _SilentRegistration
 
 
 class _GreedyRegistration(Registration):
     def is_foreign(self, observed: ObservedState) -> bool:
-        """No name is."""
+        """Returns False for every name."""
         return False
 
 
 class TakesForeignNames(Member):
-    """Takes a name whose lease has lapsed, though its holder may serve on, cut off."""
+    """Takes a name whose lease has expired, although its holder may still serve without a connection."""
 
     registration_type = _GreedyRegistration
 
 
 class _SharedRegistration(_GreedyRegistration):
     def is_name_taken(self, observed: ObservedState) -> bool:
-        """No name is."""
+        """Returns False for every name."""
         return False
 
     def update(self, observed: ObservedState) -> bool:
-        """Whoever has it, it counts as synced."""
+        """Updates the registration, and treats it as synchronized regardless of its holder."""
         is_lost = super().update(observed)
         self.has_synced = True
         return is_lost
 
 
 class SharesItsName(Member):
-    """Serves under a name that another process has."""
+    """Serves under a name that another process holds."""
 
     registration_type = _SharedRegistration
 
@@ -214,37 +215,37 @@
 
 
 class TrustsAnyStore(StoreTrust):
-    """Of an engine that went back to an older state as well."""
+    """Trusts every engine, also one that has been restored to an older state."""
 
     def check_snapshot(self, snapshot: FleetSnapshot, version: int, change: str) -> str:
-        """Nothing is wrong."""
+        """Returns no reason for distrust."""
         return ""
 
     def trusts(self, result: CommitResult | LeaseResult) -> bool:
-        """Always."""
+        """Returns True for every result."""
         return True
 
 
 class AcceptsAnyStore(Member):
-    """Trusts an engine that went back to an older state."""
+    """Trusts an engine that has been restored to an older state."""
 
     trust_type = TrustsAnyStore
 
 
 class _TrustsAnyLease(StoreTrust):
     def trusts(self, result: CommitResult | LeaseResult) -> bool:
-        """Every lease."""
+        """Returns True for every lease."""
         return isinstance(result, LeaseResult) or super().trusts(result)
 
 
 class AcceptsAnyLease(Member):
-    """Takes its lease to live because some engine says so."""
+    """Accepts the confirmation of its lease by any engine."""
 
     trust_type = _TrustsAnyLease
 
 
 class NeverReadsAgain(Member):
-    """Reads upon a watch event, and never by itself."""
+    """Reads only after watch events, and never periodically."""
 
     def _next_read(self) -> float:
         return math.inf
@@ -260,11 +261,11 @@
     return replace(commit, compares=tuple(compare for compare in commit.compares if compare.key != key))
 
 
-# Ends of a change.
+# Completion of a change.
 
 
 def finish_by_majority(snapshot: FleetSnapshot, is_late: bool) -> Commit | None:
-    """Commits once more members have accepted than are pending."""
+    """Commits when at least as many members have accepted as are pending."""
     votes = count_votes(snapshot)
     if (
         snapshot.change
@@ -277,13 +278,13 @@
 
 
 def finish_without_compares(snapshot: FleetSnapshot, is_late: bool) -> Commit | None:
-    """Commits without comparing what was read."""
+    """Commits without comparing the keys that were read."""
     commit = finish_change(snapshot, is_late)
     return commit and replace(commit, compares=())
 
 
 def finish_despite_rejections(snapshot: FleetSnapshot, is_late: bool) -> Commit | None:
-    """Takes no rejection into account."""
+    """Commits without regard to rejections."""
     rejecting = {name for name, vote in snapshot.votes.items() if not vote.accepted}
     keys = snapshot.keys
     hidden = {*map(keys.vote, rejecting), *map(keys.roster, rejecting)}
@@ -291,7 +292,7 @@
 
 
 def finish_without_absent(snapshot: FleetSnapshot, is_late: bool) -> Commit | None:
-    """Leaves out whoever is not registered, whatever its rule."""
+    """Leaves out all members that are not registered, regardless of their rules."""
     absent = {name for name in snapshot.rosters if name not in snapshot.statuses}
     return finish_change(_without_keys(snapshot, set(map(snapshot.keys.roster, absent))), is_late)
 
--- a/otterrudder/lab/fleet/mutation.py
+++ b/otterrudder/lab/fleet/mutation.py
@@ -1,4 +1,4 @@
-"""How a part of the fleet is replaced by a mutant of it in place."""
+"""Replaces a part of the fleet by a mutant with the same state."""
 
 from typing import Any, TypeVar
 
@@ -6,9 +6,9 @@
 
 
 def mutated(part: Any, mutant: type[_T]) -> _T:
-    """The same part with the behaviour of `mutant`, a subclass of its class."""
-    twin = object.__new__(mutant)
+    """Returns the part with the same state and the behaviour of `mutant`, a subclass of its class."""
+    copy = object.__new__(mutant)
     slots = [name for base in type(part).__mro__ for name in getattr(base, "__slots__", ())]
     for name in slots:
-        setattr(twin, name, getattr(part, name))
-    return twin
+        setattr(copy, name, getattr(part, name))
+    return copy
--- a/otterrudder/lab/fleet/report.py
+++ b/otterrudder/lab/fleet/report.py
@@ -1,5 +1,5 @@
-"""Searches and plans of the fleet on all cores, and their tables: what `lab fleet-search` and
-`lab fleet-hours` print."""
+"""Runs the searches and simulations of the fleet on all cores and prints their tables, for `lab fleet-search`
+and `lab fleet-simulation`."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -11,12 +11,12 @@
 from otterrudder.lab.fleet.seeded_faults import SEEDED_FAULTS, VARIANTS
 from otterrudder.lab.fleet.simulation import Result, play
 
-WALK_LENGTH = 60  # events of a drawn walk
-MAX_FAULTS = 6  # faults in it
-WALKS_PER_TASK = 50  # walks that are handed out at a time
-DEPTH_FAULTS = 2  # faults in a search by breadth
-QUIESCENT_SIZES = (10, 50, 200, 1000)  # servers, for what a change costs without faults
-FAULTS_A_PLAN = 8
+WALK_LENGTH = 60  # events of a random walk
+MAX_FAULTS = 6  # maximum number of faults of a random walk
+WALKS_PER_TASK = 50  # random walks per task of the process pool
+SEARCH_MAX_FAULTS = 2  # maximum number of faults in a breadth-first search
+QUIESCENT_SIZES = (10, 50, 200, 1000)  # numbers of servers for the cost of a change without faults
+FAULTS_PER_PLAN = 8
 
 
 def _walk(name: str, members: int, seed: int, walks: int) -> SearchResult:
@@ -24,7 +24,7 @@
 
 
 def _search(name: str, members: int, stage: str, depth: int) -> SearchResult:
-    return search(replace(VARIANTS[name], members=members), depth, DEPTH_FAULTS, stage=Stage[stage])
+    return search(replace(VARIANTS[name], members=members), depth, SEARCH_MAX_FAULTS, stage=Stage[stage])
 
 
 def _find_fault(name: str) -> SearchResult:
@@ -34,11 +34,13 @@
 def run_model_search(
     walks: int, seed: int, depth: int, workers: int | None, write: Callable[[str], None]
 ) -> bool:
-    """Whether no promise broke and each fault was found. `walks`: by variant and number of members; `depth`:
-    of the search by breadth with two members, one less with three, two less with four."""
-    good = True
+    """Runs the search; returns whether no guarantee was violated and each seeded fault was found.
+
+    `walks` is the number of random walks per variant and number of members. `depth` is the depth of the
+    breadth-first search with two members; it is one less with three members and two less with four."""
+    is_sound = True
     with ProcessPoolExecutor(workers) as pool:
-        drawn = {
+        walked = {
             (name, members): [
                 pool.submit(_walk, name, members, seed * 1000 + n, min(WALKS_PER_TASK, walks))
                 for n in range(max(walks // WALKS_PER_TASK, 1))
@@ -46,77 +48,78 @@
             for name in VARIANTS
             for members in (2, 3, 4)
         }
-        deep = {
-            (name, members, stage.name): pool.submit(_search, name, members, stage.name, deep)
+        searched = {
+            (name, members, stage.name): pool.submit(_search, name, members, stage.name, search_depth)
             for members in (2, 3, 4)
-            if (deep := depth + 2 - members) > 0
+            if (search_depth := depth + 2 - members) > 0
             for name in VARIANTS
             for stage in Stage
         }
         fault_searches = {name: pool.submit(_find_fault, name) for name in SEEDED_FAULTS}
-        write("| variant | members | states by random walks | broken |")
+        write("| variant | members | states by random walks | violation |")
         write("| --- | ---: | ---: | --- |")
-        for (name, members), parts in drawn.items():
-            found = [part.result() for part in parts]
-            violating = next((one for one in found if one.violation), None)
-            good = good and not violating
+        for (name, members), tasks in walked.items():
+            results = [task.result() for task in tasks]
+            violating = next((result for result in results if result.violation), None)
+            is_sound = is_sound and not violating
             write(
-                f"| {name} | {members} | {sum(one.states for one in found)} | "
+                f"| {name} | {members} | {sum(result.states for result in results)} | "
                 f"{f'{violating.violation}: {violating.trail}' if violating else 'none'} |"
             )
-        for (name, members, stage_name), part in deep.items():
-            one = part.result()
-            good = good and not one.violation
+        for (name, members, stage_name), task in searched.items():
+            result = task.result()
+            is_sound = is_sound and not result.violation
             write(
-                f"| {name}, from {stage_name.lower()} | {members} | {one.states}, each to depth {one.depth} "
-                f"| {f'{one.violation}: {one.trail}' if one.violation else 'none'} |"
+                f"| {name}, from {stage_name.lower()} | {members} | "
+                f"{result.states}, all to depth {result.depth} "
+                f"| {f'{result.violation}: {result.trail}' if result.violation else 'none'} |"
             )
         write("")
-        write("| fault put in | found after states | as |")
+        write("| seeded fault | found after states | as |")
         write("| --- | ---: | --- |")
-        for name, part in fault_searches.items():
-            one = part.result()
-            good = good and bool(one.violation)
-            write(f"| {name} | {one.states} | {one.violation or 'NOT FOUND'} |")
-    return good
+        for name, task in fault_searches.items():
+            result = task.result()
+            is_sound = is_sound and bool(result.violation)
+            write(f"| {name} | {result.states} | {result.violation or 'NOT FOUND'} |")
+    return is_sound
 
 
 def run_simulations(servers: int, plans: int, workers: int | None, write: Callable[[str], None]) -> bool:
-    """Whether nobody was past the bound in any plan, and all agreed after it."""
-    good = True
+    """Runs simulations; returns whether no server exceeded the bound and all agreed at the end."""
+    is_sound = True
     write(
-        "| rule | plans | committed | past the bound | not agreed | worst age of the old, ms | "
-        "last switch, ms: median, 95%, most | suspended |"
+        "| rule | plans | committed | past the bound | not agreed | longest use of the old version, ms | "
+        "last switch, ms: median, 95%, maximum | suspended |"
     )
     write("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
     with ProcessPoolExecutor(workers) as pool:
         for absent in ("wait", "leave-out"):
-            parts = [pool.submit(play, servers, seed, FAULTS_A_PLAN, absent) for seed in range(plans)]
-            results = [part.result() for part in parts]
-            breaches, apart = sum(r.breaches for r in results), sum(not r.agreed for r in results)
-            good = good and not breaches and not apart
+            tasks = [pool.submit(play, servers, seed, FAULTS_PER_PLAN, absent) for seed in range(plans)]
+            results = [task.result() for task in tasks]
+            breaches, disagreed = sum(r.breaches for r in results), sum(not r.agreed for r in results)
+            is_sound = is_sound and not breaches and not disagreed
             write(
-                f"| {absent} | {plans} | {sum(r.committed for r in results)} | {breaches} | {apart} | "
-                f"{max(r.worst_old_ms for r in results):.0f} | {_spread(results)} | "
+                f"| {absent} | {plans} | {sum(r.committed for r in results)} | {breaches} | {disagreed} | "
+                f"{max(r.max_old_version_ms for r in results):.0f} | {_switch_quantiles(results)} | "
                 f"{sum(r.suspended_share for r in results) / plans:.2%} |"
             )
         write("")
         write(
-            "| servers, no fault | last switch, ms | reads a change | writes | watch events | "
-            "reads a second, quiescent |"
+            "| servers, no fault | last switch, ms | reads per change | writes | watch events | "
+            "reads per second, quiescent |"
         )
         write("| ---: | ---: | ---: | ---: | ---: | ---: |")
         quiescent = {size: pool.submit(play, size, 1, 0) for size in QUIESCENT_SIZES}
-        for size, part in quiescent.items():
-            one = part.result()
+        for size, task in quiescent.items():
+            result = task.result()
             write(
-                f"| {size} | {one.last_switch_ms:.0f} | {one.reads} | {one.writes} | {one.watch_events} | "
-                f"{one.quiescent_reads_per_s:.0f} |"
+                f"| {size} | {result.last_switch_ms:.0f} | {result.reads} | {result.writes} | "
+                f"{result.watch_events} | {result.quiescent_reads_per_s:.0f} |"
             )
-    return good
+    return is_sound
 
 
-def _spread(results: list[Result]) -> str:
+def _switch_quantiles(results: list[Result]) -> str:
     switched = sorted(r.last_switch_ms for r in results if r.committed) or [0.0]
-    some = (switched[len(switched) // 2], switched[int(len(switched) * 0.95)], switched[-1])
-    return ", ".join(f"{ms:.0f}" for ms in some)
+    quantiles = (switched[len(switched) // 2], switched[int(len(switched) * 0.95)], switched[-1])
+    return ", ".join(f"{ms:.0f}" for ms in quantiles)
--- a/otterrudder/lab/fleet/search.py
+++ b/otterrudder/lab/fleet/search.py
@@ -1,5 +1,5 @@
-"""Searches of the model of a fleet's members: every order of events to a stated depth, and long random walks
-from a seed."""
+"""Searches of the model of a fleet's members: all orders of events to a depth, and random walks from a
+seed."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 from otterrudder.lab.fleet.model_stages import NotConvergedError, Stage, state_at_stage
 from otterrudder.lab.fleet.seeded_faults import SeededFault
 
-# The kinds of events, by words of their labels; the first that matches counts.
+# The kinds of events. An event is of the first kind whose text its label contains.
 EVENT_KINDS = (
     "time goes on",
     "copied",
@@ -41,11 +41,11 @@
     "register",
     "read",
 )
-LOG_WEIGHTS = (-2.5, 1.5)  # between which the logarithm of a kind's weight in a walk is drawn
+LOG_WEIGHTS = (-2.5, 1.5)  # range of the logarithm of a kind's weight in a walk
 FAULT_SEED = 7
-FAULT_WALKS = 600
+FAULT_WALKS = 600  # random walks in the search for a seeded fault
 FAULT_WALK_LENGTH = 60  # events of a walk
-FAULT_WALK_MAX_FAULTS = 6  # at most in a walk
+FAULT_WALK_MAX_FAULTS = 6  # maximum number of faults of a walk
 
 
 def search(
@@ -56,7 +56,7 @@
     stage: Stage = Stage.QUIESCENT,
     scenario: tuple[str, ...] = (),
 ) -> SearchResult:
-    """Breadth first from a stage, and from the end of a story, if one is given."""
+    """Searches all orders of events to a depth, breadth first from a stage or from the end of a scenario."""
 
     def next_states(state: ModelState) -> Iterator[ModelState]:
         return successors(state, max_faults)
@@ -67,8 +67,10 @@
 
 
 def walk(variant: Variant, seed: int, walks: int, length: int, max_faults: int) -> SearchResult:
-    """Random walks: they get deeper than any search by breadth. Each has its own weights, for one that does a
-    little of everything gets to nothing that is rare twice over."""
+    """Searches by random walks, which reach a greater depth than a breadth-first search.
+
+    Each walk draws its own weights of events, because walks with equal weights hardly ever reach states that
+    need two rare events."""
     count = 0
     for number in range(walks):
         rng = random.Random(f"{seed}/{number}")
@@ -76,10 +78,10 @@
             state = state_at_stage(variant, rng.choice(list(Stage)))
         except NotConvergedError as error:
             return SearchResult(count, 0, str(error))
-        found = _walk_from(state, rng, length, max_faults)
-        count += found.states
-        if found.violation:
-            return SearchResult(count, found.depth, found.violation, found.trail)
+        result = _walk_from(state, rng, length, max_faults)
+        count += result.states
+        if result.violation:
+            return SearchResult(count, result.depth, result.violation, result.trail)
     return SearchResult(count, length)
 
 
@@ -96,8 +98,9 @@
 def find_fault(
     fault: SeededFault, walks: int = FAULT_WALKS, member: type[Member] | None = None
 ) -> SearchResult:
-    """Looks for a seeded fault where it shows; with `member`, whether that member keeps its promises
-    there."""
+    """Searches for a seeded fault where it shows.
+
+    With `member`, the same search checks that this member violates no guarantee."""
     variant = replace(fault.variant, member=member) if member else fault.variant
     if fault.depth:
         return search(variant, fault.depth, fault.max_faults, stage=fault.stage, scenario=fault.scenario)
@@ -105,7 +108,7 @@
 
 
 def replay(state: ModelState, scenario: tuple[str, ...]) -> ModelState:
-    """The state that these events lead to."""
+    """Returns the state that the events of a scenario lead to."""
     return explore.replay(state, lambda state: _steps(state, len(scenario)), scenario)
 
 
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -1,5 +1,5 @@
-"""The faults that are seeded into the fleet's parts, and where each shows; and the surroundings in which the
-unchanged parts have to keep every promise."""
+"""The seeded faults of the fleet's parts, where each shows, and the variants in which the unchanged parts
+have to keep all guarantees."""
 
 from dataclasses import dataclass, replace
 
@@ -38,8 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """Where a seeded fault shows: the model's parts, and events that random walks come to too rarely (`~`:
-    one that the unchanged member may not come to). Without a depth, walks find it."""
+    """Where a seeded fault shows: the variant with the mutant, and a scenario that starts at a stage.
+
+    With a depth, a search from the end of the scenario finds the fault; this is needed where random walks
+    reach it too rarely. Without a depth, random walks find it. An event with the prefix `~` may not be
+    possible with the correct member."""
 
     variant: Variant
     stage: Stage = Stage.QUIESCENT
@@ -135,7 +138,7 @@
     "count",
     "count: commit",
 )
-# Each fault by its name, and where it shows.
+# Where each fault shows, by the name of the fault.
 SEEDED_FAULTS: dict[str, SeededFault] = {
     "votes before the save": SeededFault(
         Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.QUIESCENT, _DISK_FULL, 4, 0
@@ -186,7 +189,7 @@
     ),
     "finishes without the absent": SeededFault(Variant(finish_change=finish_without_absent)),
 }
-# The unchanged parts, in each surroundings that the promises are made for.
+# Variants with unchanged parts that cover the configurations for which the guarantees hold.
 VARIANTS: dict[str, Variant] = {
     "wait": Variant(),
     "wait, from its state directory": Variant(rules=FROM_DIRECTORY),
--- a/otterrudder/lab/fleet/simulation.py
+++ b/otterrudder/lab/fleet/simulation.py
@@ -1,9 +1,8 @@
-"""Whole fleets in simulated time: members, coordinators and proposers as they are, on a key space, with
-latencies and a plan of faults drawn from the seed.
+"""Simulates whole fleets: unchanged members, coordinators and a proposer on a key space in simulated time.
 
-Measured: from the commit to the last switch, how long past it anybody admitted under the old version, and
-what a change costs the store in reads, writes and watch events. What was committed is recorded where
-the store wrote it."""
+Latencies and a plan of faults are drawn from a seed. The simulation measures the time from the commit to the
+last switch, how long after the commit a member admitted under the old version, and the reads, writes and
+watch events that a change causes at the store. Commits are recorded as the store writes them."""
 
 import heapq
 import itertools
@@ -34,14 +33,15 @@
 from otterrudder.lab.indexed import IndexedKeySpace
 
 KEYS = Keys("f")
-LATENCY_MS = (1.0, 12.0)  # of a request and its answer, together
-WATCH_MS = (1.0, 30.0)  # of a watch event
-VALIDATION_MS = (0.3, 12.0)  # of a policy: 200 products and 500 tenants take the most
-SAVE_MS = (0.5, 8.0)  # of a synced write
-CHECK_INTERVAL_MS = 50.0  # between checks of what everybody admits under
-START_MS = 700.0  # from a restart until a process asks the store
-BEGIN_MS = 8000.0  # when the change is proposed: the fleet has come together
-END_MS = 40_000.0
+# Ranges of durations.
+LATENCY_MS = (1.0, 12.0)  # round trip of a request and its answer
+WATCH_MS = (1.0, 30.0)  # delivery of a watch event
+VALIDATION_MS = (0.3, 12.0)  # validation of a policy; one of 200 products and 500 tenants takes the longest
+SAVE_MS = (0.5, 8.0)  # synced write to the disk
+CHECK_INTERVAL_MS = 50.0  # interval between checks of the versions under which members admit
+START_MS = 700.0  # minimum time from a crash until the next process sends requests to the store
+BEGIN_MS = 8000.0  # time of the proposal, when all members have registered
+END_MS = 40_000.0  # end of the simulation
 DEADLINE_MS = 15_000.0
 
 
@@ -49,14 +49,14 @@
     Read: "reads",
     Commit: "writes",
     GrantLease: "writes",
-    RenewLease: "renewals",
-}  # a renewal writes no key
+    RenewLease: "renewals",  # a renewal writes no key
+}
 FAULT_KINDS = ("kill", "kill", "freeze", "freeze", "cut", "cut", "store", "proposer", "zone")
 
 
 @dataclass(slots=True)
 class Host:
-    """A place where a member's process runs, with its state directory."""
+    """A host that runs a member's process, and its state directory."""
 
     name: str
     directory_id: str
@@ -66,21 +66,23 @@
     disk: MemberState | None = None
     frozen_until: float = -1.0
     cut_until: float = -1.0
-    deferred: list[Callable[[], None]] = field(default_factory=list)  # what comes while it is frozen
-    next_run: float = math.inf  # the next time that it runs by itself
-    switched: float = math.inf
+    deferred: list[Callable[[], None]] = field(default_factory=list)  # deliveries while it is frozen
+    next_run: float = math.inf  # next scheduled run of its loop
+    switched_at: float = math.inf  # time of the switch to the committed version
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one plan showed."""
+    """The result of one plan."""
 
     committed: bool
-    breaches: int  # looks at which somebody admitted past the bound
-    worst_old_ms: float  # how long past the commit anybody admitted under the old version
-    last_switch_ms: float  # from the commit until the last that could hear had switched; 0: none was
-    suspended_share: float  # of all looks at servers that ran
-    agreed: bool  # at the end all that run admit under one version, and no change is open
+    breaches: int  # checks at which a member admitted under the old version after the bound
+    max_old_version_ms: (
+        float  # longest time after the commit at which a member admitted under the old version
+    )
+    last_switch_ms: float  # time from the commit to the last switch of a running member; 0: no switch
+    suspended_share: float  # share of the checks of running members at which admission was suspended
+    agreed: bool  # at the end all running members admit under one version, and no change is open
     reads: int
     writes: int
     watch_events: int
@@ -88,7 +90,7 @@
 
 
 class Simulation:
-    """One plan, from the start of all servers to END_MS."""
+    """The simulation of one plan, from the start of all servers to END_MS."""
 
     def __init__(self, servers: int, seed: int, rules: Rules, faults: int) -> None:
         self.rng = random.Random(f"hours/{seed}/{servers}")
@@ -96,26 +98,26 @@
         self.store, self.now = IndexedKeySpace(), 0.0
         self.hosts = [Host(f"n{n:04}", f"folder {n}") for n in range(servers)]
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.store_unavailable_until = -1.0
         self.committed_at = math.inf
         self.version = 0
         self.counts: Counter[str] = Counter()
         self.quiescent_reads = 0
-        self.old_ms, self.breaches, self.checks, self.suspended_checks = 0.0, 0, 0, 0
+        self.max_old_version_age_ms, self.breaches, self.checks, self.suspended_checks = 0.0, 0, 0, 0
         self.proposer = ChangeCoordinator(KEYS, "proposer", requires_leadership=False)
         self.proposer_is_up = True
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        """Calls `act` at that time."""
-        heapq.heappush(self.queue, (when, next(self.numbers), act))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedules a call of `action` at the given time."""
+        heapq.heappush(self.queue, (when, next(self.sequence_numbers), action))
 
-    def between(self, bounds: tuple[float, float]) -> float:
-        """A duration, drawn."""
+    def _draw_duration(self, bounds: tuple[float, float]) -> float:
+        """Draws a duration from a range."""
         return self.rng.uniform(*bounds)
 
     def play(self) -> Result:
-        """Runs it to the end."""
+        """Runs the simulation to its end."""
         for host in self.hosts:
             self.at(self.rng.uniform(0, 500.0), partial(self._start, host))
         self.at(BEGIN_MS, self._propose)
@@ -126,21 +128,21 @@
         )
         self.at(BEGIN_MS - 0.5, self.counts.clear)
         for _ in range(self.faults):
-            self._draw()
+            self._schedule_fault()
         self.at(CHECK_INTERVAL_MS, self._check_all)
         while self.queue and self.queue[0][0] <= END_MS:
-            self.now, _, act = heapq.heappop(self.queue)
-            act()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
         return self._result()
 
-    def _draw(self) -> None:
-        """One fault, round the time of the change."""
+    def _schedule_fault(self) -> None:
+        """Draws a fault and schedules it around the time of the change."""
         at, span = BEGIN_MS + self.rng.uniform(-4000, 800), self.rng.uniform(300, 9000)
         kind = self.rng.choice(FAULT_KINDS)
-        some = [self.rng.choice(self.hosts)]
+        hosts_hit = [self.rng.choice(self.hosts)]
         if kind == "zone":
-            some = self.hosts[:: max(self.rng.randint(3, 8), 1)]
-        for host in some:
+            hosts_hit = self.hosts[:: max(self.rng.randint(3, 8), 1)]
+        for host in hosts_hit:
             if kind == "kill":
                 self.at(at, partial(self._kill, host, span))
             elif kind == "freeze":
@@ -153,7 +155,7 @@
             at = max(at, BEGIN_MS + self.rng.uniform(1, 400))
             self.at(at, lambda: setattr(self, "proposer_is_up", False))
 
-    # Hosts.
+    # Processes of the hosts.
 
     def _start(self, host: Host) -> None:
         host.incarnation += 1
@@ -190,13 +192,14 @@
         if host.incarnation != incarnation or self.now < host.frozen_until:
             return
         deferred, host.deferred = host.deferred, []
-        self._check(host)  # an arrival that waited is the first thing that it sees
-        for act in deferred:
-            act()
+        # An admission may precede the deferred deliveries, so the member is checked before it handles them.
+        self._check(host)
+        for action in deferred:
+            action()
         self._run(host, incarnation)
 
     def _run(self, host: Host, incarnation: int) -> None:
-        """The host's loop goes round once."""
+        """Runs one iteration of the host's loop."""
         if host.incarnation != incarnation or not host.member or not host.coordinator:
             return
         if self.now < host.frozen_until:
@@ -216,33 +219,34 @@
         sent = self.now
         if isinstance(effect, ValidatePolicy):
             self.at(
-                sent + self.between(VALIDATION_MS),
+                sent + self._draw_duration(VALIDATION_MS),
                 lambda: self._handle_result(host, incarnation, effect, sent, ""),
             )
             return
         if isinstance(effect, SaveState):
 
-            def saved() -> None:
+            def complete_save() -> None:
                 host.disk = effect.record if host.incarnation == incarnation else host.disk
                 self._handle_result(host, incarnation, effect, sent, True)
 
-            self.at(sent + self.between(SAVE_MS), saved)
+            self.at(sent + self._draw_duration(SAVE_MS), complete_save)
             return
         timeout = self.rules.bound_ms / 4
-        there = self.between(LATENCY_MS) / 2
-        if self.now < host.cut_until or self.now + there < self.store_unavailable_until:
+        latency_ms = self._draw_duration(LATENCY_MS) / 2
+        if self.now < host.cut_until or self.now + latency_ms < self.store_unavailable_until:
             self.at(sent + timeout, lambda: self._handle_result(host, incarnation, effect, sent, None))
             return
 
         def arrive() -> None:
             outcome = self._serve(effect)
-            lost = self.now < host.cut_until or self.now < self.store_unavailable_until
-            when = sent + timeout if lost else self.now + there
+            is_lost = self.now < host.cut_until or self.now < self.store_unavailable_until
+            when = sent + timeout if is_lost else self.now + latency_ms
             self.at(
-                when, lambda: self._handle_result(host, incarnation, effect, sent, None if lost else outcome)
+                when,
+                lambda: self._handle_result(host, incarnation, effect, sent, None if is_lost else outcome),
             )
 
-        self.at(sent + there, arrive)
+        self.at(sent + latency_ms, arrive)
 
     def _handle_result(
         self, host: Host, incarnation: int, effect: Effect, sent: float, outcome: Outcome
@@ -255,13 +259,13 @@
         if effect.lane is Lane.COORDINATE:
             if isinstance(effect, Commit):
                 host.member.handle_watch_event()
-            more = host.coordinator.handle_result(self.now, effect, outcome)
-            if more:
-                self._send(host, incarnation, more)
+            commit_after = host.coordinator.handle_result(self.now, effect, outcome)
+            if commit_after:
+                self._send(host, incarnation, commit_after)
         else:
             host.member.handle_result(self.now, effect, sent, outcome)
-            if host.member.applied_policy.version == self.version and host.switched == math.inf:
-                host.switched = self.now
+            if host.member.applied_policy.version == self.version and host.switched_at == math.inf:
+                host.switched_at = self.now
         self._run(host, incarnation)
 
     # The store.
@@ -279,7 +283,7 @@
             for host in self.hosts:
                 if host.member and self.now >= host.cut_until:
                     self.counts["watch_events"] += 1
-                    due = self.now + self.between(WATCH_MS)
+                    due = self.now + self._draw_duration(WATCH_MS)
                     self.at(due, partial(self._deliver_watch_event, host))
         return outcome
 
@@ -293,7 +297,7 @@
             if isinstance(put, Put) and put.key == KEYS.policy:
                 self.version, self.committed_at = decode(put.value, PolicyHead).version, self.now
                 for host in self.hosts:
-                    host.switched = math.inf
+                    host.switched_at = math.inf
 
     # The change.
 
@@ -307,7 +311,7 @@
         self.at(self.now + 50.0, self._coordinate)
 
     def _coordinate(self) -> None:
-        """The proposer's own program counts as well, for as long as it lives."""
+        """The proposer also coordinates its change while it runs."""
         if not self.proposer_is_up:
             return
         if self.now >= self.store_unavailable_until:
@@ -321,7 +325,7 @@
                     self.proposer.handle_result(self.now, commit, self._serve(commit))
         self.at(self.now + 100.0, self._coordinate)
 
-    # What was seen.
+    # Checks.
 
     def _check_all(self) -> None:
         for host in self.hosts:
@@ -336,20 +340,20 @@
             self.checks += 1
             self.suspended_checks += version is None
         if version is not None and version < self.version:
-            old = self.now - self.committed_at
-            self.old_ms = max(self.old_ms, old)
-            self.breaches += old > self.rules.bound_ms
+            age_ms = self.now - self.committed_at
+            self.max_old_version_age_ms = max(self.max_old_version_age_ms, age_ms)
+            self.breaches += age_ms > self.rules.bound_ms
 
     def _result(self) -> Result:
-        up = [host.member for host in self.hosts if host.member and self.now >= host.frozen_until]
-        opened = FleetSnapshot(KEYS, self.store.read([KEYS.change])).change
-        agreed = not opened and all(member.admits(self.now) == self.version for member in up)
-        switched = [host.switched for host in self.hosts if host.member and host.switched < math.inf]
-        last = max(switched, default=0.0) - self.committed_at if self.version else 0.0
+        running = [host.member for host in self.hosts if host.member and self.now >= host.frozen_until]
+        change = FleetSnapshot(KEYS, self.store.read([KEYS.change])).change
+        agreed = not change and all(member.admits(self.now) == self.version for member in running)
+        switched_at = [host.switched_at for host in self.hosts if host.member and host.switched_at < math.inf]
+        last = max(switched_at, default=0.0) - self.committed_at if self.version else 0.0
         return Result(
             self.version > 0,
             self.breaches,
-            self.old_ms,
+            self.max_old_version_age_ms,
             max(last, 0.0),
             self.suspended_checks / max(self.checks, 1),
             agreed,
@@ -368,6 +372,6 @@
     bound_ms: float = 2000.0,
     lease_ms: float = 6000.0,
 ) -> Result:
-    """One plan."""
+    """Runs the plan of one seed."""
     rules = replace(Rules(), absent=absent, bound_ms=bound_ms, lease_ms=lease_ms)  # type: ignore[arg-type]
     return Simulation(servers, seed, rules, faults).play()
