--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -286,12 +286,12 @@
     """Runs the part on processes. Returns whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
-        from otterrudder.lab.scale.processes.bench import NotInTimeError
+        from otterrudder.lab.scale.processes.bench import MeasurementError
     except ModuleNotFoundError as error:
         _exit_without_fleet_extra(error)
     try:
-        report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (InvalidInputError, NotInTimeError) as error:
+        report = command.run(command.read_plan(file, quick), quick, folder, click.echo)
+    except (InvalidInputError, MeasurementError) as error:
         exit_bad_input(error)
     except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
--- a/otterrudder/lab/processes/cell_history.py
+++ b/otterrudder/lab/processes/cell_history.py
@@ -28,14 +28,14 @@
 
 def suspensions(cluster: LinkedCellCluster) -> list[Suspension]:
     """Returns the suspensions of all servers in the quiet windows of a run."""
-    found: list[Suspension] = []
+    result: list[Suspension] = []
     for window in cluster.quiet_windows:
         rejected_product = _version_in_force(cluster.observer.versions, window).rejected_product
         for server, requests in _requests_by_server(cluster.wire.requests, window).items():
             served = [request for request in requests if request.product != rejected_product]
             if ms := _suspended_ms(served, window):
-                found.append(Suspension(server, ms, window.fault))
-    return found
+                result.append(Suspension(server, ms, window.fault))
+    return result
 
 
 def _version_in_force(versions: list[VersionInForce], window: QuietWindow) -> VersionInForce:
--- a/otterrudder/lab/processes/cell_mutants.py
+++ b/otterrudder/lab/processes/cell_mutants.py
@@ -42,7 +42,7 @@
         return math.inf if self.leads() else -math.inf
 
 
-class KeepsOldPolicies(Relay):
+class WithholdsNewPolicies(Relay):
     """Sends a policy only to servers that have no policy yet, so that others keep an old one."""
 
     def _push_policy(self, now: float, session: Session) -> None:
@@ -94,7 +94,7 @@
 }
 RELAY_MUTANTS: dict[str, Callable[[], None]] = {
     "grants past its authority": _with_relay(GrantsPastAuthority),
-    "tells nobody": _with_relay(KeepsOldPolicies),
+    "tells nobody": _with_relay(WithholdsNewPolicies),
     "consents while it leads": _endorse_always,
     "votes without asking": _vote_without_polling,
 }
--- a/otterrudder/lab/scale/processes/__init__.py
+++ b/otterrudder/lab/scale/processes/__init__.py
@@ -1,5 +1,7 @@
-"""The processes part of the scale experiment: hollow servers over the real protocols on loopback, counted and
-timed from the outside.
+"""The processes part of the scale experiment measures the cost of hollow servers.
 
-`children` starts and ends processes, `usage` reads what they use, `bench` is a store with servers round it,
-`members` measures plain members, `laws` fits what was measured, `measure` plays the whole part."""
+Hollow servers use the real protocols on loopback and are measured from outside: `tcp` reads the traffic of
+their connections and `usage` the CPU time and memory of their processes. `children` starts and stops
+processes, `bench` runs a fake store with hollow servers, `measure` takes the measurements, and `rows` holds
+them. `laws` fits growth laws to the measurements, `report` writes the results, and `command` runs all of
+it."""
--- a/otterrudder/lab/scale/processes/laws.py
+++ b/otterrudder/lab/scale/processes/laws.py
@@ -1,23 +1,25 @@
-"""Laws of growth, fitted to figures by size: y = a + b n, and y = c n^k. Least squares; the residual is the
-largest miss, as a share of the figure."""
+"""Fits growth laws to figures by size: y = a + b n and y = c n^k.
+
+The fits minimize the sum of the squared errors. The residual of a law is its largest error as a share of the
+figure."""
 
 from collections.abc import Sequence
 
 import msgspec
 import numpy
 
-SMALLEST = 1e-9  # a figure below it is none: there is no power law of it, and no share
+MIN_FIGURE = 1e-9  # smaller figures count as zero: they have no power law and no relative error
 
 
 class LinearLaw(msgspec.Struct, frozen=True):
-    """A cost that grows by a constant a server."""
+    """A cost that grows by a constant amount per server."""
 
     start: float
     slope: float  # per server
     residual: float
 
     def at(self, size: float) -> float:
-        """The cost at this size."""
+        """Returns the cost at the given number of servers."""
         return self.start + self.slope * size
 
     def __str__(self) -> str:
@@ -25,14 +27,14 @@
 
 
 class PowerLaw(msgspec.Struct, frozen=True):
-    """A cost that grows by a power of the number of servers."""
+    """A cost that grows as a power of the number of servers."""
 
     factor: float
     exponent: float
     residual: float
 
     def at(self, size: float) -> float:
-        """The cost at this size."""
+        """Returns the cost at the given number of servers."""
         return float(self.factor * size**self.exponent)
 
     def __str__(self) -> str:
@@ -40,23 +42,23 @@
 
 
 def fit_linear(sizes: Sequence[float], figures: Sequence[float]) -> LinearLaw:
-    """Needs two sizes."""
+    """Fits a linear law. At least two sizes are required."""
     slope, start = numpy.polyfit(sizes, figures, 1)
-    misses = [start + slope * size - figure for size, figure in zip(sizes, figures, strict=True)]
-    return LinearLaw(float(start), float(slope), _residual(misses, figures))
+    errors = [start + slope * size - figure for size, figure in zip(sizes, figures, strict=True)]
+    return LinearLaw(float(start), float(slope), _residual(errors, figures))
 
 
 def fit_power(sizes: Sequence[float], figures: Sequence[float]) -> PowerLaw | None:
-    """None: a figure is none or below."""
-    if min(figures) < SMALLEST:
+    """Fits a power law. Returns None if a figure is zero or negative."""
+    if min(figures) < MIN_FIGURE:
         return None
     exponent, logarithm = numpy.polyfit(numpy.log(sizes), numpy.log(figures), 1)
     factor = float(numpy.exp(logarithm))
-    misses = [factor * size**exponent - figure for size, figure in zip(sizes, figures, strict=True)]
-    return PowerLaw(factor, float(exponent), _residual(misses, figures))
+    errors = [factor * size**exponent - figure for size, figure in zip(sizes, figures, strict=True)]
+    return PowerLaw(factor, float(exponent), _residual(errors, figures))
 
 
-def _residual(misses: Sequence[float], figures: Sequence[float]) -> float:
-    pairs = zip(misses, figures, strict=True)
-    shares = [abs(miss / figure) for miss, figure in pairs if abs(figure) > SMALLEST]
+def _residual(errors: Sequence[float], figures: Sequence[float]) -> float:
+    pairs = zip(errors, figures, strict=True)
+    shares = [abs(error / figure) for error, figure in pairs if abs(figure) > MIN_FIGURE]
     return float(max(shares, default=0.0))
--- a/otterrudder/lab/scale/processes/measure.py
+++ b/otterrudder/lab/scale/processes/measure.py
@@ -1,4 +1,4 @@
-"""The processes part of the scale experiment: each size played on its own bench, and what it cost."""
+"""Measures the costs of members and of cells at each size of the processes part of the scale experiment."""
 
 import tempfile
 from collections.abc import Callable, Mapping
@@ -17,20 +17,23 @@
     Layout,
     bench_running,
     policy_text,
-    usage_of,
+    total_usage,
 )
 from otterrudder.lab.scale.processes.rows import Change, Idle, Kind, Row
-from otterrudder.lab.scale.processes.tcp import Connections, carried
+from otterrudder.lab.scale.processes.tcp import Connections, traffic_between
 from otterrudder.lab.scale.processes.usage import Usage
 
-UP_S = 60.0  # s that the servers may take until all admit
-IN_FORCE_S = 30.0  # s that a change may take until all go by it
-MESSAGES: Mapping[Kind, str] = {"members": "asked", "cells": "sent"}  # what an agent counts of those
+START_TIMEOUT_S = 60.0  # maximum time from the start until all servers admit
+CHANGE_TIMEOUT_S = 30.0  # maximum time from the proposal until all servers apply the policy
+# Names of the counters by which agents count the messages that they send.
+MESSAGE_COUNTERS: Mapping[Kind, str] = {"members": "asked", "cells": "sent"}
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Sizes and spans. A change's text has `text_bytes`; for `told_s` after it is in force, members tell that
-    they go by it, and relays that theirs do."""
+    """Sizes and durations of the measurements.
+
+    The text of a policy has `text_bytes`. Once a policy is in force, a change is measured for another
+    `told_s`, in which members report that they apply it, and relays that their servers do."""
 
     member_sizes: tuple[int, ...] = (25, 50, 100, 200)
     member_processes: int = 2
@@ -57,69 +60,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that is counted, at one moment."""
+    """All counters at one time."""
 
     at_ms: float
     store: StoreReport
     connections: Connections
     messages: int
-    servers: Usage
-    relays: Usage
-    stand_in: Usage
+    servers_usage: Usage
+    relays_usage: Usage
+    store_usage: Usage
 
     @property
     def requests(self) -> int:
-        """All requests at the store."""
+        """The number of all requests to the store."""
         return sum(self.store.requests.values())
 
-    def count(self, verb: str) -> int:
-        """Of requests to the store whose kind begins so."""
+    def count_requests(self, verb: str) -> int:
+        """Returns the number of requests to the store whose kind begins with `verb`."""
         return sum(count for kind, count in self.store.requests.items() if kind.startswith(verb))
 
 
-async def measure(plan: Plan, say: Callable[[str], None]) -> list[Row]:
-    """Size after size, so that none disturbs another. NotInTimeError: servers did not come up, or a change
-    was not in force in time."""
+async def measure(plan: Plan, print_line: Callable[[str], None]) -> list[Row]:
+    """Measures one size after another, so that they do not disturb each other.
+
+    Raises MeasurementError if servers did not start in time, or a change was not in force in time."""
     rows = []
     for kind, sizes in (("members", plan.member_sizes), ("cells", plan.cell_sizes)):
-        rows += await _measure_kind(plan, kind, sizes, say)  # type: ignore[arg-type]
+        rows += await _measure_kind(plan, kind, sizes, print_line)  # type: ignore[arg-type]
     return rows
 
 
-async def measure_at_once(plan: Plan, say: Callable[[str], None]) -> list[Row]:
-    """Both kinds side by side: for counts and laws of counts, not for times."""
-    found: dict[Kind, list[Row]] = {}
+async def measure_concurrently(plan: Plan, print_line: Callable[[str], None]) -> list[Row]:
+    """Measures members and cells concurrently, which is suitable for counts but not for times."""
+    rows: dict[Kind, list[Row]] = {}
 
-    async def play(kind: Kind, sizes: tuple[int, ...]) -> None:
-        found[kind] = await _measure_kind(plan, kind, sizes, say)
+    async def measure_kind(kind: Kind, sizes: tuple[int, ...]) -> None:
+        rows[kind] = await _measure_kind(plan, kind, sizes, print_line)
 
     async with anyio.create_task_group() as group:
-        group.start_soon(play, "members", plan.member_sizes)
-        group.start_soon(play, "cells", plan.cell_sizes)
-    return [*found["members"], *found["cells"]]
+        group.start_soon(measure_kind, "members", plan.member_sizes)
+        group.start_soon(measure_kind, "cells", plan.cell_sizes)
+    return [*rows["members"], *rows["cells"]]
 
 
 async def _measure_kind(
-    plan: Plan, kind: Kind, sizes: tuple[int, ...], say: Callable[[str], None]
+    plan: Plan, kind: Kind, sizes: tuple[int, ...], print_line: Callable[[str], None]
 ) -> list[Row]:
     rows = []
     for size in sizes:
         row = await measure_size(plan, kind, size)
         last = max(change.committed_to_last_ms for change in row.changes)
-        say(f"{kind}, {size} servers: the last {last:.0f} ms after the commit at the latest")
+        print_line(
+            f"{kind}, {size} servers: the last server applied each change within {last:.0f} ms of its commit"
+        )
         rows.append(row)
     return rows
 
 
 async def measure_size(plan: Plan, kind: Kind, servers: int) -> Row:
-    """One size on a bench of its own, from its start to its end."""
+    """Measures one size on a new bench."""
     layout = Layout(servers, plan.member_processes)
     if kind == "cells":
         layout = Layout(servers, plan.cells, plan.cells, plan.relays_of_cell)
     with tempfile.TemporaryDirectory() as folder:
         async with bench_running(Path(folder), plan.settings, layout) as bench:
-            await bench.until_settled(UP_S)
-            await _measure_change(plan, bench, kind, 0)  # the leadership is taken
+            await bench.wait_settled(START_TIMEOUT_S)
+            # The first change also makes a coordinator claim the leadership.
+            await _measure_change(plan, bench, kind, 0)
             idle = await _measure_idle(bench, kind, plan.idle_s)
             numbers = range(1, plan.changes + 1)
             changes = [await _measure_change(plan, bench, kind, number) for number in numbers]
@@ -129,59 +136,59 @@
     return Row(kind, servers, layout.processes, cells, relays, connections, idle, tuple(changes))
 
 
-async def _take(bench: Bench, kind: Kind) -> Snapshot:
+async def _take_snapshot(bench: Bench, kind: Kind) -> Snapshot:
     counts = await bench.servers.counts()
     return Snapshot(
         monotonic(),
-        await bench.stand_in.report(bench.operator.keys.policy),
+        await bench.fake_store.report(bench.operator.keys.policy),
         bench.connections(),
-        counts[MESSAGES[kind]],
+        counts[MESSAGE_COUNTERS[kind]],
         bench.servers.usage(),
-        usage_of(bench.relays),
-        usage_of([bench.stand_in.child]),
+        total_usage(bench.relays),
+        total_usage([bench.fake_store.child]),
     )
 
 
 async def _measure_idle(bench: Bench, kind: Kind, seconds: float) -> Idle:
-    began = await _take(bench, kind)
+    before = await _take_snapshot(bench, kind)
     await anyio.sleep(seconds)
-    ended = await _take(bench, kind)
-    span = (ended.at_ms - began.at_ms) / 1000
-    traffic = carried(began.connections, ended.connections)
+    after = await _take_snapshot(bench, kind)
+    duration_s = (after.at_ms - before.at_ms) / 1000
+    traffic = traffic_between(before.connections, after.connections)
     return Idle(
-        span,
-        (ended.requests - began.requests) / span,
-        (ended.messages - began.messages) / span,
-        traffic.bytes_sent / span,
-        traffic.bytes_received / span,
-        (ended.servers.cpu_s - began.servers.cpu_s) / span,
-        (ended.relays.cpu_s - began.relays.cpu_s) / span,
-        (ended.stand_in.cpu_s - began.stand_in.cpu_s) / span,
-        ended.servers.rss_mb,
-        ended.relays.rss_mb,
+        duration_s,
+        (after.requests - before.requests) / duration_s,
+        (after.messages - before.messages) / duration_s,
+        traffic.bytes_sent / duration_s,
+        traffic.bytes_received / duration_s,
+        (after.servers_usage.cpu_s - before.servers_usage.cpu_s) / duration_s,
+        (after.relays_usage.cpu_s - before.relays_usage.cpu_s) / duration_s,
+        (after.store_usage.cpu_s - before.store_usage.cpu_s) / duration_s,
+        after.servers_usage.rss_mb,
+        after.relays_usage.rss_mb,
     )
 
 
 async def _measure_change(plan: Plan, bench: Bench, kind: Kind, number: int) -> Change:
-    began = await _take(bench, kind)
-    proposed = await bench.operator.propose(policy_text(number, plan.text_bytes))
-    await bench.servers.until_all_admit(proposed.version, IN_FORCE_S)
+    before = await _take_snapshot(bench, kind)
+    proposal = await bench.operator.propose(policy_text(number, plan.text_bytes))
+    await bench.servers.wait_all_admit(proposal.version, CHANGE_TIMEOUT_S)
     await anyio.sleep(plan.told_s)
-    ended = await _take(bench, kind)
-    committed_ms = ended.store.written_ms[bench.operator.keys.policy]
-    traffic = carried(began.connections, ended.connections)
-    arrived = bench.servers.arrived_ms[proposed.version].values()
+    after = await _take_snapshot(bench, kind)
+    committed_ms = after.store.written_ms[bench.operator.keys.policy]
+    traffic = traffic_between(before.connections, after.connections)
+    switched_ms = bench.servers.switched_ms[proposal.version].values()
     return Change(
-        (ended.at_ms - began.at_ms) / 1000,
-        ended.count("write") - began.count("write"),
-        ended.count("read") - began.count("read"),
-        ended.store.watch_events - began.store.watch_events,
-        ended.messages - began.messages,
+        (after.at_ms - before.at_ms) / 1000,
+        after.count_requests("write") - before.count_requests("write"),
+        after.count_requests("read") - before.count_requests("read"),
+        after.store.watch_events - before.store.watch_events,
+        after.messages - before.messages,
         traffic.bytes_sent,
         traffic.bytes_received,
-        ended.servers.cpu_s - began.servers.cpu_s,
-        ended.relays.cpu_s - began.relays.cpu_s,
-        committed_ms - proposed.sent_ms,
-        max(arrived) - committed_ms,
-        median(arrived) - committed_ms,
+        after.servers_usage.cpu_s - before.servers_usage.cpu_s,
+        after.relays_usage.cpu_s - before.relays_usage.cpu_s,
+        committed_ms - proposal.sent_ms,
+        max(switched_ms) - committed_ms,
+        median(switched_ms) - committed_ms,
     )
--- a/otterrudder/lab/scale/processes/report.py
+++ b/otterrudder/lab/scale/processes/report.py
@@ -1,4 +1,4 @@
-"""What was measured, as laws, claims, a table and a chart."""
+"""Evaluates the measurements: fits laws, checks claims, and writes tables and a chart."""
 
 import itertools
 from collections.abc import Callable, Iterable, Sequence
@@ -11,19 +11,22 @@
 from otterrudder.lab.scale.processes.measure import Plan
 from otterrudder.lab.scale.processes.rows import FIGURES, Kind, Row
 
-WHOLE_FLEET = 8200  # servers of the users' fleet
-ZONES = 27
-KB_OF_MB = 1024
-CHANGES_PER_S = 0.8  # that it has
-WRITES_OF_MEMBER = 2.0  # a change: its vote, and that it goes by it
-EVENTS_OF_MEMBER = 4.0  # a change: it is opened, is struck off, has settled, and the policy
-RENEWALS_OF_SPAN = 4.0  # of a server's lease
-COUNT_TOLERANCE = 0.1
-FLAT_SHARE = 0.25  # of the mean: by so much a figure that does not grow may differ over the sizes
+FLEET_SERVERS = 8200  # number of servers of the extrapolated fleet
+ZONES = 27  # number of zones of the extrapolated fleet
+KB_PER_MB = 1024
+CHANGES_PER_S = 0.8  # policy changes of the extrapolated fleet
+WRITES_PER_MEMBER = (
+    2.0  # writes of a member for each change: its vote, and the report that it applies the policy
+)
+# Watch events of a member for each change: the change is opened, is removed, has settled, and the policy.
+EVENTS_PER_MEMBER = 4.0
+RENEWALS_PER_LEASE = 4.0  # renewals of a server within the duration of its lease
+COUNT_TOLERANCE = 0.1  # share of the expected slope
+FLAT_TOLERANCE = 0.25  # maximum spread over the sizes of a figure that does not grow, as a share of its mean
 
 
 class FittedFigure(msgspec.Struct, frozen=True):
-    """One figure of one kind by size, and its laws. The whole fleet is an extrapolation."""
+    """One figure by size, and its laws. `whole_fleet` is extrapolated."""
 
     kind: Kind
     name: str
@@ -31,39 +34,43 @@
     values: tuple[float, ...]
     linear: LinearLaw
     power: PowerLaw | None
-    whole_fleet: float  # by the linear law
+    whole_fleet: float  # figure of the whole fleet by the linear law
 
 
 class Budget(msgspec.Struct, frozen=True):
-    """What a server spends, by the slopes: idle, and with the users' rate of changes. Many servers in one
-    process share its turns, so their slope of CPU is a lower bound; the average at the smallest size, with
-    what the processes spend by themselves, is an upper one."""
+    """The cost of a server by the slopes of the linear laws: idle, and with CHANGES_PER_S.
+
+    The slope of the CPU figures is a lower bound, since many servers in one process share the overhead of its
+    event loop. The average at the smallest size is an upper bound, since it includes the fixed cost of the
+    processes."""
 
     kind: Kind
     cpu: float  # share of a core
     cpu_idle: float
     cpu_most: float  # the average at the smallest size
-    bytes_per_s: float  # both ways
+    bytes_per_s: float  # sent and received
     bytes_per_s_idle: float
-    memory_mb: float  # beside the interpreter and its libraries
-    process_mb: float  # of a process without servers
+    memory_mb: float  # without the interpreter and its libraries
+    process_mb: float  # memory of a process without servers
 
 
 class RelayCost(msgspec.Struct, frozen=True):
-    """What a relay spends, by the slopes over sessions. In a zone: the leading one, with the zone's servers
-    and the users' rate of changes. A change that adds nothing to the idle cost, for renewals that come
-    together cost less each, counts as none."""
+    """The cost of a relay by the slopes over its sessions.
+
+    The figures of a zone are those of its leading relay, with the servers of the zone and CHANGES_PER_S. The
+    CPU cost of a change can come out negative, since renewals that arrive together cost less each. It then
+    counts as zero."""
 
     cpu_ms_of_renewal: float
     cpu_ms_of_session_change: float
     memory_kb_of_session: float
-    process_mb: float  # without sessions
+    process_mb: float  # memory without sessions
     zone_cpu: float  # share of a core
     zone_mb: float
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A claim on the figures, and whether it holds."""
+    """A claim about the figures, and whether it holds."""
 
     text: str
     holds: bool
@@ -71,7 +78,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All that a run of the experiment has shown."""
+    """The results of a run of the processes part."""
 
     plan: Plan
     rows: list[Row]
@@ -96,15 +103,15 @@
 
 def _fit(kind: Kind, rows: Sequence[Row]) -> list[FittedFigure]:
     sizes = tuple(row.servers for row in rows)
-    return [_fit_one(kind, name, sizes, of, rows) for name, of in FIGURES[kind].items()]
+    return [_fit_figure(kind, name, sizes, figure_of, rows) for name, figure_of in FIGURES[kind].items()]
 
 
-def _fit_one(
-    kind: Kind, name: str, sizes: tuple[int, ...], of: Callable[[Row], float], rows: Sequence[Row]
+def _fit_figure(
+    kind: Kind, name: str, sizes: tuple[int, ...], figure_of: Callable[[Row], float], rows: Sequence[Row]
 ) -> FittedFigure:
-    values = tuple(of(row) for row in rows)
+    values = tuple(figure_of(row) for row in rows)
     linear = fit_linear(sizes, values)
-    return FittedFigure(kind, name, sizes, values, linear, fit_power(sizes, values), linear.at(WHOLE_FLEET))
+    return FittedFigure(kind, name, sizes, values, linear, fit_power(sizes, values), linear.at(FLEET_SERVERS))
 
 
 def _figure(figures: Iterable[FittedFigure], kind: Kind, name: str) -> FittedFigure:
@@ -140,15 +147,15 @@
 
     idle, change = law("relays: ms of CPU a second, idle"), law("relays: ms of CPU a change")
     memory, relays = law("relays: MB"), plan.cells * plan.relays_of_cell
-    zone_servers = WHOLE_FLEET / ZONES
-    in_a_zone = [one.start / relays + one.slope * zone_servers for one in (idle, change, memory)]
+    zone_servers = FLEET_SERVERS / ZONES
+    zone_costs = [cost.start / relays + cost.slope * zone_servers for cost in (idle, change, memory)]
     return RelayCost(
         idle.slope / law("servers: messages a second, idle").slope,
         change.slope,
-        memory.slope * KB_OF_MB,
+        memory.slope * KB_PER_MB,
         memory.start / relays,
-        (in_a_zone[0] + CHANGES_PER_S * max(in_a_zone[1], 0.0)) / 1000,
-        in_a_zone[2],
+        (zone_costs[0] + CHANGES_PER_S * max(zone_costs[1], 0.0)) / 1000,
+        zone_costs[2],
     )
 
 
@@ -159,13 +166,13 @@
         ", ".join(f"{row.kind} {row.servers}: {row.connections}" for row in rows),
     )
     for name, expected in (
-        ("store: writes a change", WRITES_OF_MEMBER),
-        ("store: watch events a change", EVENTS_OF_MEMBER),
+        ("store: writes a change", WRITES_PER_MEMBER),
+        ("store: watch events a change", EVENTS_PER_MEMBER),
     ):
         yield _is_near(f"members: {name} grow by {expected:g} a server", figures, "members", name, expected)
     for name in ("store: writes a change", "store: reads a change", "store: watch events a change"):
         yield _is_flat(figures, name)
-    renewals = RENEWALS_OF_SPAN * 1000 / plan.settings.server_lease_ms
+    renewals = RENEWALS_PER_LEASE * 1000 / plan.settings.server_lease_ms
     text = f"cells: a server sends {renewals:.3g} messages a second while nothing changes"
     yield _is_near(text, figures, "cells", "servers: messages a second, idle", renewals)
 
@@ -178,17 +185,17 @@
 def _is_flat(figures: Iterable[FittedFigure], name: str) -> Claim:
     figure = _figure(figures, "cells", name)
     spread = (max(figure.values) - min(figure.values)) / fmean(figure.values)
-    told = ", ".join(f"{value:.4g}" for value in figure.values)
-    return Claim(f"cells: {name} do not grow with the servers", spread <= FLAT_SHARE, told)
+    values = ", ".join(f"{value:.4g}" for value in figure.values)
+    return Claim(f"cells: {name} do not grow with the servers", spread <= FLAT_TOLERANCE, values)
 
 
 def markdown(report: Report) -> str:
-    """Tables of the figures by size with their laws, and of the budgets."""
+    """Returns Markdown tables of the figures with their laws, of the budgets, and of the cost of a relay."""
     lines: list[str] = []
     for kind, group in itertools.groupby(report.figures, key=lambda figure: figure.kind):
         figures = list(group)
         sizes = [f"{size} servers" for size in figures[0].sizes]
-        lines += _header([kind, *sizes, "linear law", "power law", f"{WHOLE_FLEET}, linear"])
+        lines += _header([kind, *sizes, "linear law", "power law", f"{FLEET_SERVERS}, linear"])
         lines += [_figure_line(figure) for figure in figures]
         lines.append("")
     lines += _header(
@@ -235,35 +242,35 @@
         f"| ms of CPU a session and change | {cost.cpu_ms_of_session_change:.2f} |",
         f"| KB a session | {cost.memory_kb_of_session:.1f} |",
         f"| MB without sessions | {cost.process_mb:.1f} |",
-        f"| with {WHOLE_FLEET / ZONES:.0f} sessions and {CHANGES_PER_S:g} changes a second, by the laws: CPU "
-        f"| {cost.zone_cpu:.1%} |",
+        f"| with {FLEET_SERVERS / ZONES:.0f} sessions and {CHANGES_PER_S:g} changes a second, by the laws: "
+        f"CPU | {cost.zone_cpu:.1%} |",
         f"| the same: MB | {cost.zone_mb:.1f} |",
     ]
 
 
 def write_report(report: Report, folder: Path) -> list[Path]:
-    """JSON, tables and a chart, by the name `processes`."""
+    """Writes processes.json, processes.md and processes.svg, and returns their paths."""
     folder.mkdir(parents=True, exist_ok=True)
-    paths = [folder / f"processes.{form}" for form in ("json", "md", "svg")]
+    paths = [folder / f"processes.{suffix}" for suffix in ("json", "md", "svg")]
     paths[0].write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1))
     paths[1].write_text(markdown(report))
     _draw(report, paths[2])
     return paths
 
 
-CHARTED = ("store: writes a change", "store: reads a change", "servers: bytes received a change")
+CHART_FIGURES = ("store: writes a change", "store: reads a change", "servers: bytes received a change")
 
 
 def _draw(report: Report, path: Path) -> None:
-    """Figures by size, both kinds, on logarithmic axes."""
+    """Draws figures by size for members and cells, on logarithmic axes."""
     import matplotlib
 
     matplotlib.use("svg")
     matplotlib.rcParams["svg.hashsalt"] = "otterrudder"
     from matplotlib import pyplot
 
-    chart, panels = pyplot.subplots(1, len(CHARTED), figsize=(11, 3.4))
-    for panel, name in zip(panels, CHARTED, strict=True):
+    chart, panels = pyplot.subplots(1, len(CHART_FIGURES), figsize=(11, 3.4))
+    for panel, name in zip(panels, CHART_FIGURES, strict=True):
         for figure in (figure for figure in report.figures if figure.name == name):
             panel.loglog(figure.sizes, figure.values, "o-", label=figure.kind)
         panel.set_title(name, fontsize=9)
--- a/otterrudder/lab/scale/processes/tcp.py
+++ b/otterrudder/lab/scale/processes/tcp.py
@@ -1,5 +1,7 @@
-"""What TCP connections have carried, as the kernel counts it (sock_diag, linux/inet_diag.h): all bytes, with
-the frames of HTTP/2, and without anything in between that would slow them."""
+"""Reads the bytes that TCP connections have carried from the counters of the kernel.
+
+The counters are read through sock_diag (linux/inet_diag.h). They include the frames of HTTP/2, and reading
+them does not slow the connections as a proxy would."""
 
 import contextlib
 import errno
@@ -13,23 +15,23 @@
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST, NLM_F_DUMP = 0x1, 0x300
 NLMSG_ERROR, NLMSG_DONE = 2, 3
-INET_DIAG_INFO = 2  # the attribute that holds struct tcp_info
-FAMILIES = (socket.AF_INET, socket.AF_INET6)  # grpcio makes sockets of the latter for both
-ESTABLISHED = 1 << 1  # in the mask of states
-MAX_ANSWER_BYTES = 1 << 20  # bytes of a datagram of the answer
+INET_DIAG_INFO = 2  # attribute that contains struct tcp_info
+FAMILIES = (socket.AF_INET, socket.AF_INET6)  # grpcio uses AF_INET6 sockets for both protocols
+ESTABLISHED = 1 << 1  # bit of the mask of connection states
+MAX_RESPONSE_BYTES = 1 << 20  # maximum size of a datagram of the response
 
 HEADER = struct.Struct("=IHHII")  # nlmsghdr: length, type, flags, sequence, port
 REQUEST = struct.Struct("=BBBxI48s")  # inet_diag_req_v2: family, protocol, extensions, states, socket
-PORTS = struct.Struct("!4xHH")  # of inet_diag_msg: source, destination
-INODE = struct.Struct("=68xI")  # of inet_diag_msg
-SOCKET_SIZE = 72  # bytes of inet_diag_msg
+PORTS = struct.Struct("!4xHH")  # fields of inet_diag_msg: source, destination
+INODE = struct.Struct("=68xI")  # field of inet_diag_msg
+SOCKET_SIZE = 72  # size of inet_diag_msg in bytes
 ATTRIBUTE = struct.Struct("=HH")  # length, type
-BYTES = struct.Struct("=120xQQ")  # of tcp_info: acked, received
+BYTES = struct.Struct("=120xQQ")  # fields of tcp_info: bytes acknowledged, bytes received
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Of one connection or several, seen from the end that connected."""
+    """The bytes of one or more connections, as counted at the connecting end."""
 
     bytes_sent: int = 0
     bytes_received: int = 0
@@ -47,11 +49,13 @@
         )
 
 
-Connections = Mapping[int, Traffic]  # by the inode of the socket
+Connections = Mapping[int, Traffic]  # traffic by the inode of the socket
 
 
 def connections_to(ports: Iterable[int], processes: Iterable[int]) -> Connections:
-    """Those that these processes have open to these ports. OSError: the kernel does not tell."""
+    """Returns the open connections of the given processes to the given ports.
+
+    Raises OSError if the kernel does not report its connections."""
     wanted = set(ports)
     own = {inode for pid in processes for inode in _sockets_of(pid)}
     found = (connection for family in FAMILIES for connection in _connections(family))
@@ -62,8 +66,10 @@
     }
 
 
-def carried(before: Connections, after: Connections) -> Traffic:
-    """What those that are open after it have carried since; what one carried that ended meanwhile is lost."""
+def traffic_between(before: Connections, after: Connections) -> Traffic:
+    """Returns the traffic between two readings of the connections that are open in the second reading.
+
+    The traffic of connections that were closed in between is not included."""
     total = Traffic()
     for inode, traffic in after.items():
         total += traffic - before.get(inode, Traffic())
@@ -72,53 +78,53 @@
 
 @dataclass(frozen=True, slots=True)
 class _Connection:
-    port: int  # that it goes to
-    inode: int  # of the socket
+    port: int  # remote port
+    inode: int  # inode of the socket
     traffic: Traffic
 
 
 def _sockets_of(pid: int) -> Iterator[int]:
-    """The inodes of a process's sockets."""
+    """Yields the inodes of the sockets of a process."""
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
-        with contextlib.suppress(OSError):  # it was closed just now
+        with contextlib.suppress(OSError):  # the descriptor was closed since it was listed
             kind, _, inode = str(descriptor.readlink()).partition(":")
             if kind == "socket":
                 yield int(inode.strip("[]"))
 
 
 def _connections(family: int) -> Iterator[_Connection]:
-    """All of that family."""
+    """Yields all established connections of an address family."""
     with socket.socket(socket.AF_NETLINK, socket.SOCK_DGRAM, NETLINK_SOCK_DIAG) as sock:
         request = REQUEST.pack(family, socket.IPPROTO_TCP, 1 << (INET_DIAG_INFO - 1), ESTABLISHED, bytes(48))
         flags = NLM_F_REQUEST | NLM_F_DUMP
         sock.send(HEADER.pack(HEADER.size + len(request), SOCK_DIAG_BY_FAMILY, flags, 1, 0) + request)
         while True:
-            answer = sock.recv(MAX_ANSWER_BYTES)
-            for kind, body in _messages(answer):
+            response = sock.recv(MAX_RESPONSE_BYTES)
+            for kind, body in _messages(response):
                 if kind == NLMSG_DONE:
                     return
                 if kind == NLMSG_ERROR:
-                    raise OSError(errno.ENOTSUP, "the kernel does not tell of its connections")
+                    raise OSError(errno.ENOTSUP, "the kernel does not report its connections")
                 _, port = PORTS.unpack_from(body)
                 (inode,) = INODE.unpack_from(body)
                 yield _Connection(port, inode, _traffic(body))
 
 
-def _messages(answer: bytes) -> Iterator[tuple[int, bytes]]:
-    at = 0
-    while at < len(answer):
-        length, kind, *_ = HEADER.unpack_from(answer, at)
-        yield kind, answer[at + HEADER.size : at + length]
-        at += _aligned(length)
+def _messages(response: bytes) -> Iterator[tuple[int, bytes]]:
+    offset = 0
+    while offset < len(response):
+        length, kind, *_ = HEADER.unpack_from(response, offset)
+        yield kind, response[offset + HEADER.size : offset + length]
+        offset += _aligned(length)
 
 
 def _traffic(body: bytes) -> Traffic:
-    at = SOCKET_SIZE
-    while at + ATTRIBUTE.size <= len(body):
-        length, kind = ATTRIBUTE.unpack_from(body, at)
+    offset = SOCKET_SIZE
+    while offset + ATTRIBUTE.size <= len(body):
+        length, kind = ATTRIBUTE.unpack_from(body, offset)
         if kind == INET_DIAG_INFO:
-            return Traffic(*BYTES.unpack_from(body, at + ATTRIBUTE.size))
-        at += _aligned(length)
+            return Traffic(*BYTES.unpack_from(body, offset + ATTRIBUTE.size))
+        offset += _aligned(length)
     return Traffic()
 
 
--- a/otterrudder/lab/scale/processes/usage.py
+++ b/otterrudder/lab/scale/processes/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used, as /proc tells it."""
+"""Reads the CPU time and the memory of a process from /proc."""
 
 import os
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used."""
+    """The CPU time and the memory of one or more processes."""
 
-    cpu_s: float  # since the process began, user and system
-    rss_mb: float  # now
+    cpu_s: float  # user and system time since the start of the process
+    rss_mb: float  # present resident set size
 
     @staticmethod
     def of(pid: int) -> "Usage":
-        """OSError: there is no such process."""
+        """Reads the usage of a process. Raises OSError if the process does not exist."""
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         user, system = int(fields[11]), int(fields[12])
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
