--- a/otterrudder/lab/scale/__init__.py
+++ b/otterrudder/lab/scale/__init__.py
@@ -1,5 +1,6 @@
-"""What agreement by cells costs and how fast it is, from hundreds to thousands of servers.
+"""Measures the cost and the speed of agreement in cells, for hundreds to thousands of servers.
 
-In simulated time: `experiment` reads the file, `topology` places servers, relays and store, `simulation`
-plays them as they are on an event queue, `history` checks what they did, `play` makes a run of it and
-`report` shows the results. On loopback: `processes`, with servers without transactions (`hollow`)."""
+In simulated time, `experiment` reads the experiment file, `topology` places servers, relays and the store,
+`simulation` runs the production participants and relays on an event queue, `history_checker` checks their
+actions, `play` runs the cases and computes figures, and `report` writes the results. On loopback, `processes`
+runs real relays with servers that take no requests (`hollow`)."""
--- a/otterrudder/lab/scale/churn.py
+++ b/otterrudder/lab/scale/churn.py
@@ -1,4 +1,4 @@
-"""What goes wrong: restarts and failures as on an ordinary day, drawn from the seed, and scripted faults."""
+"""Faults of a run: random restarts and failures at the rates of an ordinary day, and scripted faults."""
 
 import random
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 from otterrudder.lab.scale.topology import Topology, Zone
 
 DAY_MS = 86_400_000.0
-RESTART_JITTER_MS = 2000.0  # ms over which servers that restart together come back
+RESTART_JITTER_MS = 2000.0  # interval over which the restarts of servers that failed together are spread
 
 
 class Churn:
-    """Restarts, failures and scripted faults of a run."""
+    """Schedules the restarts, failures and scripted faults of a run."""
 
     def __init__(
         self,
@@ -50,8 +50,9 @@
         }
 
     def schedule_ordinary(self, begin: float, end: float) -> None:
-        """Restarts and failures at the day's rates, for as many servers as there are; relays' machines are
-        machines like any other."""
+        """Schedules random restarts and failures at the daily rates, scaled to the number of servers.
+
+        Machines of relays restart and fail at the same rates as those of servers."""
         hosts: list[ServerHost | RelayHost] = [*self._servers.hosts, *self._relays.hosts[::2]]
         share = len(hosts) / self._part.per_servers
         for kind, per_day in (
@@ -66,13 +67,13 @@
                 at += self._random.expovariate(per_ms)
 
     def initially_down(self) -> list[ServerHost]:
-        """The machines that are being repaired as the run begins."""
+        """Draws the servers whose machines are under repair when the run begins."""
         servers = self._servers.hosts
         count = round(self._part.down_at_once * len(servers) / self._part.per_servers)
         return self._random.sample(servers, min(count, len(servers)))
 
     def schedule_fault(self, fault: FaultPart) -> None:
-        """Schedules a fault of the experiment's file."""
+        """Schedules a scripted fault of the experiment."""
         self._events.at(fault.at_s * 1000.0, self._inject_fault, fault)
 
     def _inject_fault(self, fault: FaultPart, _: object) -> None:
@@ -82,7 +83,7 @@
     def _count(self, kind: str) -> None:
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    # Of an ordinary day.
+    # Random faults of an ordinary day
 
     def _restart(self, host: ServerHost | RelayHost, _: object) -> None:
         self._count("restart")
@@ -107,7 +108,7 @@
         self._events.at(back, self._relays.start, host)
 
     def _relays_on_machine_of(self, zone: Zone) -> list[RelayHost]:
-        """The relays on a zone's machine for control."""
+        """Returns the relays on the control machine of a zone."""
         return [host for host in self._relays.hosts if host.zone == zone]
 
     def _fail_relay_machine(self, zone: Zone, back: float) -> None:
@@ -120,13 +121,13 @@
         host.is_machine_up = True
         self._relays.start(host)
 
-    # Scripted.
+    # Scripted faults
 
     def _end_of(self, fault: FaultPart, default_s: float) -> float:
         return self._events.now + (fault.for_s or default_s) * 1000.0
 
     def _zone_of(self, fault: FaultPart) -> Zone:
-        """The first zone of the fault's region, else one that is drawn."""
+        """Returns the first zone of the fault's region, or a random zone if there is none."""
         zones = [zone for zone in self._topology.zones if self._topology.regions[zone.region] == fault.region]
         return zones[0] if zones else self._random.choice(self._topology.zones)
 
@@ -148,10 +149,10 @@
         self._events.at(self._end_of(fault, self._part.repair_s), self._servers.start, host)
 
     def _rack(self, fault: FaultPart) -> None:
-        """Servers of one zone lose their power together."""
-        zone = self._servers_of(self._zone_of(fault))
+        """Fails the machines of one rack of a zone together, as a loss of power does."""
+        servers = self._servers_of(self._zone_of(fault))
         back = self._end_of(fault, self._part.repair_s)
-        for host in zone[: self._part.rack_servers]:
+        for host in servers[: self._part.rack_servers]:
             self._servers.stop(host, is_silent=True)
             self._events.at(back + self._restart_jitter_ms(), self._servers.start, host)
 
@@ -171,14 +172,14 @@
         self._fail_relay_machine(zone, self._end_of(fault, self._part.repair_s))
 
     def _zone_restart(self, fault: FaultPart) -> None:
-        """All servers of a zone are killed at once and come back at once."""
+        """Kills all servers of a zone at the same time and restarts them at the same time."""
         back = self._end_of(fault, self._part.restart_s)
         for host in self._servers_of(self._zone_of(fault)):
             self._servers.stop(host, is_silent=False)
             self._events.at(back, self._servers.start, host)
 
     def _zone(self, fault: FaultPart) -> None:
-        """A zone is lost: its servers and its machine for control."""
+        """Fails a whole zone: its servers and its control machine."""
         zone, back = self._zone_of(fault), self._end_of(fault, self._part.repair_s)
         self._fail_relay_machine(zone, back)
         for host in self._servers_of(zone):
@@ -197,7 +198,7 @@
                 self._relays.restore_watches(host)
 
     def _freeze(self, fault: FaultPart) -> None:
-        """A relay that leads, and a rack's servers of its zone, stand still."""
+        """Freezes the leading relay of a cell and one rack of servers of its zone."""
         zone, until = self._zone_of(fault), self._end_of(fault, 10.0)
         self._relays.freeze(self._leader_of(zone), until)
         for host in self._servers_of(zone)[: self._part.rack_servers]:
--- a/otterrudder/lab/scale/events.py
+++ b/otterrudder/lab/scale/events.py
@@ -1,4 +1,4 @@
-"""Simulated time for tens of millions of events: a heap of plain tuples, and handlers that are bound once."""
+"""An event queue in simulated time: a heap of plain tuples, fast enough for tens of millions of events."""
 
 import heapq
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class EventQueue:
-    """Times are ms from the start of the run."""
+    """A queue of events ordered by time, in ms from the start of the run."""
 
     __slots__ = ("_count", "_heap", "now", "played")
 
@@ -19,13 +19,14 @@
         self._count = 0
 
     def at(self, when: float, handler: Handler, subject: Any, argument: Any = None) -> None:
-        """Plays `handler(subject, argument)` at that time; what is due together goes in the order of
-        asking."""
+        """Schedules `handler(subject, argument)` at the time `when`.
+
+        Events at the same time run in the order in which they were scheduled."""
         self._count += 1
         heapq.heappush(self._heap, (when, self._count, handler, subject, argument))
 
     def run(self, until: float) -> None:
-        """Plays everything due up to `until`."""
+        """Runs all events that are due up to the time `until`."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] <= until:
             self.now, _, handler, subject, argument = pop(heap)
--- a/otterrudder/lab/scale/experiment.py
+++ b/otterrudder/lab/scale/experiment.py
@@ -1,4 +1,4 @@
-"""The experiment's file, checked whole: an error names the file and the key."""
+"""Reads and validates the file of a scale experiment. Errors name the file and the key."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -10,14 +10,14 @@
 from otterrudder.fleet.records import Absent
 from otterrudder.lab.site import InvalidInputError
 
-VERSION = 1  # of the form
+VERSION = 1  # version of the file format
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Servers = Annotated[int, msgspec.Meta(ge=2)]
 Bytes = Annotated[int, msgspec.Meta(ge=0)]
-Bounds = tuple[NotNegative, NotNegative]  # ms, from and to
+Bounds = tuple[NotNegative, NotNegative]  # minimum and maximum, in ms
 
 
 class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -25,7 +25,7 @@
 
 
 class RulesPart(_Strict, kw_only=True, frozen=True):
-    """The rules of the fleet's file."""
+    """The rules of the fleet, as in a fleet file."""
 
     bound_ms: Positive = 3000.0
     store_lease_ms: Positive = 3000.0
@@ -33,7 +33,7 @@
 
 
 class TopologyPart(_Strict, kw_only=True, frozen=True):
-    """Regions with their zones, and the one-way latency between regions."""
+    """The regions, the number of zones of each, and the one-way latencies between regions."""
 
     regions: tuple[str, ...]
     zones: tuple[Count, ...]
@@ -41,7 +41,7 @@
 
 
 class StorePart(_Strict, kw_only=True, frozen=True):
-    """Where the store's members are; the first one leads it."""
+    """The regions of the store's members, the leader's first, and the latencies of the store."""
 
     regions: tuple[str, ...]
     disk_ms: Bounds = (1.0, 4.0)
@@ -50,7 +50,7 @@
 
 
 class NetworkPart(_Strict, kw_only=True, frozen=True):
-    """One-way latencies, and what a message costs beside its encoded form."""
+    """One-way latencies, and the overhead of messages and connections beyond the encoded messages."""
 
     in_zone_ms: Bounds = (0.2, 0.6)
     cross_zone_ms: Bounds = (0.6, 1.6)
@@ -61,7 +61,7 @@
 
 
 class LoadPart(_Strict, kw_only=True, frozen=True):
-    """The changes that are asked for."""
+    """The policy changes that are proposed during a run."""
 
     changes_per_s: Positive = 0.8
     text_bytes: Bytes = 27_000
@@ -72,7 +72,7 @@
 
 
 class ChurnPart(_Strict, kw_only=True, frozen=True):
-    """What goes wrong on an ordinary day, for `per_servers` servers."""
+    """The restarts and failures of an ordinary day in a fleet of `per_servers` servers."""
 
     per_servers: Count = 8200
     restarts_a_day: NotNegative = 14_000.0
@@ -83,7 +83,8 @@
 
     @property
     def repair_s(self) -> float:
-        """What the failures a day and the machines that are down at any moment imply."""
+        """The mean repair time in seconds, which follows from the failures per day and the number of machines
+        that are down at any time."""
         return self.down_at_once / max(self.failures_a_day, 1e-9) * 86_400.0
 
 
@@ -103,7 +104,7 @@
 
 
 class FaultPart(_Strict, kw_only=True, frozen=True):
-    """One scripted fault. `for_s`: until it is over; none: to the end."""
+    """One scripted fault. `for_s` is its duration; without it, a default for its kind applies."""
 
     kind: FaultKind
     at_s: NotNegative
@@ -112,7 +113,7 @@
 
 
 class CasePart(_Strict, kw_only=True, frozen=True):
-    """A case that is played at the given sizes under the given rule."""
+    """A case that is run with each of the given fleet sizes, rules for absent servers and seeds."""
 
     name: str
     sizes: tuple[Servers, ...] = ()
@@ -122,14 +123,14 @@
     minutes: Positive | None = None
     changes_per_s: NotNegative | None = None
     has_churn: bool = True
-    standbys_start_s: NotNegative = 0.0  # after the first relays of the cells, which then lead
-    look_ms: Positive = 1000.0  # between looks at what every server admits under
+    standbys_start_s: NotNegative = 0.0  # delay of the second relays, so that the first ones lead
+    look_ms: Positive = 1000.0  # interval between samples of the admission state of all servers
     faults: tuple[FaultPart, ...] = ()
     is_quick: bool = False
 
 
 class Experiment(_Strict, kw_only=True, frozen=True):
-    """An experiment's file."""
+    """The contents of an experiment file."""
 
     version: int
     name: str
@@ -146,11 +147,11 @@
     load: LoadPart
     churn: ChurnPart
     case: tuple[CasePart, ...]
-    processes: dict[str, Any] = {}  # of the other part, which checks it
+    processes: dict[str, Any] = {}  # settings of the part on processes, which validates them
 
 
 def read_scale(path: Path) -> Experiment:
-    """Raises InvalidInputError, which names the file and the key."""
+    """Reads an experiment file. Raises InvalidInputError with the file and the key if it is invalid."""
     values = load_toml(path, InvalidInputError)
     experiment: Experiment = convert(values, Experiment, f"{path.name}: ", InvalidInputError)
     error = next(_errors(experiment), None)
@@ -160,12 +161,12 @@
 
 
 def is_scale(values: dict[str, Any]) -> bool:
-    """Whether a file of the lab is one of these."""
+    """Returns whether the values of a lab file are those of a scale experiment."""
     return "topology" in values
 
 
 def _errors(experiment: Experiment) -> Iterator[str]:
-    """What is wrong with the file, each by its key."""
+    """Yields a message for each error, which starts with the key."""
     yield from _head_errors(experiment)
     yield from _topology_errors(experiment)
     yield from _case_errors(experiment)
@@ -173,22 +174,22 @@
 
 def _head_errors(experiment: Experiment) -> Iterator[str]:
     if experiment.version != VERSION:
-        yield f".version: this program reads {VERSION}"
+        yield f".version: this program supports only version {VERSION}"
     if not experiment.seeds:
-        yield ".seeds: none is given"
+        yield ".seeds: must not be empty"
 
 
 def _topology_errors(experiment: Experiment) -> Iterator[str]:
     topology = experiment.topology
     count = len(topology.regions)
     if count < 1 or len(set(topology.regions)) != count:
-        yield ".topology.regions: a name is there twice, or none is"
+        yield ".topology.regions: must not be empty or contain a name twice"
     if len(topology.zones) != count:
         yield f".topology.zones: {len(topology.zones)} numbers for {count} regions"
     if sum(topology.zones) < 2:
-        yield ".topology.zones: a cell's two relays need two zones"
+        yield ".topology.zones: at least two zones are needed for the two relays of a cell"
     if len(topology.latency_ms) != count or any(len(row) != count for row in topology.latency_ms):
-        yield f".topology.latency_ms: not {count} rows of {count} numbers"
+        yield f".topology.latency_ms: must have {count} rows of {count} numbers"
         return
     yield from _latency_errors(experiment)
     yield from _store_errors(experiment)
@@ -200,28 +201,29 @@
         for there in range(here):
             if topology.latency_ms[here][there] != topology.latency_ms[there][here]:
                 names = f"{topology.regions[here]} and {topology.regions[there]}"
-                yield f".topology.latency_ms: {names} are not as far from each other both ways"
+                yield f".topology.latency_ms: {names} have different latencies in the two directions"
 
 
 def _store_errors(experiment: Experiment) -> Iterator[str]:
     regions = experiment.store.regions
     for region in regions:
         if region not in experiment.topology.regions:
-            yield f".store.regions: {region!r} is no region"
+            yield f".store.regions: {region!r} is not a region of the topology"
     if not regions:
-        yield ".store.regions: none is given"
+        yield ".store.regions: must not be empty"
 
 
 def _case_errors(experiment: Experiment) -> Iterator[str]:
     names = [case.name for case in experiment.case]
     if len(set(names)) != len(names):
-        yield ".case: two have one name"
+        yield ".case: two cases have the same name"
     for number, case in enumerate(experiment.case):
         if not case.sizes:
-            yield f".case[{number}].sizes: none is given"
+            yield f".case[{number}].sizes: must not be empty"
         for fault_number, fault in enumerate(case.faults):
             if fault.region and fault.region not in experiment.topology.regions:
-                yield f".case[{number}].faults[{fault_number}].region: {fault.region!r} is no region"
+                key = f".case[{number}].faults[{fault_number}].region"
+                yield f"{key}: {fault.region!r} is not a region of the topology"
     rules = experiment.rules
     if rules.server_lease_ms > rules.bound_ms:
-        yield ".rules.server_lease_ms: a lease outlasts the bound"
+        yield ".rules.server_lease_ms: must not exceed .rules.bound_ms"
--- a/otterrudder/lab/scale/history_checker.py
+++ b/otterrudder/lab/scale/history_checker.py
@@ -1,8 +1,8 @@
-"""An independent checker with a history of its own: what was committed, as the store wrote it; what was
-granted, as it went over the wire; and what servers admit under, as they answer at the moment. It takes no
-relay's word.
+"""An independent checker of a run. It keeps its own history of the commits that the store executed, the
+leases that were sent over the wire, and the policy versions under which servers admit when they are sampled.
+It does not rely on the state of any relay.
 
-Time is the simulation's, and all clocks run alike in it."""
+All times are simulated, and all clocks run at the same rate."""
 
 import math
 from dataclasses import dataclass, field
@@ -13,13 +13,14 @@
 from otterrudder.fleet.records import Change, FinishedChange, Keys, PolicyHead, QueuedChange, decode
 from otterrudder.fleet.store import Put
 
-MAX_DESCRIBED_BREACHES = 5  # past that they are only counted
-TOLERANCE_MS = 1e-6  # of sums of floating-point numbers
+MAX_DESCRIBED_BREACHES = 5  # further breaches are only counted
+TOLERANCE_MS = 1e-6  # rounding error of sums of floating-point times
 
 
 @dataclass(slots=True)
 class ChangeTimes:
-    """When a change passed each stage, in ms from the start; inf: it has not come to that."""
+    """The times at which a change reached each stage, in ms from the start of the run. They are inf for stages
+    that it has not reached."""
 
     change_id: str
     proposed_at: float
@@ -28,43 +29,47 @@
     ended_at: float = math.inf
     in_force_at: float = math.inf
     queue_position: int | None = None
-    version: int = 0  # that it brought; 0: it was not committed
+    version: int = 0  # policy version that the change produced; 0: it was not committed
 
     @property
     def propagation_ms(self) -> float:
-        """From the proposal to in force everywhere."""
+        """The time from the proposal until the change was in force on all servers, in ms."""
         return self.in_force_at - self.proposed_at
 
 
 @dataclass(slots=True)
 class HistoryChecker:
-    """The history of a run, and how often it broke a promise."""
+    """The history of a run and the breaches of its guarantees."""
 
     keys: Keys
     bound_ms: float
     changes: dict[str, ChangeTimes] = field(default_factory=dict)
     committed_at: list[float] = field(default_factory=lambda: [0.0])  # by version
     change_id_by_version: list[str] = field(default_factory=lambda: [""])  # by version
-    admitted_until: list[float] = field(default_factory=lambda: [0.0])  # by version: under an earlier one
-    granted_until: list[float] = field(default_factory=lambda: [0.0])  # by version, of all grants sent
+    admitted_until: list[float] = field(
+        default_factory=lambda: [0.0]
+    )  # by version: last time that any server admitted under an earlier version
+    granted_until: list[float] = field(
+        default_factory=lambda: [0.0]
+    )  # by version: latest end of all leases sent
     aborted: list[str] = field(default_factory=list)
     breaches: int = 0
     breach_descriptions: list[str] = field(default_factory=list)
-    max_stale_ms: float = 0.0  # longest time admitted under a version after a later one was committed
+    max_stale_ms: float = 0.0  # longest time that a version was used after the commit of the next one
 
     @property
     def version(self) -> int:
-        """The version in force, as the store has it."""
+        """The latest policy version that was committed to the store."""
         return len(self.committed_at) - 1
 
     def record_proposal(self, now: float, change_id: str) -> None:
-        """A change is proposed."""
+        """Records that a change was proposed."""
         self.changes[change_id] = ChangeTimes(change_id, now)
 
-    # What the store writes.
+    # Commits of the store
 
     def record_commit(self, now: float, commit: Commit) -> None:
-        """The store carried out a commit."""
+        """Records a commit that the store executed."""
         for write in commit.writes:
             if not isinstance(write, Put):
                 continue
@@ -83,7 +88,7 @@
 
     def _record_policy(self, now: float, head: PolicyHead) -> None:
         if head.version != self.version + 1:
-            self._record_breach(f"version {head.version} was committed after {self.version}")
+            self._record_breach(f"version {head.version} was committed directly after version {self.version}")
         self.committed_at.append(now)
         self.change_id_by_version.append(head.change)
         self.admitted_until.append(now)
@@ -94,7 +99,7 @@
         for version in range(head.version):
             late = self.granted_until[version] - self.committed_at[version + 1] - self.bound_ms
             if late > TOLERANCE_MS:
-                self._record_breach(f"version {version} was granted for {late:.0f} ms past its bound")
+                self._record_breach(f"a lease for version {version} ends {late:.0f} ms after the bound")
                 self.granted_until[version] = 0.0
 
     def _record_abort(self, now: float, value: bytes) -> None:
@@ -102,37 +107,39 @@
         self._times_of(end.id).ended_at = now
         self.aborted.append(f"{end.id}: {end.reason}")
 
-    # What relays grant.
+    # Leases granted by relays
 
     def record_grant(self, now: float, version: int, span_ms: float) -> None:
-        """A relay sent a lease for a version."""
+        """Records and checks a lease for a policy version that a relay sent."""
         until = now + span_ms
         if version >= self.version:
             if version > self.version:
-                self._record_breach(f"version {version} was granted and never committed")
+                self._record_breach(f"a lease was granted for version {version}, which was never committed")
                 return
             if until > self.granted_until[version]:
                 self.granted_until[version] = until
             return
         late = until - self.committed_at[version + 1] - self.bound_ms
         if late > TOLERANCE_MS:
-            self._record_breach(f"version {version} was granted for {late:.0f} ms past its bound")
+            self._record_breach(f"a lease for version {version} ends {late:.0f} ms after the bound")
 
-    # What servers admit under.
+    # Policy versions under which servers admit
 
     def check_admission(self, now: float, server: str, version: int) -> None:
-        """A server admits under this version now."""
+        """Checks that a server may admit under a policy version at this time."""
         if version >= self.version:
             if version > self.version:
-                self._record_breach(f"{server} admits under {version}, which was never committed")
+                self._record_breach(f"{server} admits under version {version}, which was never committed")
             return
         age = now - self.committed_at[version + 1]
         self.max_stale_ms = max(self.max_stale_ms, age)
         if age > self.bound_ms + TOLERANCE_MS:
-            self._record_breach(f"{server} admits under {version}, {age:.0f} ms after the next one")
+            self._record_breach(f"{server} admits under version {version} {age:.0f} ms after the next commit")
 
     def record_version_end(self, version: int, newer: int, until: float) -> None:
-        """A server stopped admitting under a version at that time, and goes by a newer one, or none."""
+        """Records that a server stopped admitting under `version` at time `until`.
+
+        The server has since applied the version `newer`, or has stopped."""
         admitted_until = self.admitted_until
         for later in range(version + 1, min(newer, self.version) + 1):
             if until > admitted_until[later]:
@@ -142,15 +149,18 @@
             if age > self.max_stale_ms:
                 self.max_stale_ms = age
             if age > self.bound_ms + TOLERANCE_MS:
-                self._record_breach(f"a server went by {version} for {age:.0f} ms after the next one")
+                self._record_breach(
+                    f"a server applied version {version} until {age:.0f} ms after the next commit"
+                )
 
     def close(self) -> None:
-        """Once all servers that still run have `left`: the times at which changes were in force
-        everywhere."""
+        """Sets the times at which changes were in force on all servers.
+
+        Must be called after the last `record_version_end`, when the run is over."""
         for version in range(1, len(self.committed_at)):
             self.changes[self.change_id_by_version[version]].in_force_at = self.admitted_until[version]
 
-    def _record_breach(self, what: str) -> None:
+    def _record_breach(self, description: str) -> None:
         self.breaches += 1
         if len(self.breach_descriptions) < MAX_DESCRIBED_BREACHES:
-            self.breach_descriptions.append(what)
+            self.breach_descriptions.append(description)
--- a/otterrudder/lab/scale/hollow.py
+++ b/otterrudder/lab/scale/hollow.py
@@ -1,12 +1,13 @@
-"""Servers without requests, many in one process: each has the agent, the store's client, the folder and the
-check of policies that `serve --fleet` gives a server, and a connection of its own. No gateway, no runtime, no
-core.
+"""Runs many servers without requests in one process. Each has the agent, the store client, the state folder
+and the policy validation of a server under `serve --fleet`, and its own connection. There is no gateway, no
+runtime and no admission core.
 
     python -m otterrudder.lab.scale.hollow FLEET.toml CONFIG.json --count 50 --folder DIR [--first 0]
 
-FLEET.toml is a fleet's file and CONFIG.json a server's configuration; the folders of the servers are made
-under DIR. What a server switches to is told at once on standard output, a line of JSON each (`Switched`). A
-line of input is answered by what the servers have counted (`Counted`). The process ends with its input."""
+FLEET.toml is a fleet file and CONFIG.json the configuration of a server. The state folders of the servers are
+created under DIR. Each switch of a server to another policy or admission state is written to standard output
+at once, as a line of JSON (`Switched`). Each line of input is answered by the counters of the servers
+(`Counted`). The process exits at the end of its input."""
 
 import argparse
 import asyncio
@@ -26,25 +27,25 @@
 from otterrudder.fleet.policy import LocalConfiguration, PolicyContent, local_configuration_of
 from otterrudder.log import configure_logging
 
-MAX_SERVERS = 500  # servers of one process
-START_SPACING_S = 0.01  # s between the starts of two servers
-# s between looks at a server's standing: a server takes turns at least as often as its tick
+MAX_SERVERS = 500  # maximum number of servers in one process
+START_SPACING_S = 0.01  # delay between the starts of two servers
+# Interval between two updates of a server. A real server updates its agent at least once per tick.
 UPDATE_INTERVAL_S = 0.02
 
 
 class Switched(msgspec.Struct, frozen=True, tag=True):
-    """A server goes by another policy, or admits again, or no longer."""
+    """Reports that a server applied another policy, or started or stopped admitting."""
 
     server: str
-    version: int  # that it goes by
+    version: int  # policy version that the server applies
     admits: bool
-    at_ms: float  # monotonic clock, which all processes of a machine share
+    at_ms: float  # monotonic clock, shared by all processes of a machine
 
 
 class Counted(msgspec.Struct, frozen=True, tag=True):
-    """Sums over the servers of a process, since its start."""
+    """Counters summed over the servers of a process, since its start."""
 
-    counts: dict[str, int]  # by what an agent shows of itself
+    counts: dict[str, int]  # by the name of the agent's counter
     at_ms: float
 
 
@@ -52,7 +53,7 @@
 
 
 class HollowServer:
-    """A server's coordination alone. `update_server` stands for the turn of a server's event loop."""
+    """The coordination part of a server. `update_server` replaces one iteration of a server's event loop."""
 
     def __init__(self, fleet: Fleet, name: str, own: LocalConfiguration) -> None:
         self.name = name
@@ -62,30 +63,30 @@
         self.agent = make_agent(fleet, name, own, self._apply, self._suspend_admission)
 
     def update_server(self, now: float) -> Switched | None:
-        """What has changed since the last one."""
+        """Updates the agent. Returns the new state if it has changed since the last call."""
         self.agent.update_server(now)
         policy = self.agent.control_sender.applied
-        present = (policy.version if policy else 0, self._admits)
-        if present == self._last_sent:
+        current = (policy.version if policy else 0, self._admits)
+        if current == self._last_sent:
             return None
-        self._last_sent = present
-        return Switched(self.name, *present, now)
+        self._last_sent = current
+        return Switched(self.name, *current, now)
 
     def counts(self) -> dict[str, int]:
-        """What the agent has counted, as an operator sees it."""
-        shown = self.agent.control_status()["counts"]
-        assert isinstance(shown, dict)
-        return shown
+        """Returns the agent's counters as they appear in its status for operators."""
+        counts = self.agent.control_status()["counts"]
+        assert isinstance(counts, dict)
+        return counts
 
     def _apply(self, content: PolicyContent) -> None:
-        """A server's core would go by it from here on."""
+        """Does nothing: there is no admission core that would apply the policy."""
 
     def _suspend_admission(self, is_suspended: bool) -> None:
         self._admits = not is_suspended
 
 
 async def run_servers(servers: Sequence[HollowServer], lines: asyncio.StreamReader) -> None:
-    """Until the input ends; the servers leave in order then."""
+    """Runs the servers until the end of the input, then shuts them down gracefully."""
     async with anyio.create_task_group() as group:
         group.start_soon(_update_all, servers)
         group.start_soon(_start_all, servers)
@@ -126,13 +127,18 @@
 
 
 def _parse_arguments(command_line: Sequence[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Servers without requests, many in one process.")
-    parser.add_argument("fleet", type=Path, help="TOML file of the fleet")
-    parser.add_argument("configuration", help="JSON file of a server's configuration")
+    parser = argparse.ArgumentParser(description="Run many servers without requests in one process.")
+    parser.add_argument("fleet", type=Path, help="fleet file (TOML)")
+    parser.add_argument("configuration", help="configuration file of a server (JSON)")
     parser.add_argument("--count", type=int, required=True, choices=range(1, MAX_SERVERS + 1), metavar="N")
-    parser.add_argument("--folder", type=Path, required=True, help="the servers' folders are made there")
+    parser.add_argument(
+        "--folder",
+        type=Path,
+        required=True,
+        help="folder in which the state folders of the servers are created",
+    )
     parser.add_argument("--first", type=int, default=0, help="number of the first server")
-    parser.add_argument("--prefix", default="h", help="of a server's name, before its number")
+    parser.add_argument("--prefix", default="h", help="prefix of each server's name, before its number")
     return parser.parse_args(command_line)
 
 
--- a/otterrudder/lab/scale/hosts.py
+++ b/otterrudder/lab/scale/hosts.py
@@ -1,4 +1,4 @@
-"""What the simulation keeps of each process: a server, a relay, and the stream between two of them."""
+"""Simulated state of each server process, each relay process and each stream between them."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,13 +10,15 @@
 from otterrudder.lab.scale.network import Traffic
 from otterrudder.lab.scale.topology import Zone
 
-DeferredEvent = tuple[Handler, Any, Any]  # an event that waits while a process is frozen
+DeferredEvent = tuple[
+    Handler, Any, Any
+]  # handler, subject and argument of an event that arrived while its process was frozen
 
 
 @dataclass(slots=True, eq=False)
 class ServerHost:
-    """`participant`: None while the process is down; `version` and `lease_until`: its state after its last
-    event."""
+    """A server. `participant` is None while its process is down; `version` and `lease_until` are the policy
+    version and the end of the lease after the last event of the process."""
 
     name: str
     zone: Zone
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class RelayHost:
-    """`relay`: None while the process is down; its machine may be up then, and refuse connections."""
+    """A relay. `relay` is None while its process is down; connections are then refused if `is_machine_up`."""
 
     address: str
     cell: str
@@ -55,8 +57,10 @@
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """One connection of a server to a relay; each end has its own number for it. Messages keep their order:
-    none arrives before `to_relay_at` or `to_server_at`."""
+    """A connection of a server to a relay, with the number that each end uses for it.
+
+    Messages stay in order: none arrives at the relay before `to_relay_at` or at the server before
+    `to_server_at`, the arrival times of the previous messages."""
 
     server: ServerHost
     server_incarnation: int
--- a/otterrudder/lab/scale/network.py
+++ b/otterrudder/lab/scale/network.py
@@ -1,4 +1,4 @@
-"""The network between servers and relays: latencies, cuts, and what messages weigh."""
+"""The simulated network between servers and relays: latencies, partitions and message sizes."""
 
 import random
 from collections import Counter
@@ -10,26 +10,28 @@
 from otterrudder.lab.scale.experiment import NetworkPart
 from otterrudder.lab.scale.topology import Topology, Zone
 
-MEASURE_INTERVAL = 1024  # messages of a type after which one is encoded again: numbers grow longer
+# Every 1024th message of a type is encoded to measure its size again, since its numbers get more digits over
+# time.
+MEASURE_INTERVAL = 1024
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Messages and bytes, framing included."""
+    """Counters of messages and of their bytes, including framing."""
 
     messages: int = 0
     size: int = 0
 
     def add(self, size: int) -> None:
-        """Counts a message of so many bytes."""
+        """Counts a message of `size` bytes."""
         self.messages += 1
         self.size += size
 
 
 @dataclass(slots=True)
 class Sizes:
-    """Bytes of a message by its type. A policy's text counts with its stated size, whatever stands in for
-    it."""
+    """The wire size of messages by type. A policy text counts with the configured size `text_bytes`, not
+    with the length of the simulated text."""
 
     framing: int
     text_bytes: int
@@ -37,7 +39,9 @@
     counts: Counter[type] = field(default_factory=Counter)
 
     def size_of(self, message: object) -> int:
-        """The size of a message on the wire, in bytes; only some of each type are encoded."""
+        """Returns the size of a message on the wire, in bytes.
+
+        Encodes only some messages of each type and reuses their size for the others."""
         kind = type(message)
         self.counts[kind] += 1
         if self.counts[kind] % MEASURE_INTERVAL == 1:
@@ -53,7 +57,7 @@
 
 
 class Network:
-    """One-way latencies between zones, and which regions are cut off from the others."""
+    """One-way latencies between zones, and the regions that are cut off from the others."""
 
     def __init__(self, topology: Topology, part: NetworkPart, random_source: random.Random) -> None:
         self.part = part
@@ -75,10 +79,10 @@
         return low, high - low
 
     def one_way_ms(self, here: int, there: int) -> float:
-        """One way between two zones."""
+        """Draws the one-way latency between two zones, in ms."""
         low, width = self._bounds[here, there]
         return low + width * self._random.random()
 
     def is_cut(self, region: int, other: int) -> bool:
-        """Whether no message passes between two regions."""
+        """Returns whether the network between two regions is cut."""
         return region != other and (region in self.cut_regions or other in self.cut_regions)
--- a/otterrudder/lab/scale/play.py
+++ b/otterrudder/lab/scale/play.py
@@ -1,4 +1,5 @@
-"""Runs of an experiment's cases, and the figures of each: plain numbers, all simulated."""
+"""Runs the cases of an experiment and computes the figures of each run. All times are simulated except CPU
+time."""
 
 import gc
 import itertools
@@ -12,12 +13,12 @@
 from otterrudder.lab.scale.network import Traffic
 from otterrudder.lab.scale.simulation import BASELINE_MS, Setting, Simulation
 
-ON_TIME_MS = 4000.0  # from the asking until a change is in force everywhere
+ON_TIME_MS = 4000.0  # from the proposal of a change until it is in force on all servers
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run's figures by name, and notes on it."""
+    """The figures of one run by name, and notes on its breaches, aborted changes and faults."""
 
     setting: Setting
     figures: dict[str, float]
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """Counts at one moment."""
+    """The values of all counters at one time."""
 
     at_ms: float
     store: dict[str, int]
@@ -65,7 +66,7 @@
     names: tuple[str, ...] = (),
     minutes: float | None = None,
 ) -> list[Setting]:
-    """Every run that is to be made."""
+    """Returns the settings of all selected runs of an experiment."""
     settings = []
     for case in experiment.case:
         if is_quick and not case.is_quick or names and case.name not in names:
@@ -88,14 +89,14 @@
     setting: Setting,
     make: Callable[[Experiment, Setting], Simulation] = Simulation,
 ) -> Run:
-    """One run, to its end."""
+    """Simulates one run to its end and returns its figures."""
     simulation = make(experiment, setting)
     readings: list[_Reading] = []
     simulation.events.at(simulation.begin_ms - BASELINE_MS, _read, simulation, readings)
     simulation.events.at(simulation.begin_ms, _read, simulation, readings)
     gc.collect()
     gc.freeze()
-    gc.disable()  # hardly anything here forms a circle, and a look at all of a fleet takes long
+    gc.disable()  # there are hardly any reference cycles, and collecting over a whole fleet is slow
     began = process_time()
     try:
         simulation.play()
@@ -152,7 +153,7 @@
 
 
 def _stage_medians(done: list[ChangeTimes]) -> dict[str, float]:
-    """Medians of the parts of a change's way."""
+    """Returns the median time that a committed change spent in each stage, in ms."""
     if not done:
         return {}
     parts = {
@@ -171,7 +172,7 @@
 def _store_figures(
     simulation: Simulation, baseline: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
-    """Requests a change beyond those of the same time without load."""
+    """Returns the store requests per change, less the requests that an idle fleet makes in the same time."""
     changes = max(simulation.history.version, 1)
     baseline_s = (begin.at_ms - baseline.at_ms) / 1000.0
     load_s = (end.at_ms - begin.at_ms) / 1000.0
@@ -188,7 +189,8 @@
 def _wire_figures(
     simulation: Simulation, baseline: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
-    """Both directions together, by server, and of the relay's machine that has the most."""
+    """Returns the messages and bytes of both directions together: per server, and of the control machine with
+    the most traffic."""
     servers = len(simulation.servers.hosts)
     network = simulation.experiment.network
     load_s = (end.at_ms - begin.at_ms) / 1000.0
@@ -234,13 +236,13 @@
     return {
         "aside": servers.suspended.total() / samples,
         "aside_server_s": servers.suspended.total() * simulation.setting.case.look_ms / 1000.0,
-        "aside_until_s": max(suspended_s, 0.0) if scripted else 0.0,  # from the first scripted fault on
+        "aside_until_s": max(suspended_s, 0.0) if scripted else 0.0,  # since the first scripted fault
         **figures,
     }
 
 
 def _cpu_figures(simulation: Simulation) -> dict[str, float]:
-    """us a server and simulated second, of the pure code alone."""
+    """Returns the CPU time of the participants and relays alone, per simulated second."""
     servers, relays = simulation.servers, simulation.relays
     server_seconds = len(servers.hosts) * simulation.events.now / 1000.0
     relay_ms = relays.message_cpu.total_ms + relays.store_cpu.total_ms
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -1,4 +1,4 @@
-"""Operators and their programs who ask for changes: each puts its own in the queue, and reads its place."""
+"""Operators and tools that propose changes. Each adds its change to the queue and reads its position."""
 
 import random
 from dataclasses import dataclass
@@ -13,21 +13,21 @@
 from otterrudder.lab.scale.store import StoreService
 from otterrudder.lab.scale.topology import Topology
 
-RETRY_MS = 1000.0  # ms until a proposer that had no answer asks again
+RETRY_MS = 1000.0  # delay until a proposer without an answer retries its request
 CHANGE_NOTE = "a change of the day"
-DEADLINE_MS = 30_000.0  # ms of a change, from its opening
+DEADLINE_MS = 30_000.0  # deadline of a change, from its opening
 
 
 @dataclass(slots=True)
 class Proposal:
-    """A change that is asked for, and from which region."""
+    """A proposed change and the region of its proposer."""
 
     change_id: str
     region: int
 
 
 class Proposers:
-    """Handlers of the changes that are asked for."""
+    """Schedules the proposals of a run and handles their events."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._regions = sorted({zone.region for zone in topology.zones})
 
     def schedule(self, begin: float, end: float, per_s: float) -> None:
-        """Changes at a rate, as they come."""
+        """Schedules changes from `begin` to `end` as a Poisson process with the rate `per_s`."""
         if per_s <= 0:
             return
         at = begin + self._random.expovariate(per_s) * 1000.0
@@ -55,7 +55,7 @@
             at += self._random.expovariate(per_s) * 1000.0
 
     def burst(self, begin: float, count: int, span_ms: float) -> None:
-        """Schedules so many changes, evenly over a span."""
+        """Schedules `count` changes, spread evenly over `span_ms`."""
         for number in range(count):
             self._events.at(begin + span_ms * number / max(count, 1), self._propose, self._next_proposal())
 
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -1,5 +1,5 @@
-"""Relays in simulated time: each one's effects are carried out as its process would, with the store's and the
-network's latencies."""
+"""Relays in simulated time: executes the effects of each relay as its process would, with the latencies of
+the store and the network."""
 
 import math
 import random
@@ -29,13 +29,13 @@
 from otterrudder.lab.scale.store import StoreService
 from otterrudder.lab.scale.topology import Topology
 
-MAX_TIMEOUT_MS = 2000.0  # ms for a request to the store, at most
-TIMEOUT_RATIO = 0.25  # of the bound
+MAX_TIMEOUT_MS = 2000.0  # maximum timeout of a request to the store
+TIMEOUT_RATIO = 0.25  # timeout of a request to the store as a share of `Rules.bound_ms`
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request to the store that is under way."""
+    """A pending request to the store."""
 
     incarnation: int
     effect: StoreRequest
@@ -44,17 +44,17 @@
 
 
 class ServerSide(Protocol):
-    """The other end of the streams."""
+    """The server end of the streams."""
 
     def receive(self, stream: Stream, message: RelayMessage) -> None:
-        """A message of a relay has arrived."""
+        """Handles a message from a relay."""
 
     def handle_disconnected(self, stream: Stream, _: object) -> None:
-        """The relay's end was closed."""
+        """Handles a stream that the relay closed."""
 
 
 class Relays:
-    """Handlers of what happens to relays."""
+    """All relays of a run, with the handlers of their events."""
 
     def __init__(
         self,
@@ -82,13 +82,13 @@
         self._store_region = topology.store_regions[0]
 
     def attach(self, store: StoreService, servers: ServerSide) -> None:
-        """Sets what was made after the relays."""
+        """Sets the store and the servers, which are created after the relays."""
         self.store, self.servers = store, servers
 
-    # Its incarnation.
+    # Life cycle of a relay process
 
     def start(self, host: RelayHost, _: object = None) -> None:
-        """Starts a relay's process, unless it runs or its machine is down."""
+        """Starts the process of a relay unless it is already running or its machine is down."""
         if host.relay or not host.is_machine_up:
             return
         host.incarnation += 1
@@ -99,12 +99,14 @@
         self._watch(host)
 
     def make_relay(self, identity: CellIdentity, incarnation: str) -> Relay:
-        """A fresh relay."""
+        """Creates the relay of a new process."""
         limits = RelayLimits(span_ms=self.lease_ms)
         return Relay(self._events.now, identity, RelayStart(incarnation), self.rules, limits)
 
     def stop(self, host: RelayHost, is_silent: bool) -> None:
-        """The process ends: its machine closes the streams, or is gone as well."""
+        """Ends the process of a relay.
+
+        If `is_silent`, its machine has failed as well, so that nothing closes the streams to the servers."""
         host.relay, host.timer_at = None, math.inf
         host.watching = frozenset()
         host.deferred.clear()
@@ -114,7 +116,7 @@
                 self._end(stream)
 
     def shut_down(self, host: RelayHost) -> None:
-        """The process shuts down in order: servers are told, the lease is given back."""
+        """Shuts the process down gracefully: notifies its servers and revokes its lease."""
         relay = host.relay
         if not relay:
             return
@@ -129,22 +131,22 @@
         self.store.revoke(lease)
 
     def freeze(self, host: RelayHost, until: float) -> None:
-        """Stops the process until then; what arrives meanwhile is deferred."""
+        """Freezes the process until the given time. Events that arrive meanwhile are deferred."""
         host.frozen_until = until
         self._events.at(until, self.thaw, host)
 
     def thaw(self, host: RelayHost, _: object = None) -> None:
-        """Lets the process go on with what was deferred."""
+        """Resumes a frozen process with its deferred events."""
         events, host.deferred = host.deferred, []
         for handler, subject, argument in events:
             handler(subject, argument)
         if host.relay:
             self._step(host)
 
-    # What happens to it.
+    # Events of a relay
 
     def fire_timer(self, host: RelayHost, at: float) -> None:
-        """The relay's timer is due, unless it was set anew."""
+        """Handles a timer of the relay, unless the timer was reset to another time."""
         if host.timer_at != at or not host.relay:
             return
         host.timer_at = math.inf
@@ -152,14 +154,14 @@
             self._step(host)
 
     def accept(self, stream: Stream) -> None:
-        """A server's connection is accepted."""
+        """Accepts the connection of a server."""
         host = stream.relay
         host.last_stream += 1
         stream.number, stream.relay_incarnation = host.last_stream, host.incarnation
         host.streams[stream.number] = stream
 
     def receive(self, stream: Stream, message: ServerMessage) -> None:
-        """A message of a server has arrived."""
+        """Handles a message from a server."""
         host = stream.relay
         relay, now = host.relay, self._events.now
         if not relay or stream.relay_incarnation != host.incarnation or stream.number not in host.streams:
@@ -182,7 +184,7 @@
         self._schedule(host, due)
 
     def handle_stream_closed(self, stream: Stream, _: object) -> None:
-        """The server's end was closed."""
+        """Handles a stream that the server closed."""
         host = stream.relay
         if stream.relay_incarnation != host.incarnation or not host.streams.pop(stream.number, None):
             return
@@ -190,7 +192,7 @@
             host.relay.handle_stream_closed(stream.number)
 
     def handle_watch_event(self, host: RelayHost, argument: tuple[int, str]) -> None:
-        """A key under a watched prefix has changed."""
+        """Handles the change of a key under a watched prefix."""
         incarnation, prefix = argument
         if (
             not host.relay
@@ -205,10 +207,12 @@
         host.relay.handle_watch_event(self._events.now, prefix)
         self._step(host)
 
-    # The store.
+    # Requests to the store, and watches
 
     def notify_watchers(self, keys: list[str]) -> None:
-        """These keys were written together: whoever watches a prefix of one is told once."""
+        """Schedules one watch event for each relay and each of its watched prefixes that matches one of `keys`.
+
+        The keys were written or deleted together."""
         for host in self.hosts:
             if not host.relay:
                 continue
@@ -219,7 +223,9 @@
                     self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
     def _watch(self, host: RelayHost) -> None:
-        """Watches are begun and ended as the relay wants them; one that begins is a hint."""
+        """Starts and ends watches so that they match the prefixes that the relay wants to watch.
+
+        A new watch delivers one event when it starts, since its prefix may have changed before."""
         relay = host.relay
         if not relay:
             return
@@ -232,7 +238,7 @@
             self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
     def restore_watches(self, host: RelayHost) -> None:
-        """The store is in reach again: the watches that were cut are begun anew."""
+        """Restarts all watches of a relay after the store has become reachable again."""
         host.watching = frozenset()
         self._watch(host)
 
@@ -273,7 +279,7 @@
         self._step(host)
         self._watch(host)
 
-    # What it does.
+    # Effects of a relay
 
     def _step(self, host: RelayHost) -> None:
         relay = host.relay
@@ -304,7 +310,7 @@
         elif isinstance(effect, Read | Commit | GrantLease | RenewLease):
             self._send_to_store(host, effect)
         else:
-            raise TypeError(f"a relay has no use for {effect}")
+            raise TypeError(f"unknown relay effect: {effect!r}")
 
     def _send(self, host: RelayHost, effect: SendToServer) -> None:
         stream = host.streams.get(effect.connection)
@@ -332,7 +338,7 @@
         arrives = max(self._events.now + way, stream.to_server_at)
         self._events.at(arrives, self.servers.handle_disconnected, stream, None)
 
-    # The other relays of its cell.
+    # Messages between the relays of a cell
 
     def _send_to_peer(self, host: RelayHost, peer: RelayHost, request: EndorsementRequest) -> None:
         self.peer_messages += 1
--- a/otterrudder/lab/scale/report.py
+++ b/otterrudder/lab/scale/report.py
@@ -1,4 +1,4 @@
-"""What is shown and kept of the runs: a table, JSON, and charts by number of servers."""
+"""Reports of runs: a table, JSON, CSV, and charts by number of servers."""
 
 import csv
 import json
@@ -15,37 +15,41 @@
 matplotlib.rcParams["svg.hashsalt"] = "otterrudder"
 import matplotlib.pyplot as plt  # noqa: E402
 
-# What the table shows: a figure, its heading, and how it is written.
+# Columns of the table: name of the figure, heading, number format.
 TABLE_COLUMNS = (
     ("committed", "in force", "{:.0f}"),
-    ("never_opened", "no turn", "{:.0f}"),
+    ("never_opened", "never opened", "{:.0f}"),
     ("in_4_s", "in 4 s", "{:.1%}"),
     ("took_p50_ms", "median, ms", "{:.0f}"),
     ("took_p99_ms", "99%, ms", "{:.0f}"),
-    ("took_max_ms", "most, ms", "{:.0f}"),
+    ("took_max_ms", "max, ms", "{:.0f}"),
     ("reads_a_change", "reads", "{:.0f}"),
     ("writes_a_change", "writes", "{:.0f}"),
     ("watch_events_a_change", "watch events", "{:.0f}"),
-    ("server_messages_per_s", "messages/s a server", "{:.2f}"),
-    ("server_bytes_per_s", "bytes/s a server", "{:.0f}"),
-    ("relay_messages_per_s", "messages/s a relay", "{:.0f}"),
-    ("aside", "aside", "{:.3%}"),
-    ("oldest_ms", "oldest, ms", "{:.0f}"),
+    ("server_messages_per_s", "messages/s per server", "{:.2f}"),
+    ("server_bytes_per_s", "bytes/s per server", "{:.0f}"),
+    ("relay_messages_per_s", "messages/s per relay", "{:.0f}"),
+    ("aside", "suspended", "{:.3%}"),
+    ("oldest_ms", "max stale, ms", "{:.0f}"),
     ("breaches", "breaches", "{:.0f}"),
-    ("server_cpu_us_per_s", "us/s a server", "{:.0f}"),
-    ("relay_cpu_ms_per_s", "ms/s a relay", "{:.1f}"),
-    ("cpu_s", "played in, s of CPU", "{:.0f}"),
+    ("server_cpu_us_per_s", "us/s per server", "{:.0f}"),
+    ("relay_cpu_ms_per_s", "ms/s per relay", "{:.1f}"),
+    ("cpu_s", "CPU time of the run, s", "{:.0f}"),
 )
-# Charts by number of servers: the file's ending, its title, and the figures on it.
+# Charts by number of servers: end of the file name, title, names of the figures.
 CHARTS = (
-    ("times", "From asking until in force everywhere, ms", ("took_p50_ms", "took_p99_ms", "took_max_ms")),
-    ("store", "Requests to the store a change", ("reads_a_change", "writes_a_change")),
-    ("messages", "Messages a second and server", ("server_messages_per_s", "server_messages_calm_per_s")),
+    (
+        "times",
+        "Time from proposal until in force on all servers, ms",
+        ("took_p50_ms", "took_p99_ms", "took_max_ms"),
+    ),
+    ("store", "Store requests per change", ("reads_a_change", "writes_a_change")),
+    ("messages", "Messages per second and server", ("server_messages_per_s", "server_messages_calm_per_s")),
 )
 
 
 def table(runs: list[Run]) -> list[str]:
-    """Lines of a table in Markdown."""
+    """Returns the lines of a Markdown table of the runs."""
     headings = ["case", "rule", "cells", "servers", "seed", *(heading for _, heading, _ in TABLE_COLUMNS)]
     lines = [f"| {' | '.join(headings)} |", f"| --- | --- |{' ---: |' * (len(headings) - 2)}"]
     for run in runs:
@@ -58,7 +62,7 @@
 
 
 def as_json(experiment: Experiment, runs: list[Run]) -> str:
-    """The figures of all runs."""
+    """Returns the figures of all runs as JSON."""
     return json.dumps(
         {
             "experiment": experiment.name,
@@ -86,12 +90,12 @@
 
 
 def _finite(value: float) -> float | None:
-    """JSON has no word for what is no number."""
+    """Rounds a figure. Returns None for NaN and infinity, which JSON cannot represent."""
     return round(value, 4) if abs(value) < float("inf") else None
 
 
 def write(experiment: Experiment, runs: list[Run], folder: Path) -> list[Path]:
-    """Everything into `folder`; the files written."""
+    """Writes JSON, CSV and charts to `folder`. Returns the paths of the written files."""
     folder.mkdir(parents=True, exist_ok=True)
     written = [folder / "results.json", folder / "figures.csv"]
     written[0].write_text(as_json(experiment, runs) + "\n")
@@ -116,7 +120,9 @@
 
 
 def _chart(runs: list[Run], title: str, names: tuple[str, ...], path: Path) -> bool:
-    """The mean of all seeds of the first case that was played at several sizes; False: there is none."""
+    """Draws the means over all seeds of the first case under the rule `wait`.
+
+    Returns False, without a chart, if there are runs of fewer than two fleet sizes."""
     by_size: dict[int, list[Run]] = defaultdict(list)
     for run in runs:
         if run.setting.case.name == runs[0].setting.case.name and run.setting.absent == "wait":
--- a/otterrudder/lab/scale/sampling.py
+++ b/otterrudder/lab/scale/sampling.py
@@ -1,14 +1,15 @@
-"""CPU time of the pure code, by a sample of its calls."""
+"""Estimates the CPU time of the protocol code from a sample of its calls."""
 
 from dataclasses import dataclass
 from time import thread_time_ns
 
-SAMPLING_INTERVAL = 64  # calls of the frequent kinds: the clock itself costs as much as some of them
-CALIBRATION_READINGS = 2000  # pairs of readings, to know what a reading costs
+# One in 64 of the frequent calls is timed, since reading the clock costs as much as some of these calls.
+SAMPLING_INTERVAL = 64
+CALIBRATION_READINGS = 2000  # clock readings from which the cost of one is computed
 
 
 def reading_cost_ns() -> float:
-    """What a pair of readings adds to a sample."""
+    """Measures the time that a pair of clock readings adds to a sample, in ns."""
     before = thread_time_ns()
     for _ in range(CALIBRATION_READINGS):
         thread_time_ns()
@@ -17,7 +18,7 @@
 
 @dataclass(slots=True)
 class CpuSample:
-    """Of calls of one kind; `every`: of them one is timed."""
+    """The CPU time of calls of one kind. One call in `every` is timed."""
 
     overhead_ns: float
     every: int = SAMPLING_INTERVAL
@@ -26,16 +27,16 @@
     spent_ns: float = 0.0
 
     def is_due(self) -> bool:
-        """To be asked once a call: whether it is to be timed."""
+        """Counts a call and returns whether it must be timed."""
         self.calls += 1
         return self.calls % self.every == 0
 
     def add(self, began_ns: int) -> None:
-        """Counts the CPU time since `began_ns`."""
+        """Adds the CPU time since `began_ns` as that of a timed call."""
         self.timed += 1
         self.spent_ns += max(thread_time_ns() - began_ns - self.overhead_ns, 0.0)
 
     @property
     def total_ms(self) -> float:
-        """Of all calls, by the mean of those that were timed."""
+        """The estimated CPU time of all calls in ms: their number times the mean of the timed calls."""
         return self.spent_ns / max(self.timed, 1) * self.calls / 1e6
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -1,4 +1,4 @@
-"""Servers in simulated time: each participant's effects are carried out as its process would."""
+"""Servers in simulated time: executes the effects of each participant as its process would."""
 
 import math
 import random
@@ -18,11 +18,13 @@
 from otterrudder.lab.scale.relays import Relays
 from otterrudder.lab.scale.sampling import CpuSample
 
-HANDSHAKE_TRIPS = 3  # ways after the first packet has arrived: TCP's answer, TLS there and back
+# One-way trips from the arrival of the first packet until the connection is established: the SYN-ACK of TCP,
+# then a round trip for TLS.
+HANDSHAKE_TRIPS = 3
 
 
 class Servers:
-    """Handlers of what happens to servers."""
+    """All servers of a run, with the handlers of their events."""
 
     def __init__(
         self,
@@ -42,16 +44,18 @@
         self.lease_ms, self.cpu, self.load = lease_ms, cpu, load
         self.connects = 0
         self.samples = 0
-        self.last_suspended_at = -math.inf  # when a server that runs was last seen to stand aside
+        self.last_suspended_at = (
+            -math.inf
+        )  # time at which a running server was last seen with admission suspended
         self.suspended: Counter[str] = Counter()
         self._events, self._network, self._sizes = events, network, sizes
         self._history, self._random = history, random_source
         self._by_address: Mapping[str, RelayHost] = relays.by_address
 
-    # Its incarnation.
+    # Life cycle of a server process
 
     def start(self, host: ServerHost, _: object = None) -> None:
-        """Starts a server's process, unless it runs."""
+        """Starts the process of a server unless it is already running."""
         if host.participant:
             return
         host.incarnation += 1
@@ -62,11 +66,13 @@
         self._step(host)
 
     def make_participant(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
-        """A fresh participant."""
+        """Creates the participant of a new server process."""
         return Participant(self._events.now, identity, relays, self.lease_ms)
 
     def stop(self, host: ServerHost, is_silent: bool) -> None:
-        """The process ends: its machine closes the stream, or is gone as well."""
+        """Ends the process of a server.
+
+        If `is_silent`, its machine has failed as well, so that nothing closes the stream to the relay."""
         if not host.participant:
             return
         self._history.record_version_end(
@@ -79,12 +85,15 @@
             self._send_close(stream)
 
     def freeze(self, host: ServerHost, until: float) -> None:
-        """Stops the process until then; what arrives meanwhile is deferred."""
+        """Freezes the process until the given time. Events that arrive meanwhile are deferred."""
         host.frozen_until = until
         self._events.at(until, self.thaw, host)
 
     def thaw(self, host: ServerHost, _: object = None) -> None:
-        """An admission that waited is the first thing that a server sees, then its messages."""
+        """Resumes a frozen process.
+
+        The server is sampled before its deferred events are handled: an admission request that waited in the
+        frozen process is decided before any new message is read."""
         self._sample(host)
         events, host.deferred = host.deferred, []
         for handler, subject, argument in events:
@@ -92,10 +101,10 @@
         if host.participant:
             self._step(host)
 
-    # What happens to it.
+    # Events of a server
 
     def fire_timer(self, host: ServerHost, at: float) -> None:
-        """The server's timer is due, unless it was set anew."""
+        """Handles a timer of the server, unless the timer was reset to another time."""
         participant = host.participant
         if host.timer_at != at or not participant:
             return
@@ -110,7 +119,7 @@
         self._step(host)
 
     def receive(self, stream: Stream, message: RelayMessage) -> None:
-        """A message of the relay has arrived."""
+        """Handles a message from the relay."""
         host = stream.server
         participant = host.participant
         if not participant or host.incarnation != stream.server_incarnation:
@@ -136,7 +145,7 @@
             self._events.at(due, self.fire_timer, host, due)
 
     def handle_connected(self, stream: Stream, _: object) -> None:
-        """The connection to a relay stands."""
+        """Handles an established connection to a relay."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
@@ -147,7 +156,7 @@
         self._step(host)
 
     def handle_disconnected(self, stream: Stream, _: object) -> None:
-        """The relay's end was closed, or nobody listens there."""
+        """Handles a stream that the relay closed, or a refused connection."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
@@ -160,7 +169,7 @@
         self._step(host)
 
     def handle_validated(self, host: ServerHost, argument: tuple[int, str]) -> None:
-        """A policy has been validated."""
+        """Handles the successful validation of a policy."""
         incarnation, digest = argument
         if not host.participant or host.incarnation != incarnation:
             return
@@ -170,7 +179,7 @@
         host.participant.handle_validated(self._events.now, digest, "")
         self._step(host)
 
-    # What it does.
+    # Effects of a participant
 
     def _step(self, host: ServerHost) -> None:
         participant, now = host.participant, self._events.now
@@ -194,7 +203,7 @@
             self._events.at(due, self.fire_timer, host, due)
 
     def _record_version(self, host: ServerHost, participant: Participant) -> None:
-        """What it goes by from now on."""
+        """Records the policy version that the server applies from now on, and the end of its lease."""
         version = participant.applied_policy.version
         if version != host.version:
             until = min(self._events.now, host.lease_until)
@@ -240,7 +249,10 @@
             self._events.at(self._events.now + way, self._handle_syn, stream, way)
 
     def _handle_syn(self, stream: Stream, way: float) -> None:
-        """The first packet is at the relay's machine, which refuses where no process listens."""
+        """Handles the first packet of a connection at the relay's machine.
+
+        A machine that is up refuses the connection if no relay runs on it; a machine that is down does not
+        answer."""
         relay = stream.relay
         if not relay.is_machine_up:
             return
@@ -259,10 +271,11 @@
         arrives = max(self._events.now + way, stream.to_relay_at)
         self._events.at(arrives, self.relays.handle_stream_closed, stream, None)
 
-    # What it would answer.
+    # Samples of the admission state
 
     def sample_all(self) -> None:
-        """What each server that runs admits under now, for the history and the share that stands aside."""
+        """Samples every running server that is not frozen: passes the policy version under which it admits to
+        the history, and counts the servers with suspended admission."""
         for host in self.hosts:
             if host.participant and self._events.now >= host.frozen_until:
                 self._sample(host)
@@ -280,14 +293,15 @@
             self._history.check_admission(now, host.name, version)
 
     def close(self) -> None:
-        """The run is over: whoever still goes by an older version has left none yet."""
+        """Records, at the end of the run, the servers that still apply an older policy version."""
         for host in self.hosts:
             if host.participant and host.version < self._history.version:
                 until = host.lease_until if host.lease_until < self._events.now else math.inf
                 self._record_stale_server(host, until)
 
     def _record_stale_server(self, host: ServerHost, until: float) -> None:
-        """`until`: inf where it still admits."""
+        """Extends the admission times of all versions later than the server's own to `until`, which is inf if
+        the server still admits."""
         admitted_until = self._history.admitted_until
         for later in range(host.version + 1, self._history.version + 1):
             admitted_until[later] = max(admitted_until[later], until)
--- a/otterrudder/lab/scale/simulated.py
+++ b/otterrudder/lab/scale/simulated.py
@@ -1,4 +1,4 @@
-"""The part of `lab scale` in simulated time."""
+"""Runs the simulated part of `lab scale`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """What the command line says; None: as the file has it."""
+    """Options of the command line. None means the value of the experiment file."""
 
     is_quick: bool
     seed: int | None
@@ -25,7 +25,10 @@
 
 
 def perform(file: Path, choice: Choice, echo: Callable[[str], None]) -> list[str]:
-    """Plays the chosen runs, shows and writes them; what does not hold. Raises InvalidInputError."""
+    """Runs the selected settings, and prints and writes their results.
+
+    Returns a description of each claim that does not hold. Raises InvalidInputError if the experiment file is
+    invalid or no case is selected."""
     experiment = read_scale(file)
     settings = settings_of(
         experiment,
@@ -37,7 +40,7 @@
     )
     if not settings:
         raise InvalidInputError(
-            f"{file.name}: .case: none of these is to be played: {', '.join(choice.names) or 'none'}"
+            f"{file.name}: .case: no case to run matches the selection: {', '.join(choice.names) or 'none'}"
         )
     runs = []
     for setting in settings:
--- a/otterrudder/lab/scale/simulation.py
+++ b/otterrudder/lab/scale/simulation.py
@@ -1,5 +1,5 @@
-"""A whole fleet by cells in simulated time: participants and relays as they are, the store, the network, load
-and churn, and the history that checks them."""
+"""Simulates a whole fleet of cells: runs the production participants and relays against a simulated store,
+network, load and churn, and records a history that checks the results."""
 
 import random
 from dataclasses import dataclass
@@ -21,16 +21,18 @@
 from otterrudder.lab.scale.topology import Topology, Zone
 
 FLEET = "f"
-LEASE_EXPIRY_INTERVAL_MS = 50.0  # between looks of the store for leases that have ended
-BASELINE_MS = 15_000.0  # before the load, in which the standing cost is counted
-PROPOSAL_CUTOFF_MS = 15_000.0  # before the end, from which on no change is asked for
-RELAY_START_WINDOW_MS = 500.0
-SERVER_START_WINDOW_MS = 5000.0
+LEASE_EXPIRY_INTERVAL_MS = 50.0  # between two checks of the store for expired leases
+# Length of the interval just before the load in which the cost of an idle fleet is counted.
+BASELINE_MS = 15_000.0
+# No change is proposed in this last part of a run.
+PROPOSAL_CUTOFF_MS = 15_000.0
+RELAY_START_WINDOW_MS = 500.0  # relays start between 0 and this time
+SERVER_START_END_MS = 5000.0  # servers start between RELAY_START_WINDOW_MS and this time
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One run of a case."""
+    """The parameters of one run of a case."""
 
     case: CasePart
     servers: int
@@ -41,12 +43,12 @@
 
     @property
     def label(self) -> str:
-        """The setting in a word."""
+        """A short name of the run: case, rule for absent servers, number of servers and seed."""
         return f"{self.case.name}/{self.absent}/{self.servers}/{self.seed}"
 
 
 class Simulation:
-    """Makes the processes of one run and plays them."""
+    """Creates the processes of one run and simulates them."""
 
     servers_type = Servers
     relays_type = Relays
@@ -102,7 +104,8 @@
         )
 
     def _relay_hosts(self, zone: Zone) -> list[RelayHost]:
-        """A cell's two relays: on its own zone's machine for control, and on the next zone's."""
+        """Creates the two relays of a cell: one on the control machine of its own zone, one on that of the
+        neighbouring zone."""
         candidates = _addresses(zone)
         zones = (zone, self.topology.neighbour(zone))
         pairs = zip(candidates, zones, strict=True)
@@ -132,20 +135,18 @@
         relays = (*_addresses(zone), *_addresses(self.topology.neighbour(zone)))
         return ServerHost(f"server-{number:05}", zone, kind, relays)
 
-    # The play.
-
     @property
     def end_ms(self) -> float:
-        """When the load ends."""
+        """The time at which the load ends, in ms from the start of the run."""
         return self.begin_ms + self.setting.minutes * 60_000.0
 
     @property
     def begin_ms(self) -> float:
-        """When the load begins."""
+        """The time at which the load begins, in ms from the start of the run."""
         return self.experiment.warm_up_s * 1000.0
 
     def play(self) -> None:
-        """To the end; figures are read off the parts."""
+        """Runs the simulation to its end. The caller then reads the figures from the components."""
         self._start_all()
         self._schedule_load()
         self.events.at(self.setting.case.look_ms, self._sample, None)
@@ -163,7 +164,7 @@
             self.events.at(at, self.relays.start, relay)
         down = set(map(id, self.churn.initially_down())) if self.setting.case.has_churn else set()
         for server in self.servers.hosts:
-            at = self.random.uniform(RELAY_START_WINDOW_MS, SERVER_START_WINDOW_MS)
+            at = self.random.uniform(RELAY_START_WINDOW_MS, SERVER_START_END_MS)
             if id(server) not in down:
                 self.events.at(at, self.servers.start, server)
 
@@ -191,7 +192,7 @@
             self.events.at(self.events.now + self.history.bound_ms, self._sample_once, None)
 
     def _sample_once(self, _: object, __: object) -> None:
-        """As the bound of a commit passes."""
+        """Samples all servers at the moment at which the bound of a commit has passed."""
         self.servers.sample_all()
 
 
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -1,5 +1,5 @@
-"""The store in simulated time: a key space with its place in the world, watches, and counts of what it is
-asked."""
+"""The store in simulated time: a key space with request and watch latencies by region, and counters of its
+requests."""
 
 import random
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class ChangeTrackingKeySpace(IndexedKeySpace):
-    """Remembers which keys were written since it was last asked."""
+    """Collects the keys that were written or deleted; the owner takes them and resets the list."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,7 +26,7 @@
 
 
 class StoreService:
-    """Latencies of requests, and their answers at the moment at which they take effect."""
+    """Computes the latencies of requests, and answers each request at the time at which it takes effect."""
 
     def __init__(
         self,
@@ -36,7 +36,8 @@
         on_commit: Callable[[Commit], None],
         on_keys_changed: Callable[[list[str]], None],
     ) -> None:
-        """`written`: a commit took effect; `changed`: these keys were written or deleted."""
+        """Calls `on_commit` after a successful commit and `on_keys_changed` with keys that were written or
+        deleted together."""
         self.keys = ChangeTrackingKeySpace()
         self.counts: Counter[str] = Counter()
         self._part, self._random = part, random_source
@@ -47,20 +48,20 @@
         self._quorum_ms = topology.quorum_ms
 
     def arrival_ms(self, region: int, request: StoreRequest) -> float:
-        """From the sending of a request until it takes effect."""
+        """Draws the time from sending a request until it takes effect, in ms."""
         bounds = self._part.read_ms if isinstance(request, Read) else self._part.disk_ms
         return self._store_latency_ms[region] + self._quorum_ms + self._random.uniform(*bounds)
 
     def answer_ms(self, region: int) -> float:
-        """From there until its answer is back."""
+        """Draws the time from the effect of a request until its answer is back, in ms."""
         return self._store_latency_ms[region] + self._random.uniform(*self._part.read_ms)
 
     def watch_ms(self, region: int) -> float:
-        """From a write until a watch tells of it."""
+        """Draws the time from a write until a watch reports it, in ms."""
         return self._store_latency_ms[region] + self._random.uniform(*self._part.watch_ms)
 
     def answer(self, now: float, request: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
-        """Carries a request out."""
+        """Executes a request and returns its result."""
         self.counts[COUNTER_BY_REQUEST[type(request)]] += 1
         if isinstance(request, Commit):
             self.counts[request.purpose] += 1
@@ -75,12 +76,12 @@
         return outcome
 
     def expire_leases(self, now: float) -> None:
-        """Leases that have ended go."""
+        """Removes expired leases with their keys."""
         self.keys.expire_leases(now)
         self._notify_changed()
 
     def revoke(self, lease: int) -> None:
-        """Ends a lease and drops its keys."""
+        """Revokes a lease and deletes its keys."""
         self.counts["leases"] += 1
         self.keys.revoke(lease)
         self._notify_changed()
--- a/otterrudder/lab/scale/topology.py
+++ b/otterrudder/lab/scale/topology.py
@@ -1,4 +1,4 @@
-"""Where everything is: regions and zones, the servers of each, the relays of each cell, and the store."""
+"""The placement of a fleet: its regions and zones, their latencies, and the regions of the store."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """A zone, which is a cell as well. `number` counts over all regions."""
+    """A zone, whose servers form one cell. `number` is unique over all regions."""
 
     number: int
     region: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """Zones in regions, and how far they are from each other."""
+    """The zones and regions of a fleet, and the latencies between regions."""
 
     zones: tuple[Zone, ...]
     regions: tuple[str, ...]
@@ -25,7 +25,9 @@
 
     @staticmethod
     def of(experiment: Experiment, max_regions: int | None = None) -> "Topology":
-        """`max_regions`: the first so many regions alone; the store's members stay where they are."""
+        """Creates the topology of an experiment, of its first `max_regions` regions if given.
+
+        The store's members stay in their regions even if these have no servers then."""
         topology = experiment.topology
         zones: list[Zone] = []
         for region, count in enumerate(topology.zones[:max_regions]):
@@ -37,7 +39,7 @@
         return Topology(tuple(zones), topology.regions, topology.latency_ms, store_regions)
 
     def neighbour(self, zone: Zone) -> Zone:
-        """The next zone of the same region; of the nearest region, where it has no other."""
+        """Returns the next zone of the same region, or of the nearest region if there is no other."""
         others = [other for other in self.zones if other != zone]
         latency = self.latency_ms[zone.region]
         return min(
@@ -50,7 +52,8 @@
         )
 
     def store_one_way_ms(self, region: int) -> float:
-        """One way from a region to the store's leader, by way of the member over which it is shortest."""
+        """Returns the one-way latency from a region to the store's leader through the member for which it is
+        shortest, in ms."""
         leader = self.store_regions[0]
         return min(
             self.latency_ms[region][member] + self.latency_ms[member][leader] for member in self.store_regions
@@ -58,7 +61,7 @@
 
     @property
     def quorum_ms(self) -> float:
-        """From the store's leader to the nearest half of the other members and back."""
+        """The round trip in ms from the store's leader to the other members that it needs for a quorum."""
         leader = self.store_regions[0]
         latencies = sorted(self.latency_ms[leader][member] for member in self.store_regions[1:])
         needed = len(self.store_regions) // 2
--- a/otterrudder/lab/scale/verdicts.py
+++ b/otterrudder/lab/scale/verdicts.py
@@ -1,19 +1,19 @@
-"""Verdicts on the runs of one experiment: counts and laws, never a machine's times."""
+"""Checks the claims of an experiment on its runs: no breaches, and costs that do not grow with the fleet.
+Measured CPU time is not checked."""
 
 from collections import defaultdict
 
 from otterrudder.lab.scale.play import Run
 
-MAX_STORE_GROWTH = (
-    0.25  # share by which requests a change may differ between sizes: churn is drawn anew by size
-)
-MAX_MESSAGE_GROWTH = (
-    0.10  # share by which messages a server and second, without load, may differ between sizes
-)
+# Maximum growth of the store requests per change between fleet sizes. It allows for the random churn, which
+# differs between sizes.
+MAX_STORE_GROWTH = 0.25
+# Maximum growth of the messages per second and server without load between fleet sizes.
+MAX_MESSAGE_GROWTH = 0.10
 
 
 def broken(runs: list[Run]) -> list[str]:
-    """What does not hold, in a line each."""
+    """Returns a line for each claim that does not hold."""
     problems = [
         f"{run.setting.label}: {run.figures['breaches']:.0f} breaches: {'; '.join(run.notes)}"
         for run in runs
@@ -27,7 +27,7 @@
 
 
 def _group_runs(runs: list[Run]) -> list[dict[int, list[Run]]]:
-    """Runs that differ in nothing but servers and seed, by servers."""
+    """Groups the runs that differ only in number of servers and seed; each group maps servers to runs."""
     groups: dict[tuple[object, ...], dict[int, list[Run]]] = defaultdict(lambda: defaultdict(list))
     for run in runs:
         setting = run.setting
@@ -41,4 +41,4 @@
     if high <= low * (1.0 + share):
         return []
     by_size = ", ".join(f"{mean:.2f} at {size}" for size, mean in sorted(means.items()))
-    return [f"{name} grows with the servers: {by_size}"]
+    return [f"{name} grows with the number of servers: {by_size}"]
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Agreement by cells at scale, in simulated time: laws by number of servers, the history, and the file."""
+"""Fleets of cells in simulated time: costs by fleet size, the history checker and the experiment file."""
 
 import json
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 from otterrudder.lab.site import InvalidInputError
 
 FILE = ROOT / "experiments/capacity.toml"
-CPU_TIME_MARKERS = ("cpu", "_cpu_")  # what a machine's clock goes into
+CPU_TIME_MARKERS = ("cpu", "_cpu_")  # parts of the names of figures that depend on the machine's clock
 
 
 @pytest.fixture(scope="module")
@@ -39,13 +39,13 @@
 def short_setting(
     experiment: Experiment, servers: int, faults: tuple[FaultPart, ...] = (), **case_changes: object
 ) -> Setting:
-    """A short run of the first three regions."""
+    """Returns the setting of a short run of the first three regions."""
     case = msgspec.structs.replace(experiment.case[0], faults=faults, **case_changes)
     return Setting(case, servers, 3, "wait", 1, 0.4)
 
 
 def deterministic_figures(run: Run) -> dict[str, float]:
-    """The figures without those of the machine's clock."""
+    """Returns the figures that do not depend on the machine's clock."""
     return {
         name: value
         for name, value in run.figures.items()
@@ -53,20 +53,20 @@
     }
 
 
-def test_requests_a_change_and_messages_a_server_do_not_grow_with_the_servers(experiment: Experiment) -> None:
+def test_costs_per_change_and_server_do_not_grow_with_fleet_size(experiment: Experiment) -> None:
     runs = [play(experiment, short_setting(experiment, servers)) for servers in (45, 180)]
     assert broken(runs) == []
     for run in runs:
         assert run.figures["committed"] > 5 and run.figures["never_opened"] == 0
 
 
-def test_the_same_seed_gives_the_same_run(experiment: Experiment) -> None:
+def test_runs_with_the_same_seed_are_identical(experiment: Experiment) -> None:
     first, again = (deterministic_figures(play(experiment, short_setting(experiment, 30))) for _ in range(2))
     assert first == again
 
 
 class LeaseIgnoringParticipant(Participant):
-    """Goes on admitting when its lease has ended."""
+    """Continues to admit after the end of its lease."""
 
     __slots__ = ()
 
@@ -75,7 +75,7 @@
 
 
 class OvergrantingRelay(Relay):
-    """Takes its authority for longer than it is."""
+    """Assumes that its authority lasts 20 s longer than it does."""
 
     __slots__ = ()
 
@@ -93,19 +93,22 @@
         return OvergrantingRelay(self._events.now, identity, RelayStart(incarnation), self.rules)
 
 
-class WithFaultyServers(Simulation):
+class SimulationWithFaultyServers(Simulation):
     servers_type = FaultyServers
 
 
-class WithFaultyRelays(Simulation):
+class SimulationWithFaultyRelays(Simulation):
     relays_type = FaultyRelays
 
 
-@pytest.mark.parametrize("make", [WithFaultyServers, WithFaultyRelays])
-def test_the_ledger_sees_a_fault_that_was_put_in(
+@pytest.mark.parametrize("make", [SimulationWithFaultyServers, SimulationWithFaultyRelays])
+def test_history_checker_detects_faulty_servers_and_relays(
     experiment: Experiment, make: Callable[[Experiment, Setting], Simulation]
 ) -> None:
-    """A region that is cut off under the rule `leave-out` stands aside, as nothing else makes it."""
+    """Guards against a history checker that misses breaches.
+
+    Under the rule `leave-out`, only the end of the lease stops the servers of a partitioned region from
+    admitting, so a server or relay that ignores this end must cause breaches."""
     cut = (FaultPart(kind="region-cut", at_s=31.0, region="us-central"),)
     base = short_setting(experiment, 30, cut)
     setting = Setting(base.case, 30, 3, "leave-out", 1, 0.5)
@@ -118,7 +121,7 @@
 def write_changed_file(tmp_path: Path, old: str, new: str) -> Path:
     text = FILE.read_text()
     assert old in text
-    path = tmp_path / "mine.toml"
+    path = tmp_path / "changed.toml"
     path.write_text(text.replace(old, new, 1))
     return path
 
@@ -126,28 +129,28 @@
 @pytest.mark.parametrize(
     ("old", "new", "expected_message"),
     [
-        ("bound_ms = 3000.0", "bound_ms = -1.0", r"mine.toml: .rules.bound_ms: "),
-        ("bound_ms = 3000.0", "bound_mss = 1.0", r"mine.toml: .rules: .*bound_mss"),
-        ("[0, 15, 38", "[0, 16, 38", r"mine.toml: .topology.latency_ms: us-central and us-east"),
-        ("zones = [3, 3,", "zones = [3,", r"mine.toml: .topology.zones: 9 numbers for 10 regions"),
+        ("bound_ms = 3000.0", "bound_ms = -1.0", r"changed.toml: .rules.bound_ms: "),
+        ("bound_ms = 3000.0", "bound_mss = 1.0", r"changed.toml: .rules: .*bound_mss"),
+        ("[0, 15, 38", "[0, 16, 38", r"changed.toml: .topology.latency_ms: us-central and us-east"),
+        ("zones = [3, 3,", "zones = [3,", r"changed.toml: .topology.zones: 9 numbers for 10 regions"),
         (
             'regions = ["us-east", "us-central", "eu-west"]',
             'regions = ["mars"]',
-            r"mine.toml: .store.regions: 'mars'",
+            r"changed.toml: .store.regions: 'mars'",
         ),
-        ("server_lease_ms = 3000.0", "server_lease_ms = 4000.0", r"mine.toml: .rules.server_lease_ms: "),
-        ("version = 1", "version = 9", r"mine.toml: .version: "),
-        ('title = "', "title = ", r"mine.toml: not TOML"),
+        ("server_lease_ms = 3000.0", "server_lease_ms = 4000.0", r"changed.toml: .rules.server_lease_ms: "),
+        ("version = 1", "version = 9", r"changed.toml: .version: "),
+        ('title = "', "title = ", r"changed.toml: not TOML"),
     ],
 )
-def test_a_mistake_in_the_file_is_named_with_its_key(
+def test_invalid_experiment_file_is_reported_with_its_key(
     tmp_path: Path, old: str, new: str, expected_message: str
 ) -> None:
     with pytest.raises(InvalidInputError, match=expected_message):
         read_scale(write_changed_file(tmp_path, old, new))
 
 
-def test_the_command_plays_a_case_and_leaves_its_results(tmp_path: Path) -> None:
+def test_scale_command_runs_a_case_and_writes_its_results(tmp_path: Path) -> None:
     command = [
         "scale",
         str(FILE),
@@ -171,13 +174,13 @@
     assert result.exit_code == 0 and "capacity.toml" in result.output
 
 
-def test_the_quick_form_plays_every_case_that_is_marked(experiment: Experiment) -> None:
+def test_quick_mode_selects_the_marked_cases_and_quick_sizes(experiment: Experiment) -> None:
     quick = settings_of(experiment, is_quick=True)
     assert {setting.servers for setting in quick} == set(experiment.quick_servers)
     assert all(setting.case.is_quick for setting in quick)
 
 
-def test_an_indexed_key_space_answers_as_the_plain_one() -> None:
+def test_indexed_key_space_answers_like_the_plain_one() -> None:
     plain, indexed = KeySpace(), IndexedKeySpace()
     requests = [
         GrantLease(1000.0),
@@ -191,11 +194,11 @@
         Read(("f/a/", "f/b/")),
     ]
     for number, request in enumerate(requests):
-        now = number * 180.0  # the lease ends before the seventh request
+        now = number * 180.0  # the lease, granted at 0 for 1000 ms, ends before the seventh request
         assert plain.answer(now, request) == indexed.answer(now, request), f"request {number}"
 
 
-def test_grants_are_counted_as_they_go_over_the_wire(experiment: Experiment) -> None:
+def test_sent_lease_grants_are_counted_and_recorded(experiment: Experiment) -> None:
     simulation = Simulation(experiment, short_setting(experiment, 9))
     simulation.play()
     assert simulation.sizes.counts[LeaseGrant] > 9 * 30
