--- a/otterrudder/cli/lab.py
+++ b/otterrudder/cli/lab.py
@@ -13,7 +13,6 @@
 from otterrudder.files import load_toml
 
 try:
-    from otterrudder.lab.day import SimulationResult
     from otterrudder.lab.demo import run_demo
     from otterrudder.lab.plan import Run, read_experiment
     from otterrudder.lab.report import figures_table, verdict_lines, write_results
@@ -21,6 +20,7 @@
     from otterrudder.lab.scale.experiment import is_scale, read_scale
     from otterrudder.lab.scale.play import settings_of
     from otterrudder.lab.site import InvalidInputError
+    from otterrudder.lab.site_simulation import SimulationResult
 except ModuleNotFoundError as missing:
     exit_bad_input(
         f"the lab needs {missing.name}: pip install 'otterrudder[lab]', or -r requirements-lab.txt"
@@ -163,11 +163,11 @@
     """Run the experiment FILE with processes of the program and faults between them. Exits with 1 if a claim
     does not hold. Also needs the extra `fleet`."""
     try:
-        from otterrudder.lab.processes.cell_experiment import is_of_cells
+        from otterrudder.lab.processes.cell_experiment import is_cell_experiment
     except ModuleNotFoundError as error:
         _exit_without_fleet_extra(error)
     options = ProcessesOptions(file, seed, servers, quick, names, folder)
-    if not is_of_cells(file):
+    if not is_cell_experiment(file):
         sys.exit(0 if _run_with_members(options, shrink) else 1)
     if shrink:
         exit_bad_input("--shrink is not supported for experiments with cells")
@@ -286,12 +286,12 @@
     """Runs the part on processes. Returns whether all claims hold."""
     try:
         from otterrudder.lab.scale.processes import command
-        from otterrudder.lab.scale.processes.bench import NotInTimeError
+        from otterrudder.lab.scale.processes.bench import MeasurementError
     except ModuleNotFoundError as error:
         _exit_without_fleet_extra(error)
     try:
-        report = command.play(command.read_plan(file, quick), quick, folder, click.echo)
-    except (InvalidInputError, NotInTimeError) as error:
+        report = command.run(command.read_plan(file, quick), quick, folder, click.echo)
+    except (InvalidInputError, MeasurementError) as error:
         exit_bad_input(error)
     except command.RunInterruptedError:
         sys.exit(INTERRUPTED)
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -1,4 +1,4 @@
-"""Servers in simulated time: each participant's effects are carried out as its process would."""
+"""Servers in simulated time: executes the effects of each participant as its process would."""
 
 import math
 import random
@@ -18,11 +18,13 @@
 from otterrudder.lab.scale.relays import Relays
 from otterrudder.lab.scale.sampling import CpuSample
 
-SET_UP_WAYS = 3  # ways after the first packet has arrived: TCP's answer, TLS there and back
+# One-way trips from the arrival of the first packet until the connection is established: the SYN-ACK of TCP,
+# then a round trip for TLS.
+HANDSHAKE_TRIPS = 3
 
 
 class Servers:
-    """Handlers of what happens to servers."""
+    """All servers of a run, with the handlers of their events."""
 
     def __init__(
         self,
@@ -34,42 +36,48 @@
         sizes: Sizes,
         load: LoadPart,
         history: HistoryChecker,
-        chance: random.Random,
-        span_ms: float,
+        random_source: random.Random,
+        lease_ms: float,
         cpu: CpuSample,
     ) -> None:
         self.fleet, self.hosts, self.relays = fleet, hosts, relays
-        self.span_ms, self.cpu, self.load = span_ms, cpu, load
+        self.lease_ms, self.cpu, self.load = lease_ms, cpu, load
         self.connects = 0
         self.samples = 0
-        self.suspended_at = -math.inf  # when a server that runs was last seen to stand aside
+        self.last_suspended_at = (
+            -math.inf
+        )  # time at which a running server was last seen with admission suspended
         self.suspended: Counter[str] = Counter()
         self._events, self._network, self._sizes = events, network, sizes
-        self._history, self._chance = history, chance
+        self._history, self._random = history, random_source
         self._by_address: Mapping[str, RelayHost] = relays.by_address
 
-    # Its incarnation.
+    # Life cycle of a server process
 
     def start(self, host: ServerHost, _: object = None) -> None:
-        """Starts a server's process, unless it runs."""
+        """Starts the process of a server unless it is already running."""
         if host.participant:
             return
         host.incarnation += 1
         host.version, host.lease_until, host.timer_at = 0, -math.inf, math.inf
         incarnation = f"{host.name}.{host.incarnation}"
         identity = ServerIdentity(self.fleet, host.name, incarnation, host.kind, host.zone.name)
-        host.participant = self.make(identity, host.relays)
+        host.participant = self.make_participant(identity, host.relays)
         self._step(host)
 
-    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
-        """A fresh participant."""
-        return Participant(self._events.now, identity, relays, self.span_ms)
+    def make_participant(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
+        """Creates the participant of a new server process."""
+        return Participant(self._events.now, identity, relays, self.lease_ms)
 
     def stop(self, host: ServerHost, is_silent: bool) -> None:
-        """The process ends: its machine closes the stream, or is gone as well."""
+        """Ends the process of a server.
+
+        If `is_silent`, its machine has failed as well, so that nothing closes the stream to the relay."""
         if not host.participant:
             return
-        self._history.left(host.version, self._history.version, min(self._events.now, host.lease_until))
+        self._history.record_version_end(
+            host.version, self._history.version, min(self._events.now, host.lease_until)
+        )
         host.participant, host.timer_at = None, math.inf
         host.deferred.clear()
         stream, host.stream = host.stream, None
@@ -77,23 +85,26 @@
             self._send_close(stream)
 
     def freeze(self, host: ServerHost, until: float) -> None:
-        """Stops the process until then; what arrives meanwhile is deferred."""
+        """Freezes the process until the given time. Events that arrive meanwhile are deferred."""
         host.frozen_until = until
         self._events.at(until, self.thaw, host)
 
     def thaw(self, host: ServerHost, _: object = None) -> None:
-        """An admission that waited is the first thing that a server sees, then its messages."""
+        """Resumes a frozen process.
+
+        The server is sampled before its deferred events are handled: an admission request that waited in the
+        frozen process is decided before any new message is read."""
         self._sample(host)
-        held, host.deferred = host.deferred, []
-        for handler, subject, argument in held:
+        events, host.deferred = host.deferred, []
+        for handler, subject, argument in events:
             handler(subject, argument)
         if host.participant:
             self._step(host)
 
-    # What happens to it.
+    # Events of a server
 
     def fire_timer(self, host: ServerHost, at: float) -> None:
-        """The server's timer is due, unless it was set anew."""
+        """Handles a timer of the server, unless the timer was reset to another time."""
         participant = host.participant
         if host.timer_at != at or not participant:
             return
@@ -108,7 +119,7 @@
         self._step(host)
 
     def receive(self, stream: Stream, message: RelayMessage) -> None:
-        """A message of the relay has arrived."""
+        """Handles a message from the relay."""
         host = stream.server
         participant = host.participant
         if not participant or host.incarnation != stream.server_incarnation:
@@ -128,47 +139,47 @@
         if due <= now:
             self._step(host)
             return
-        self._note(host, participant)
+        self._record_version(host, participant)
         if due < host.timer_at:
             host.timer_at = due
             self._events.at(due, self.fire_timer, host, due)
 
-    def connected(self, stream: Stream, _: object) -> None:
-        """The connection to a relay stands."""
+    def handle_connected(self, stream: Stream, _: object) -> None:
+        """Handles an established connection to a relay."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.connected, stream, None))
+            host.deferred.append((self.handle_connected, stream, None))
             return
         host.participant.handle_connected(self._events.now, stream.connection)
         self._step(host)
 
-    def ended(self, stream: Stream, _: object) -> None:
-        """The relay's end was closed, or nobody listens there."""
+    def handle_disconnected(self, stream: Stream, _: object) -> None:
+        """Handles a stream that the relay closed, or a refused connection."""
         host = stream.server
         if not host.participant or host.incarnation != stream.server_incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.ended, stream, None))
+            host.deferred.append((self.handle_disconnected, stream, None))
             return
         if host.stream is stream:
             host.stream = None
         host.participant.handle_disconnected(self._events.now, stream.connection)
         self._step(host)
 
-    def checked(self, host: ServerHost, argument: tuple[int, str]) -> None:
-        """A policy has been validated."""
+    def handle_validated(self, host: ServerHost, argument: tuple[int, str]) -> None:
+        """Handles the successful validation of a policy."""
         incarnation, digest = argument
         if not host.participant or host.incarnation != incarnation:
             return
         if self._events.now < host.frozen_until:
-            host.deferred.append((self.checked, host, argument))
+            host.deferred.append((self.handle_validated, host, argument))
             return
         host.participant.handle_validated(self._events.now, digest, "")
         self._step(host)
 
-    # What it does.
+    # Effects of a participant
 
     def _step(self, host: ServerHost) -> None:
         participant, now = host.participant, self._events.now
@@ -180,8 +191,8 @@
         else:
             effects = participant.effects(now)
         for effect in effects:
-            self._carry_out(host, effect)
-        self._note(host, participant)
+            self._execute(host, effect)
+        self._record_version(host, participant)
         self._schedule(host, participant)
 
     def _schedule(self, host: ServerHost, participant: Participant) -> None:
@@ -191,23 +202,23 @@
             host.timer_at = due
             self._events.at(due, self.fire_timer, host, due)
 
-    def _note(self, host: ServerHost, participant: Participant) -> None:
-        """What it goes by from now on."""
+    def _record_version(self, host: ServerHost, participant: Participant) -> None:
+        """Records the policy version that the server applies from now on, and the end of its lease."""
         version = participant.applied_policy.version
         if version != host.version:
             until = min(self._events.now, host.lease_until)
-            self._history.left(host.version, version, until)
+            self._history.record_version_end(host.version, version, until)
             host.version = version
         host.lease_until = participant.lease.until
 
-    def _carry_out(self, host: ServerHost, effect: ParticipantEffect) -> None:
+    def _execute(self, host: ServerHost, effect: ParticipantEffect) -> None:
         if isinstance(effect, SendToRelay):
             self._send(host, effect)
         elif isinstance(effect, Connect):
             self._connect(host, effect)
         elif isinstance(effect, ValidateText):
-            due = self._events.now + self._chance.uniform(*self.load.check_ms)
-            self._events.at(due, self.checked, host, (host.incarnation, effect.digest))
+            due = self._events.now + self._random.uniform(*self.load.check_ms)
+            self._events.at(due, self.handle_validated, host, (host.incarnation, effect.digest))
         else:
             stream, host.stream = host.stream, None
             if stream and stream.connection == effect.connection:
@@ -218,12 +229,12 @@
         if not stream or stream.connection != effect.connection:
             return
         relay = stream.relay
-        size = self._sizes.of(effect.message)
+        size = self._sizes.size_of(effect.message)
         relay.received.messages += 1
         relay.received.size += size
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        arrives = self._events.now + self._network.way_ms(host.zone.number, relay.zone.number)
+        arrives = self._events.now + self._network.one_way_ms(host.zone.number, relay.zone.number)
         arrives = max(arrives, stream.to_relay_at)
         stream.to_relay_at = arrives
         self._events.at(arrives, self.relays.receive, stream, effect.message)
@@ -234,33 +245,37 @@
         stream = Stream(host, host.incarnation, effect.connection, relay)
         host.stream = stream
         if not self._network.is_cut(host.zone.region, relay.zone.region):
-            way = self._network.way_ms(host.zone.number, relay.zone.number)
-            self._events.at(self._events.now + way, self._arrives, stream, way)
+            way = self._network.one_way_ms(host.zone.number, relay.zone.number)
+            self._events.at(self._events.now + way, self._handle_syn, stream, way)
+
+    def _handle_syn(self, stream: Stream, way: float) -> None:
+        """Handles the first packet of a connection at the relay's machine.
 
-    def _arrives(self, stream: Stream, way: float) -> None:
-        """The first packet is at the relay's machine, which refuses where no process listens."""
+        A machine that is up refuses the connection if no relay runs on it; a machine that is down does not
+        answer."""
         relay = stream.relay
         if not relay.is_machine_up:
             return
         if not relay.relay:
-            self._events.at(self._events.now + way, self.ended, stream, None)
+            self._events.at(self._events.now + way, self.handle_disconnected, stream, None)
             return
         self.relays.accept(stream)
-        stream.to_server_at = self._events.now + SET_UP_WAYS * way
-        self._events.at(stream.to_server_at, self.connected, stream, None)
+        stream.to_server_at = self._events.now + HANDSHAKE_TRIPS * way
+        self._events.at(stream.to_server_at, self.handle_connected, stream, None)
 
     def _send_close(self, stream: Stream) -> None:
         host, relay = stream.server, stream.relay
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        way = self._network.way_ms(host.zone.number, relay.zone.number)
+        way = self._network.one_way_ms(host.zone.number, relay.zone.number)
         arrives = max(self._events.now + way, stream.to_relay_at)
-        self._events.at(arrives, self.relays.closed, stream, None)
+        self._events.at(arrives, self.relays.handle_stream_closed, stream, None)
 
-    # What it would answer.
+    # Samples of the admission state
 
     def sample_all(self) -> None:
-        """What each server that runs admits under now, for the history and the share that stands aside."""
+        """Samples every running server that is not frozen: passes the policy version under which it admits to
+        the history, and counts the servers with suspended admission."""
         for host in self.hosts:
             if host.participant and self._events.now >= host.frozen_until:
                 self._sample(host)
@@ -273,19 +288,20 @@
         version = participant.admits(now)
         if version is None:
             self.suspended[participant.admission_status(now).label] += 1
-            self.suspended_at = now
+            self.last_suspended_at = now
         elif version != self._history.version:
-            self._history.admits(now, host.name, version)
+            self._history.check_admission(now, host.name, version)
 
     def close(self) -> None:
-        """The run is over: whoever still goes by an older version has left none yet."""
+        """Records, at the end of the run, the servers that still apply an older policy version."""
         for host in self.hosts:
             if host.participant and host.version < self._history.version:
                 until = host.lease_until if host.lease_until < self._events.now else math.inf
-                self._left_behind(host, until)
+                self._record_stale_server(host, until)
 
-    def _left_behind(self, host: ServerHost, until: float) -> None:
-        """`until`: inf where it still admits."""
-        ends = self._history.admitted_until
+    def _record_stale_server(self, host: ServerHost, until: float) -> None:
+        """Extends the admission times of all versions later than the server's own to `until`, which is inf if
+        the server still admits."""
+        admitted_until = self._history.admitted_until
         for later in range(host.version + 1, self._history.version + 1):
-            ends[later] = max(ends[later], until)
+            admitted_until[later] = max(admitted_until[later], until)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Agreement by cells at scale, in simulated time: laws by number of servers, the history, and the file."""
+"""Fleets of cells in simulated time: costs by fleet size, the history checker and the experiment file."""
 
 import json
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 from otterrudder.lab.site import InvalidInputError
 
 FILE = ROOT / "experiments/capacity.toml"
-NO_TIMES = ("cpu", "_cpu_")  # what a machine's clock goes into
+CPU_TIME_MARKERS = ("cpu", "_cpu_")  # parts of the names of figures that depend on the machine's clock
 
 
 @pytest.fixture(scope="module")
@@ -36,33 +36,37 @@
     return read_scale(FILE)
 
 
-def short(
-    experiment: Experiment, servers: int, faults: tuple[FaultPart, ...] = (), **more: object
+def short_setting(
+    experiment: Experiment, servers: int, faults: tuple[FaultPart, ...] = (), **case_changes: object
 ) -> Setting:
-    """A short run of the first three regions."""
-    case = msgspec.structs.replace(experiment.case[0], faults=faults, **more)
+    """Returns the setting of a short run of the first three regions."""
+    case = msgspec.structs.replace(experiment.case[0], faults=faults, **case_changes)
     return Setting(case, servers, 3, "wait", 1, 0.4)
 
 
-def counts(run: Run) -> dict[str, float]:
-    """The figures without those of the machine's clock."""
-    return {name: value for name, value in run.figures.items() if not any(one in name for one in NO_TIMES)}
+def deterministic_figures(run: Run) -> dict[str, float]:
+    """Returns the figures that do not depend on the machine's clock."""
+    return {
+        name: value
+        for name, value in run.figures.items()
+        if not any(marker in name for marker in CPU_TIME_MARKERS)
+    }
 
 
-def test_requests_a_change_and_messages_a_server_do_not_grow_with_the_servers(experiment: Experiment) -> None:
-    runs = [play(experiment, short(experiment, servers)) for servers in (45, 180)]
+def test_costs_per_change_and_server_do_not_grow_with_fleet_size(experiment: Experiment) -> None:
+    runs = [play(experiment, short_setting(experiment, servers)) for servers in (45, 180)]
     assert broken(runs) == []
     for run in runs:
         assert run.figures["committed"] > 5 and run.figures["never_opened"] == 0
 
 
-def test_the_same_seed_gives_the_same_run(experiment: Experiment) -> None:
-    first, again = (counts(play(experiment, short(experiment, 30))) for _ in range(2))
+def test_runs_with_the_same_seed_are_identical(experiment: Experiment) -> None:
+    first, again = (deterministic_figures(play(experiment, short_setting(experiment, 30))) for _ in range(2))
     assert first == again
 
 
-class IgnoresTheLeaseEnd(Participant):
-    """Goes on admitting when its lease has ended."""
+class LeaseIgnoringParticipant(Participant):
+    """Continues to admit after the end of its lease."""
 
     __slots__ = ()
 
@@ -70,8 +74,8 @@
         return self.applied_policy.version if self.has_held_lease else None
 
 
-class GrantsPastAuthority(Relay):
-    """Takes its authority for longer than it is."""
+class OvergrantingRelay(Relay):
+    """Assumes that its authority lasts 20 s longer than it does."""
 
     __slots__ = ()
 
@@ -80,68 +84,73 @@
 
 
 class FaultyServers(Servers):
-    def make(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
-        return IgnoresTheLeaseEnd(self._events.now, identity, relays, self.span_ms)
+    def make_participant(self, identity: ServerIdentity, relays: tuple[str, ...]) -> Participant:
+        return LeaseIgnoringParticipant(self._events.now, identity, relays, self.lease_ms)
 
 
 class FaultyRelays(Relays):
-    def make(self, identity: CellIdentity, incarnation: str) -> Relay:
-        return GrantsPastAuthority(self._events.now, identity, RelayStart(incarnation), self.rules)
+    def make_relay(self, identity: CellIdentity, incarnation: str) -> Relay:
+        return OvergrantingRelay(self._events.now, identity, RelayStart(incarnation), self.rules)
 
 
-class WithFaultyServers(Simulation):
+class SimulationWithFaultyServers(Simulation):
     servers_type = FaultyServers
 
 
-class WithFaultyRelays(Simulation):
+class SimulationWithFaultyRelays(Simulation):
     relays_type = FaultyRelays
 
 
-@pytest.mark.parametrize("make", [WithFaultyServers, WithFaultyRelays])
-def test_the_ledger_sees_a_fault_that_was_put_in(
+@pytest.mark.parametrize("make", [SimulationWithFaultyServers, SimulationWithFaultyRelays])
+def test_history_checker_detects_faulty_servers_and_relays(
     experiment: Experiment, make: Callable[[Experiment, Setting], Simulation]
 ) -> None:
-    """A region that is cut off under the rule `leave-out` stands aside, as nothing else makes it."""
+    """Guards against a history checker that misses breaches.
+
+    Under the rule `leave-out`, only the end of the lease stops the servers of a partitioned region from
+    admitting, so a server or relay that ignores this end must cause breaches."""
     cut = (FaultPart(kind="region-cut", at_s=31.0, region="us-central"),)
-    whole = short(experiment, 30, cut)
-    setting = Setting(whole.case, 30, 3, "leave-out", 1, 0.5)
-    sound = play(experiment, setting)
-    assert sound.figures["breaches"] == 0 and sound.figures["committed"] > 3
-    assert sound.figures["aside_lapsed"] > 0.1
+    base = short_setting(experiment, 30, cut)
+    setting = Setting(base.case, 30, 3, "leave-out", 1, 0.5)
+    fault_free = play(experiment, setting)
+    assert fault_free.figures["breaches"] == 0 and fault_free.figures["committed"] > 3
+    assert fault_free.figures["aside_lapsed"] > 0.1
     assert play(experiment, setting, make).figures["breaches"] > 0
 
 
-def changed(tmp_path: Path, old: str, new: str) -> Path:
+def write_changed_file(tmp_path: Path, old: str, new: str) -> Path:
     text = FILE.read_text()
     assert old in text
-    path = tmp_path / "mine.toml"
+    path = tmp_path / "changed.toml"
     path.write_text(text.replace(old, new, 1))
     return path
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "expected_message"),
     [
-        ("bound_ms = 3000.0", "bound_ms = -1.0", r"mine.toml: .rules.bound_ms: "),
-        ("bound_ms = 3000.0", "bound_mss = 1.0", r"mine.toml: .rules: .*bound_mss"),
-        ("[0, 15, 38", "[0, 16, 38", r"mine.toml: .topology.latency_ms: us-central and us-east"),
-        ("zones = [3, 3,", "zones = [3,", r"mine.toml: .topology.zones: 9 numbers for 10 regions"),
+        ("bound_ms = 3000.0", "bound_ms = -1.0", r"changed.toml: .rules.bound_ms: "),
+        ("bound_ms = 3000.0", "bound_mss = 1.0", r"changed.toml: .rules: .*bound_mss"),
+        ("[0, 15, 38", "[0, 16, 38", r"changed.toml: .topology.latency_ms: us-central and us-east"),
+        ("zones = [3, 3,", "zones = [3,", r"changed.toml: .topology.zones: 9 numbers for 10 regions"),
         (
             'regions = ["us-east", "us-central", "eu-west"]',
             'regions = ["mars"]',
-            r"mine.toml: .store.regions: 'mars'",
+            r"changed.toml: .store.regions: 'mars'",
         ),
-        ("server_lease_ms = 3000.0", "server_lease_ms = 4000.0", r"mine.toml: .rules.server_lease_ms: "),
-        ("version = 1", "version = 9", r"mine.toml: .version: "),
-        ('title = "', "title = ", r"mine.toml: not TOML"),
+        ("server_lease_ms = 3000.0", "server_lease_ms = 4000.0", r"changed.toml: .rules.server_lease_ms: "),
+        ("version = 1", "version = 9", r"changed.toml: .version: "),
+        ('title = "', "title = ", r"changed.toml: not TOML"),
     ],
 )
-def test_a_mistake_in_the_file_is_named_with_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
-    with pytest.raises(InvalidInputError, match=says):
-        read_scale(changed(tmp_path, old, new))
+def test_invalid_experiment_file_is_reported_with_its_key(
+    tmp_path: Path, old: str, new: str, expected_message: str
+) -> None:
+    with pytest.raises(InvalidInputError, match=expected_message):
+        read_scale(write_changed_file(tmp_path, old, new))
 
 
-def test_the_command_plays_a_case_and_leaves_its_results(tmp_path: Path) -> None:
+def test_scale_command_runs_a_case_and_writes_its_results(tmp_path: Path) -> None:
     command = [
         "scale",
         str(FILE),
@@ -154,24 +163,24 @@
         "--seed",
         "1",
     ]
-    done = CliRunner().invoke(lab, [*command, "--minutes", "0.3", "--json", "--out", str(tmp_path)])
-    assert done.exit_code == 0, done.output
-    told = json.loads(done.output)
-    assert told["simulated"] and told["runs"][0]["figures"]["breaches"] == 0
-    assert json.loads((tmp_path / "results.json").read_text()) == told
-    done = CliRunner().invoke(lab, ["scale", str(tmp_path / "none.toml"), "--part", "simulated"])
-    assert done.exit_code != 0 and "none.toml" in done.output
-    done = CliRunner().invoke(lab, ["list", str(FILE.parent)])
-    assert done.exit_code == 0 and "capacity.toml" in done.output
-
-
-def test_the_quick_form_plays_every_case_that_is_marked(experiment: Experiment) -> None:
+    result = CliRunner().invoke(lab, [*command, "--minutes", "0.3", "--json", "--out", str(tmp_path)])
+    assert result.exit_code == 0, result.output
+    results = json.loads(result.output)
+    assert results["simulated"] and results["runs"][0]["figures"]["breaches"] == 0
+    assert json.loads((tmp_path / "results.json").read_text()) == results
+    result = CliRunner().invoke(lab, ["scale", str(tmp_path / "none.toml"), "--part", "simulated"])
+    assert result.exit_code != 0 and "none.toml" in result.output
+    result = CliRunner().invoke(lab, ["list", str(FILE.parent)])
+    assert result.exit_code == 0 and "capacity.toml" in result.output
+
+
+def test_quick_mode_selects_the_marked_cases_and_quick_sizes(experiment: Experiment) -> None:
     quick = settings_of(experiment, is_quick=True)
     assert {setting.servers for setting in quick} == set(experiment.quick_servers)
     assert all(setting.case.is_quick for setting in quick)
 
 
-def test_an_indexed_key_space_answers_as_the_plain_one() -> None:
+def test_indexed_key_space_answers_like_the_plain_one() -> None:
     plain, indexed = KeySpace(), IndexedKeySpace()
     requests = [
         GrantLease(1000.0),
@@ -185,12 +194,12 @@
         Read(("f/a/", "f/b/")),
     ]
     for number, request in enumerate(requests):
-        now = number * 180.0  # the lease ends before the seventh request
+        now = number * 180.0  # the lease, granted at 0 for 1000 ms, ends before the seventh request
         assert plain.answer(now, request) == indexed.answer(now, request), f"request {number}"
 
 
-def test_grants_are_counted_as_they_go_over_the_wire(experiment: Experiment) -> None:
-    simulation = Simulation(experiment, short(experiment, 9))
+def test_sent_lease_grants_are_counted_and_recorded(experiment: Experiment) -> None:
+    simulation = Simulation(experiment, short_setting(experiment, 9))
     simulation.play()
     assert simulation.sizes.counts[LeaseGrant] > 9 * 30
     assert simulation.history.granted_until[simulation.history.version] > simulation.events.now
