--- a/otterrudder/lab/fleet/cell_coordinator_mutants.py
+++ b/otterrudder/lab/fleet/cell_coordinator_mutants.py
@@ -64,7 +64,7 @@
     coordinator_type = _OpensAnyBase
 
 
-class _IgnoresQueue(ChangeCoordinator):
+class _CoordinatorWithoutQueue(ChangeCoordinator):
     __slots__ = ()
 
     def effects(self, *arguments: Any) -> Read | Commit | None:
@@ -76,7 +76,7 @@
         return None
 
 
-class IgnoresTheQueue(MutantRelay):
+class NeverReadsQueue(MutantRelay):
     """Does not read the queue while no change is open."""
 
-    coordinator_type = _IgnoresQueue
+    coordinator_type = _CoordinatorWithoutQueue
--- a/otterrudder/lab/fleet/cell_history_checker.py
+++ b/otterrudder/lab/fleet/cell_history_checker.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RelayHistory:
-    """What one process of a relay has received and sent."""
+    """The messages that one process of a relay has received and sent."""
 
     name: str
     incarnation: str
--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -27,7 +27,7 @@
             continue  # a frozen process receives no answer
         if not cell_delivery.can_serve(state, exchange):
             if not host.is_frozen:
-                yield Event(f"{name}: no way there", partial(_drop, index))
+                yield Event(f"{name}: not delivered", partial(_drop, index))
             continue
         suffix = ": answer" if exchange.is_answer else ""
         yield Event(f"{name}{suffix}", partial(_deliver_store_exchange, index))
@@ -38,7 +38,7 @@
 def _store_faults(index: int, name: str, effect: Effect) -> Iterator[Event]:
     if isinstance(effect, Commit):
         yield Event(f"{name}: took effect, answer lost", partial(_lose_answer, index), 1)
-        yield Event(f"{name}: given up, still on its way", partial(_give_up, index), 1)
+        yield Event(f"{name}: given up, still in flight", partial(_give_up, index), 1)
     else:
         yield Event(f"{name}: slow answer", partial(_answer_slowly, index), 1)
 
--- a/otterrudder/lab/fleet/cell_participant_mutants.py
+++ b/otterrudder/lab/fleet/cell_participant_mutants.py
@@ -8,7 +8,7 @@
 from otterrudder.fleet.state import AdmissionStatus
 
 
-class CountsFromTheAnswer(Participant):
+class CountsLeaseFromAnswer(Participant):
     """Counts its lease from the arrival of the grant, not from the request."""
 
     def handle_message(self, now: float, connection: int, message: RelayMessage) -> None:
@@ -49,15 +49,15 @@
         super().handle_message(now, connection, message)
 
 
-class ExtendsLeaseOfOldVersion(Participant):
-    """Extends its lease by a grant for a newer version."""
+class ExtendsLeaseByNewerGrant(Participant):
+    """Extends the lease of its own version by a grant for a newer version."""
 
     def _extend_lease(self, version: int, until: float) -> None:
         super()._extend_lease(version, until)
         self.lease.until = max(self.lease.until, until)
 
 
-class GoesBackAVersion(Participant):
+class RevertsToOlderVersion(Participant):
     """Trusts the relay that sent the last message, even with an older version."""
 
     def _distrust_reason(self, version: int, change: str) -> str:
--- a/otterrudder/lab/fleet/cell_process_events.py
+++ b/otterrudder/lab/fleet/cell_process_events.py
@@ -174,7 +174,7 @@
 def engine_events(state: CellState, may_inject: bool) -> Iterator[Event]:
     """Yields the events of the store: it becomes unreachable or reachable, or another engine answers."""
     if state.is_store_unreachable:
-        yield Event("the store is back", partial(_set_store_unreachable, False))
+        yield Event("the store is reachable", partial(_set_store_unreachable, False))
     elif may_inject:
         yield Event("the store is unreachable", partial(_set_store_unreachable, True), 1)
     if not state.variant.has_backups:
@@ -184,7 +184,7 @@
     elif not state.store.backup:
         yield Event("a backup is taken", _take_backup)
     elif may_inject:
-        yield Event("an older copy answers", cell_store.restore_backup, 1)
+        yield Event("the backup answers", cell_store.restore_backup, 1)
 
 
 def _set_store_unreachable(is_unreachable: bool, state: CellState) -> None:
--- a/otterrudder/lab/fleet/cell_processes.py
+++ b/otterrudder/lab/fleet/cell_processes.py
@@ -91,7 +91,7 @@
 
 
 def shut_down_relay(state: CellState, index: int) -> None:
-    """Shuts a relay down in order: it dismisses its servers, revokes its lease and stops."""
+    """Shuts a relay down: it dismisses its servers, revokes its lease and stops."""
     host = state.relays[index]
     assert host.relay
     host.relay.begin_shutdown()
--- a/otterrudder/lab/fleet/cell_relay_mutants.py
+++ b/otterrudder/lab/fleet/cell_relay_mutants.py
@@ -50,7 +50,7 @@
         return math.inf if until > now else until
 
 
-class GrantsPastTheBound(MutantRelay):
+class GrantsPastBound(MutantRelay):
     """Grants leases that last longer than a change waits for them."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
@@ -138,7 +138,7 @@
         return self.leads()
 
 
-class _AsIfAlone(Member):
+class _ContinuesWithoutLease(Member):
     def admission_status(self, now: float) -> AdmissionStatus:
         admission_status = super().admission_status(now)
         return (
@@ -153,7 +153,7 @@
 class GrantsWithoutLease(MutantRelay):
     """Continues under `wait` without a lease, which is correct only if no other process shares its name."""
 
-    member_type = _AsIfAlone
+    member_type = _ContinuesWithoutLease
 
 
 class RequestsEndorsementTooLate(MutantRelay):
@@ -166,7 +166,7 @@
 # Validation and votes.
 
 
-class VotesWithoutAsking(MutantRelay):
+class VotesWithoutValidation(MutantRelay):
     """Accepts a change without validation by its servers."""
 
     def _start_validation(self, now: float, task: ValidatePolicy) -> None:
--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -7,16 +7,16 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet.cell_coordinator_mutants import (
-    IgnoresTheQueue,
+    NeverReadsQueue,
     OpensChangeFromAnyBase,
     OpensTwoChanges,
     RelayTrustsAnyStore,
 )
 from otterrudder.lab.fleet.cell_participant_mutants import (
-    CountsFromTheAnswer,
-    ExtendsLeaseOfOldVersion,
-    GoesBackAVersion,
+    CountsLeaseFromAnswer,
+    ExtendsLeaseByNewerGrant,
     IgnoresDigests,
+    RevertsToOlderVersion,
     SkipsValidation,
     TrustsFullSpan,
     UsesStaleClock,
@@ -27,7 +27,7 @@
     ForgetsClosedStreams,
     ForgetsEndorsementAtRestart,
     GrantsPastAuthority,
-    GrantsPastTheBound,
+    GrantsPastBound,
     GrantsThoughItEndorsed,
     GrantsToNewServersAtOnce,
     GrantsWithoutLease,
@@ -37,7 +37,7 @@
     TrustsOneEndorsement,
     VotesAtTakeover,
     VotesThoughItEndorsed,
-    VotesWithoutAsking,
+    VotesWithoutValidation,
 )
 from otterrudder.lab.fleet.cell_stages import CellStage
 from otterrudder.lab.fleet.cell_variants import RULES, SLOW_AND_FAST, CellVariant
@@ -140,14 +140,14 @@
 _STANDBY_RESTARTED = (
     "r00 cannot send",
     "r01 dies",
-    "the store is back",
+    "the store is reachable",
     "r01 starts",
     "s0 to r00: breaks",
     *_rounds(3),
 )
 _STORE_BACK_FOR_STANDBY = (
     "r00 cannot send",
-    "the store is back",
+    "the store is reachable",
     *_PROPOSED,
     *_rounds(1),
     "~s0 to r00: breaks",
@@ -168,7 +168,7 @@
     "a backup is taken",
     *_PROPOSED,
     *_rounds(3),
-    "an older copy answers",
+    "the backup answers",
     "r00 dies",
     "r01 dies",
     "r00 starts",
@@ -191,13 +191,13 @@
     "grants past its authority": SeededFault(
         CellVariant(relay=GrantsPastAuthority), CellStage.VOTED, _LATE_RENEWAL
     ),
-    "grants for longer than the bound": _of_relay(GrantsPastTheBound),
+    "grants for longer than the bound": _of_relay(GrantsPastBound),
     "grants to new servers at once": SeededFault(
         CellVariant(relay=GrantsToNewServersAtOnce), CellStage.VOTED, _NEW_SERVER
     ),
     "counts a lease from the answer": SeededFault(
         CellVariant(
-            participant=CountsFromTheAnswer, rules=_TIGHT, limits=RelayLimits(span_ms=_TIGHT.bound_ms)
+            participant=CountsLeaseFromAnswer, rules=_TIGHT, limits=RelayLimits(span_ms=_TIGHT.bound_ms)
         ),
         CellStage.QUIESCENT,
         _LATE_GRANT,
@@ -211,10 +211,10 @@
         CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _SERVER_FROZEN
     ),
     "goes on under the old version": SeededFault(
-        CellVariant(participant=ExtendsLeaseOfOldVersion), CellStage.COMMITTED, _SLOW_CHECK
+        CellVariant(participant=ExtendsLeaseByNewerGrant), CellStage.COMMITTED, _SLOW_CHECK
     ),
     "goes back a version": SeededFault(
-        CellVariant(participant=GoesBackAVersion), CellStage.QUIESCENT, _OLDER_VERSION
+        CellVariant(participant=RevertsToOlderVersion), CellStage.QUIESCENT, _OLDER_VERSION
     ),
     "switches without validation": _of_server(SkipsValidation, servers=3, has_rejecting_servers=True),
     "takes a damaged text": SeededFault(
@@ -244,7 +244,7 @@
         CellVariant(relay=GrantsWithoutLease), CellStage.QUIESCENT, _LEADER_CUT_OFF
     ),
     "asks for endorsement too late": _of_relay(RequestsEndorsementTooLate),
-    "votes without asking": _of_relay(VotesWithoutAsking),
+    "votes without asking": _of_relay(VotesWithoutValidation),
     "ignores rejections": _of_relay(IgnoresRejections, has_rejecting_servers=True),
     "reuses an old result": SeededFault(
         CellVariant(relay=ReusesOldResult, cells=2, servers=4, has_rejecting_servers=True),
@@ -258,5 +258,5 @@
     ),
     "opens two changes": _of_relay(OpensTwoChanges),
     "opens a change from any base": _of_relay(OpensChangeFromAnyBase, has_based_changes=True),
-    "ignores the queue": _of_relay(IgnoresTheQueue),
+    "ignores the queue": _of_relay(NeverReadsQueue),
 }
--- a/otterrudder/lab/fleet/model_events.py
+++ b/otterrudder/lab/fleet/model_events.py
@@ -14,9 +14,9 @@
 PROPOSERS = "AB"
 # Faults of a host that may end: the attribute of the host, and the events that begin and end the fault.
 _HOST_FAULTS = (
-    ("is_frozen", "freezes", "wakes"),
+    ("is_frozen", "freezes", "thaws"),
     ("is_cut", "is cut off", "is healed"),
-    ("is_full", "has no room", "has room"),
+    ("is_full", "has a full disk", "has free disk space"),
 )
 
 
@@ -26,7 +26,7 @@
     for at in range(len(state.exchanges)):
         yield from _exchange_events(state, at, may_inject)
     yield from _change_events(state, may_inject)
-    later = state.copy("time goes on")
+    later = state.copy("time passes")
     later.pass_time()
     yield _after_effects(later)
     yield from _host_events(state, may_inject)
@@ -47,10 +47,10 @@
         yield _after_effects(back)
         return
     if not state.backup:
-        copied = state.copy("the store is copied")
+        copied = state.copy("a backup is taken")
         copied.backup = copied.store.copy()
         yield copied
-    for other, label in ((state.backup, "an older copy answers"), (KeySpace(), "an empty store answers")):
+    for other, label in ((state.backup, "the backup answers"), (KeySpace(), "an empty store answers")):
         if may_inject and other:
             switched = state.copy(label, 1)
             switched.switch_store(restored_engine(other, state.now, state.injected_faults))
@@ -67,7 +67,7 @@
     if is_waiting and exchange.is_answer:
         return  # a frozen process receives no answer
     if host.is_cut and not exchange.is_answer and not is_dead:
-        lost = state.copy(f"{label}: no way there")
+        lost = state.copy(f"{label}: not delivered")
         lost.deliver_answer(lost.exchanges.pop(at))
         yield _after_effects(lost)
         return
@@ -104,7 +104,7 @@
     unanswered.serve(exchange)
     unanswered.deliver_answer(exchange)
     yield _after_effects(unanswered)
-    given_up = state.copy(f"{label}: given up, still on its way", 1)
+    given_up = state.copy(f"{label}: given up, still in flight", 1)
     exchange = given_up.exchanges[at]
     late = exchange.copy()
     late.incarnation = -exchange.incarnation  # it may still arrive, but its sender does not wait
@@ -177,7 +177,7 @@
         commit = remove_member(state.snapshot(), state.hosts[n].name)
     except ChangeRejectedError:
         return
-    removed = state.copy(f"{n} is said to be gone", 1)
+    removed = state.copy(f"{n} is removed", 1)
     removed.write(commit)
     removed.hosts[n].is_removed = True
     yield _after_effects(removed)
--- a/otterrudder/lab/fleet/mutants.py
+++ b/otterrudder/lab/fleet/mutants.py
@@ -105,7 +105,7 @@
         return self.rules.starts_from_directory and self.registration.joined
 
 
-class TrustsItsFile(Member):
+class TrustsFileRule(Member):
     """Trusts its state directory because its file now says `wait`, even if the roster says otherwise."""
 
     def _may_trust_directory(self) -> bool:
@@ -113,7 +113,7 @@
         return is_joined and self.prepared_vote is None
 
 
-class _ForgetfulVoting(Voting):
+class _VotingWithoutMemory(Voting):
     def update(self, sent: float, observed: ObservedState, is_up_to_date: bool) -> None:
         """Drops the prepared vote as soon as its change is no longer open."""
         change = observed.open
@@ -125,7 +125,7 @@
 class ForgetsPreparedVote(Member):
     """Drops a prepared vote as soon as the change has ended, before it has read the version now in force."""
 
-    voting_type = _ForgetfulVoting
+    voting_type = _VotingWithoutMemory
 
 
 # Votes.
@@ -167,7 +167,7 @@
         self.reads.is_discarded = False
 
 
-class _SilentRegistration(Registration):
+class _UncountedRegistration(Registration):
     def commit(self, observed: ObservedState, status: MemberStatus) -> Commit:
         """Returns the registration without the key that the count of votes compares."""
         commit = super().commit(observed, status)
@@ -175,13 +175,13 @@
         return replace(commit, writes=tuple(write for write in commit.writes if write.key != joined))
 
 
-class RegistersSilently(Member):
+class RegistersUncounted(Member):
     """Registers without invalidating a count of votes, so that a count without this member still commits."""
 
-    registration_type = _SilentRegistration
+    registration_type = _UncountedRegistration
 
 
-class _GreedyRegistration(Registration):
+class _UncheckedRegistration(Registration):
     def is_foreign(self, observed: ObservedState) -> bool:
         """Returns False for every name."""
         return False
@@ -190,10 +190,10 @@
 class TakesForeignNames(Member):
     """Takes a name whose lease has expired, although its holder may still serve without a connection."""
 
-    registration_type = _GreedyRegistration
+    registration_type = _UncheckedRegistration
 
 
-class _SharedRegistration(_GreedyRegistration):
+class _SharedRegistration(_UncheckedRegistration):
     def is_name_taken(self, observed: ObservedState) -> bool:
         """Returns False for every name."""
         return False
@@ -205,7 +205,7 @@
         return is_lost
 
 
-class SharesItsName(Member):
+class SharesName(Member):
     """Serves under a name that another process holds."""
 
     registration_type = _SharedRegistration
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -13,14 +13,14 @@
     ForgetsPreparedVote,
     NeverReadsAgain,
     NeverSuspends,
-    RegistersSilently,
+    RegistersUncounted,
     RetainsSyncWithoutLease,
     ServesWithoutLease,
-    SharesItsName,
+    SharesName,
     SyncsBeforeRegistration,
     TakesForeignNames,
     TrustsAnyDirectory,
-    TrustsItsFile,
+    TrustsFileRule,
     TrustsLateRead,
     UsesClockOfLastAnswer,
     VotesBeforeSave,
@@ -88,7 +88,7 @@
     "0.-1 vote",
 )
 _DISK_FULL = (
-    "0 has no room",
+    "0 has a full disk",
     "A reads",
     "A: propose",
     "1.1 read",
@@ -116,8 +116,8 @@
     "~2.1 vote",
 )
 _LEASE_OF_COPY = (
-    "the store is copied",
-    "an older copy answers",
+    "a backup is taken",
+    "the backup answers",
     *(("time",) * 5),
     "0 is cut off",
     "the store itself answers",
@@ -147,7 +147,7 @@
         Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
     ),
     "trusts its file": SeededFault(
-        Variant(TrustsItsFile, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
+        Variant(TrustsFileRule, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
         Stage.QUIESCENT,
         _OLD_RULES,
         4,
@@ -167,11 +167,11 @@
     "syncs before it registers": SeededFault(
         Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)
     ),
-    "registers silently": SeededFault(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
+    "registers silently": SeededFault(Variant(RegistersUncounted, rules=LEAVE_OUT, has_disk=False)),
     "takes foreign names": SeededFault(
         Variant(TakesForeignNames, has_name_conflict=True), Stage.QUIESCENT, _NAME_AFTER_LEASE, 6, 0
     ),
-    "shares its name": SeededFault(Variant(SharesItsName, has_name_conflict=True)),
+    "shares its name": SeededFault(Variant(SharesName, has_name_conflict=True)),
     "applies before the commit": SeededFault(Variant(AppliesBeforeCommit)),
     "forgets its prepared vote": SeededFault(
         Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
