--- a/otterrudder/lab/scale/simulated.py
+++ b/otterrudder/lab/scale/simulated.py
@@ -1,4 +1,4 @@
-"""The part of `lab scale` in simulated time."""
+"""Runs the simulated part of `lab scale`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """What the command line says; None: as the file has it."""
+    """Options of the command line. None means the value of the experiment file."""
 
     is_quick: bool
     seed: int | None
@@ -24,8 +24,11 @@
     folder: Path
 
 
-def perform(file: Path, choice: Choice, say: Callable[[str], None]) -> list[str]:
-    """Plays the chosen runs, shows and writes them; what does not hold. Raises InvalidInputError."""
+def perform(file: Path, choice: Choice, echo: Callable[[str], None]) -> list[str]:
+    """Runs the selected settings, and prints and writes their results.
+
+    Returns a description of each claim that does not hold. Raises InvalidInputError if the experiment file is
+    invalid or no case is selected."""
     experiment = read_scale(file)
     settings = settings_of(
         experiment,
@@ -37,16 +40,16 @@
     )
     if not settings:
         raise InvalidInputError(
-            f"{file.name}: .case: none of these is to be played: {', '.join(choice.names) or 'none'}"
+            f"{file.name}: .case: no case to run matches the selection: {', '.join(choice.names) or 'none'}"
         )
     runs = []
     for setting in settings:
         runs.append(play(experiment, setting))
         if not choice.is_json:
-            say(f"{len(runs)}/{len(settings)} {setting.label} (simulated)")
+            echo(f"{len(runs)}/{len(settings)} {setting.label} (simulated)")
     written = write(experiment, runs, choice.folder)
     for line in [as_json(experiment, runs)] if choice.is_json else table(runs):
-        say(line)
+        echo(line)
     if not choice.is_json:
-        say(f"wrote {', '.join(map(str, written))}")
+        echo(f"wrote {', '.join(map(str, written))}")
     return broken(runs)
--- a/otterrudder/lab/scale/topology.py
+++ b/otterrudder/lab/scale/topology.py
@@ -1,4 +1,4 @@
-"""Where everything is: regions and zones, the servers of each, the relays of each cell, and the store."""
+"""The placement of a fleet: its regions and zones, their latencies, and the regions of the store."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """A zone, which is a cell as well. `number` counts over all regions."""
+    """A zone, whose servers form one cell. `number` is unique over all regions."""
 
     number: int
     region: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """Zones in regions, and how far they are from each other."""
+    """The zones and regions of a fleet, and the latencies between regions."""
 
     zones: tuple[Zone, ...]
     regions: tuple[str, ...]
@@ -24,20 +24,22 @@
     store_regions: tuple[int, ...]
 
     @staticmethod
-    def of(experiment: Experiment, regions_most: int | None = None) -> "Topology":
-        """`regions_most`: the first so many regions alone; the store's members stay where they are."""
-        told = experiment.topology
+    def of(experiment: Experiment, max_regions: int | None = None) -> "Topology":
+        """Creates the topology of an experiment, of its first `max_regions` regions if given.
+
+        The store's members stay in their regions even if these have no servers then."""
+        topology = experiment.topology
         zones: list[Zone] = []
-        for region, count in enumerate(told.zones[:regions_most]):
+        for region, count in enumerate(topology.zones[:max_regions]):
             zones += [
-                Zone(len(zones) + which, region, f"{told.regions[region]}-{'abcdefghij'[which]}")
-                for which in range(count)
+                Zone(len(zones) + index, region, f"{topology.regions[region]}-{'abcdefghij'[index]}")
+                for index in range(count)
             ]
-        stores = tuple(told.regions.index(region) for region in experiment.store.regions)
-        return Topology(tuple(zones), told.regions, told.latency_ms, stores)
+        store_regions = tuple(topology.regions.index(region) for region in experiment.store.regions)
+        return Topology(tuple(zones), topology.regions, topology.latency_ms, store_regions)
 
     def neighbour(self, zone: Zone) -> Zone:
-        """The next zone of the same region; of the nearest region, where it has no other."""
+        """Returns the next zone of the same region, or of the nearest region if there is no other."""
         others = [other for other in self.zones if other != zone]
         latency = self.latency_ms[zone.region]
         return min(
@@ -49,8 +51,9 @@
             ),
         )
 
-    def store_way_ms(self, region: int) -> float:
-        """One way from a region to the store's leader, by way of the member over which it is shortest."""
+    def store_one_way_ms(self, region: int) -> float:
+        """Returns the one-way latency from a region to the store's leader through the member for which it is
+        shortest, in ms."""
         leader = self.store_regions[0]
         return min(
             self.latency_ms[region][member] + self.latency_ms[member][leader] for member in self.store_regions
@@ -58,8 +61,8 @@
 
     @property
     def quorum_ms(self) -> float:
-        """From the store's leader to the nearest half of the other members and back."""
+        """The round trip in ms from the store's leader to the other members that it needs for a quorum."""
         leader = self.store_regions[0]
-        ways = sorted(self.latency_ms[leader][member] for member in self.store_regions[1:])
+        latencies = sorted(self.latency_ms[leader][member] for member in self.store_regions[1:])
         needed = len(self.store_regions) // 2
-        return 2 * ways[needed - 1] if needed else 0.0
+        return 2 * latencies[needed - 1] if needed else 0.0
