--- a/otterrudder/lab/fleet/cell_message_events.py
+++ b/otterrudder/lab/fleet/cell_message_events.py
@@ -203,10 +203,10 @@
         if ident not in state.proposed and compute(state, ident):
             yield Event(f"{ident} reads, to propose", partial(_compute, ident, compute))
     for proposer, commit in state.pending.items():
-        yield Event(f"{proposer}: {commit.purpose}", partial(_send, proposer))
+        yield Event(f"{proposer}: {commit.purpose}", partial(_send_commit, proposer))
 
 
-def _send(proposer: str, state: CellState) -> None:
+def _send_commit(proposer: str, state: CellState) -> None:
     cell_store.write(state, state.pending.pop(proposer))
 
 
--- a/otterrudder/lab/fleet/cell_recovery.py
+++ b/otterrudder/lab/fleet/cell_recovery.py
@@ -10,7 +10,7 @@
 STEP_MS = 500.0  # simulated time of a step
 RECOVERY_STEPS = 100  # steps within which all servers have to agree
 # Steps with a reachable store before it becomes unreachable. A relay that has just started may have endorsed
-# another one before its restart, so it takes no part in votes and grants for a while.
+# another one before its restart, so it neither votes nor grants leases for a while.
 SETTLING_STEPS = RECOVERY_STEPS // 5
 UNREACHABLE_STEPS = 30  # steps without the store after the recovery
 
--- a/otterrudder/lab/fleet/model.py
+++ b/otterrudder/lab/fleet/model.py
@@ -62,7 +62,7 @@
     """A request in flight (`outcome` is not set) or its answer."""
 
     host: int
-    incarnation: int  # of the process that sent the request; negative if it no longer waits for the answer
+    incarnation: int  # process that sent the request; negative if it no longer waits for the answer
     effect: Effect
     sent: float
     is_answer: bool = False
