--- a/otterrudder/lab/scale/churn.py
+++ b/otterrudder/lab/scale/churn.py
@@ -49,7 +49,7 @@
             "burst": self._burst,
         }
 
-    def schedule_ordinary(self, begin: float, end: float) -> None:
+    def schedule_random_faults(self, begin: float, end: float) -> None:
         """Schedules random restarts and failures at the daily rates, scaled to the number of servers.
 
         Machines of relays restart and fail at the same rates as those of servers."""
@@ -87,35 +87,35 @@
 
     def _restart(self, host: ServerHost | RelayHost, _: object) -> None:
         self._count("restart")
-        back = self._events.now + self._part.restart_s * 1000.0
+        restart_at = self._events.now + self._part.restart_s * 1000.0
         if isinstance(host, ServerHost):
             self._servers.stop(host, is_silent=False)
-            self._events.at(back, self._servers.start, host)
+            self._events.at(restart_at, self._servers.start, host)
         else:
-            self._restart_relay(host, back)
+            self._restart_relay(host, restart_at)
 
     def _fail(self, host: ServerHost | RelayHost, _: object) -> None:
         self._count("failure")
-        back = self._events.now + self._part.repair_s * 1000.0
+        restart_at = self._events.now + self._part.repair_s * 1000.0
         if isinstance(host, ServerHost):
             self._servers.stop(host, is_silent=True)
-            self._events.at(back, self._servers.start, host)
+            self._events.at(restart_at, self._servers.start, host)
         else:
-            self._fail_relay_machine(host.zone, back)
+            self._fail_relay_machine(host.zone, restart_at)
 
-    def _restart_relay(self, host: RelayHost, back: float) -> None:
+    def _restart_relay(self, host: RelayHost, restart_at: float) -> None:
         self._relays.shut_down(host)
-        self._events.at(back, self._relays.start, host)
+        self._events.at(restart_at, self._relays.start, host)
 
     def _relays_on_machine_of(self, zone: Zone) -> list[RelayHost]:
         """Returns the relays on the control machine of a zone."""
         return [host for host in self._relays.hosts if host.zone == zone]
 
-    def _fail_relay_machine(self, zone: Zone, back: float) -> None:
+    def _fail_relay_machine(self, zone: Zone, restart_at: float) -> None:
         for host in self._relays_on_machine_of(zone):
             host.is_machine_up = False
             self._relays.stop(host, is_silent=True)
-            self._events.at(back, self._repair_relay, host)
+            self._events.at(restart_at, self._repair_relay, host)
 
     def _repair_relay(self, host: RelayHost, _: object) -> None:
         host.is_machine_up = True
@@ -124,6 +124,7 @@
     # Scripted faults
 
     def _end_of(self, fault: FaultPart, default_s: float) -> float:
+        """Returns the time at which a fault that begins now ends."""
         return self._events.now + (fault.for_s or default_s) * 1000.0
 
     def _zone_of(self, fault: FaultPart) -> Zone:
@@ -132,6 +133,7 @@
         return zones[0] if zones else self._random.choice(self._topology.zones)
 
     def _leader_of(self, zone: Zone) -> RelayHost:
+        """Returns the leading relay of a zone's cell, or the first relay of the cell if none leads."""
         cell = [host for host in self._relays.hosts if host.cell == zone.name]
         return next((host for host in cell if host.relay and host.relay.leads()), cell[0])
 
@@ -151,10 +153,10 @@
     def _rack(self, fault: FaultPart) -> None:
         """Fails the machines of one rack of a zone together, as a loss of power does."""
         servers = self._servers_of(self._zone_of(fault))
-        back = self._end_of(fault, self._part.repair_s)
+        restart_at = self._end_of(fault, self._part.repair_s)
         for host in servers[: self._part.rack_servers]:
             self._servers.stop(host, is_silent=True)
-            self._events.at(back + self._restart_jitter_ms(), self._servers.start, host)
+            self._events.at(restart_at + self._restart_jitter_ms(), self._servers.start, host)
 
     def _restart_jitter_ms(self) -> float:
         return self._random.uniform(0.0, RESTART_JITTER_MS)
@@ -173,18 +175,18 @@
 
     def _zone_restart(self, fault: FaultPart) -> None:
         """Kills all servers of a zone at the same time and restarts them at the same time."""
-        back = self._end_of(fault, self._part.restart_s)
+        restart_at = self._end_of(fault, self._part.restart_s)
         for host in self._servers_of(self._zone_of(fault)):
             self._servers.stop(host, is_silent=False)
-            self._events.at(back, self._servers.start, host)
+            self._events.at(restart_at, self._servers.start, host)
 
     def _zone(self, fault: FaultPart) -> None:
         """Fails a whole zone: its servers and its control machine."""
-        zone, back = self._zone_of(fault), self._end_of(fault, self._part.repair_s)
-        self._fail_relay_machine(zone, back)
+        zone, restart_at = self._zone_of(fault), self._end_of(fault, self._part.repair_s)
+        self._fail_relay_machine(zone, restart_at)
         for host in self._servers_of(zone):
             self._servers.stop(host, is_silent=True)
-            self._events.at(back + self._restart_jitter_ms(), self._servers.start, host)
+            self._events.at(restart_at + self._restart_jitter_ms(), self._servers.start, host)
 
     def _region_cut(self, fault: FaultPart) -> None:
         region = self._zone_of(fault).region
--- a/otterrudder/lab/scale/experiment.py
+++ b/otterrudder/lab/scale/experiment.py
@@ -167,12 +167,12 @@
 
 def _errors(experiment: Experiment) -> Iterator[str]:
     """Yields a message for each error, which starts with the key."""
-    yield from _head_errors(experiment)
+    yield from _general_errors(experiment)
     yield from _topology_errors(experiment)
     yield from _case_errors(experiment)
 
 
-def _head_errors(experiment: Experiment) -> Iterator[str]:
+def _general_errors(experiment: Experiment) -> Iterator[str]:
     if experiment.version != VERSION:
         yield f".version: this program supports only version {VERSION}"
     if not experiment.seeds:
--- a/otterrudder/lab/scale/history_checker.py
+++ b/otterrudder/lab/scale/history_checker.py
@@ -19,8 +19,8 @@
 
 @dataclass(slots=True)
 class ChangeTimes:
-    """The times at which a change reached each stage, in ms from the start of the run. They are inf for stages
-    that it has not reached."""
+    """The times at which a change reached each stage, in ms from the start of the run; inf for stages that it
+    has not reached."""
 
     change_id: str
     proposed_at: float
@@ -32,7 +32,7 @@
     version: int = 0  # policy version that the change produced; 0: it was not committed
 
     @property
-    def propagation_ms(self) -> float:
+    def latency_ms(self) -> float:
         """The time from the proposal until the change was in force on all servers, in ms."""
         return self.in_force_at - self.proposed_at
 
@@ -45,17 +45,15 @@
     bound_ms: float
     changes: dict[str, ChangeTimes] = field(default_factory=dict)
     committed_at: list[float] = field(default_factory=lambda: [0.0])  # by version
-    change_id_by_version: list[str] = field(default_factory=lambda: [""])  # by version
-    admitted_until: list[float] = field(
-        default_factory=lambda: [0.0]
-    )  # by version: last time that any server admitted under an earlier version
-    granted_until: list[float] = field(
-        default_factory=lambda: [0.0]
-    )  # by version: latest end of all leases sent
+    change_id_by_version: list[str] = field(default_factory=lambda: [""])
+    # by version: latest time at which any server admitted under an earlier version
+    admitted_until: list[float] = field(default_factory=lambda: [0.0])
+    # by version: latest end of all leases that were sent for it
+    granted_until: list[float] = field(default_factory=lambda: [0.0])
     aborted: list[str] = field(default_factory=list)
     breaches: int = 0
     breach_descriptions: list[str] = field(default_factory=list)
-    max_stale_ms: float = 0.0  # longest time that a version was used after the commit of the next one
+    max_stale_ms: float = 0.0  # longest use of a version after the commit of the next one
 
     @property
     def version(self) -> int:
@@ -76,8 +74,8 @@
             if write.key == self.keys.policy:
                 self._record_policy(now, decode(write.value, PolicyHead))
             elif write.key == self.keys.change:
-                opened = self._times_of(decode(write.value, Change).id)
-                opened.opened_at = min(opened.opened_at, now)
+                times = self._times_of(decode(write.value, Change).id)
+                times.opened_at = min(times.opened_at, now)
             elif write.key.startswith(self.keys.queue):
                 self._times_of(decode(write.value, QueuedChange).id).queued_at = now
             elif write.key == self.keys.finished and commit.purpose == "abort":
@@ -97,21 +95,21 @@
         change.version = head.version
         change.ended_at = now
         for version in range(head.version):
-            late = self.granted_until[version] - self.committed_at[version + 1] - self.bound_ms
-            if late > TOLERANCE_MS:
-                self._record_breach(f"a lease for version {version} ends {late:.0f} ms after the bound")
+            overrun_ms = self.granted_until[version] - self.committed_at[version + 1] - self.bound_ms
+            if overrun_ms > TOLERANCE_MS:
+                self._record_breach(f"a lease for version {version} ends {overrun_ms:.0f} ms after the bound")
                 self.granted_until[version] = 0.0
 
     def _record_abort(self, now: float, value: bytes) -> None:
-        end = msgspec.json.decode(value, type=list[FinishedChange])[-1]
-        self._times_of(end.id).ended_at = now
-        self.aborted.append(f"{end.id}: {end.reason}")
+        finished = msgspec.json.decode(value, type=list[FinishedChange])[-1]
+        self._times_of(finished.id).ended_at = now
+        self.aborted.append(f"{finished.id}: {finished.reason}")
 
     # Leases granted by relays
 
-    def record_grant(self, now: float, version: int, span_ms: float) -> None:
+    def record_grant(self, now: float, version: int, lease_ms: float) -> None:
         """Records and checks a lease for a policy version that a relay sent."""
-        until = now + span_ms
+        until = now + lease_ms
         if version >= self.version:
             if version > self.version:
                 self._record_breach(f"a lease was granted for version {version}, which was never committed")
@@ -119,9 +117,9 @@
             if until > self.granted_until[version]:
                 self.granted_until[version] = until
             return
-        late = until - self.committed_at[version + 1] - self.bound_ms
-        if late > TOLERANCE_MS:
-            self._record_breach(f"a lease for version {version} ends {late:.0f} ms after the bound")
+        overrun_ms = until - self.committed_at[version + 1] - self.bound_ms
+        if overrun_ms > TOLERANCE_MS:
+            self._record_breach(f"a lease for version {version} ends {overrun_ms:.0f} ms after the bound")
 
     # Policy versions under which servers admit
 
@@ -131,10 +129,12 @@
             if version > self.version:
                 self._record_breach(f"{server} admits under version {version}, which was never committed")
             return
-        age = now - self.committed_at[version + 1]
-        self.max_stale_ms = max(self.max_stale_ms, age)
-        if age > self.bound_ms + TOLERANCE_MS:
-            self._record_breach(f"{server} admits under version {version} {age:.0f} ms after the next commit")
+        stale_ms = now - self.committed_at[version + 1]
+        self.max_stale_ms = max(self.max_stale_ms, stale_ms)
+        if stale_ms > self.bound_ms + TOLERANCE_MS:
+            self._record_breach(
+                f"{server} admits under version {version} {stale_ms:.0f} ms after the next commit"
+            )
 
     def record_version_end(self, version: int, newer: int, until: float) -> None:
         """Records that a server stopped admitting under `version` at time `until`.
@@ -145,12 +145,12 @@
             if until > admitted_until[later]:
                 admitted_until[later] = until
         if version < self.version:
-            age = until - self.committed_at[version + 1]
-            if age > self.max_stale_ms:
-                self.max_stale_ms = age
-            if age > self.bound_ms + TOLERANCE_MS:
+            stale_ms = until - self.committed_at[version + 1]
+            if stale_ms > self.max_stale_ms:
+                self.max_stale_ms = stale_ms
+            if stale_ms > self.bound_ms + TOLERANCE_MS:
                 self._record_breach(
-                    f"a server applied version {version} until {age:.0f} ms after the next commit"
+                    f"a server applied version {version} until {stale_ms:.0f} ms after the next commit"
                 )
 
     def close(self) -> None:
--- a/otterrudder/lab/scale/play.py
+++ b/otterrudder/lab/scale/play.py
@@ -87,10 +87,10 @@
 def play(
     experiment: Experiment,
     setting: Setting,
-    make: Callable[[Experiment, Setting], Simulation] = Simulation,
+    make_simulation: Callable[[Experiment, Setting], Simulation] = Simulation,
 ) -> Run:
     """Simulates one run to its end and returns its figures."""
-    simulation = make(experiment, setting)
+    simulation = make_simulation(experiment, setting)
     readings: list[_Reading] = []
     simulation.events.at(simulation.begin_ms - BASELINE_MS, _read, simulation, readings)
     simulation.events.at(simulation.begin_ms, _read, simulation, readings)
@@ -103,9 +103,9 @@
     finally:
         gc.enable()
         gc.unfreeze()
-    took = process_time() - began
+    cpu_s = process_time() - began
     _read(simulation, readings)
-    return Run(setting, _figures(simulation, readings, took), _notes(simulation))
+    return Run(setting, _figures(simulation, readings, cpu_s), _notes(simulation))
 
 
 def _read(simulation: Simulation, readings: list[_Reading]) -> None:
@@ -118,7 +118,7 @@
     return (*history.breach_descriptions, *history.aborted[:3], f"churn: {faults or 'none'}")
 
 
-def _figures(simulation: Simulation, readings: list[_Reading], took: float) -> dict[str, float]:
+def _figures(simulation: Simulation, readings: list[_Reading], cpu_s: float) -> dict[str, float]:
     baseline, begin, end = readings
     return {
         **_change_figures(simulation),
@@ -129,50 +129,50 @@
         "cells": float(len(simulation.topology.zones)),
         "breaches": float(simulation.history.breaches),
         "oldest_ms": simulation.history.max_stale_ms,
-        "events": float(simulation.events.played),
-        "cpu_s": took,
+        "events": float(simulation.events.executed),
+        "cpu_s": cpu_s,
     }
 
 
 def _change_figures(simulation: Simulation) -> dict[str, float]:
     changes = list(simulation.history.changes.values())
-    done = [change for change in changes if change.version and change.in_force_at < float("inf")]
-    took = sorted(change.propagation_ms for change in done) or [float("nan")]
-    in_time = sum(change.propagation_ms <= ON_TIME_MS for change in done)
+    committed = [change for change in changes if change.version and change.in_force_at < float("inf")]
+    latencies = sorted(change.latency_ms for change in committed) or [float("nan")]
+    on_time = sum(change.latency_ms <= ON_TIME_MS for change in committed)
     figures = {
         "asked": float(simulation.proposers.proposed),
         "committed": float(simulation.history.version),
         "aborted": float(len(simulation.history.aborted)),
         "never_opened": float(sum(change.opened_at == float("inf") for change in changes)),
-        "in_4_s": in_time / max(len(changes), 1),
-        "took_p50_ms": _percentile(took, 0.5),
-        "took_p99_ms": _percentile(took, 0.99),
-        "took_max_ms": took[-1],
+        "in_4_s": on_time / max(len(changes), 1),
+        "took_p50_ms": _percentile(latencies, 0.5),
+        "took_p99_ms": _percentile(latencies, 0.99),
+        "took_max_ms": latencies[-1],
     }
-    return figures | _stage_medians(done)
+    return figures | _stage_medians(committed)
 
 
-def _stage_medians(done: list[ChangeTimes]) -> dict[str, float]:
+def _stage_medians(committed: list[ChangeTimes]) -> dict[str, float]:
     """Returns the median time that a committed change spent in each stage, in ms."""
-    if not done:
+    if not committed:
         return {}
-    parts = {
-        "queueing_ms": [change.queued_at - change.proposed_at for change in done],
-        "waiting_ms": [change.opened_at - change.queued_at for change in done],
-        "voting_ms": [change.ended_at - change.opened_at for change in done],
-        "spreading_ms": [change.in_force_at - change.ended_at for change in done],
+    stages = {
+        "queueing_ms": [change.queued_at - change.proposed_at for change in committed],
+        "waiting_ms": [change.opened_at - change.queued_at for change in committed],
+        "voting_ms": [change.ended_at - change.opened_at for change in committed],
+        "spreading_ms": [change.in_force_at - change.ended_at for change in committed],
     }
-    return {name: statistics.median(values) for name, values in parts.items()}
+    return {name: statistics.median(values) for name, values in stages.items()}
 
 
-def _percentile(values: list[float], share: float) -> float:
-    return values[min(int(len(values) * share), len(values) - 1)]
+def _percentile(sorted_values: list[float], share: float) -> float:
+    return sorted_values[min(int(len(sorted_values) * share), len(sorted_values) - 1)]
 
 
 def _store_figures(
     simulation: Simulation, baseline: _Reading, begin: _Reading, end: _Reading
 ) -> dict[str, float]:
-    """Returns the store requests per change, less the requests that an idle fleet makes in the same time."""
+    """Returns the store requests per change, without those that an idle fleet makes in the same time."""
     changes = max(simulation.history.version, 1)
     baseline_s = (begin.at_ms - baseline.at_ms) / 1000.0
     load_s = (end.at_ms - begin.at_ms) / 1000.0
@@ -236,13 +236,14 @@
     return {
         "aside": servers.suspended.total() / samples,
         "aside_server_s": servers.suspended.total() * simulation.setting.case.look_ms / 1000.0,
-        "aside_until_s": max(suspended_s, 0.0) if scripted else 0.0,  # since the first scripted fault
+        # time of the last suspension, from the first scripted fault
+        "aside_until_s": max(suspended_s, 0.0) if scripted else 0.0,
         **figures,
     }
 
 
 def _cpu_figures(simulation: Simulation) -> dict[str, float]:
-    """Returns the CPU time of the participants and relays alone, per simulated second."""
+    """Returns the CPU time of participants and relays, without the simulator, per simulated second."""
     servers, relays = simulation.servers, simulation.relays
     server_seconds = len(servers.hosts) * simulation.events.now / 1000.0
     relay_ms = relays.message_cpu.total_ms + relays.store_cpu.total_ms
--- a/otterrudder/lab/scale/proposers.py
+++ b/otterrudder/lab/scale/proposers.py
@@ -14,7 +14,7 @@
 from otterrudder.lab.scale.topology import Topology
 
 RETRY_MS = 1000.0  # delay until a proposer without an answer retries its request
-CHANGE_NOTE = "a change of the day"
+CHANGE_NOTE = "ordinary policy change"
 DEADLINE_MS = 30_000.0  # deadline of a change, from its opening
 
 
--- a/otterrudder/lab/scale/relays.py
+++ b/otterrudder/lab/scale/relays.py
@@ -96,7 +96,7 @@
         identity = CellIdentity(self.fleet, host.cell, host.address, host.candidates)
         host.relay = self.make_relay(identity, f"{host.address}.{host.incarnation}")
         self._step(host)
-        self._watch(host)
+        self._update_watches(host)
 
     def make_relay(self, identity: CellIdentity, incarnation: str) -> Relay:
         """Creates the relay of a new process."""
@@ -113,7 +113,7 @@
         streams, host.streams = host.streams, {}
         if not is_silent:
             for stream in streams.values():
-                self._end(stream)
+                self._close_stream(stream)
 
     def shut_down(self, host: RelayHost) -> None:
         """Shuts the process down gracefully: notifies its servers and revokes its lease."""
@@ -123,8 +123,8 @@
         relay.begin_shutdown()
         self._step(host)
         if relay.member.lease and not self._is_store_cut(host):
-            arrives = self._events.now + self.store.arrival_ms(host.zone.region, RenewLease(0))
-            self._events.at(arrives, self._revoke, relay.member.lease)
+            arrival_at = self._events.now + self.store.arrival_ms(host.zone.region, RenewLease(0))
+            self._events.at(arrival_at, self._revoke, relay.member.lease)
         self.stop(host, is_silent=False)
 
     def _revoke(self, lease: int, _: object) -> None:
@@ -210,7 +210,7 @@
     # Requests to the store, and watches
 
     def notify_watchers(self, keys: list[str]) -> None:
-        """Schedules one watch event for each relay and each of its watched prefixes that matches one of `keys`.
+        """Schedules a watch event for each relay and each of its watched prefixes that matches one of `keys`.
 
         The keys were written or deleted together."""
         for host in self.hosts:
@@ -222,7 +222,7 @@
                     due = self._events.now + self.store.watch_ms(host.zone.region)
                     self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
-    def _watch(self, host: RelayHost) -> None:
+    def _update_watches(self, host: RelayHost) -> None:
         """Starts and ends watches so that they match the prefixes that the relay wants to watch.
 
         A new watch delivers one event when it starts, since its prefix may have changed before."""
@@ -232,15 +232,15 @@
         wanted = frozenset(relay.watched_prefixes())
         if wanted == host.watching:
             return
-        begun, host.watching = wanted - host.watching, wanted
-        for prefix in sorted(begun):
+        started, host.watching = wanted - host.watching, wanted
+        for prefix in sorted(started):
             due = self._events.now + 2 * self.store.watch_ms(host.zone.region)
             self._events.at(due, self.handle_watch_event, host, (host.incarnation, prefix))
 
     def restore_watches(self, host: RelayHost) -> None:
         """Restarts all watches of a relay after the store has become reachable again."""
         host.watching = frozenset()
-        self._watch(host)
+        self._update_watches(host)
 
     def _is_store_cut(self, host: RelayHost) -> bool:
         return self._network.is_cut(host.zone.region, self._store_region)
@@ -251,16 +251,16 @@
         if self._is_store_cut(host):
             self._events.at(now + self.timeout_ms, self._handle_store_response, host, call)
             return
-        arrives = now + self.store.arrival_ms(host.zone.region, effect)
-        self._events.at(arrives, self._at_store, host, call)
+        arrival_at = now + self.store.arrival_ms(host.zone.region, effect)
+        self._events.at(arrival_at, self._handle_arrival, host, call)
 
-    def _at_store(self, host: RelayHost, call: Call) -> None:
-        """It takes effect, also where nobody hears of it."""
+    def _handle_arrival(self, host: RelayHost, call: Call) -> None:
+        """Executes a request at the store. It takes effect even if its answer is lost or late."""
         outcome = self.store.answer(self._events.now, call.effect)
         due = self._events.now + self.store.answer_ms(host.zone.region)
-        too_late = call.sent + self.timeout_ms
-        if due >= too_late or self._is_store_cut(host):
-            self._events.at(max(too_late, self._events.now), self._handle_store_response, host, call)
+        timeout_at = call.sent + self.timeout_ms
+        if due >= timeout_at or self._is_store_cut(host):
+            self._events.at(max(timeout_at, self._events.now), self._handle_store_response, host, call)
         else:
             answered = Call(call.incarnation, call.effect, call.sent, outcome)
             self._events.at(due, self._handle_store_response, host, answered)
@@ -277,7 +277,7 @@
         self.store_cpu.calls += 1
         self.store_cpu.add(began)
         self._step(host)
-        self._watch(host)
+        self._update_watches(host)
 
     # Effects of a relay
 
@@ -304,7 +304,7 @@
         elif isinstance(effect, EndSession):
             stream = host.streams.pop(effect.connection, None)
             if stream:
-                self._end(stream)
+                self._close_stream(stream)
         elif isinstance(effect, PeerRequest):
             self._send_to_peer(host, self.by_address[effect.peer], effect.message)
         elif isinstance(effect, Read | Commit | GrantLease | RenewLease):
@@ -325,18 +325,18 @@
         region = stream.server.zone.region
         if self._network.is_cut(region, host.zone.region):
             return
-        arrives = self._events.now + self._network.one_way_ms(host.zone.number, stream.server.zone.number)
-        arrives = max(arrives, stream.to_server_at)
-        stream.to_server_at = arrives
-        self._events.at(arrives, self.servers.receive, stream, message)
+        arrival_at = self._events.now + self._network.one_way_ms(host.zone.number, stream.server.zone.number)
+        arrival_at = max(arrival_at, stream.to_server_at)
+        stream.to_server_at = arrival_at
+        self._events.at(arrival_at, self.servers.receive, stream, message)
 
-    def _end(self, stream: Stream) -> None:
+    def _close_stream(self, stream: Stream) -> None:
         host, server = stream.relay, stream.server
         if self._network.is_cut(server.zone.region, host.zone.region):
             return
-        way = self._network.one_way_ms(host.zone.number, server.zone.number)
-        arrives = max(self._events.now + way, stream.to_server_at)
-        self._events.at(arrives, self.servers.handle_disconnected, stream, None)
+        one_way_ms = self._network.one_way_ms(host.zone.number, server.zone.number)
+        arrival_at = max(self._events.now + one_way_ms, stream.to_server_at)
+        self._events.at(arrival_at, self.servers.handle_disconnected, stream, None)
 
     # Messages between the relays of a cell
 
@@ -344,8 +344,8 @@
         self.peer_messages += 1
         if self._network.is_cut(host.zone.region, peer.zone.region):
             return
-        arrives = self._events.now + self._network.one_way_ms(host.zone.number, peer.zone.number)
-        self._events.at(arrives, self._handle_peer_request, peer, (host, host.incarnation, request))
+        arrival_at = self._events.now + self._network.one_way_ms(host.zone.number, peer.zone.number)
+        self._events.at(arrival_at, self._handle_peer_request, peer, (host, host.incarnation, request))
 
     def _handle_peer_request(
         self, peer: RelayHost, argument: tuple[RelayHost, int, EndorsementRequest]
@@ -358,8 +358,8 @@
             return
         self.peer_messages += 1
         endorsement = peer.relay.handle_endorsement_request(self._events.now, request)
-        arrives = self._events.now + self._network.one_way_ms(peer.zone.number, host.zone.number)
-        self._events.at(arrives, self._handle_peer_response, host, (incarnation, endorsement))
+        arrival_at = self._events.now + self._network.one_way_ms(peer.zone.number, host.zone.number)
+        self._events.at(arrival_at, self._handle_peer_response, host, (incarnation, endorsement))
         self._step(peer)
 
     def _handle_peer_response(self, host: RelayHost, argument: tuple[int, Endorsement]) -> None:
--- a/otterrudder/lab/scale/report.py
+++ b/otterrudder/lab/scale/report.py
@@ -55,9 +55,9 @@
     for run in runs:
         setting = run.setting
         labels = [setting.case.name, setting.absent, f"{run.figures['cells']:.0f}"]
-        cells = [*labels, str(setting.servers), str(setting.seed)]
-        cells += [number_format.format(run.figures[name]) for name, _, number_format in TABLE_COLUMNS]
-        lines.append(f"| {' | '.join(cells)} |")
+        values = [*labels, str(setting.servers), str(setting.seed)]
+        values += [number_format.format(run.figures[name]) for name, _, number_format in TABLE_COLUMNS]
+        lines.append(f"| {' | '.join(values)} |")
     return lines
 
 
--- a/otterrudder/lab/scale/servers.py
+++ b/otterrudder/lab/scale/servers.py
@@ -44,9 +44,8 @@
         self.lease_ms, self.cpu, self.load = lease_ms, cpu, load
         self.connects = 0
         self.samples = 0
-        self.last_suspended_at = (
-            -math.inf
-        )  # time at which a running server was last seen with admission suspended
+        # time at which a sample last found a running server with suspended admission
+        self.last_suspended_at = -math.inf
         self.suspended: Counter[str] = Counter()
         self._events, self._network, self._sizes = events, network, sizes
         self._history, self._random = history, random_source
@@ -234,10 +233,10 @@
         relay.received.size += size
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        arrives = self._events.now + self._network.one_way_ms(host.zone.number, relay.zone.number)
-        arrives = max(arrives, stream.to_relay_at)
-        stream.to_relay_at = arrives
-        self._events.at(arrives, self.relays.receive, stream, effect.message)
+        arrival_at = self._events.now + self._network.one_way_ms(host.zone.number, relay.zone.number)
+        arrival_at = max(arrival_at, stream.to_relay_at)
+        stream.to_relay_at = arrival_at
+        self._events.at(arrival_at, self.relays.receive, stream, effect.message)
 
     def _connect(self, host: ServerHost, effect: Connect) -> None:
         self.connects += 1
@@ -245,10 +244,10 @@
         stream = Stream(host, host.incarnation, effect.connection, relay)
         host.stream = stream
         if not self._network.is_cut(host.zone.region, relay.zone.region):
-            way = self._network.one_way_ms(host.zone.number, relay.zone.number)
-            self._events.at(self._events.now + way, self._handle_syn, stream, way)
+            one_way_ms = self._network.one_way_ms(host.zone.number, relay.zone.number)
+            self._events.at(self._events.now + one_way_ms, self._handle_syn, stream, one_way_ms)
 
-    def _handle_syn(self, stream: Stream, way: float) -> None:
+    def _handle_syn(self, stream: Stream, one_way_ms: float) -> None:
         """Handles the first packet of a connection at the relay's machine.
 
         A machine that is up refuses the connection if no relay runs on it; a machine that is down does not
@@ -257,19 +256,19 @@
         if not relay.is_machine_up:
             return
         if not relay.relay:
-            self._events.at(self._events.now + way, self.handle_disconnected, stream, None)
+            self._events.at(self._events.now + one_way_ms, self.handle_disconnected, stream, None)
             return
         self.relays.accept(stream)
-        stream.to_server_at = self._events.now + HANDSHAKE_TRIPS * way
+        stream.to_server_at = self._events.now + HANDSHAKE_TRIPS * one_way_ms
         self._events.at(stream.to_server_at, self.handle_connected, stream, None)
 
     def _send_close(self, stream: Stream) -> None:
         host, relay = stream.server, stream.relay
         if self._network.is_cut(host.zone.region, relay.zone.region):
             return
-        way = self._network.one_way_ms(host.zone.number, relay.zone.number)
-        arrives = max(self._events.now + way, stream.to_relay_at)
-        self._events.at(arrives, self.relays.handle_stream_closed, stream, None)
+        one_way_ms = self._network.one_way_ms(host.zone.number, relay.zone.number)
+        arrival_at = max(self._events.now + one_way_ms, stream.to_relay_at)
+        self._events.at(arrival_at, self.relays.handle_stream_closed, stream, None)
 
     # Samples of the admission state
 
--- a/otterrudder/lab/scale/simulation.py
+++ b/otterrudder/lab/scale/simulation.py
@@ -109,7 +109,7 @@
         candidates = _addresses(zone)
         zones = (zone, self.topology.neighbour(zone))
         pairs = zip(candidates, zones, strict=True)
-        return [RelayHost(address, zone.name, candidates, place) for address, place in pairs]
+        return [RelayHost(address, zone.name, candidates, relay_zone) for address, relay_zone in pairs]
 
     def _servers(self) -> Servers:
         zones = self.topology.zones
@@ -173,7 +173,7 @@
         per_s = self.experiment.load.changes_per_s if case.changes_per_s is None else case.changes_per_s
         self.proposers.schedule(self.begin_ms, self.end_ms - PROPOSAL_CUTOFF_MS, per_s)
         if case.has_churn:
-            self.churn.schedule_ordinary(self.begin_ms, self.end_ms)
+            self.churn.schedule_random_faults(self.begin_ms, self.end_ms)
         for fault in case.faults:
             self.churn.schedule_fault(fault)
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -61,8 +61,8 @@
 
 
 def test_runs_with_the_same_seed_are_identical(experiment: Experiment) -> None:
-    first, again = (deterministic_figures(play(experiment, short_setting(experiment, 30))) for _ in range(2))
-    assert first == again
+    first, second = (deterministic_figures(play(experiment, short_setting(experiment, 30))) for _ in range(2))
+    assert first == second
 
 
 class LeaseIgnoringParticipant(Participant):
@@ -101,21 +101,21 @@
     relays_type = FaultyRelays
 
 
-@pytest.mark.parametrize("make", [SimulationWithFaultyServers, SimulationWithFaultyRelays])
+@pytest.mark.parametrize("make_simulation", [SimulationWithFaultyServers, SimulationWithFaultyRelays])
 def test_history_checker_detects_faulty_servers_and_relays(
-    experiment: Experiment, make: Callable[[Experiment, Setting], Simulation]
+    experiment: Experiment, make_simulation: Callable[[Experiment, Setting], Simulation]
 ) -> None:
     """Guards against a history checker that misses breaches.
 
-    Under the rule `leave-out`, only the end of the lease stops the servers of a partitioned region from
-    admitting, so a server or relay that ignores this end must cause breaches."""
+    Under the rule `leave-out`, servers in a partitioned region stop admitting only when their lease ends. A
+    server that ignores this end, or a relay that grants past its authority, must cause breaches."""
     cut = (FaultPart(kind="region-cut", at_s=31.0, region="us-central"),)
     base = short_setting(experiment, 30, cut)
     setting = Setting(base.case, 30, 3, "leave-out", 1, 0.5)
-    fault_free = play(experiment, setting)
-    assert fault_free.figures["breaches"] == 0 and fault_free.figures["committed"] > 3
-    assert fault_free.figures["aside_lapsed"] > 0.1
-    assert play(experiment, setting, make).figures["breaches"] > 0
+    correct_run = play(experiment, setting)
+    assert correct_run.figures["breaches"] == 0 and correct_run.figures["committed"] > 3
+    assert correct_run.figures["aside_lapsed"] > 0.1
+    assert play(experiment, setting, make_simulation).figures["breaches"] > 0
 
 
 def write_changed_file(tmp_path: Path, old: str, new: str) -> Path:
