--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""The command: each row in turn, as text or JSON."""
+"""Command line interface that runs the selected rows one after the other and prints them as text or JSON."""
 
 import json
 import os
@@ -11,25 +11,31 @@
 from benchmarks.capacity.slope import Slope
 
 
-def _as_json(told: Slope) -> str:
-    more = {"at_target": told.at_target, "stretch": told.stretch, "verdict": told.verdict}
-    return json.dumps(asdict(told) | more)
+def _as_json(slope: Slope) -> str:
+    derived = {"at_target": slope.at_target, "stretch": slope.stretch, "verdict": slope.verdict}
+    return json.dumps(asdict(slope) | derived)
 
 
 @click.command()
-@click.option("--row", "names", multiple=True, type=click.Choice(sorted(ROWS)), help="Only these; else all.")
-@click.option("--quick", is_flag=True, help="Small sizes: whether it runs, not what it costs.")
-@click.option("--json", "as_json", is_flag=True, help="A line of JSON for each measurement.")
+@click.option(
+    "--row",
+    "names",
+    multiple=True,
+    type=click.Choice(sorted(ROWS)),
+    help="Run only this row; repeatable. Default: all rows.",
+)
+@click.option("--quick", is_flag=True, help="Use small sizes, to check that the rows run.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON for each measurement.")
 def main(names: tuple[str, ...], quick: bool, as_json: bool) -> None:
-    """Slopes of today's parts, and what they come to at the size of docs/CAPACITY.md."""
+    """Measure how costs grow with size, and extrapolate them to the size of docs/CAPACITY.md."""
     for name in names or tuple(ROWS):
-        began, load = time.monotonic(), os.getloadavg()[0]
-        told = ROWS[name](quick)
-        took = time.monotonic() - began
-        for one in told:
-            click.echo(_as_json(one) if as_json else "\n".join(one.lines()))
+        started, load_before = time.monotonic(), os.getloadavg()[0]
+        slopes = ROWS[name](quick)
+        elapsed_s = time.monotonic() - started
+        for slope in slopes:
+            click.echo(_as_json(slope) if as_json else "\n".join(slope.lines()))
         if not as_json:
-            click.echo(f"# {name}: {took:.0f} s; load of the machine before it {load:.1f}\n")
+            click.echo(f"# {name}: {elapsed_s:.0f} s; load of the machine before it {load_before:.1f}\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -1,4 +1,4 @@
-"""Settings and texts of any size, as operators would write them."""
+"""Generates settings and configuration texts of any size in the form that operators write."""
 
 import json
 from typing import Any
@@ -7,11 +7,11 @@
 from otterrudder.admission.factory import create_controller
 from otterrudder.lab.processes.fake_settings import SETTINGS
 
-TENANT_PER_S = 5.0  # requests a second that each tenant is entitled to, in the whole fleet
+TENANT_PER_S = 5.0  # requests per second that each tenant is entitled to in the whole fleet
 
 
 def settings_of(class_count: int, tenant_count: int) -> dict[str, Any]:
-    """The platform's settings with so many classes and tenants."""
+    """Returns the platform's settings with the given numbers of request classes and tenants."""
     classes = [
         {"name": f"route-{n}", "effect": "safe", "worth": 1, "promiseUs": 2e6, "hardLimitUs": 4e6}
         for n in range(class_count)
@@ -24,7 +24,7 @@
 
 
 def configuration_text(class_count: int, tenant_count: int) -> str:
-    """A server's configuration with such settings."""
+    """Returns a server configuration file with the settings of `settings_of`."""
     fields = {
         "name": "n1",
         "listen": "127.0.0.1:1",
@@ -39,12 +39,12 @@
 
 
 def controller_of(settings: dict[str, Any]) -> AdmissionController:
-    """A started controller."""
+    """Returns a started controller."""
     return create_controller(0.0, 1, 7, settings)
 
 
 def policy_text(tenant_count: int) -> str:
-    """A policy that says what each tenant is entitled to."""
+    """Returns a policy that sets the entitlement of each tenant."""
     lines = ["version = 1"]
     for n in range(tenant_count):
         lines += [f"[tenants.tenant-{n}]", f"per_s = {TENANT_PER_S}"]
@@ -52,11 +52,11 @@
 
 
 def levels_text(class_count: int) -> str:
-    """A table with two levels, each of which name every class."""
+    """Returns a service-level table with two levels, each of which names every request class."""
     names = json.dumps([f"route-{n}" for n in range(class_count)])
-    parts = ["version = 1"]
+    lines = ["version = 1"]
     for name, cut, entry_busy, exit_busy in (("one", "spare", 0.9, 0.5), ("two", "decline", 0.95, 0.6)):
-        parts += [
+        lines += [
             "[[level]]",
             f'name = "{name}"',
             "least_stay_s = 5.0",
@@ -64,4 +64,4 @@
             f"exit = {{ for_s = 10.0, busy = {exit_busy} }}",
             f'cut = [{{ do = "{cut}", products = {names} }}]',
         ]
-    return "\n".join(parts) + "\n"
+    return "\n".join(lines) + "\n"
--- a/benchmarks/capacity/laws.py
+++ b/benchmarks/capacity/laws.py
@@ -1,7 +1,8 @@
-"""Laws fitted to measured figures, and how well they fit: a line and a power law, the better one taken.
+"""Fits a linear law and a power law to measured figures and selects the one with the smaller residual.
 
-Both are fitted to relative errors: sizes lie decades apart, and a fit to absolute errors would follow the
-largest alone."""
+Both fits minimize relative errors. Sizes span several decades, so a fit to absolute errors would depend
+almost only on the largest size.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,16 +11,16 @@
 import numpy as np
 import numpy.typing as npt
 
-SIZES_LEAST = 4  # figures that a law may be fitted to; with fewer any law fits
-SCALE_LEAST = 1e-300  # where all figures are 0
-FLOOR_SHARE = 0.01  # of the largest figure: a smaller one is weighed as if it were this large
+MIN_SIZES = 4  # minimum number of sizes for a fit; with fewer sizes any law fits
+MIN_SCALE = 1e-300  # avoids a division by zero if all figures are 0
+FLOOR_SHARE = 0.01  # share of the largest figure; smaller figures get the weight of a figure of this size
 
 Kind = Literal["linear", "power"]
 Figures = npt.NDArray[np.float64]
 
 
 class TooFewSizesError(ValueError):
-    """A law was to be fitted to fewer than four sizes."""
+    """A fit was requested for fewer than four different sizes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,8 +30,8 @@
     kind: Kind
     first: float
     second: float
-    rms: float  # relative residual: root of the mean square
-    worst: float  # relative residual: the largest
+    rms: float  # root mean square of the relative residuals
+    worst: float  # largest relative residual
 
     def at(self, size: float) -> float:
         if self.kind == "linear":
@@ -45,17 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The law with the smaller residual, and the other; None: a figure is not above 0, so no power law."""
+    """The law with the smaller residual and the other one. `other` is None if a figure is not positive, since
+    a power law cannot be fitted then."""
 
     taken: Law
     other: Law | None
 
 
 def fit(sizes: Sequence[float], figures: Sequence[float]) -> Fit:
-    """Both laws, the better first. TooFewSizesError: there are not four different sizes."""
-    if len(set(sizes)) < SIZES_LEAST or len(sizes) != len(figures):
+    """Fits both laws. Raises TooFewSizesError if there are fewer than four different sizes."""
+    if len(set(sizes)) < MIN_SIZES or len(sizes) != len(figures):
         raise TooFewSizesError(
-            f"{len(set(sizes))} sizes with {len(figures)} figures: {SIZES_LEAST} are the least"
+            f"{len(set(sizes))} different sizes and {len(figures)} figures; "
+            f"a fit needs at least {MIN_SIZES} sizes with one figure each"
         )
     x, y = np.asarray(sizes, float), np.asarray(figures, float)
     linear = _linear(x, y)
@@ -79,12 +82,12 @@
 
 def _law(kind: Kind, first: float, second: float, x: Figures, y: Figures) -> Law:
     law = Law(kind, first, second, 0.0, 0.0)
-    found = np.asarray([law.at(size) for size in x])
-    residual = np.abs(found - y) / _scale(y)
+    predicted = np.asarray([law.at(size) for size in x])
+    residual = np.abs(predicted - y) / _scale(y)
     return Law(kind, first, second, float(np.sqrt(np.mean(residual**2))), float(residual.max()))
 
 
 def _scale(y: Figures) -> Figures:
-    floor = max(float(np.abs(y).max()) * FLOOR_SHARE, SCALE_LEAST)
+    floor = max(float(np.abs(y).max()) * FLOOR_SHARE, MIN_SCALE)
     scale: Figures = np.maximum(np.abs(y), floor)
     return scale
--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -1,4 +1,4 @@
-"""The list of servers: the reports that each server sends it, and a whole list as callers would read it."""
+"""Cost of service discovery: the reports of servers, and the complete server list that callers read."""
 
 import time
 from functools import partial
@@ -7,7 +7,7 @@
 import msgspec
 
 from benchmarks.capacity import size
-from benchmarks.capacity.limits import CALLER_BYTES, EACH_SECOND, STAND_IN_CORE
+from benchmarks.capacity.limits import CALLER_BYTES, CPU_S_PER_S, STAND_IN_CORE
 from benchmarks.capacity.measure import PROCESS_TIME, cpu_s
 from benchmarks.capacity.slope import Series, Slope
 from otterrudder.lab.processes.fake_discovery import FakeDiscovery
@@ -15,37 +15,37 @@
 
 SERVERS = (50, 100, 200, 400)
 SERVERS_QUICK = (2, 4, 8, 16)
-WHOLE = (100, 400, 1_600, size.SERVERS)
+LIST_SIZES = (100, 400, 1_600, size.SERVERS)
 SPAN_S = 4.0
 SPAN_QUICK_S = 0.1
-HEADERS = 28  # bytes of IP and UDP before each report
-WHOLE_EACH_S = 1.0  # s between whole lists: callers hear a second or two late
-TRIES = 5
+HEADER_BYTES = 28  # bytes of IP and UDP before each report
+LIST_INTERVAL_S = 1.0  # interval between complete lists, in s; callers see a change one to two seconds late
+REPEATS = 5
 
 
-class Listed(msgspec.Struct):
-    """An entry of a whole list, in a form of ours: the platform's is not published."""
+class ListEntry(msgspec.Struct):
+    """Entry of the complete server list, in an assumed format, as the platform's is not published."""
 
     name: str
     address: str
     state: str
 
 
-def whole_list(servers: int) -> bytes:
-    listed = [Listed(f"n{n:05}", f"10.{n >> 8}.{n & 255}.17:9090", "ready") for n in range(servers)]
-    return msgspec.json.encode(listed)
+def encode_list(servers: int) -> bytes:
+    entries = [ListEntry(f"n{n:05}", f"10.{n >> 8}.{n & 255}.17:9090", "ready") for n in range(servers)]
+    return msgspec.json.encode(entries)
 
 
-async def _reporting_core(servers: int, span_s: float, is_heard: bool) -> float:
-    """The share of a core that so many servers' reports take, with the list's stand-in or with a socket that
-    nobody reads in its place."""
+async def _reporting_core(servers: int, span_s: float, is_received: bool) -> float:
+    """Returns the share of a core that the servers' reports take. The fake discovery service reads them
+    only if `is_received` is true."""
     listing = FakeDiscovery()
     async with anyio.create_task_group() as group:
-        if is_heard:
+        if is_received:
             group.start_soon(listing.run)
         for n in range(servers):
             group.start_soon(DiscoveryReporter(f"n{n:05}", listing.address).run)
-        await anyio.sleep(min(span_s, REPORT_INTERVAL_S) / 2)  # the starts
+        await anyio.sleep(min(span_s, REPORT_INTERVAL_S) / 2)  # lets the reporters start
         began = time.process_time()
         await anyio.sleep(span_s)
         share = (time.process_time() - began) / span_s
@@ -56,21 +56,25 @@
 
 def listing(quick: bool) -> list[Slope]:
     sizes, span = (SERVERS_QUICK, SPAN_QUICK_S) if quick else (SERVERS, SPAN_S)
-    sent = [anyio.run(_reporting_core, n, span, False) for n in sizes]
-    both = [anyio.run(_reporting_core, n, span, True) for n in sizes]
-    heard = [max(b - s, 0.0) for b, s in zip(both, sent, strict=True)]
-    report = len(f"BEAT n{0:05} ready") + HEADERS
-    whole = [len(whole_list(n)) / WHOLE_EACH_S for n in WHOLE]
-    cpu = [cpu_s(partial(whole_list, n), 1 if quick else TRIES) for n in WHOLE]
+    send_core = [anyio.run(_reporting_core, n, span, False) for n in sizes]
+    total_core = [anyio.run(_reporting_core, n, span, True) for n in sizes]
+    receive_core = [max(total - send, 0.0) for total, send in zip(total_core, send_core, strict=True)]
+    report_bytes = len(f"BEAT n{0:05} ready") + HEADER_BYTES
+    list_bytes_per_s = [len(encode_list(n)) / LIST_INTERVAL_S for n in LIST_SIZES]
+    encode_s = [cpu_s(partial(encode_list, n), 1 if quick else REPEATS) for n in LIST_SIZES]
     reports = Series("listing", "servers", sizes, size.SERVERS)
-    reports.add("reports", "all servers' sides together, share of a core", PROCESS_TIME, sent)
-    reports.add("heard", "the list's side, share of a core", PROCESS_TIME, heard, STAND_IN_CORE)
+    reports.add("reports", "all servers' sides together, share of a core", PROCESS_TIME, send_core)
+    reports.add("heard", "the list's side, share of a core", PROCESS_TIME, receive_core, STAND_IN_CORE)
     reports.add(
-        "bytes", "bytes a second at the list", "bytes", [n / REPORT_INTERVAL_S * report for n in sizes]
+        "bytes", "bytes a second at the list", "bytes", [n / REPORT_INTERVAL_S * report_bytes for n in sizes]
     )
-    lists = Series("listing", "servers", WHOLE, size.SERVERS)
-    lists.add("encode", "encoding a whole list, s", PROCESS_TIME, cpu, EACH_SECOND)
+    lists = Series("listing", "servers", LIST_SIZES, size.SERVERS)
+    lists.add("encode", "encoding a whole list, s", PROCESS_TIME, encode_s, CPU_S_PER_S)
     lists.add(
-        "reader", "a caller that reads it whole each second, bytes a second", "bytes", whole, CALLER_BYTES
+        "reader",
+        "a caller that reads it whole each second, bytes a second",
+        "bytes",
+        list_bytes_per_s,
+        CALLER_BYTES,
     )
     return [*reports.slopes, *lists.slopes]
--- a/benchmarks/capacity/measure.py
+++ b/benchmarks/capacity/measure.py
@@ -1,4 +1,4 @@
-"""CPU and memory of a call, or of a process: figures that others on the machine do not change much."""
+"""CPU time and memory of a call or a process. Other load on the machine hardly affects these figures."""
 
 import gc
 import os
@@ -16,45 +16,45 @@
 RESIDENT = "resident set"
 
 
-def cpu_s(act: Callable[[], object], tries: int = 1) -> float:
-    """The least CPU time of this process that a call took."""
-    least = float("inf")
+def cpu_s(call: Callable[[], object], repeats: int = 1) -> float:
+    """Returns the lowest CPU time of this process over the repeated calls, in s."""
+    lowest = float("inf")
     gc.collect()
-    for _ in range(tries):
-        began = time.process_time()
-        kept = act()
-        least = min(least, time.process_time() - began)
-        del kept
-    return least
+    for _ in range(repeats):
+        started = time.process_time()
+        result = call()
+        lowest = min(lowest, time.process_time() - started)
+        del result
+    return lowest
 
 
 @dataclass(frozen=True, slots=True)
 class Memory:
-    kept_mb: float  # by what the call returned
-    peak_mb: float  # at the worst moment of the call
+    retained_mb: float  # memory that the returned value occupies
+    peak_mb: float  # peak memory during the call
 
 
-def memory_of(act: Callable[[], T]) -> Memory:
-    """By tracemalloc, which slows the call several times: time it apart."""
+def memory_of(call: Callable[[], T]) -> Memory:
+    """Measures memory by tracemalloc. It slows the call several times, so CPU time is measured separately."""
     tracemalloc.start()
     try:
-        kept = act()
+        result = call()
         gc.collect()
-        now, peak = tracemalloc.get_traced_memory()
-        del kept
+        current, peak = tracemalloc.get_traced_memory()
+        del result
     finally:
         tracemalloc.stop()
-    return Memory(now / MB, peak / MB)
+    return Memory(current / MB, peak / MB)
 
 
 def process_cpu_s(pid: int) -> float:
-    """CPU seconds of all threads of a process so far, to the nanosecond."""
+    """Returns the CPU time used by all threads of a process so far, in s with nanosecond resolution."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
 
 
-def process_waited_s(pid: int) -> float:
-    """Seconds that its threads were ready to run and had no core: what others on the machine took."""
+def process_run_delay_s(pid: int) -> float:
+    """Returns the time that threads of a process were runnable but waited for a core, in s."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[1]) for task in tasks) / 1e9
 
--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -200,7 +200,7 @@
 
 def member(quick: bool) -> list[Slope]:
     """A server has one member; the proposer's CPU, a part of that of one, is in what a change costs them."""
-    seen, rate = asyncio.run(_played(quick)), size.CHANGE_PER_S
+    seen, rate = asyncio.run(_played(quick)), size.CHANGES_PER_S
     sizes = [one.members for one in seen]
     idle, idle_bytes = [s.core for s in seen], [s.bytes_per_s for s in seen]
     core = [s.core + s.change_cpu_s * rate for s in seen]
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,4 +1,4 @@
-"""The rows by name, in the order of docs/CAPACITY.md."""
+"""Benchmark rows by name, in the order of docs/CAPACITY.md."""
 
 from benchmarks.capacity.decisions import decisions
 from benchmarks.capacity.listing import listing
--- a/benchmarks/capacity/slope.py
+++ b/benchmarks/capacity/slope.py
@@ -1,16 +1,16 @@
-"""One measurement by size: figures, law, the figure at the users' size, limit and verdict."""
+"""Measurement of one figure at several sizes, with its fitted law, extrapolation, limit and verdict."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
 from benchmarks.capacity.laws import Fit, fit
 
-MARGIN = 0.9  # share of a limit from which on nothing is to spare
+MARGIN = 0.9  # share of a limit from which the verdict is "with nothing to spare"
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a figure may be, and why."""
+    """Maximum of a figure, with the source of the limit."""
 
     value: float
     why: str
@@ -18,30 +18,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Figures of one part by one size."""
+    """Figures of one component as a function of one size."""
 
     name: str  # row/measurement
-    what: str  # the figure in words, with its unit
+    what: str  # description of the figure, with its unit
     by: str  # what the size counts
-    method: str  # how it was measured
+    method: str  # measurement method
     sizes: tuple[float, ...]
     figures: tuple[float, ...]
     target: float  # the users' size
-    limit: Limit | None  # of the figure; None: none is named
+    limit: Limit | None  # limit of the figure, or None if it has no limit
     fit: Fit
 
     @property
     def at_target(self) -> float:
-        """What the law says at the users' size; where that size was played, what was measured. Beyond what
-        was played no cost is taken to fall: a law that falls is level from the largest size on."""
+        """The measured figure if the users' size was measured, else the value of the law at that size.
+
+        Beyond the largest measured size a cost is assumed not to fall, so the result is at least the figure
+        at that size.
+        """
         if self.target in self.sizes:
             return self.figures[self.sizes.index(self.target)]
-        found, largest = self.fit.taken.at(self.target), max(self.sizes)
-        return max(found, self.figures[self.sizes.index(largest)]) if self.target > largest else found
+        predicted, largest = self.fit.taken.at(self.target), max(self.sizes)
+        return max(predicted, self.figures[self.sizes.index(largest)]) if self.target > largest else predicted
 
     @property
     def stretch(self) -> float:
-        """How many times past the largest size played the law is stretched."""
+        """Ratio of the users' size to the largest measured size."""
         return self.target / max(self.sizes)
 
     @property
@@ -61,12 +64,12 @@
 
     def lines(self) -> list[str]:
         taken, other = self.fit.taken, self.fit.other
-        played = ", ".join(f"{s:g}: {f:.4g}" for s, f in zip(self.sizes, self.figures, strict=True))
+        measured = ", ".join(f"{s:g}: {f:.4g}" for s, f in zip(self.sizes, self.figures, strict=True))
         beside = f"; {other.kind} {other}, rms {other.rms:.1%}" if other else ""
         limit = f"{self.limit.value:.4g} ({self.limit.why})" if self.limit else "none named"
         return [
             f"{self.name}: {self.what}, by {self.by} ({self.method})",
-            f"  played   {played}",
+            f"  played   {measured}",
             f"  law      {taken.kind} {taken}, residual rms {taken.rms:.1%}, worst {taken.worst:.1%}{beside}",
             f"  at {self.target:g}: {self.at_target:.4g}; stretched {self.stretch:.3g} times; limit {limit}",
             f"  verdict  {self.verdict}",
@@ -74,7 +77,7 @@
 
 
 class Series:
-    """Slopes over the same sizes."""
+    """Builds slopes that share their sizes."""
 
     def __init__(self, row: str, by: str, sizes: Sequence[float], target: float) -> None:
         self.row, self.by, self.sizes, self.target = row, by, tuple(sizes), target
@@ -83,12 +86,20 @@
     def add(
         self, name: str, what: str, method: str, figures: Sequence[float], limit: Limit | None = None
     ) -> None:
-        """Fits the laws to the figures; TooFewSizesError as `fit`."""
-        found = fit(self.sizes, figures)
-        told = Slope(
-            f"{self.row}/{name}", what, self.by, method, self.sizes, tuple(figures), self.target, limit, found
+        """Fits the laws to the figures and appends the slope. Raises TooFewSizesError as `fit` does."""
+        fitted = fit(self.sizes, figures)
+        slope = Slope(
+            f"{self.row}/{name}",
+            what,
+            self.by,
+            method,
+            self.sizes,
+            tuple(figures),
+            self.target,
+            limit,
+            fitted,
         )
-        self.slopes.append(told)
+        self.slopes.append(slope)
 
 
-Row = Callable[[bool], list[Slope]]  # told whether it is to be quick
+Row = Callable[[bool], list[Slope]]  # the argument selects the quick mode
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -12,11 +12,11 @@
 
 from benchmarks.capacity import size
 from benchmarks.capacity.limits import ONE_CORE
-from benchmarks.capacity.measure import RESIDENT, process_cpu_s, process_waited_s, resident_mb
+from benchmarks.capacity.measure import RESIDENT, process_cpu_s, process_run_delay_s, resident_mb
 from benchmarks.capacity.slope import Limit, Series, Slope
 from benchmarks.capacity.standins import LINKS, MEMORY_MB, Site, serving
 
-RATES = (50.0, 100.0, 150.0, 200.0, 250.0, 300.0, 350.0, 400.0, size.SERVER_PER_S)
+RATES = (50.0, 100.0, 150.0, 200.0, 250.0, 300.0, 350.0, 400.0, size.SERVER_REQUESTS_PER_S)
 RATES_QUICK = (60.0, 80.0, 100.0, 120.0)
 TXNS_LEAST = 3_000  # at a rate, where that takes no longer than the longest span
 SPAN_S = (12.0, 24.0)
@@ -127,7 +127,7 @@
 
 def _waited_s(site: Site) -> float:
     """Seconds so far in which the server or its callers were ready and had no core."""
-    return process_waited_s(site.pid) + process_waited_s(os.getpid())
+    return process_run_delay_s(site.pid) + process_run_delay_s(os.getpid())
 
 
 def _pooled(windows: list[Window], per_s: float) -> list[float]:
@@ -192,7 +192,7 @@
         size.ADDED_MS, f"1.5 ms for 99 in 100; kept up to {held_up_to(rates, p99_of(steps)):g} a second"
     )
     alone = Limit(size.ADDED_MS, f"1.5 ms for 99 in 100; kept up to {held_up_to(rates, replayed):g} a second")
-    series = Series("server", "txns a second, one call each", rates, size.SERVER_PER_S)
+    series = Series("server", "txns a second, one call each", rates, size.SERVER_REQUESTS_PER_S)
     series.add("core", "share of a core", BY_PROCESS, [s.core for s in steps], ONE_CORE)
     series.add("cpu", "CPU a request, ticks and all, us", BY_PROCESS, [s.cpu_us for s in steps])
     series.add("own", "CPU a request, less what it uses idle, us", BY_PROCESS, [s.own_us for s in steps])
