--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -36,14 +36,14 @@
 IDLE_QUICK_S = 0.1
 CHANGES = 5
 CHANGES_QUICK = 1
-COME_S = 15.0  # s in which all have come, or a change is in force
-LOOK_S = 0.02
+SETTLE_TIMEOUT_S = 15.0  # s in which all have come, or a change is in force
+POLL_INTERVAL_S = 0.02
 DEADLINE_MS = 15_000.0
-TCP_INFO_AT = 120  # in the kernel's structure: bytes acknowledged, received, segments out, in
+TCP_INFO_OFFSET = 120  # in the kernel's structure: bytes acknowledged, received, segments out, in
 TCP_INFO_BYTES = 144  # of it, up to there
 SEGMENT_HEADERS = 52  # bytes of IP, TCP and its timestamps before each segment
-ON_WIRE, OF_STORE = "TCP_INFO", "process time of the store's stand-in"
-FILE = """version = 1
+BY_TCP_INFO, BY_STORE = "TCP_INFO", "process time of the store's stand-in"
+FLEET_FILE = """version = 1
 fleet = "capacity"
 store = ["127.0.0.1:{port}"]
 absent = "leave-out"
@@ -84,50 +84,54 @@
         self.fleet, self.port, self.store_pid, self.group = fleet, port, store_pid, group
         self.keys, self.proposer = Keys(fleet.name), Client(fleet)
         self.agents: list[Agent] = []
-        self.not_members: set[int] = set()  # local ports of the proposer's connections
+        self.proposer_ports: set[int] = set()  # local ports of the proposer's connections
 
     async def connect_proposer(self) -> None:
         """Before any member comes, so that its connection is known from theirs."""
         await self.proposer.read([self.keys.head], 1000.0)
-        self.not_members = set(_wire_bytes(self.port))
+        self.proposer_ports = set(_wire_bytes(self.port))
 
-    async def come(self, count: int) -> None:
+    async def add_members(self, count: int) -> None:
         """Until there are so many, all of which would admit."""
         while len(self.agents) < count:
-            orders = ServerControl(lambda text: None, lambda is_aside: None)
+            control = ServerControl(lambda text: None, lambda is_suspended: None)
             name = f"n{len(self.agents):04}"
             agent = Agent(
-                self.fleet, Client(self.fleet), name, MemberStatus(""), lambda text: "", orders, None, None
+                self.fleet, Client(self.fleet), name, MemberStatus(""), lambda text: "", control, None, None
             )
             self.agents.append(agent)
             self.group.start_soon(agent.run)
-        await self._until(lambda agent: agent.member.admission_status(clock.monotonic()).admits)
+        await self._wait_for_all(lambda agent: agent.member.admission_status(clock.monotonic()).admits)
 
-    async def change(self, text: str) -> None:
+    async def commit_change(self, text: str) -> None:
         """One, until all go by it."""
-        view = FleetSnapshot(self.keys, await self.proposer.read([self.keys.head], 1000.0))
-        version = (view.policy.version if view.policy else 0) + 1
-        commit = propose(view, text, text, "capacity", "", 0.0, DEADLINE_MS)
+        snapshot = FleetSnapshot(self.keys, await self.proposer.read([self.keys.head], 1000.0))
+        version = (snapshot.policy.version if snapshot.policy else 0) + 1
+        commit = propose(snapshot, text, text, "capacity", "", 0.0, DEADLINE_MS)
         assert (await self.proposer.commit(commit.compares, commit.writes, 1000.0)).succeeded
-        await self._until(lambda agent: agent.member.applied_policy.version == version)
+        await self._wait_for_all(lambda agent: agent.member.applied_policy.version == version)
 
-    async def _until(self, holds: Callable[[Agent], bool]) -> None:
-        with anyio.fail_after(COME_S):
-            while not all(map(holds, self.agents)):
-                await anyio.sleep(LOOK_S)
+    async def _wait_for_all(self, is_reached: Callable[[Agent], bool]) -> None:
+        with anyio.fail_after(SETTLE_TIMEOUT_S):
+            while not all(map(is_reached, self.agents)):
+                await anyio.sleep(POLL_INTERVAL_S)
 
     def usage(self) -> Usage:
         return Usage(
             time.monotonic(),
             time.process_time(),
             process_cpu_s(self.store_pid),
-            sum(count for at, count in _wire_bytes(self.port).items() if at not in self.not_members),
+            sum(
+                count
+                for local_port, count in _wire_bytes(self.port).items()
+                if local_port not in self.proposer_ports
+            ),
         )
 
 
 def _wire_bytes(port: int) -> dict[int, int]:
     """What went over this process's connections to a port of the loopback, headers and all, by local port."""
-    found: dict[int, int] = {}
+    byte_counts: dict[int, int] = {}
     for entry in Path("/proc/self/fd").iterdir():
         with contextlib.suppress(OSError):
             if not os.readlink(entry).startswith("socket:"):
@@ -136,9 +140,13 @@
             if sock.family not in (socket.AF_INET, socket.AF_INET6) or sock.getpeername()[1] != port:
                 continue
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-            acked, received, out, came = struct.unpack_from("=QQII", info, TCP_INFO_AT)
-            found[sock.getsockname()[1]] = acked + received + SEGMENT_HEADERS * (out + came)
-    return found
+            acknowledged, received, segments_out, segments_in = struct.unpack_from(
+                "=QQII", info, TCP_INFO_OFFSET
+            )
+            byte_counts[sock.getsockname()[1]] = (
+                acknowledged + received + SEGMENT_HEADERS * (segments_out + segments_in)
+            )
+    return byte_counts
 
 
 @contextlib.asynccontextmanager
@@ -146,13 +154,13 @@
     """The store, and no member yet."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     with tempfile.TemporaryDirectory() as folder:
-        line = [sys.executable, "-m", "otterrudder.lab.processes.fake_etcd", "0"]
-        store = subprocess.Popen(line, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        command = [sys.executable, "-m", "otterrudder.lab.processes.fake_etcd", "0"]
+        store = subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         try:
             assert store.stdout
             port = int(await anyio.to_thread.run_sync(store.stdout.readline))
             path = Path(folder) / "fleet.toml"
-            path.write_text(FILE.format(port=port))
+            path.write_text(FLEET_FILE.format(port=port))
             async with anyio.create_task_group() as group:
                 members = Members(read_fleet(path), port, store.pid, group)
                 await members.connect_proposer()
@@ -164,60 +172,64 @@
             store.wait()
 
 
-async def _seen(members: Members, count: int, idle_s: float, changes: int) -> ObservedState:
-    await members.come(count)
+async def _observe(members: Members, count: int, idle_s: float, changes: int) -> ObservedState:
+    await members.add_members(count)
     await anyio.sleep(idle_s / 4)
     before = members.usage()
     await anyio.sleep(idle_s)
-    calm = members.usage()
+    idle_usage = members.usage()
     for n in range(changes):
-        await members.change(f"{n} of {count}")
+        await members.commit_change(f"{n} of {count}")
     after = members.usage()
-    span, changing = calm.at - before.at, after.at - calm.at
-    core = (calm.members_cpu_s - before.members_cpu_s) / span
-    store_core = (calm.store_cpu_s - before.store_cpu_s) / span
-    bytes_per_s = (calm.wire_bytes - before.wire_bytes) / span
+    idle_span_s, change_span_s = idle_usage.at - before.at, after.at - idle_usage.at
+    core = (idle_usage.members_cpu_s - before.members_cpu_s) / idle_span_s
+    store_core = (idle_usage.store_cpu_s - before.store_cpu_s) / idle_span_s
+    bytes_per_s = (idle_usage.wire_bytes - before.wire_bytes) / idle_span_s
     return ObservedState(
         count,
         core,
         store_core,
         bytes_per_s,
         resident_mb(os.getpid()),
-        (after.members_cpu_s - calm.members_cpu_s - core * changing) / changes,
-        (after.store_cpu_s - calm.store_cpu_s - store_core * changing) / changes,
-        (after.wire_bytes - calm.wire_bytes - bytes_per_s * changing) / changes,
+        (after.members_cpu_s - idle_usage.members_cpu_s - core * change_span_s) / changes,
+        (after.store_cpu_s - idle_usage.store_cpu_s - store_core * change_span_s) / changes,
+        (after.wire_bytes - idle_usage.wire_bytes - bytes_per_s * change_span_s) / changes,
     )
 
 
-async def _played(quick: bool) -> list[ObservedState]:
+async def _observe_all(quick: bool) -> list[ObservedState]:
     idle, changes = (IDLE_QUICK_S, CHANGES_QUICK) if quick else (IDLE_S, CHANGES)
     async with _members() as members:
-        await members.come(MEMBERS_QUICK[0])
+        await members.add_members(MEMBERS_QUICK[0])
         for n in range(0 if quick else MAX_FINISHED_CHANGES):  # each read brings the ends of so many changes
-            await members.change(f"{n} before all")
-        return [await _seen(members, n, idle, changes) for n in (MEMBERS_QUICK if quick else MEMBERS)]
+            await members.commit_change(f"{n} before all")
+        return [await _observe(members, n, idle, changes) for n in (MEMBERS_QUICK if quick else MEMBERS)]
 
 
 def member(quick: bool) -> list[Slope]:
     """A server has one member; the proposer's CPU, a part of that of one, is in what a change costs them."""
-    seen, rate = asyncio.run(_played(quick)), size.CHANGES_PER_S
-    sizes = [one.members for one in seen]
-    idle, idle_bytes = [s.core for s in seen], [s.bytes_per_s for s in seen]
-    core = [s.core + s.change_cpu_s * rate for s in seen]
-    wire = [s.bytes_per_s + s.change_bytes * rate for s in seen]
-    one = Series("member", "members in one process; a server has 1", sizes, 1)
-    one.add("resident", "all of the process, MB", RESIDENT, [s.resident_mb for s in seen])
-    one.add("idle core", "share of a core, nothing changing", PROCESS_TIME, idle, CONTROL_CORE)
-    one.add("core", "share of a core at 0.8 changes a second", PROCESS_TIME, core, CONTROL_CORE)
-    one.add("idle bytes", "bytes a second, nothing changing", ON_WIRE, idle_bytes, CONTROL_BYTES)
-    one.add("bytes", "bytes a second at 0.8 changes a second", ON_WIRE, wire, CONTROL_BYTES)
-    idle = [s.store_core for s in seen]
-    core = [s.store_core + s.change_store_cpu_s * rate for s in seen]
-    all_ = Series("member", "members", sizes, size.SERVERS)
-    all_.add(
-        "store idle core", "the store's share of a core, nothing changing", OF_STORE, idle, STAND_IN_CORE
+    states, rate = asyncio.run(_observe_all(quick)), size.CHANGES_PER_S
+    sizes = [state.members for state in states]
+    idle, idle_bytes = [s.core for s in states], [s.bytes_per_s for s in states]
+    core = [s.core + s.change_cpu_s * rate for s in states]
+    wire = [s.bytes_per_s + s.change_bytes * rate for s in states]
+    member_series = Series("member", "members in one process; a server has 1", sizes, 1)
+    member_series.add("resident", "all of the process, MB", RESIDENT, [s.resident_mb for s in states])
+    member_series.add("idle core", "share of a core, nothing changing", PROCESS_TIME, idle, CONTROL_CORE)
+    member_series.add("core", "share of a core at 0.8 changes a second", PROCESS_TIME, core, CONTROL_CORE)
+    member_series.add(
+        "idle bytes", "bytes a second, nothing changing", BY_TCP_INFO, idle_bytes, CONTROL_BYTES
+    )
+    member_series.add("bytes", "bytes a second at 0.8 changes a second", BY_TCP_INFO, wire, CONTROL_BYTES)
+    idle = [s.store_core for s in states]
+    core = [s.store_core + s.change_store_cpu_s * rate for s in states]
+    store_series = Series("member", "members", sizes, size.SERVERS)
+    store_series.add(
+        "store idle core", "the store's share of a core, nothing changing", BY_STORE, idle, STAND_IN_CORE
+    )
+    store_series.add("store core", "the same at 0.8 changes a second", BY_STORE, core, STAND_IN_CORE)
+    store_series.add(
+        "store idle bytes", "the store's bytes a second, nothing changing", BY_TCP_INFO, idle_bytes
     )
-    all_.add("store core", "the same at 0.8 changes a second", OF_STORE, core, STAND_IN_CORE)
-    all_.add("store idle bytes", "the store's bytes a second, nothing changing", ON_WIRE, idle_bytes)
-    all_.add("store bytes", "the same at 0.8 changes a second", ON_WIRE, wire)
-    return [*one.slopes, *all_.slopes]
+    store_series.add("store bytes", "the same at 0.8 changes a second", BY_TCP_INFO, wire)
+    return [*member_series.slopes, *store_series.slopes]
--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -23,25 +23,25 @@
 ROOT = Path(__file__).parents[2]
 BODY = b"b" * 256  # bytes of a request, of a call, of its reply and of a result
 TTL_MS = 4000
-UP_S = 20.0  # s that a server may take until a check passes
-LOOK_S = 0.02  # s between looks whether it is
-LINKS = 8  # connections that requests are spread over
+START_TIMEOUT_S = 20.0  # s that a server may take until a check passes
+POLL_INTERVAL_S = 0.02  # s between looks whether it is
+GATEWAY_CONNECTIONS = 8  # connections that requests are spread over
 SOCKETS = 20_000  # descriptors that the server is told of
 MEMORY_MB = 192  # that the server is told of, as in README.md
 RUN_MS = 0.1  # that the runtime says a run took
 
 
 @dataclass(slots=True)
-class Books:
+class RequestLog:
     """What was asked, when, and what of the time until the answer was spent here."""
 
     sent: dict[int, float] = field(default_factory=dict)  # s, by the number of a request
-    own_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by call
+    fake_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by call
     added_ms: list[float] = field(default_factory=list)
     unserved: int = 0  # answered otherwise than by a result
 
 
-class Lines(asyncio.Protocol):
+class LineProtocol(asyncio.Protocol):
     """Lines that end in CR LF, some with a body behind them."""
 
     def __init__(self) -> None:
@@ -61,64 +61,64 @@
             if len(self.data) < end + 2 + size:
                 return
             self.data = self.data[end + 2 + size :]
-            self.hear(words, began)
+            self.handle_line(words, began)
 
     def has_body(self, words: list[str]) -> bool:
         raise NotImplementedError
 
-    def hear(self, words: list[str], began: float) -> None:
+    def handle_line(self, words: list[str], began: float) -> None:
         """`began`: when the bytes came."""
         raise NotImplementedError
 
 
-class Runtime(Lines):
+class Runtime(LineProtocol):
     """Each run wants one call at once, and is over at once when it has the reply."""
 
-    def __init__(self, books: Books) -> None:
+    def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
-        self.books, self.number = books, 0
+        self.request_log, self.number = request_log, 0
 
     def has_body(self, words: list[str]) -> bool:
         return words[0] in ("start", "give")
 
-    def hear(self, words: list[str], began: float) -> None:
+    def handle_line(self, words: list[str], began: float) -> None:
         if words[0] == "sync":
             self.transport.write(b"ready hot 60000\r\n")
         elif words[0] == "gauges":
             self.transport.write(f"load {words[1]} 0.2 1 0.1 5\r\n".encode())
         elif words[0] == "start":
-            self.notify("wants", f"{words[1]} {len(BODY)}", words[1], began)
+            self.send_notification("wants", f"{words[1]} {len(BODY)}", words[1], began)
         elif words[0] == "give":
-            self.notify("end", f"{words[1]} complete {RUN_MS} {len(BODY)}", words[1], began)
+            self.send_notification("end", f"{words[1]} complete {RUN_MS} {len(BODY)}", words[1], began)
 
-    def notify(self, word: str, rest: str, call: str, began: float) -> None:
+    def send_notification(self, message_type: str, rest: str, call: str, began: float) -> None:
         self.number += 1
-        self.transport.write(f"{word} {self.number} {rest}\r\n".encode() + BODY + b"\r\n")
-        self.books.own_s[call] += time.perf_counter() - began
+        self.transport.write(f"{message_type} {self.number} {rest}\r\n".encode() + BODY + b"\r\n")
+        self.request_log.fake_s[call] += time.perf_counter() - began
 
 
-class Records(Lines):
-    def __init__(self, books: Books) -> None:
+class Records(LineProtocol):
+    def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
-        self.books = books
+        self.request_log = request_log
 
     def has_body(self, words: list[str]) -> bool:
         return words[0] == "OP"
 
-    def hear(self, words: list[str], began: float) -> None:
+    def handle_line(self, words: list[str], began: float) -> None:
         if words[0] == "OP":
             self.transport.write(f"{words[1]} DONE {len(BODY)}\r\n".encode() + BODY + b"\r\n")
-            self.books.own_s[words[1]] += time.perf_counter() - began
+            self.request_log.fake_s[words[1]] += time.perf_counter() - began
 
 
 class Caller(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, books: Books) -> None:
-        self.books, self.data, self.count = books, b"", 0
+    def __init__(self, request_log: RequestLog) -> None:
+        self.request_log, self.data, self.count = request_log, b"", 0
         self.numbers: dict[int, int] = {}  # of requests, by the id of their request
-        self.checked = asyncio.Event()  # the last check is answered
-        self.has_passed = False  # that one
+        self.check_answered = asyncio.Event()  # the last check is answered
+        self.is_healthy = False  # that one
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -127,12 +127,12 @@
 
     async def check(self) -> bool:
         """Whether the server says that it is well."""
-        self.checked.clear()
+        self.check_answered.clear()
         self._send("check", {})
-        await asyncio.wait_for(self.checked.wait(), UP_S)
-        return self.has_passed
+        await asyncio.wait_for(self.check_answered.wait(), START_TIMEOUT_S)
+        return self.is_healthy
 
-    def ask(self, number: int) -> None:
+    def send_request(self, number: int) -> None:
         """A request; each second one is referenced."""
         call, is_pay = f"{number:016x}", number % 2 == 0
         params: dict[str, object] = dict(
@@ -148,7 +148,7 @@
         params |= {"dedupe": call * 2} if is_pay else {}
         self.numbers[self.count + 1] = number
         self._send("pay" if is_pay else "look", params)
-        self.books.sent[number] = time.perf_counter()
+        self.request_log.sent[number] = time.perf_counter()
 
     def _send(self, method: str, params: dict[str, object]) -> None:
         self.count += 1
@@ -159,24 +159,28 @@
         now = time.perf_counter()
         *lines, self.data = (self.data + data).split(b"\n")
         for line in lines:
-            told = json.loads(line)
-            number = self.numbers.pop(told.get("id"), 0)
+            message = json.loads(line)
+            number = self.numbers.pop(message.get("id"), 0)
             if not number:
-                self.has_passed = bool(told.get("result", {}).get("pass"))
-                self.checked.set()
+                self.is_healthy = bool(message.get("result", {}).get("pass"))
+                self.check_answered.set()
                 continue
-            took = now - self.books.sent.pop(number, now) - self.books.own_s.pop(f"{number:016x}", 0.0)
-            if "result" in told:
-                self.books.added_ms.append(took * 1000)
+            took = (
+                now
+                - self.request_log.sent.pop(number, now)
+                - self.request_log.fake_s.pop(f"{number:016x}", 0.0)
+            )
+            if "result" in message:
+                self.request_log.added_ms.append(took * 1000)
             else:
-                self.books.unserved += 1
+                self.request_log.unserved += 1
 
 
-class Site:
+class RunningServer:
     """A server that runs, and what it talks to."""
 
-    def __init__(self, books: Books, address: tuple[str, int], pid: int) -> None:
-        self.books, self.address, self.pid = books, address, pid
+    def __init__(self, request_log: RequestLog, address: tuple[str, int], pid: int) -> None:
+        self.request_log, self.address, self.pid = request_log, address, pid
         self.callers: list[Caller] = []
         self.number = 0
 
@@ -185,7 +189,7 @@
         loop = asyncio.get_running_loop()
         new: list[Caller] = []
         for _ in range(count):
-            _, caller = await loop.create_connection(lambda: Caller(self.books), *self.address)
+            _, caller = await loop.create_connection(lambda: Caller(self.request_log), *self.address)
             await caller.check()
             new.append(caller)
         self.callers += new
@@ -193,32 +197,32 @@
 
     async def load(self, per_s: float, span_s: float, seed: int) -> int:
         """Asks by open loop, at drawn times; how many were asked."""
-        chance, loop = random.Random(seed), asyncio.get_running_loop()
+        rng, loop = random.Random(seed), asyncio.get_running_loop()
         began, due, asked = loop.time(), 0.0, 0
-        while (due := due + chance.expovariate(per_s)) < span_s:
+        while (due := due + rng.expovariate(per_s)) < span_s:
             if (wait := began + due - loop.time()) > 0:
                 await asyncio.sleep(wait)
             self.number += 1
             asked += 1
-            self.callers[self.number % len(self.callers)].ask(self.number)
+            self.callers[self.number % len(self.callers)].send_request(self.number)
         await asyncio.sleep(max(began + span_s - loop.time(), 0.0))
         return asked
 
-    async def until_answered(self) -> None:
+    async def wait_for_answers(self) -> None:
         """Or until the callers would have given up."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TTL_MS / 1000):
-                while self.books.sent:
-                    await asyncio.sleep(LOOK_S)
-        self.books.sent.clear()
+                while self.request_log.sent:
+                    await asyncio.sleep(POLL_INTERVAL_S)
+        self.request_log.sent.clear()
 
 
 @contextlib.asynccontextmanager
-async def serving() -> AsyncIterator[Site]:
+async def running_server() -> AsyncIterator[RunningServer]:
     """One server process by the operators' words, ready; it is gone at the end."""
-    loop, books = asyncio.get_running_loop(), Books()
-    runtimes = await loop.create_server(lambda: Runtime(books), "127.0.0.1", 0)
-    records = await loop.create_server(lambda: Records(books), "127.0.0.1", 0)
+    loop, request_log = asyncio.get_running_loop(), RequestLog()
+    runtimes = await loop.create_server(lambda: Runtime(request_log), "127.0.0.1", 0)
+    records = await loop.create_server(lambda: Records(request_log), "127.0.0.1", 0)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as listing, tempfile.TemporaryDirectory() as folder:
         listing.bind(("127.0.0.1", 0))
         address = ("127.0.0.1", free_port())
@@ -232,8 +236,8 @@
                 stderr=log,
             )
         try:
-            site = Site(books, address, process.pid)
-            await _until_up(site)
+            site = RunningServer(request_log, address, process.pid)
+            await _wait_until_healthy(site)
             yield site
         finally:
             process.kill()
@@ -266,13 +270,13 @@
     }
 
 
-async def _until_up(site: Site) -> None:
-    ends = time.monotonic() + UP_S
-    while time.monotonic() < ends:
+async def _wait_until_healthy(site: RunningServer) -> None:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError):  # nobody listens yet
             if not site.callers:
                 await site.connect(1)
             if await site.callers[0].check():
                 return
-        await asyncio.sleep(LOOK_S)
-    raise TimeoutError(f"the server is not up within {UP_S:g} s")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise TimeoutError(f"the server is not up within {START_TIMEOUT_S:g} s")
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.laws import TooFewSizesError, fit
 from benchmarks.capacity.rows import ROWS
 from benchmarks.capacity.slope import Limit, Series, Slope
-from benchmarks.capacity.sockets import held_up_to, replayed_p99_ms, wanted_us
+from benchmarks.capacity.sockets import highest_rate_in_limit, max_cpu_us, replayed_p99_ms
 
 pytestmark = pytest.mark.exclusive
 
@@ -28,30 +28,30 @@
 NOISE = 0.02  # relative, at the most
 
 
-def noisy(figure: float, chance: random.Random) -> float:
-    return figure * (1 + chance.uniform(-NOISE, NOISE))
+def noisy(figure: float, rng: random.Random) -> float:
+    return figure * (1 + rng.uniform(-NOISE, NOISE))
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_line_is_found_again(seed: int) -> None:
-    chance = random.Random(seed)
-    found = fit(SIZES, [noisy(5.0 + 0.02 * n, chance) for n in SIZES])
-    assert found.taken.kind == "linear"
-    assert found.taken.second == pytest.approx(0.02, rel=3 * NOISE)
-    assert found.taken.at(1e6) == pytest.approx(20_005.0, rel=3 * NOISE)
-    assert found.taken.rms <= NOISE and found.taken.worst <= 2 * NOISE
-    assert found.other and found.other.kind == "power" and found.other.rms > found.taken.rms
+    rng = random.Random(seed)
+    fitted = fit(SIZES, [noisy(5.0 + 0.02 * n, rng) for n in SIZES])
+    assert fitted.taken.kind == "linear"
+    assert fitted.taken.second == pytest.approx(0.02, rel=3 * NOISE)
+    assert fitted.taken.at(1e6) == pytest.approx(20_005.0, rel=3 * NOISE)
+    assert fitted.taken.rms <= NOISE and fitted.taken.worst <= 2 * NOISE
+    assert fitted.other and fitted.other.kind == "power" and fitted.other.rms > fitted.taken.rms
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_power_law_is_found_again(seed: int) -> None:
-    chance = random.Random(seed)
-    found = fit(SIZES, [noisy(0.3 * n**1.7, chance) for n in SIZES])
-    assert found.taken.kind == "power"
-    assert found.taken.second == pytest.approx(1.7, abs=NOISE)
-    assert found.taken.first == pytest.approx(0.3, rel=5 * NOISE)
-    assert found.taken.rms <= NOISE
-    assert found.other and found.other.kind == "linear" and found.other.rms > found.taken.rms
+    rng = random.Random(seed)
+    fitted = fit(SIZES, [noisy(0.3 * n**1.7, rng) for n in SIZES])
+    assert fitted.taken.kind == "power"
+    assert fitted.taken.second == pytest.approx(1.7, abs=NOISE)
+    assert fitted.taken.first == pytest.approx(0.3, rel=5 * NOISE)
+    assert fitted.taken.rms <= NOISE
+    assert fitted.other and fitted.other.kind == "linear" and fitted.other.rms > fitted.taken.rms
 
 
 def test_the_residual_is_relative() -> None:
@@ -64,8 +64,8 @@
 
 
 def test_no_power_law_where_a_figure_is_nothing() -> None:
-    found = fit(SIZES, (0.0, 0.0, 1.0, 10.0, 100.0))
-    assert found.taken.kind == "linear" and found.other is None
+    fitted = fit(SIZES, (0.0, 0.0, 1.0, 10.0, 100.0))
+    assert fitted.taken.kind == "linear" and fitted.other is None
 
 
 @pytest.mark.parametrize(
@@ -88,12 +88,12 @@
 
 
 def test_verdicts() -> None:
-    grows = [1.0, 2.0, 3.0, 4.0]
-    assert slope_of(grows, 40.0).verdict == "no limit named"
-    assert slope_of(grows, 40.0, Limit(20.0, "")).verdict == "does not carry, by a factor of 2"
-    assert slope_of(grows, 40.0, Limit(400.0, "")).verdict == "carries, with 10 times to spare"
-    assert slope_of(grows, 40.0, Limit(42.0, "")).verdict == "carries, with nothing to spare"
-    assert slope_of(grows, 40.0).stretch == 10.0
+    linear = [1.0, 2.0, 3.0, 4.0]
+    assert slope_of(linear, 40.0).verdict == "no limit named"
+    assert slope_of(linear, 40.0, Limit(20.0, "")).verdict == "does not carry, by a factor of 2"
+    assert slope_of(linear, 40.0, Limit(400.0, "")).verdict == "carries, with 10 times to spare"
+    assert slope_of(linear, 40.0, Limit(42.0, "")).verdict == "carries, with nothing to spare"
+    assert slope_of(linear, 40.0).stretch == 10.0
 
 
 def test_what_was_played_is_not_worked_out_and_no_cost_falls_beyond_it() -> None:
@@ -103,37 +103,41 @@
 
 
 def test_held_up_to_ends_at_the_first_rate_that_is_late() -> None:
-    assert held_up_to([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
-    assert held_up_to([50.0], [1.6]) == 0.0
+    assert highest_rate_in_limit([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
+    assert highest_rate_in_limit([50.0], [1.6]) == 0.0
 
 
 def test_the_replay_adds_the_own_time_and_the_waits() -> None:
-    calm = replayed_p99_ms(0.01, 1000.0, 300)  # nobody meets anybody
-    assert calm == pytest.approx(1.0)
-    assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * calm
-    wanted = wanted_us(451.0, 500)
-    assert replayed_p99_ms(451.0, wanted, 500) <= size.ADDED_MS < replayed_p99_ms(451.0, wanted + 10, 500)
+    unloaded_ms = replayed_p99_ms(0.01, 1000.0, 300)  # nobody meets anybody
+    assert unloaded_ms == pytest.approx(1.0)
+    assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * unloaded_ms
+    max_cpu = max_cpu_us(451.0, 500)
+    assert replayed_p99_ms(451.0, max_cpu, 500) <= size.ADDED_MS < replayed_p99_ms(451.0, max_cpu + 10, 500)
 
 
-def check_counts(told: list[dict[str, Any]]) -> None:
+def check_counts(measurements: list[dict[str, Any]]) -> None:
     """Figures that no clock is in."""
-    for one in told:
-        if one["name"] in COUNTS:
-            assert one["at_target"] == pytest.approx(COUNTS[one["name"]], rel=0.2), one["name"]
+    for measurement in measurements:
+        if measurement["name"] in COUNTS:
+            assert measurement["at_target"] == pytest.approx(
+                COUNTS[measurement["name"]], rel=0.2
+            ), measurement["name"]
 
 
 @pytest.mark.parametrize("row", ROWS)
 def test_each_row_runs(row: str) -> None:
     result = CliRunner().invoke(main, ["--row", row, "--quick", "--json"])
     assert result.exit_code == 0, result.output
-    told = [json.loads(line) for line in result.output.splitlines()]
-    assert told
-    check_counts(told)
-    for one in told:
-        assert one["name"].startswith(f"{row}/")
-        assert len(set(one["sizes"])) >= 4 and len(one["figures"]) == len(one["sizes"])
-        assert all(math.isfinite(figure) for figure in one["figures"])
-        assert one["fit"]["taken"]["kind"] in ("linear", "power") and one["verdict"]
+    measurements = [json.loads(line) for line in result.output.splitlines()]
+    assert measurements
+    check_counts(measurements)
+    for measurement in measurements:
+        assert measurement["name"].startswith(f"{row}/")
+        assert len(set(measurement["sizes"])) >= 4 and len(measurement["figures"]) == len(
+            measurement["sizes"]
+        )
+        assert all(math.isfinite(figure) for figure in measurement["figures"])
+        assert measurement["fit"]["taken"]["kind"] in ("linear", "power") and measurement["verdict"]
 
 
 def test_text_output_names_law_residual_stretch_and_verdict() -> None:
