--- a/benchmarks/admission_pair.py
+++ b/benchmarks/admission_pair.py
@@ -1,10 +1,11 @@
-"""Cost of the admission decisions of two checkouts, alternating in one run.
+"""Compares the cost of the admission decisions of two checkouts, alternating in one run.
 
     .venv/bin/python benchmarks/admission_pair.py OLD NEW FRAMES ... [--rounds 5] [--instructions]
 
-OLD and NEW are roots of checkouts, FRAMES are recorded input frames of the simulator. Each measurement is a
-process of its own, `python -m otterrudder.drill`, less the cost of one that gets no input. The cost is CPU
-time, or with `--instructions` the instructions in user space by `perf`, which hardly depend on other load.
+OLD and NEW are roots of checkouts, FRAMES are recorded input frames of the simulator. Each measurement
+runs `python -m otterrudder.drill` in a new process and subtracts the cost of a process without input. The
+cost is CPU time, or with `--instructions` the user-space instructions counted by `perf`, which hardly depend
+on other load.
 Prints the median of the paired ratios with its quartiles; exits with 1 if the replies differ.
 """
 
@@ -23,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One process: its cost and what it wrote."""
+    """Cost and output of one process."""
 
     cost: float
     replies: bytes
 
 
 def measure_cpu_s(root: Path, frames: Path) -> Measurement:
-    """CPU time in seconds of a process of this checkout that plays a file of frames."""
+    """Measures the CPU time, in s, of a process of this checkout that plays a file of frames."""
     with frames.open("rb") as stdin:
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         done = subprocess.run(DRILL, cwd=root, stdin=stdin, capture_output=True, check=True)
@@ -41,7 +42,7 @@
 
 
 def measure_instructions(root: Path, frames: Path) -> Measurement:
-    """Instructions in user space of a process of this checkout that plays a file of frames."""
+    """Counts the user-space instructions of a process of this checkout that plays a file of frames."""
     with frames.open("rb") as stdin, tempfile.NamedTemporaryFile("r") as report:
         command = ["perf", "stat", "-x,", "-e", "instructions:u", "-o", report.name, *DRILL]
         done = subprocess.run(command, cwd=root, stdin=stdin, capture_output=True, check=True)
@@ -50,7 +51,7 @@
 
 
 def ratio_of(old: Path, new: Path, frames: Path, by_instructions: bool) -> float:
-    """The cost of the new checkout by that of the old one; ValueError if the replies differ."""
+    """Returns the cost ratio of the new to the old checkout. Raises ValueError if the replies differ."""
     measure = measure_instructions if by_instructions else measure_cpu_s
     start = {root: measure(root, Path(os.devnull)) for root in (old, new)}
     total = {root: measure(root, frames.absolute()) for root in (old, new)}
--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -1,4 +1,4 @@
-"""The fleet's client as a server carries it: members in this process, the store's stand-in in its own."""
+"""Cost of fleet members, which run in this process, and of the fake store, which runs in its own process."""
 
 import asyncio
 import contextlib
@@ -32,15 +32,15 @@
 ROOT = Path(__file__).parents[2]
 MEMBERS = (1, 4, 8, 16, 32)
 MEMBERS_QUICK = (1, 2, 3, 4)
-IDLE_S = 12.0  # two leases
+IDLE_S = 12.0  # duration of two leases
 IDLE_QUICK_S = 0.1
 CHANGES = 5
 CHANGES_QUICK = 1
-SETTLE_TIMEOUT_S = 15.0  # s in which all have come, or a change is in force
+SETTLE_TIMEOUT_S = 15.0  # time limit for joining and for a change to be in force, in s
 POLL_INTERVAL_S = 0.02
 DEADLINE_MS = 15_000.0
-TCP_INFO_OFFSET = 120  # in the kernel's structure: bytes acknowledged, received, segments out, in
-TCP_INFO_BYTES = 144  # of it, up to there
+TCP_INFO_OFFSET = 120  # offset in struct tcp_info of bytes acked, bytes received, segments out and in
+TCP_INFO_BYTES = 144  # size of the part of struct tcp_info that is read
 SEGMENT_HEADERS = 52  # bytes of IP, TCP and its timestamps before each segment
 BY_TCP_INFO, BY_STORE = "TCP_INFO", "process time of the store's stand-in"
 FLEET_FILE = """version = 1
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """So far: of this process, of the store's, and on the connections between them."""
+    """Cumulative CPU time of this process and the store, and bytes on the connections between them."""
 
     at: float
     members_cpu_s: float
@@ -64,8 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """With so many members: shares of a core and bytes a second while nothing changes, and what a change
-    costs beyond that."""
+    """Shares of a core and bytes per second of an idle fleet, and the additional cost of one change."""
 
     members: int
     core: float
@@ -78,7 +77,7 @@
 
 
 class Members:
-    """Agents as servers have them, without a server; each with a channel of its own to the store."""
+    """Fleet agents without their servers. Each has its own channel to the store."""
 
     def __init__(self, fleet: Fleet, port: int, store_pid: int, group: anyio.abc.TaskGroup) -> None:
         self.fleet, self.port, self.store_pid, self.group = fleet, port, store_pid, group
@@ -87,12 +86,12 @@
         self.proposer_ports: set[int] = set()  # local ports of the proposer's connections
 
     async def connect_proposer(self) -> None:
-        """Before any member comes, so that its connection is known from theirs."""
+        """Connects the proposer before any member joins, so that its connections are not counted."""
         await self.proposer.read([self.keys.head], 1000.0)
         self.proposer_ports = set(_wire_bytes(self.port))
 
     async def add_members(self, count: int) -> None:
-        """Until there are so many, all of which would admit."""
+        """Starts agents until there are `count`, and waits until all of them admit requests."""
         while len(self.agents) < count:
             control = ServerControl(lambda text: None, lambda is_suspended: None)
             name = f"n{len(self.agents):04}"
@@ -104,7 +103,7 @@
         await self._wait_for_all(lambda agent: agent.member.admission_status(clock.monotonic()).admits)
 
     async def commit_change(self, text: str) -> None:
-        """One, until all go by it."""
+        """Commits a change and waits until all members have applied it."""
         snapshot = FleetSnapshot(self.keys, await self.proposer.read([self.keys.head], 1000.0))
         version = (snapshot.policy.version if snapshot.policy else 0) + 1
         commit = propose(snapshot, text, text, "capacity", "", 0.0, DEADLINE_MS)
@@ -130,7 +129,7 @@
 
 
 def _wire_bytes(port: int) -> dict[int, int]:
-    """What went over this process's connections to a port of the loopback, headers and all, by local port."""
+    """Returns the bytes, with headers, on this process's connections to a loopback port, by local port."""
     byte_counts: dict[int, int] = {}
     for entry in Path("/proc/self/fd").iterdir():
         with contextlib.suppress(OSError):
@@ -151,7 +150,7 @@
 
 @contextlib.asynccontextmanager
 async def _members() -> AsyncIterator[Members]:
-    """The store, and no member yet."""
+    """Starts the store and connects the proposer. No member has joined yet."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     with tempfile.TemporaryDirectory() as folder:
         command = [sys.executable, "-m", "otterrudder.lab.processes.fake_etcd", "0"]
@@ -201,13 +200,14 @@
     idle, changes = (IDLE_QUICK_S, CHANGES_QUICK) if quick else (IDLE_S, CHANGES)
     async with _members() as members:
         await members.add_members(MEMBERS_QUICK[0])
-        for n in range(0 if quick else MAX_FINISHED_CHANGES):  # each read brings the ends of so many changes
+        for n in range(0 if quick else MAX_FINISHED_CHANGES):  # fills the list of finished changes
             await members.commit_change(f"{n} before all")
         return [await _observe(members, n, idle, changes) for n in (MEMBERS_QUICK if quick else MEMBERS)]
 
 
 def member(quick: bool) -> list[Slope]:
-    """A server has one member; the proposer's CPU, a part of that of one, is in what a change costs them."""
+    """Measures members and the store. The cost of a change includes the proposer's CPU time, which is
+    a part of that of one member."""
     states, rate = asyncio.run(_observe_all(quick)), size.CHANGES_PER_S
     sizes = [state.members for state in states]
     idle, idle_bytes = [s.core for s in states], [s.bytes_per_s for s in states]
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -1,4 +1,4 @@
-"""The server on sockets: CPU a request and added time by open loop at stepped rates; connections it holds."""
+"""Cost of the server on sockets: CPU time and added latency by open-loop rate, and open connections."""
 
 import asyncio
 import gc
@@ -18,20 +18,20 @@
 
 RATES = (50.0, 100.0, 150.0, 200.0, 250.0, 300.0, 350.0, 400.0, size.SERVER_REQUESTS_PER_S)
 RATES_QUICK = (60.0, 80.0, 100.0, 120.0)
-MIN_REQUESTS = 3_000  # at a rate, where that takes no longer than the longest span
-SPAN_RANGE_S = (12.0, 24.0)
+MIN_REQUESTS = 3_000  # minimum requests at a rate, unless they take longer than the longest span
+SPAN_RANGE_S = (12.0, 24.0)  # shortest and longest measurement of a rate, in s
 WINDOW_S = 1.0
-QUIETEST_SHARE = 0.25  # share of the windows, by what others took of the machine
+QUIETEST_SHARE = 0.25  # share of the windows that is used: those with the lowest run delay
 SPAN_QUICK_S = 0.2
 WARM_UP_S = 2.0
 CONNECTIONS = (250, 500, 1_000, 2_000, 4_000)
 CONNECTIONS_QUICK = (5, 10, 20, 40)
 IDLE_S = 4.0
 IDLE_QUICK_S = 0.2
-STAGES = 4  # of a request at the server: its request, the wanted call, the reply to that, the end of its run
+STAGES = 4  # processing steps of a request: arrival, downstream call, its reply, end of the run
 REPLAYED = 50_000  # requests
 REPLAYED_QUICK = 500
-REPLAYED_SEARCH = 10_000
+REPLAYED_SEARCH = 10_000  # requests in each step of the search
 HALVINGS = 10
 PROCESS_MB = Limit(float(MEMORY_MB), f"{MEMORY_MB} MB of the process, as configured")
 BY_PROCESS = "process time of the server"
@@ -41,48 +41,48 @@
 
 
 class NothingServedError(Exception):
-    """No request of a rate had a result, so it has no added time."""
+    """No request at a rate had a result, so its added latency is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A part of the time at one rate."""
+    """One time window of the measurement at one rate."""
 
-    run_delay_s: float  # that the server and its callers were ready, and others had the cores
+    run_delay_s: float  # time that the server and the callers were runnable without a core, in s
     added_ms: list[float]
 
 
 @dataclass(frozen=True, slots=True)
 class RateResult:
-    """What one rate showed."""
+    """Result of the measurement at one rate."""
 
     per_s: float
     sent: int
     unserved: int
-    cpu_us: float  # that the server used a request, ticks and all
-    net_cpu_us: float  # the same, less what it uses when nobody asks
-    core: float  # share of a core that the server used
-    waited: float  # in the quietest windows: share of the time in which others had the core
-    p50_ms: float  # of the quietest windows
+    cpu_us: float  # CPU time of the server per request, including ticks
+    net_cpu_us: float  # CPU time per request above that of the idle server
+    core: float  # share of a core used by the server
+    waited: float  # run delay as a share of the time, in the quietest windows
+    p50_ms: float  # median in the quietest windows, as the next two
     p99_ms: float
     p999_ms: float
-    all_p99_ms: float  # of all windows
+    all_p99_ms: float  # 99th percentile over all windows
 
 
 async def idle_core(site: RunningServer, span_s: float) -> float:
-    """The share of a core that the server uses when nobody asks."""
+    """Returns the share of a core that the idle server uses."""
     cpu = process_cpu_s(site.pid)
     await asyncio.sleep(span_s)
     return (process_cpu_s(site.pid) - cpu) / span_s
 
 
 async def measure_rate(site: RunningServer, per_s: float, span_s: float, idle: float) -> RateResult:
-    """One rate, in windows: where others take much of the machine, the quietest tell most."""
+    """Measures one rate in windows. Other load distorts the windows with the lowest run delay least."""
     windows: list[Window] = []
     count = max(round(span_s / WINDOW_S), 1)
     site.request_log.unserved = sent = 0
     gc.collect()
-    gc.disable()  # a pause of the callers' process would count as the server's
+    gc.disable()  # a collection pause in this process would count as server latency
     try:
         cpu, began = process_cpu_s(site.pid), time.monotonic()
         for n in range(count):
@@ -114,7 +114,7 @@
 
 
 def max_cpu_us(per_s: float, requests: int) -> float:
-    """The most CPU a request at which 99 in 100 keep what may be added, with a core to itself."""
+    """Returns the maximum CPU time per request, in us, that keeps the replayed p99 within the limit."""
     low, high = 0.0, size.ADDED_MS * 1000
     for _ in range(HALVINGS):
         middle = (low + high) / 2
@@ -126,22 +126,25 @@
 
 
 def _run_delay_s(site: RunningServer) -> float:
-    """Seconds so far in which the server or its callers were ready and had no core."""
+    """Returns the total time that the server and the callers were runnable without a core, in s."""
     return process_run_delay_s(site.pid) + process_run_delay_s(os.getpid())
 
 
 def _pooled_ms(windows: list[Window], per_s: float) -> list[float]:
     pooled = [added for window in windows for added in window.added_ms]
     if not pooled:
-        raise NothingServedError(f"none of the txns at {per_s:g} a second had a result")
+        raise NothingServedError(f"no txn at {per_s:g} per second had a result")
     return pooled
 
 
 def replayed_p99_ms(per_s: float, cpu_us: float, requests: int) -> float:
-    """What 99 in 100 would take with a core to itself: each request is handled at its four stops in the order
-    in which they come, at an even part of the measured CPU. It leaves out the system's own part."""
+    """Returns the 99th percentile of the latency, in ms, computed for a server that has a core to itself.
+
+    Each request passes four stages, each of which takes a quarter of the measured CPU time. Stages are
+    processed in the order in which they become due. Latency of the operating system is not included.
+    """
     rng, now = random.Random(round(per_s)), 0.0
-    queue: list[tuple[float, int, int]] = []  # due, number, stop
+    queue: list[tuple[float, int, int]] = []  # due time, request number, stage
     began: list[float] = []
     elapsed_ms: list[float] = []
     for number in range(requests):
@@ -174,7 +177,7 @@
 
 
 def highest_rate_in_limit(rates: list[float], p99_ms: list[float]) -> float:
-    """The highest rate played up to which all keep 99 in 100 within what may be added; 0: none."""
+    """Returns the highest rate up to which every p99 is within the limit, or 0 if there is none."""
     highest = 0.0
     for rate, elapsed_ms in zip(rates, p99_ms, strict=True):
         if elapsed_ms > size.ADDED_MS:
--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -1,5 +1,7 @@
-"""One server process, and what it talks to, in this process: a runtime and a records service that answer at
-once, and callers that ask by open loop. Each answer's own time here is known, and taken off."""
+"""Runs one server process against a fake runtime and a fake records service, which answer at once, and
+open-loop callers. All fakes run in this process. The time that they spend on a request is subtracted from its
+latency.
+"""
 
 import asyncio
 import base64
@@ -21,28 +23,28 @@
 from otterrudder.lab.processes.link import free_port
 
 ROOT = Path(__file__).parents[2]
-BODY = b"b" * 256  # bytes of a request, of a call, of its reply and of a result
+BODY = b"b" * 256  # body of a request, of a downstream call, of its reply and of a result
 TTL_MS = 4000
-START_TIMEOUT_S = 20.0  # s that a server may take until a check passes
-POLL_INTERVAL_S = 0.02  # s between looks whether it is
-GATEWAY_CONNECTIONS = 8  # connections that requests are spread over
-SOCKETS = 20_000  # descriptors that the server is told of
-MEMORY_MB = 192  # that the server is told of, as in README.md
-RUN_MS = 0.1  # that the runtime says a run took
+START_TIMEOUT_S = 20.0  # time limit for the first successful health check, in s
+POLL_INTERVAL_S = 0.02
+GATEWAY_CONNECTIONS = 8  # connections over which requests are distributed
+SOCKETS = 20_000  # configured limit of file descriptors
+MEMORY_MB = 192  # configured memory limit, as in README.md
+RUN_MS = 0.1  # duration of a run, in ms, as reported by the runtime
 
 
 @dataclass(slots=True)
 class RequestLog:
-    """What was asked, when, and what of the time until the answer was spent here."""
+    """Send times and added latencies of requests, and the time `fake_s` that the fakes spent on them."""
 
-    sent: dict[int, float] = field(default_factory=dict)  # s, by the number of a request
-    fake_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by call
+    sent: dict[int, float] = field(default_factory=dict)  # send time in s, by request number
+    fake_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by request id
     added_ms: list[float] = field(default_factory=list)
-    unserved: int = 0  # answered otherwise than by a result
+    unserved: int = 0  # requests that were answered without a result
 
 
 class LineProtocol(asyncio.Protocol):
-    """Lines that end in CR LF, some with a body behind them."""
+    """Protocol of lines that end in CR LF. Some lines are followed by a body."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -67,12 +69,12 @@
         raise NotImplementedError
 
     def handle_line(self, words: list[str], began: float) -> None:
-        """`began`: when the bytes came."""
+        """Handles one line. `began` is the time at which its bytes were received."""
         raise NotImplementedError
 
 
 class Runtime(LineProtocol):
-    """Each run wants one call at once, and is over at once when it has the reply."""
+    """Fake runtime. Each run makes one downstream call at once and ends as soon as it has the reply."""
 
     def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
@@ -98,6 +100,8 @@
 
 
 class Records(LineProtocol):
+    """Fake records service that completes each operation at once."""
+
     def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
         self.request_log = request_log
@@ -112,13 +116,13 @@
 
 
 class Caller(asyncio.Protocol):
-    """One connection."""
+    """One gateway connection to the server."""
 
     def __init__(self, request_log: RequestLog) -> None:
         self.request_log, self.data, self.count = request_log, b"", 0
-        self.numbers: dict[int, int] = {}  # of requests, by the id of their request
-        self.check_answered = asyncio.Event()  # the last check is answered
-        self.is_healthy = False  # that one
+        self.numbers: dict[int, int] = {}  # request numbers by JSON-RPC id
+        self.check_answered = asyncio.Event()  # set when the last health check is answered
+        self.is_healthy = False  # result of the last health check
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -126,14 +130,14 @@
         self.transport = transport
 
     async def check(self) -> bool:
-        """Whether the server says that it is well."""
+        """Sends a health check and returns whether it passed."""
         self.check_answered.clear()
         self._send("check", {})
         await asyncio.wait_for(self.check_answered.wait(), START_TIMEOUT_S)
         return self.is_healthy
 
     def send_request(self, number: int) -> None:
-        """A request; each second one is referenced."""
+        """Sends a request. Every second request has an idempotency key."""
         call, is_pay = f"{number:016x}", number % 2 == 0
         params: dict[str, object] = dict(
             call=call,
@@ -177,7 +181,7 @@
 
 
 class RunningServer:
-    """A server that runs, and what it talks to."""
+    """A running server with its connections."""
 
     def __init__(self, request_log: RequestLog, address: tuple[str, int], pid: int) -> None:
         self.request_log, self.address, self.pid = request_log, address, pid
@@ -185,7 +189,7 @@
         self.number = 0
 
     async def connect(self, count: int) -> list[Caller]:
-        """So many more connections, each of which has been answered once."""
+        """Opens `count` more connections and waits for a health check on each."""
         loop = asyncio.get_running_loop()
         new: list[Caller] = []
         for _ in range(count):
@@ -196,7 +200,7 @@
         return new
 
     async def load(self, per_s: float, span_s: float, seed: int) -> int:
-        """Asks by open loop, at drawn times; how many were asked."""
+        """Sends requests in an open loop with random intervals. Returns the number of requests sent."""
         rng, loop = random.Random(seed), asyncio.get_running_loop()
         began, due, asked = loop.time(), 0.0, 0
         while (due := due + rng.expovariate(per_s)) < span_s:
@@ -209,7 +213,7 @@
         return asked
 
     async def wait_for_answers(self) -> None:
-        """Or until the callers would have given up."""
+        """Waits until all requests are answered or have expired."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TTL_MS / 1000):
                 while self.request_log.sent:
@@ -219,7 +223,7 @@
 
 @contextlib.asynccontextmanager
 async def running_server() -> AsyncIterator[RunningServer]:
-    """One server process by the operators' words, ready; it is gone at the end."""
+    """Starts a server process by the operators' command, waits until it is healthy, and kills it at exit."""
     loop, request_log = asyncio.get_running_loop(), RequestLog()
     runtimes = await loop.create_server(lambda: Runtime(request_log), "127.0.0.1", 0)
     records = await loop.create_server(lambda: Records(request_log), "127.0.0.1", 0)
@@ -273,10 +277,10 @@
 async def _wait_until_healthy(site: RunningServer) -> None:
     deadline = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline:
-        with contextlib.suppress(OSError):  # nobody listens yet
+        with contextlib.suppress(OSError):  # the server does not listen yet
             if not site.callers:
                 await site.connect(1)
             if await site.callers[0].check():
                 return
         await asyncio.sleep(POLL_INTERVAL_S)
-    raise TimeoutError(f"the server is not up within {START_TIMEOUT_S:g} s")
+    raise TimeoutError(f"the server passed no health check within {START_TIMEOUT_S:g} s")
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,10 +1,11 @@
-"""What a cell costs: a leased server beside one of no fleet, in memory, CPU and bytes; a relay by sessions.
+"""Memory, CPU and traffic of a server that is leased from a cell, and of a relay by number of sessions.
 
-    .venv/bin/python benchmarks/cells.py server      # two minutes: idle servers, nobody asks them
-    .venv/bin/python benchmarks/cells.py relay 300   # sessions, each with a connection of its own
+    .venv/bin/python benchmarks/cells.py server      # two minutes; idle servers without requests
+    .venv/bin/python benchmarks/cells.py relay 300   # number of sessions, each on its own connection
 
-Bytes are those of the TCP streams, both ways, counted by a proxy between server and relay; headers of TCP and
-IP are not in them. CPU is what the kernel charged to the process."""
+A leased server is compared with a server without a fleet and with a direct fleet member. A proxy between
+server and relay counts the bytes of the TCP streams in both directions, without TCP and IP headers. CPU time
+is the time that the kernel accounts to the process."""
 
 import os
 import subprocess
@@ -27,14 +28,14 @@
 from otterrudder.lab.processes.cluster import FLEET, ClusterOptions, ProcessCluster  # noqa: E402
 from otterrudder.lab.processes.server_process import ServerProcess  # noqa: E402
 
-WARM_UP_S = 8.0  # from the start until figures are taken
+WARM_UP_S = 8.0  # time from the start to the measurement
 SPAN_S = 30.0
-TICKS = os.sysconf("SC_CLK_TCK")
-LEASE_MS = 3000.0  # the default of a server's lease
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+LEASE_MS = 3000.0  # default lease of a server
 BOUND_MS = 3000.0
 STORE_LEASE_MS = 6000.0
-FINGERPRINTS = 3  # among the servers of a relay
-CONNECT_INTERVAL_S = 0.01  # from the start of one client to the next
+FINGERPRINTS = 3  # number of different fingerprints among the servers of a relay
+CONNECT_INTERVAL_S = 0.01  # interval between the starts of clients
 LEAD_TIMEOUT_S = 10.0
 CONNECT_TIMEOUT_S = 60.0
 
@@ -42,26 +43,26 @@
 
 
 class CountingProxy:
-    """Passes bytes on to a relay, and counts them."""
+    """TCP proxy to a relay that counts the forwarded bytes."""
 
     def __init__(self) -> None:
         self.count = 0
         self.target = ("", 0)
 
     async def listen(self, group: anyio.abc.TaskGroup) -> str:
-        """Begins to listen; its own address."""
+        """Starts to listen and returns the address of the proxy."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        group.start_soon(listener.serve, self._pass_on)
+        group.start_soon(listener.serve, self._forward)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         return f"127.0.0.1:{port}"
 
-    async def _pass_on(self, near: anyio.abc.SocketStream) -> None:
-        async with await anyio.connect_tcp(*self.target) as far, anyio.create_task_group() as group:
-            group.start_soon(self._one_way, near, far)
-            await self._one_way(far, near)
+    async def _forward(self, client: anyio.abc.SocketStream) -> None:
+        async with await anyio.connect_tcp(*self.target) as relay, anyio.create_task_group() as group:
+            group.start_soon(self._forward_one_way, client, relay)
+            await self._forward_one_way(relay, client)
             group.cancel_scope.cancel()
 
-    async def _one_way(self, source: anyio.abc.SocketStream, sink: anyio.abc.SocketStream) -> None:
+    async def _forward_one_way(self, source: anyio.abc.SocketStream, sink: anyio.abc.SocketStream) -> None:
         try:
             async for data in source:
                 self.count += len(data)
@@ -71,32 +72,32 @@
 
 
 class ProxiedCluster(CellCluster):
-    """The servers find the first relay by the proxy."""
+    """Cell cluster whose servers connect to the first relay through a proxy."""
 
     proxy_address = ""
 
     def write_fleet_file(self, server: ServerProcess) -> None:
-        """The file has the proxy's address in place of the relay's."""
+        """Writes the fleet file with the proxy's address in place of the first relay's."""
         super().write_fleet_file(server)
         path = server.directory / "fleet.toml"
         path.write_text(path.read_text().replace(self.relays[0].address, self.proxy_address))
 
 
 def rss_mb(pid: int) -> float:
-    """The resident memory of a process."""
+    """Returns the resident memory of a process, in MB."""
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("Rss:")) / 1024
 
 
 def cpu_s(pid: int) -> float:
-    """The CPU time that a process has used."""
+    """Returns the CPU time that a process has used, in s."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user_ticks, system_ticks = fields[11:13]
-    return (int(user_ticks) + int(system_ticks)) / TICKS
+    return (int(user_ticks) + int(system_ticks)) / CLOCK_TICKS_PER_S
 
 
 async def measure_process(pid: int, byte_count: Callable[[], int] = lambda: 0) -> Figures:
-    """Figures of a process over the span."""
+    """Measures a process over SPAN_S, after a warm-up."""
     await anyio.sleep(WARM_UP_S)
     cpu_before_s = cpu_s(pid)
     bytes_before = byte_count()
@@ -109,7 +110,7 @@
 
 
 async def measure_server(kind: str) -> Figures:
-    """`kind`: "alone", "member", or "cell"."""
+    """Measures an idle server. `kind` is "alone" (no fleet), "member" (direct member) or "cell" (leased)."""
     with tempfile.TemporaryDirectory() as directory:
         if kind == "cell":
             return await _measure_leased_server(Path(directory))
@@ -146,7 +147,7 @@
 
 
 async def open_sessions(path: Path, count: int) -> None:
-    """In a process of its own: so many servers' clients, until it is killed."""
+    """Runs `count` cell clients until the process is killed. This is the main function of a child process."""
     fleet = read_fleet(path)
     control = ServerControl(lambda text: None, lambda is_suspended: None)
     agents = [
@@ -160,12 +161,12 @@
 
 
 async def measure_relay(sessions: int) -> Figures:
-    """Figures of a relay with so many sessions, beside one that is empty."""
+    """Measures a relay with the given number of sessions, and its memory without sessions."""
     with tempfile.TemporaryDirectory() as directory:
         layout = CellLayout({"z": 1}, server_lease_ms=LEASE_MS, max_sessions=max(sessions, 1))
         options = ClusterOptions(bound_ms=BOUND_MS, lease_ms=STORE_LEASE_MS)
         cluster = CellCluster(Path(directory), 0, layout, options)
-        cluster.server_count = 1  # the relays are started for a server that is not
+        cluster.server_count = 1  # lays out the relays for one server, which is not started
         try:
             await cluster.start_fleet()
             return await _measure_first_relay(cluster, Path(directory), sessions)
@@ -208,7 +209,7 @@
 
 
 async def main() -> None:
-    """The command line, as above."""
+    """Runs the command that the module docstring describes."""
     command, *arguments = sys.argv[1:]
     if command == "hold":
         await open_sessions(Path(arguments[0]), int(arguments[1]))
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,5 +1,5 @@
-"""What a fleet costs a server: CPU a request, memory, and the lateness of its loop while the store is well,
-slow, silent, or floods its watch. On sockets, one server and one gateway.
+"""Cost of fleet membership for a server on sockets with one gateway: CPU time per request, memory and event
+loop delays while the store is healthy, slow, silent or floods the watch.
 
     .venv/bin/python benchmarks/fleet.py             # about a minute; nothing else should use the cores
 """
@@ -17,9 +17,9 @@
 from otterrudder.lab.processes.cluster import ClusterOptions, ProcessCluster  # noqa: E402
 from otterrudder.lab.processes.server_process import LOG_FILE  # noqa: E402
 
-PACE_MS = 5.0  # 200 requests a second: what a server of the platform gets
-SKIPPED = 1  # the first line of turns: the start is in it
-SPAN_S = 21.0  # two of the server's own reports
+PACE_MS = 5.0  # interval of requests; 200 per second is the load of a server of the platform
+SKIPPED_LINES = 1  # the first `turns` line includes the start of the server
+SPAN_S = 21.0  # two intervals of the server's status report
 FAULTS: dict[str, dict[str, object]] = {
     "off": {},
     "on": {},
@@ -30,7 +30,7 @@
 
 
 async def measure(name: str) -> dict[str, float]:
-    """The server's own last report, by its words."""
+    """Returns the figures of the server's last status report and of its event loop iterations."""
     with tempfile.TemporaryDirectory() as folder:
         options = ClusterOptions(with_fleet=name != "off", pace_ms=PACE_MS)
         cluster = ProcessCluster(Path(folder), 1, options)
@@ -48,25 +48,25 @@
             dict(re.findall(r"(\w+)=([\d.]+)", line))
             for line in log.splitlines()
             if line.startswith("turns ")
-        ][SKIPPED:]
-        last = [line for line in log.splitlines() if "event=status" in line][-1]
-        told = dict(re.findall(r"(\w+)=([\d.]+)", last))
+        ][SKIPPED_LINES:]
+        last_status = [line for line in log.splitlines() if "event=status" in line][-1]
+        status = dict(re.findall(r"(\w+)=([\d.]+)", last_status))
         requests = sum(request.answered_at > 0 for request in cluster.wire.requests) / SPAN_S * 10
         wanted = ("cpu_s", "rss_mb", "worst_batch_ms", "worst_tick_late_ms")
-        found = {word: float(told[word]) for word in wanted} | {"txns": requests}
-        found |= {word: sum(float(one[word]) for one in turns) for word in ("over_1ms", "turns")}
-        return found | {"worst_cpu_ms": max(float(one["worst_ms"]) for one in turns)}
+        figures = {word: float(status[word]) for word in wanted} | {"txns": requests}
+        figures |= {word: sum(float(turn[word]) for turn in turns) for word in ("over_1ms", "turns")}
+        return figures | {"worst_cpu_ms": max(float(turn["worst_ms"]) for turn in turns)}
 
 
 async def main() -> None:
     for name in sys.argv[1:] or FAULTS:
-        told = await measure(name)
-        cpu = told["cpu_s"] * 1e6 / max(told["txns"], 1)
+        figures = await measure(name)
+        cpu = figures["cpu_s"] * 1e6 / max(figures["txns"], 1)
         print(
-            f"{name:8} {cpu:7.0f} us of CPU a txn, ticks and all; {told['rss_mb']:5.1f} MB; worst turn "
-            f"{told['worst_cpu_ms']:4.2f} ms of CPU ({told['over_1ms']:.0f} of {told['turns']:.0f} over "
-            f"1 ms), {told['worst_batch_ms']:4.1f} ms, worst ring late by "
-            f"{told['worst_tick_late_ms']:4.1f} ms"
+            f"{name:8} {cpu:7.0f} us of CPU a txn, ticks and all; {figures['rss_mb']:5.1f} MB; worst turn "
+            f"{figures['worst_cpu_ms']:4.2f} ms of CPU ({figures['over_1ms']:.0f} of {figures['turns']:.0f} "
+            f"over 1 ms), {figures['worst_batch_ms']:4.1f} ms, worst ring late by "
+            f"{figures['worst_tick_late_ms']:4.1f} ms"
         )
 
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -1,4 +1,4 @@
-"""What levels of reduced service cost a request: a core without them, with them idle, with one in force.
+"""Cost of service levels per request: without levels, with idle levels, and with one level in force.
 
 .venv/bin/python benchmarks/levels.py            # pyperf; --fast for a quick look
 """
@@ -10,7 +10,7 @@
 import pyperf
 
 ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT))  # pyperf's workers start in an environment of their own
+sys.path.insert(0, str(ROOT))  # pyperf starts its workers with a reduced environment
 
 from otterrudder.admission.interface import Outcome  # noqa: E402
 from otterrudder.files import load_toml  # noqa: E402
@@ -19,12 +19,12 @@
 from otterrudder.net.core import RequestCore  # noqa: E402
 from otterrudder.net.requests import RequestFields  # noqa: E402
 
-PER_RING = 8  # requests between rings: 200 a second at 25 rings, what a server of the platform gets
-TABLE_OF = {"no levels": "", "levels, full service": "full", "levels, one in force": "checks-when-free"}
+REQUESTS_PER_TICK = 8  # requests per tick: 200 per second at 25 ticks, the load of a server of the platform
+START_LEVELS = {"no levels": "", "levels, full service": "full", "levels, one in force": "checks-when-free"}
 
 
 def served(loops: int, site: Site, table: LevelTable | None, start: str) -> float:
-    """Seconds for `loops` requests from arrival to answer, one in hand at a time, rings between."""
+    """Returns the time of `loops` requests, in s. They run one at a time, with ticks between them."""
     controller = (
         LevelController(LevelTable(table.levels, table.damping, False, start), 0.0) if table else None
     )
@@ -55,7 +55,7 @@
         core.advance_to(now + 1e12, now + 2.0)
         core.handle_run_ended(call, Outcome.OK, b"result")
         core.take_messages()
-        if n % PER_RING == 0:
+        if n % REQUESTS_PER_TICK == 0:
             core.advance_to(now + 1e12, now + 3.0)
             core.query_gauges()
             core.handle_gauges(core.delivery.last_query, [0.9, 2.0])
@@ -68,7 +68,7 @@
     site = site_of(load_toml(ROOT / "experiments/sites/intake.toml", InvalidInputError), "intake.toml")
     table = read_table(ROOT / "deploy/levels.toml", site.products, site.tenants)
     runner = pyperf.Runner()
-    for name, start in TABLE_OF.items():
+    for name, start in START_LEVELS.items():
         runner.bench_time_func(name, served, site, table if start else None, start)
 
 
--- a/benchmarks/pair.py
+++ b/benchmarks/pair.py
@@ -1,10 +1,10 @@
-"""CPU a request of two checkouts, alternating in one run: the decisions together with the server's core.
+"""Compares the CPU time per request of two checkouts, alternating in one run: decisions and request core.
 
     .venv/bin/python benchmarks/pair.py OLD NEW [--rounds 15] [--requests 20000]
 
 OLD and NEW are roots of checkouts. Each measurement is a process of its own that plays the loop of
-`benchmarks/levels.py` without levels: arrival, run, end, and a tick after each eight. Prints the median CPU
-time of each and the median of the paired ratios with its quartiles.
+`benchmarks/levels.py` without levels: arrival, run, end, and a tick after every eight requests. Prints the
+median CPU time of each and the median of the paired ratios with its quartiles.
 """
 
 import argparse
@@ -28,7 +28,7 @@
 
 
 def cpu_us_per_request(root: Path, requests: int) -> float:
-    """CPU time in microseconds a request, in a process of its own in this checkout."""
+    """Returns the CPU time per request, in us, measured in a new process in this checkout."""
     command = [sys.executable, "-c", PLAY.format(requests=requests)]
     done = subprocess.run(command, cwd=root, capture_output=True, text=True, check=True)
     return float(done.stdout) / requests * 1e6
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,5 +1,5 @@
-"""How long servers take to be ready when many are started at once on one core: from the start of the process
-to a health check that passes, by the deploy file's own words. The runtimes are up already.
+"""Start time of servers that are started together on one core, from the start of the process to the first
+health check that passes, with the command of the deployment file. The runtimes are already running.
 
     .venv/bin/python benchmarks/starts.py [SERVERS] [CORE]     # 30 on core 0, which nothing else should use
 """
@@ -18,51 +18,55 @@
 from fake_runtime import FakeRuntime  # noqa: E402
 from server_process import ServerProcess  # noqa: E402
 
-READY_S = 10.0  # s within which nine in ten are to be ready
-PAUSE_S = 0.02  # s between checks
+READY_S = 10.0  # limit of the 90th percentile of the start time, in s
+PAUSE_S = 0.02  # interval between health checks, in s
 
 
 def answer_gauges(runtime: FakeRuntime) -> None:
-    with contextlib.suppress(AssertionError, OSError):  # until the server has gone
+    with contextlib.suppress(AssertionError, OSError):  # ends when the server has exited
         runtime.answer_gauges(10**6)
 
 
-def ready_after(server: ServerProcess, began: float, took: list[float]) -> None:
+def measure_start(server: ServerProcess, started_at: float, start_times: list[float]) -> None:
     runtime = FakeRuntime(server.runtimes.accept()[0])
     threading.Thread(target=answer_gauges, args=(runtime,), daemon=True).start()
     gateway = server.connect_gateway()
     while True:
         gateway.send_message("check")
         if gateway.read_answer()["result"]["pass"]:
-            took.append(time.monotonic() - began)
+            start_times.append(time.monotonic() - started_at)
             return
         time.sleep(PAUSE_S)
 
 
 def main(servers: int, core: int) -> None:
-    everywhere, took = os.sched_getaffinity(0), list[float]()
+    all_cores, start_times = os.sched_getaffinity(0), list[float]()
     with tempfile.TemporaryDirectory() as folder:
-        os.sched_setaffinity(0, {core})  # children inherit it
-        began, started = time.monotonic(), list[ServerProcess]()
+        os.sched_setaffinity(0, {core})  # child processes inherit the affinity
+        started_at, server_processes = time.monotonic(), list[ServerProcess]()
         for n in range(servers):
-            (at := Path(folder) / str(n)).mkdir()
-            started.append(ServerProcess(at))
-        os.sched_setaffinity(0, everywhere - {core} or everywhere)
-        waiting = [threading.Thread(target=ready_after, args=(server, began, took)) for server in started]
-        for thread in waiting:
+            (directory := Path(folder) / str(n)).mkdir()
+            server_processes.append(ServerProcess(directory))
+        os.sched_setaffinity(0, all_cores - {core} or all_cores)
+        threads = [
+            threading.Thread(target=measure_start, args=(server, started_at, start_times))
+            for server in server_processes
+        ]
+        for thread in threads:
             thread.start()
-        for thread in waiting:
+        for thread in threads:
             thread.join()
-        for server in started:
+        for server in server_processes:
             server.process.kill()
-    took.sort()
-    nine = took[min(int(len(took) * 0.9), len(took) - 1)]
+    start_times.sort()
+    p90_s = start_times[min(int(len(start_times) * 0.9), len(start_times) - 1)]
+    median_s, last_s = start_times[len(start_times) // 2], start_times[-1]
     print(
-        f"{servers} at once on one core: median {took[len(took) // 2]:.2f} s, nine in ten {nine:.2f} s, "
-        f"last {took[-1]:.2f} s; {'within' if nine <= READY_S else 'OVER'} {READY_S:.0f} s"
+        f"{servers} at once on one core: median {median_s:.2f} s, nine in ten {p90_s:.2f} s, "
+        f"last {last_s:.2f} s; {'within' if p90_s <= READY_S else 'OVER'} {READY_S:.0f} s"
     )
 
 
 if __name__ == "__main__":
     main(*map(int, sys.argv[1:2] or ["30"]), *map(int, sys.argv[2:3] or ["0"]))
-    os._exit(0)  # the runtimes' threads wait for words that will not come
+    os._exit(0)  # the threads of the runtimes wait for messages forever
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,5 +1,6 @@
-"""The server, with each turn of its loop measured by the CPU that its own thread spent in it: what others on
-the machine take from it is left out. `benchmarks/fleet.py` starts it; to standard error, each few seconds:
+"""Runs the server and measures the CPU time of its thread in each iteration of the event loop, which other
+load on the machine does not affect. `benchmarks/fleet.py` starts it. It writes to standard error every few
+seconds:
 
     turns worst_ms=1.93 over_1ms=12 turns=4211
 """
@@ -8,25 +9,25 @@
 import sys
 import time
 
-EACH_S = 5.0  # s between lines
-real = asyncio.base_events.BaseEventLoop._run_once
-worst = told_at = 0.0
-long = turns = 0
+REPORT_INTERVAL_S = 5.0  # interval between lines, in s
+original_run_once = asyncio.base_events.BaseEventLoop._run_once
+worst_ms = reported_at = 0.0
+over_1ms = turns = 0
 
 
-def measured(self: asyncio.base_events.BaseEventLoop) -> None:
-    global worst, told_at, long, turns
+def measured_run_once(self: asyncio.base_events.BaseEventLoop) -> None:
+    global worst_ms, reported_at, over_1ms, turns
     began = time.thread_time()
-    real(self)
-    took = (time.thread_time() - began) * 1000
-    worst, long, turns = max(worst, took), long + (took > 1.0), turns + 1
-    if (now := time.monotonic()) - told_at > EACH_S:
-        print(f"turns worst_ms={worst:.2f} over_1ms={long} turns={turns}", file=sys.stderr, flush=True)
-        worst, told_at, long, turns = 0.0, now, 0, 0
+    original_run_once(self)
+    cpu_ms = (time.thread_time() - began) * 1000
+    worst_ms, over_1ms, turns = max(worst_ms, cpu_ms), over_1ms + (cpu_ms > 1.0), turns + 1
+    if (now := time.monotonic()) - reported_at > REPORT_INTERVAL_S:
+        print(f"turns worst_ms={worst_ms:.2f} over_1ms={over_1ms} turns={turns}", file=sys.stderr, flush=True)
+        worst_ms, reported_at, over_1ms, turns = 0.0, now, 0, 0
 
 
 if __name__ == "__main__":
     from otterrudder.cli.serve import serve
 
-    setattr(asyncio.base_events.BaseEventLoop, "_run_once", measured)  # noqa: B010
+    setattr(asyncio.base_events.BaseEventLoop, "_run_once", measured_run_once)  # noqa: B010
     serve.main(args=[], prog_name="otterrudder", standalone_mode=False)
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,7 +1,7 @@
-"""docs/ARCHITECTURE.md names only what is there.
+"""Tests that the paths and names in docs/ARCHITECTURE.md exist.
 
-Each word in backticks that looks like a path, a module, a class or a function is looked up in the tree: a
-renamed or removed one fails here, so that the pages stay true.
+Every word in backticks that looks like a path, a module, a class or a function is looked up in the tree, so
+that a renamed or removed one is corrected on the page as well.
 """
 
 import ast
@@ -16,7 +16,7 @@
 
 
 def defined_names() -> set[str]:
-    """Modules, classes, functions, attributes, and methods behind their class, of the whole package."""
+    """Returns the names of modules, classes, functions, attributes and qualified methods of the package."""
     names: set[str] = set()
     for path in PACKAGE.rglob("*.py"):
         names.add(path.stem)
@@ -31,20 +31,20 @@
 
 
 def members(node: ast.ClassDef) -> set[str]:
-    """Methods, class attributes and attributes set on self."""
-    found: set[str] = set()
+    """Returns the methods, class attributes and instance attributes of a class."""
+    names: set[str] = set()
     for inner in ast.walk(node):
         if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef):
-            found.add(inner.name)
+            names.add(inner.name)
         elif isinstance(inner, ast.Name) and isinstance(inner.ctx, ast.Store):
-            found.add(inner.id)
+            names.add(inner.id)
         elif isinstance(inner, ast.Attribute) and isinstance(inner.ctx, ast.Store):
-            found.add(inner.attr)
-    return found
+            names.add(inner.attr)
+    return names
 
 
 def code_words(page: str) -> list[str]:
-    """What stands in backticks, without code blocks."""
+    """Returns the texts in backticks on a page, except in code blocks."""
     text = re.sub(r"^```.*?^```", "", (ROOT / page).read_text(), flags=re.S | re.M)
     return re.findall(r"`([^`\n]+)`", text)
 
@@ -65,7 +65,7 @@
 
 
 def is_module(word: str) -> bool:
-    """Whether a dotted word is a module, or a name defined in one."""
+    """Returns whether a dotted word is a module or a name defined in one."""
     parts = word.removeprefix("otterrudder.").split(".")
     candidates = [PACKAGE.joinpath(*parts), PACKAGE.joinpath(*parts[:-1])] if parts[1:] else [PACKAGE / word]
     return any(path.with_suffix(".py").exists() or path.is_dir() for path in candidates)
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -1,5 +1,5 @@
-"""The capacity benchmarks: laws are found again in figures made by them, and each row runs. Times are not
-tested."""
+"""Tests of the capacity benchmarks: laws are recovered from generated figures, and every row runs. Measured
+times are not checked."""
 
 import json
 import math
@@ -19,13 +19,13 @@
 pytestmark = pytest.mark.exclusive
 
 SIZES = (10.0, 100.0, 1_000.0, 10_000.0, 100_000.0)
-COUNTS = {  # at the users' size
+COUNTS = {  # expected figures at the users' size
     "policy/text": size.TENANTS * len("[tenants.tenant-100000]\nper_s = 5.0\n"),
     "listing/bytes": size.SERVERS * 2 * (len("BEAT n00000 ready") + 28),
     "store/events": size.SERVERS * 3,
     "decisions/memory": 250.0,
 }
-NOISE = 0.02  # relative, at the most
+NOISE = 0.02  # maximum relative error
 
 
 def noisy(figure: float, rng: random.Random) -> float:
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_line_is_found_again(seed: int) -> None:
+def test_fit_recovers_a_linear_law(seed: int) -> None:
     rng = random.Random(seed)
     fitted = fit(SIZES, [noisy(5.0 + 0.02 * n, rng) for n in SIZES])
     assert fitted.taken.kind == "linear"
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_power_law_is_found_again(seed: int) -> None:
+def test_fit_recovers_a_power_law(seed: int) -> None:
     rng = random.Random(seed)
     fitted = fit(SIZES, [noisy(0.3 * n**1.7, rng) for n in SIZES])
     assert fitted.taken.kind == "power"
@@ -63,7 +63,7 @@
     assert law.rms == pytest.approx(math.sqrt(sum(r * r for r in residuals) / 4))
 
 
-def test_no_power_law_where_a_figure_is_nothing() -> None:
+def test_no_power_law_is_fitted_if_a_figure_is_zero() -> None:
     fitted = fit(SIZES, (0.0, 0.0, 1.0, 10.0, 100.0))
     assert fitted.taken.kind == "linear" and fitted.other is None
 
@@ -96,19 +96,19 @@
     assert slope_of(linear, 40.0).stretch == 10.0
 
 
-def test_what_was_played_is_not_worked_out_and_no_cost_falls_beyond_it() -> None:
+def test_measured_figures_are_not_extrapolated_and_costs_do_not_fall_beyond_them() -> None:
     bent = [1.0, 2.0, 3.0, 5.0]
     assert slope_of(bent, 4.0).at_target == 5.0
     assert slope_of([4.0, 3.0, 2.0, 1.0], 100.0).at_target == 1.0
 
 
-def test_held_up_to_ends_at_the_first_rate_that_is_late() -> None:
+def test_highest_rate_in_limit_ends_at_the_first_rate_above_the_limit() -> None:
     assert highest_rate_in_limit([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
     assert highest_rate_in_limit([50.0], [1.6]) == 0.0
 
 
-def test_the_replay_adds_the_own_time_and_the_waits() -> None:
-    unloaded_ms = replayed_p99_ms(0.01, 1000.0, 300)  # nobody meets anybody
+def test_replayed_latency_includes_cpu_time_and_queueing() -> None:
+    unloaded_ms = replayed_p99_ms(0.01, 1000.0, 300)  # requests do not overlap
     assert unloaded_ms == pytest.approx(1.0)
     assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * unloaded_ms
     max_cpu = max_cpu_us(451.0, 500)
@@ -116,7 +116,7 @@
 
 
 def check_counts(measurements: list[dict[str, Any]]) -> None:
-    """Figures that no clock is in."""
+    """Checks the figures that do not depend on a clock."""
     for measurement in measurements:
         if measurement["name"] in COUNTS:
             assert measurement["at_target"] == pytest.approx(
