--- a/otterrudder/lab/scale/churn.py
+++ b/otterrudder/lab/scale/churn.py
@@ -36,17 +36,17 @@
         self._servers, self._relays, self._proposers = servers, relays, proposers
         self._network, self._events, self._random = network, events, random_source
         self._fault_handlers: dict[str, Callable[[FaultPart], None]] = {
-            "server-crash": self._server_crash,
-            "machine": self._machine,
-            "rack": self._rack,
-            "relay-crash": self._relay_crash,
-            "relay-restart": self._relay_restart,
-            "relay-machine": self._relay_machine,
-            "zone-restart": self._zone_restart,
-            "zone": self._zone,
-            "region-cut": self._region_cut,
-            "freeze": self._freeze,
-            "burst": self._burst,
+            "server-crash": self._crash_server,
+            "machine": self._fail_machine,
+            "rack": self._fail_rack,
+            "relay-crash": self._crash_relay,
+            "relay-restart": self._restart_leader,
+            "relay-machine": self._fail_leader_machine,
+            "zone-restart": self._restart_zone,
+            "zone": self._fail_zone,
+            "region-cut": self._cut_region,
+            "freeze": self._freeze_leader_and_rack,
+            "burst": self._start_burst,
         }
 
     def schedule_random_faults(self, begin: float, end: float) -> None:
@@ -123,7 +123,7 @@
 
     # Scripted faults
 
-    def _end_of(self, fault: FaultPart, default_s: float) -> float:
+    def _end_time_of(self, fault: FaultPart, default_s: float) -> float:
         """Returns the time at which a fault that begins now ends."""
         return self._events.now + (fault.for_s or default_s) * 1000.0
 
@@ -140,20 +140,20 @@
     def _servers_of(self, zone: Zone) -> list[ServerHost]:
         return [host for host in self._servers.hosts if host.zone == zone]
 
-    def _server_crash(self, fault: FaultPart) -> None:
+    def _crash_server(self, fault: FaultPart) -> None:
         host = self._random.choice(self._servers_of(self._zone_of(fault)))
         self._servers.stop(host, is_silent=False)
-        self._events.at(self._end_of(fault, self._part.restart_s), self._servers.start, host)
+        self._events.at(self._end_time_of(fault, self._part.restart_s), self._servers.start, host)
 
-    def _machine(self, fault: FaultPart) -> None:
+    def _fail_machine(self, fault: FaultPart) -> None:
         host = self._random.choice(self._servers_of(self._zone_of(fault)))
         self._servers.stop(host, is_silent=True)
-        self._events.at(self._end_of(fault, self._part.repair_s), self._servers.start, host)
+        self._events.at(self._end_time_of(fault, self._part.repair_s), self._servers.start, host)
 
-    def _rack(self, fault: FaultPart) -> None:
+    def _fail_rack(self, fault: FaultPart) -> None:
         """Fails the machines of one rack of a zone together, as a loss of power does."""
         servers = self._servers_of(self._zone_of(fault))
-        restart_at = self._end_of(fault, self._part.repair_s)
+        restart_at = self._end_time_of(fault, self._part.repair_s)
         for host in servers[: self._part.rack_servers]:
             self._servers.stop(host, is_silent=True)
             self._events.at(restart_at + self._restart_jitter_ms(), self._servers.start, host)
@@ -161,37 +161,39 @@
     def _restart_jitter_ms(self) -> float:
         return self._random.uniform(0.0, RESTART_JITTER_MS)
 
-    def _relay_crash(self, fault: FaultPart) -> None:
+    def _crash_relay(self, fault: FaultPart) -> None:
         host = self._leader_of(self._zone_of(fault))
         self._relays.stop(host, is_silent=False)
-        self._events.at(self._end_of(fault, self._part.restart_s), self._relays.start, host)
+        self._events.at(self._end_time_of(fault, self._part.restart_s), self._relays.start, host)
 
-    def _relay_restart(self, fault: FaultPart) -> None:
-        self._restart_relay(self._leader_of(self._zone_of(fault)), self._end_of(fault, self._part.restart_s))
+    def _restart_leader(self, fault: FaultPart) -> None:
+        self._restart_relay(
+            self._leader_of(self._zone_of(fault)), self._end_time_of(fault, self._part.restart_s)
+        )
 
-    def _relay_machine(self, fault: FaultPart) -> None:
+    def _fail_leader_machine(self, fault: FaultPart) -> None:
         zone = self._leader_of(self._zone_of(fault)).zone
-        self._fail_relay_machine(zone, self._end_of(fault, self._part.repair_s))
+        self._fail_relay_machine(zone, self._end_time_of(fault, self._part.repair_s))
 
-    def _zone_restart(self, fault: FaultPart) -> None:
+    def _restart_zone(self, fault: FaultPart) -> None:
         """Kills all servers of a zone at the same time and restarts them at the same time."""
-        restart_at = self._end_of(fault, self._part.restart_s)
+        restart_at = self._end_time_of(fault, self._part.restart_s)
         for host in self._servers_of(self._zone_of(fault)):
             self._servers.stop(host, is_silent=False)
             self._events.at(restart_at, self._servers.start, host)
 
-    def _zone(self, fault: FaultPart) -> None:
+    def _fail_zone(self, fault: FaultPart) -> None:
         """Fails a whole zone: its servers and its control machine."""
-        zone, restart_at = self._zone_of(fault), self._end_of(fault, self._part.repair_s)
+        zone, restart_at = self._zone_of(fault), self._end_time_of(fault, self._part.repair_s)
         self._fail_relay_machine(zone, restart_at)
         for host in self._servers_of(zone):
             self._servers.stop(host, is_silent=True)
             self._events.at(restart_at + self._restart_jitter_ms(), self._servers.start, host)
 
-    def _region_cut(self, fault: FaultPart) -> None:
+    def _cut_region(self, fault: FaultPart) -> None:
         region = self._zone_of(fault).region
         self._network.cut_regions.add(region)
-        self._events.at(self._end_of(fault, 3600.0), self._restore_region, region)
+        self._events.at(self._end_time_of(fault, 3600.0), self._restore_region, region)
 
     def _restore_region(self, region: int, _: object) -> None:
         self._network.cut_regions.discard(region)
@@ -199,12 +201,12 @@
             if host.zone.region == region:
                 self._relays.restore_watches(host)
 
-    def _freeze(self, fault: FaultPart) -> None:
+    def _freeze_leader_and_rack(self, fault: FaultPart) -> None:
         """Freezes the leading relay of a cell and one rack of servers of its zone."""
-        zone, until = self._zone_of(fault), self._end_of(fault, 10.0)
+        zone, until = self._zone_of(fault), self._end_time_of(fault, 10.0)
         self._relays.freeze(self._leader_of(zone), until)
         for host in self._servers_of(zone)[: self._part.rack_servers]:
             self._servers.freeze(host, until)
 
-    def _burst(self, fault: FaultPart) -> None:
+    def _start_burst(self, fault: FaultPart) -> None:
         self._proposers.burst(self._events.now, self._load.burst, self._load.burst_s * 1000.0)
--- a/otterrudder/lab/scale/hosts.py
+++ b/otterrudder/lab/scale/hosts.py
@@ -10,9 +10,8 @@
 from otterrudder.lab.scale.network import Traffic
 from otterrudder.lab.scale.topology import Zone
 
-DeferredEvent = tuple[
-    Handler, Any, Any
-]  # handler, subject and argument of an event that arrived while its process was frozen
+# handler, subject and argument of an event that arrived while its process was frozen
+DeferredEvent = tuple[Handler, Any, Any]
 
 
 @dataclass(slots=True, eq=False)
