--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -207,13 +207,13 @@
         CellStage.QUIESCENT,
         _SLOW_CLOCK,
     ),
-    "frozen, goes by a stale clock": SeededFault(
+    "uses a stale clock after a freeze": SeededFault(
         CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _SERVER_FROZEN
     ),
-    "goes on under the old version": SeededFault(
+    "extends the lease of an old version": SeededFault(
         CellVariant(participant=ExtendsLeaseByNewerGrant), CellStage.COMMITTED, _SLOW_CHECK
     ),
-    "goes back a version": SeededFault(
+    "reverts to an older version": SeededFault(
         CellVariant(participant=RevertsToOlderVersion), CellStage.QUIESCENT, _OLDER_VERSION
     ),
     "switches without validation": _of_server(SkipsValidation, servers=3, has_rejecting_servers=True),
@@ -243,7 +243,7 @@
     "grants without a lease": SeededFault(
         CellVariant(relay=GrantsWithoutLease), CellStage.QUIESCENT, _LEADER_CUT_OFF
     ),
-    "asks for endorsement too late": _of_relay(RequestsEndorsementTooLate),
+    "requests endorsement too late": _of_relay(RequestsEndorsementTooLate),
     "votes without asking": _of_relay(VotesWithoutValidation),
     "ignores rejections": _of_relay(IgnoresRejections, has_rejecting_servers=True),
     "reuses an old result": SeededFault(
--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -146,7 +146,7 @@
     "trusts any state directory": SeededFault(
         Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
     ),
-    "trusts its file": SeededFault(
+    "trusts the rule of its file": SeededFault(
         Variant(TrustsFileRule, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
         Stage.QUIESCENT,
         _OLD_RULES,
