--- a/otterrudder/lab/checker.py
+++ b/otterrudder/lab/checker.py
@@ -26,7 +26,7 @@
     received_at: float
     deadline: float
     effect: int  # number of the request whose effect may happen only once; 0: the request may be repeated
-    answer: str = ""  # empty: not answered
+    answer: str = ""  # name of the answer; empty: not answered
     is_disconnected: bool = False
     starts: int = 0  # how often the attempt was started
 
--- a/otterrudder/lab/cores.py
+++ b/otterrudder/lab/cores.py
@@ -50,7 +50,7 @@
         self.reading = 0  # number of these jobs that read a request
         self.unread: deque[tuple[float, Callable[[], None]]] = deque()
         self.busy = 0.0  # moving mean of the share of the cores in use
-        self.jobs_per_core = 0.0  # moving mean
+        self.jobs_per_core = 0.0  # moving mean of the number of jobs per core
         self.done_ms = 0.0  # work done, in ms on a core of speed 1
         self._sum = 0.0  # virtual work that each job has received so far
         self._rate = 0.0  # virtual work per ms
--- a/otterrudder/lab/plan.py
+++ b/otterrudder/lab/plan.py
@@ -77,7 +77,7 @@
 
 
 class ChartSection(_Strict, kw_only=True):
-    """A chart to draw."""
+    """A chart of some cases, as `[[chart]]` describes it."""
 
     kind: Literal["timeline", "lines"]
     file: str
