--- a/otterrudder/lab/processes/chart.py
+++ b/otterrudder/lab/processes/chart.py
@@ -17,7 +17,7 @@
 VERSION_COLOUR = "#666666"
 FAULT_COLOUR = "#b2182b"
 MAX_NUMBERED_VERSIONS = 40  # the numbers of more versions would overlap
-RECOVERY_EVENTS = ("starts", "healed", "thawed", "room")  # events whose text begins so are not faults
+RECOVERY_EVENTS = ("starts", "healed", "thawed", "room")  # events with these text prefixes are not faults
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterrudder/lab/processes/fault_schedule.py
+++ b/otterrudder/lab/processes/fault_schedule.py
@@ -26,7 +26,7 @@
 
 FAULT_COUNTS = (1, 1, 2, 3)  # the number of faults of a round is drawn from these
 FAULT_DURATION_S = (0.4, 2.8)  # range of the duration of a round's faults
-# Kinds of faults that begin so do not prevent a change from reaching its commit.
+# Faults whose kind has one of these prefixes do not prevent a change from reaching its commit.
 HARMLESS_PREFIXES = ("gateway", "runtime", "list", "watches", "name", "store slow")
 
 
