--- a/otterrudder/lab/processes/cell_fault_injector.py
+++ b/otterrudder/lab/processes/cell_fault_injector.py
@@ -130,7 +130,7 @@
             await self._inject_into_store(fault)
 
     def _drive_to_failpoint(self, fault: CellFault) -> None:
-        """Makes the standby relay reach its failpoint."""
+        """Kills the leader or freezes the store, so that the standby relay reaches its failpoint."""
         if fault.point in TAKEOVER_POINTS:
             for relay in self.cluster.relays_of(fault.cell):
                 if relay is not self._relays[fault]:
--- a/otterrudder/lab/processes/cell_fault_schedule.py
+++ b/otterrudder/lab/processes/cell_fault_schedule.py
@@ -93,7 +93,7 @@
                 self.deck = [card for card in DECK if self._is_possible(card)]
                 self.random.shuffle(self.deck)
             card = self.deck.pop()
-            fault = self._fault(card)
+            fault = self._choose_target(card)
             if are_compatible([*drawn, fault]):
                 drawn.append(fault)
             else:
@@ -105,7 +105,7 @@
         """Returns whether the fault can occur. With `absent` "leave-out", relays request no endorsements."""
         return self.absent == "wait" or card.point not in ENDORSEMENT_POINTS
 
-    def _fault(self, card: Card) -> CellFault:
+    def _choose_target(self, card: Card) -> CellFault:
         if card.kind in SERVER_FAULTS:
             return CellFault(card.kind, server=self.random.randrange(self.servers))
         if card.kind in (*RELAY_FAULTS, *CELL_FAULTS, *POINT_FAULTS):
--- a/otterrudder/lab/scale/processes/tcp.py
+++ b/otterrudder/lab/scale/processes/tcp.py
@@ -25,7 +25,7 @@
 PORTS = struct.Struct("!4xHH")  # fields of inet_diag_msg: source, destination
 INODE = struct.Struct("=68xI")  # field of inet_diag_msg
 SOCKET_SIZE = 72  # size of inet_diag_msg in bytes
-ATTRIBUTE = struct.Struct("=HH")  # length, type
+ATTRIBUTE = struct.Struct("=HH")  # fields of an attribute: length, type
 BYTES = struct.Struct("=120xQQ")  # fields of tcp_info: bytes acknowledged, bytes received
 
 
@@ -56,13 +56,13 @@
     """Returns the open connections of the given processes to the given ports.
 
     Raises OSError if the kernel does not report its connections."""
-    wanted = set(ports)
-    own = {inode for pid in processes for inode in _sockets_of(pid)}
-    found = (connection for family in FAMILIES for connection in _connections(family))
+    remote_ports = set(ports)
+    own_inodes = {inode for pid in processes for inode in _sockets_of(pid)}
+    established = (connection for family in FAMILIES for connection in _connections(family))
     return {
         connection.inode: connection.traffic
-        for connection in found
-        if connection.port in wanted and connection.inode in own
+        for connection in established
+        if connection.port in remote_ports and connection.inode in own_inodes
     }
 
 
