--- a/otterrudder/lab/fleet/seeded_faults.py
+++ b/otterrudder/lab/fleet/seeded_faults.py
@@ -1,5 +1,5 @@
-"""The faults that are seeded into the fleet's parts, and where each shows; and the surroundings in which the
-unchanged parts have to keep every promise."""
+"""The seeded faults of the fleet's parts, where each shows, and the variants in which the unchanged parts
+have to keep all guarantees."""
 
 from dataclasses import dataclass, replace
 
@@ -13,14 +13,14 @@
     ForgetsPreparedVote,
     NeverReadsAgain,
     NeverSuspends,
-    RegistersSilently,
+    RegistersUncounted,
     RetainsSyncWithoutLease,
     ServesWithoutLease,
-    SharesItsName,
+    SharesName,
     SyncsBeforeRegistration,
     TakesForeignNames,
     TrustsAnyDirectory,
-    TrustsItsFile,
+    TrustsFileRule,
     TrustsLateRead,
     UsesClockOfLastAnswer,
     VotesBeforeSave,
@@ -38,8 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """Where a seeded fault shows: the model's parts, and events that random walks come to too rarely (`~`:
-    one that the unchanged member may not come to). Without a depth, walks find it."""
+    """Where a seeded fault shows: the variant with the mutant, and a scenario that starts at a stage.
+
+    With a depth, a search from the end of the scenario finds the fault; this is needed where random walks
+    reach it too rarely. Without a depth, random walks find it. An event with the prefix `~` may not be
+    possible with the correct member."""
 
     variant: Variant
     stage: Stage = Stage.QUIESCENT
@@ -85,7 +88,7 @@
     "0.-1 vote",
 )
 _DISK_FULL = (
-    "0 has no room",
+    "0 has a full disk",
     "A reads",
     "A: propose",
     "1.1 read",
@@ -113,8 +116,8 @@
     "~2.1 vote",
 )
 _LEASE_OF_COPY = (
-    "the store is copied",
-    "an older copy answers",
+    "a backup is taken",
+    "the backup answers",
     *(("time",) * 5),
     "0 is cut off",
     "the store itself answers",
@@ -135,7 +138,7 @@
     "count",
     "count: commit",
 )
-# Each fault by its name, and where it shows.
+# Where each fault shows, by the name of the fault.
 SEEDED_FAULTS: dict[str, SeededFault] = {
     "votes before the save": SeededFault(
         Variant(VotesBeforeSave, rules=FROM_DIRECTORY, fills_disks=True), Stage.QUIESCENT, _DISK_FULL, 4, 0
@@ -144,7 +147,7 @@
         Variant(TrustsAnyDirectory, rules=FROM_DIRECTORY), Stage.VOTED, (), 5, 2
     ),
     "trusts its file": SeededFault(
-        Variant(TrustsItsFile, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
+        Variant(TrustsFileRule, rules=LEAVE_OUT, alternate_rules=FROM_DIRECTORY),
         Stage.QUIESCENT,
         _OLD_RULES,
         4,
@@ -164,11 +167,11 @@
     "syncs before it registers": SeededFault(
         Variant(SyncsBeforeRegistration, rules=LEAVE_OUT, has_disk=False)
     ),
-    "registers silently": SeededFault(Variant(RegistersSilently, rules=LEAVE_OUT, has_disk=False)),
+    "registers silently": SeededFault(Variant(RegistersUncounted, rules=LEAVE_OUT, has_disk=False)),
     "takes foreign names": SeededFault(
         Variant(TakesForeignNames, has_name_conflict=True), Stage.QUIESCENT, _NAME_AFTER_LEASE, 6, 0
     ),
-    "shares its name": SeededFault(Variant(SharesItsName, has_name_conflict=True)),
+    "shares its name": SeededFault(Variant(SharesName, has_name_conflict=True)),
     "applies before the commit": SeededFault(Variant(AppliesBeforeCommit)),
     "forgets its prepared vote": SeededFault(
         Variant(ForgetsPreparedVote, rules=FROM_DIRECTORY), Stage.COMMITTED, _RESTART_AFTER_COMMIT, 3, 9
@@ -186,7 +189,7 @@
     ),
     "finishes without the absent": SeededFault(Variant(finish_change=finish_without_absent)),
 }
-# The unchanged parts, in each surroundings that the promises are made for.
+# Variants with unchanged parts that cover the configurations for which the guarantees hold.
 VARIANTS: dict[str, Variant] = {
     "wait": Variant(),
     "wait, from its state directory": Variant(rules=FROM_DIRECTORY),
--- a/otterrudder/lab/scale/store.py
+++ b/otterrudder/lab/scale/store.py
@@ -1,5 +1,5 @@
-"""The store in simulated time: a key space with its place in the world, watches, and counts of what it is
-asked."""
+"""The store in simulated time: a key space with request and watch latencies by region, and counters of its
+requests."""
 
 import random
 from collections import Counter
@@ -11,79 +11,82 @@
 from otterrudder.lab.scale.experiment import StorePart
 from otterrudder.lab.scale.topology import Topology
 
-COUNTED = {Read: "reads", Commit: "writes", GrantLease: "leases", RenewLease: "renewals"}
+COUNTER_BY_REQUEST = {Read: "reads", Commit: "writes", GrantLease: "leases", RenewLease: "renewals"}
 
 
-class NotingKeySpace(IndexedKeySpace):
-    """Remembers which keys were written since it was last asked."""
+class ChangeTrackingKeySpace(IndexedKeySpace):
+    """Collects the keys that were written or deleted; the owner takes them and resets the list."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.touched: list[str] = []
+        self.changed_keys: list[str] = []
 
     def _record_event(self, key: str, entry: object) -> None:
-        self.touched.append(key)
+        self.changed_keys.append(key)
 
 
 class StoreService:
-    """Latencies of requests, and their answers at the moment at which they take effect."""
+    """Computes the latencies of requests, and answers each request at the time at which it takes effect."""
 
     def __init__(
         self,
         topology: Topology,
         part: StorePart,
-        chance: random.Random,
-        written: Callable[[Commit], None],
-        changed: Callable[[list[str]], None],
+        random_source: random.Random,
+        on_commit: Callable[[Commit], None],
+        on_keys_changed: Callable[[list[str]], None],
     ) -> None:
-        """`written`: a commit took effect; `changed`: these keys were written or deleted."""
-        self.keys = NotingKeySpace()
+        """Calls `on_commit` after a successful commit and `on_keys_changed` with keys that were written or
+        deleted together."""
+        self.keys = ChangeTrackingKeySpace()
         self.counts: Counter[str] = Counter()
-        self._part, self._chance = part, chance
-        self._written, self._changed = written, changed
-        self._ways = [topology.store_way_ms(region) for region in range(len(topology.regions))]
+        self._part, self._random = part, random_source
+        self._on_commit, self._on_keys_changed = on_commit, on_keys_changed
+        self._store_latency_ms = [
+            topology.store_one_way_ms(region) for region in range(len(topology.regions))
+        ]
         self._quorum_ms = topology.quorum_ms
 
     def arrival_ms(self, region: int, request: StoreRequest) -> float:
-        """From the sending of a request until it takes effect."""
+        """Draws the time from sending a request until it takes effect, in ms."""
         bounds = self._part.read_ms if isinstance(request, Read) else self._part.disk_ms
-        return self._ways[region] + self._quorum_ms + self._chance.uniform(*bounds)
+        return self._store_latency_ms[region] + self._quorum_ms + self._random.uniform(*bounds)
 
     def answer_ms(self, region: int) -> float:
-        """From there until its answer is back."""
-        return self._ways[region] + self._chance.uniform(*self._part.read_ms)
+        """Draws the time from the effect of a request until its answer is back, in ms."""
+        return self._store_latency_ms[region] + self._random.uniform(*self._part.read_ms)
 
     def watch_ms(self, region: int) -> float:
-        """From a write until a watch tells of it."""
-        return self._ways[region] + self._chance.uniform(*self._part.watch_ms)
+        """Draws the time from a write until a watch reports it, in ms."""
+        return self._store_latency_ms[region] + self._random.uniform(*self._part.watch_ms)
 
     def answer(self, now: float, request: StoreRequest) -> Snapshot | CommitResult | LeaseResult:
-        """Carries a request out."""
-        self.counts[COUNTED[type(request)]] += 1
+        """Executes a request and returns its result."""
+        self.counts[COUNTER_BY_REQUEST[type(request)]] += 1
         if isinstance(request, Commit):
             self.counts[request.purpose] += 1
         outcome = self.keys.answer(now, request)
         if isinstance(request, Commit):
             assert isinstance(outcome, CommitResult)
             if outcome.succeeded:
-                self._written(request)
+                self._on_commit(request)
             else:
                 self.counts["fallen"] += 1
-        self._tell()
+        self._notify_changed()
         return outcome
 
-    def lapse(self, now: float) -> None:
-        """Leases that have ended go."""
+    def expire_leases(self, now: float) -> None:
+        """Removes expired leases with their keys."""
         self.keys.expire_leases(now)
-        self._tell()
+        self._notify_changed()
 
     def revoke(self, lease: int) -> None:
-        """Ends a lease and drops its keys."""
+        """Revokes a lease and deletes its keys."""
         self.counts["leases"] += 1
         self.keys.revoke(lease)
-        self._tell()
+        self._notify_changed()
 
-    def _tell(self) -> None:
-        if self.keys.touched:
-            touched, self.keys.touched = self.keys.touched, []
-            self._changed(touched)
+    def _notify_changed(self) -> None:
+        if self.keys.changed_keys:
+            changed_keys, self.keys.changed_keys = self.keys.changed_keys, []
+            self._on_keys_changed(changed_keys)
