--- a/otterrudder/lab/scale/processes/report.py
+++ b/otterrudder/lab/scale/processes/report.py
@@ -169,15 +169,17 @@
         ("store: writes a change", WRITES_PER_MEMBER),
         ("store: watch events a change", EVENTS_PER_MEMBER),
     ):
-        yield _expected_slope_claim(f"members: {name} grow by {expected:g} a server", figures, "members", name, expected)
+        yield _slope_claim(
+            f"members: {name} grow by {expected:g} a server", figures, "members", name, expected
+        )
     for name in ("store: writes a change", "store: reads a change", "store: watch events a change"):
         yield _constant_claim(figures, name)
     renewals = RENEWALS_PER_LEASE * 1000 / plan.settings.server_lease_ms
     text = f"cells: a server sends {renewals:.3g} messages a second while nothing changes"
-    yield _expected_slope_claim(text, figures, "cells", "servers: messages a second, idle", renewals)
+    yield _slope_claim(text, figures, "cells", "servers: messages a second, idle", renewals)
 
 
-def _expected_slope_claim(text: str, figures: Iterable[FittedFigure], kind: Kind, name: str, expected: float) -> Claim:
+def _slope_claim(text: str, figures: Iterable[FittedFigure], kind: Kind, name: str, expected: float) -> Claim:
     slope = _figure(figures, kind, name).linear.slope
     return Claim(text, abs(slope - expected) <= COUNT_TOLERANCE * expected, f"{slope:.3g} a server")
 
