--- a/otterrudder/lab/processes/cell_runner.py
+++ b/otterrudder/lab/processes/cell_runner.py
@@ -198,7 +198,7 @@
         )
 
     async def _run_quiet_round(self, round_: CellRound, injector: CellFaultInjector) -> list[str]:
-        """Runs a quiet round, and returns the names of those that did not serve again in time."""
+        """Runs a quiet round, and returns the cells, relays and servers that did not serve again in time."""
         start = clock()
         for fault in round_.faults:
             await injector.inject(fault)
