--- a/otterrudder/lab/fleet/cell_seeded_faults.py
+++ b/otterrudder/lab/fleet/cell_seeded_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are put in, and where each shows: the search has to find every one of them."""
+"""The seeded faults of cells, and where each shows. The search has to find all of them."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -7,16 +7,16 @@
 from otterrudder.fleet.cell.participant import Participant
 from otterrudder.fleet.cell.relay import Relay
 from otterrudder.lab.fleet.cell_coordinator_mutants import (
-    IgnoresTheQueue,
+    NeverReadsQueue,
     OpensChangeFromAnyBase,
     OpensTwoChanges,
     RelayTrustsAnyStore,
 )
 from otterrudder.lab.fleet.cell_participant_mutants import (
-    CountsFromTheAnswer,
-    ExtendsLeaseOfOldVersion,
-    GoesBackAVersion,
+    CountsLeaseFromAnswer,
+    ExtendsLeaseByNewerGrant,
     IgnoresDigests,
+    RevertsToOlderVersion,
     SkipsValidation,
     TrustsFullSpan,
     UsesStaleClock,
@@ -27,7 +27,7 @@
     ForgetsClosedStreams,
     ForgetsEndorsementAtRestart,
     GrantsPastAuthority,
-    GrantsPastTheBound,
+    GrantsPastBound,
     GrantsThoughItEndorsed,
     GrantsToNewServersAtOnce,
     GrantsWithoutLease,
@@ -37,7 +37,7 @@
     TrustsOneEndorsement,
     VotesAtTakeover,
     VotesThoughItEndorsed,
-    VotesWithoutAsking,
+    VotesWithoutValidation,
 )
 from otterrudder.lab.fleet.cell_stages import CellStage
 from otterrudder.lab.fleet.cell_variants import RULES, SLOW_AND_FAST, CellVariant
@@ -45,8 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """Where a fault shows: the world's parts, and a story from a stage that drawn walks come to too rarely
-    (`~`: an event that the sound part may not come to). Without a story walks find it."""
+    """Where a seeded fault shows: the variant with the mutant, and a scenario that starts at a stage.
+
+    A scenario is needed where random walks reach the fault too rarely; without a scenario, random walks find
+    it. An event with the prefix `~` may not be possible with the correct part."""
 
     variant: CellVariant
     stage: CellStage = CellStage.QUIESCENT
@@ -107,18 +109,18 @@
     *(("~s0 to r00: LeaseRenewal", "~r00 to s0: PolicyUpdate", "~r00 to s0: LeaseGrant", "time passes") * 8),
 )
 _LATE_RENEWAL = ("r00.1 count", "r00.1 commit", "time passes", "s0 to r00: LeaseRenewal")
-_FROZEN = ("s0 freezes", *("time passes",) * 8, "s0 thaws")
-_SET_BACK = (
+_SERVER_FROZEN = ("s0 freezes", *("time passes",) * 8, "s0 thaws")
+_OLDER_VERSION = (
     "time passes",
     "time passes",
     "s0 to r00: LeaseRenewal",
     "r00 to s0: older version",
     "r00 to s0: LeaseGrant",
 )
-_DAMAGED = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has validated")
+_DAMAGED_TEXT = ("r00.1 read", "r00 to s0: damaged text", "r00 to s0: PolicyUpdate", "~s0 has validated")
 _STANDBY_CUT_OFF = ("r00 cannot send", "r01 cannot send", *_rounds(14), *_PROPOSED, *_rounds(8))
 _LEADER_CUT_OFF = ("r00 cannot send", "r00 to r01: cut", *_rounds(14), *_PROPOSED, *_rounds(8))
-_TWO_LEAD = (
+_TWO_LEADERS = (
     "r00 cannot send",
     *_rounds(16),
     *_PROPOSED,
@@ -135,17 +137,17 @@
     "~r00 to s0: opened",
     "~s0 to r00: Registration",
 )
-_RESTARTED = (
+_STANDBY_RESTARTED = (
     "r00 cannot send",
     "r01 dies",
-    "the store is back",
+    "the store is reachable",
     "r01 starts",
     "s0 to r00: breaks",
     *_rounds(3),
 )
 _STORE_BACK_FOR_STANDBY = (
     "r00 cannot send",
-    "the store is back",
+    "the store is reachable",
     *_PROPOSED,
     *_rounds(1),
     "~s0 to r00: breaks",
@@ -166,7 +168,7 @@
     "a backup is taken",
     *_PROPOSED,
     *_rounds(3),
-    "an older copy answers",
+    "the backup answers",
     "r00 dies",
     "r01 dies",
     "r00 starts",
@@ -182,20 +184,20 @@
     return SeededFault(CellVariant(participant=participant, **parts))
 
 
-# A step of time falls between this bound and the end of a lease that was counted from a late answer.
+# A time step falls between this bound and the end of a lease that is counted from a late answer.
 _TIGHT = replace(RULES, bound_ms=2900.0)
 _LEAVE_OUT = replace(RULES, absent="leave-out")
 SEEDED_FAULTS: dict[str, SeededFault] = {
     "grants past its authority": SeededFault(
         CellVariant(relay=GrantsPastAuthority), CellStage.VOTED, _LATE_RENEWAL
     ),
-    "grants for longer than the bound": _of_relay(GrantsPastTheBound),
+    "grants for longer than the bound": _of_relay(GrantsPastBound),
     "grants to new servers at once": SeededFault(
         CellVariant(relay=GrantsToNewServersAtOnce), CellStage.VOTED, _NEW_SERVER
     ),
     "counts a lease from the answer": SeededFault(
         CellVariant(
-            participant=CountsFromTheAnswer, rules=_TIGHT, limits=RelayLimits(span_ms=_TIGHT.bound_ms)
+            participant=CountsLeaseFromAnswer, rules=_TIGHT, limits=RelayLimits(span_ms=_TIGHT.bound_ms)
         ),
         CellStage.QUIESCENT,
         _LATE_GRANT,
@@ -206,26 +208,26 @@
         _SLOW_CLOCK,
     ),
     "frozen, goes by a stale clock": SeededFault(
-        CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _FROZEN
+        CellVariant(participant=UsesStaleClock), CellStage.COMMITTED, _SERVER_FROZEN
     ),
     "goes on under the old version": SeededFault(
-        CellVariant(participant=ExtendsLeaseOfOldVersion), CellStage.COMMITTED, _SLOW_CHECK
+        CellVariant(participant=ExtendsLeaseByNewerGrant), CellStage.COMMITTED, _SLOW_CHECK
     ),
     "goes back a version": SeededFault(
-        CellVariant(participant=GoesBackAVersion), CellStage.QUIESCENT, _SET_BACK
+        CellVariant(participant=RevertsToOlderVersion), CellStage.QUIESCENT, _OLDER_VERSION
     ),
     "switches without validation": _of_server(SkipsValidation, servers=3, has_rejecting_servers=True),
     "takes a damaged text": SeededFault(
-        CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED
+        CellVariant(participant=IgnoresDigests), CellStage.COMMITTED, _DAMAGED_TEXT
     ),
     "trusts one endorsement of two": SeededFault(
         CellVariant(relay=TrustsOneEndorsement, relays=3), CellStage.QUIESCENT, _STANDBY_CUT_OFF
     ),
     "endorses while it leads": SeededFault(
-        CellVariant(relay=EndorsesWhileItLeads), CellStage.QUIESCENT, _TWO_LEAD
+        CellVariant(relay=EndorsesWhileItLeads), CellStage.QUIESCENT, _TWO_LEADERS
     ),
     "forgets its endorsement in a restart": SeededFault(
-        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.ENDORSED, _RESTARTED
+        CellVariant(relay=ForgetsEndorsementAtRestart), CellStage.ENDORSED, _STANDBY_RESTARTED
     ),
     "votes though it has endorsed": SeededFault(
         CellVariant(relay=VotesThoughItEndorsed), CellStage.ENDORSED, _STORE_BACK_FOR_STANDBY
@@ -242,7 +244,7 @@
         CellVariant(relay=GrantsWithoutLease), CellStage.QUIESCENT, _LEADER_CUT_OFF
     ),
     "asks for endorsement too late": _of_relay(RequestsEndorsementTooLate),
-    "votes without asking": _of_relay(VotesWithoutAsking),
+    "votes without asking": _of_relay(VotesWithoutValidation),
     "ignores rejections": _of_relay(IgnoresRejections, has_rejecting_servers=True),
     "reuses an old result": SeededFault(
         CellVariant(relay=ReusesOldResult, cells=2, servers=4, has_rejecting_servers=True),
@@ -256,5 +258,5 @@
     ),
     "opens two changes": _of_relay(OpensTwoChanges),
     "opens a change from any base": _of_relay(OpensChangeFromAnyBase, has_based_changes=True),
-    "ignores the queue": _of_relay(IgnoresTheQueue),
+    "ignores the queue": _of_relay(NeverReadsQueue),
 }
