--- a/otterrudder/lab/faults.py
+++ b/otterrudder/lab/faults.py
@@ -26,9 +26,8 @@
     servers: list[int] = []
     times: Annotated[float, msgspec.Meta(gt=1)] = 3.0  # for kind slow: factor by which the speed is divided
     size: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.5  # for kind below: share of the slots that remain
-    gap_s: Annotated[float, msgspec.Meta(gt=0)] = (
-        8.0  # for kind release: time between the shutdowns of two servers
-    )
+    # for kind release: time between the shutdowns of two servers
+    gap_s: Annotated[float, msgspec.Meta(gt=0)] = 8.0
 
 
 class EndpointListener:
