--- a/benchmarks/capacity/member.py
+++ b/benchmarks/capacity/member.py
@@ -32,7 +32,7 @@
 ROOT = Path(__file__).parents[2]
 MEMBERS = (1, 4, 8, 16, 32)
 MEMBERS_QUICK = (1, 2, 3, 4)
-IDLE_S = 12.0  # duration of two leases
+IDLE_S = 12.0  # measurement of an idle fleet over two leases, in s
 IDLE_QUICK_S = 0.1
 CHANGES = 5
 CHANGES_QUICK = 1
@@ -200,7 +200,7 @@
     idle, changes = (IDLE_QUICK_S, CHANGES_QUICK) if quick else (IDLE_S, CHANGES)
     async with _members() as members:
         await members.add_members(MEMBERS_QUICK[0])
-        for n in range(0 if quick else MAX_FINISHED_CHANGES):  # fills the list of finished changes
+        for n in range(0 if quick else MAX_FINISHED_CHANGES):  # fills the list that each read returns
             await members.commit_change(f"{n} before all")
         return [await _observe(members, n, idle, changes) for n in (MEMBERS_QUICK if quick else MEMBERS)]
 
--- a/benchmarks/capacity/slope.py
+++ b/benchmarks/capacity/slope.py
@@ -20,13 +20,13 @@
 class Slope:
     """Figures of one component as a function of one size."""
 
-    name: str  # row/measurement
+    name: str  # row and measurement, as row/measurement
     what: str  # description of the figure, with its unit
-    by: str  # what the size counts
+    by: str  # quantity that the size counts
     method: str  # measurement method
     sizes: tuple[float, ...]
     figures: tuple[float, ...]
-    target: float  # the users' size
+    target: float  # size that the users expect
     limit: Limit | None  # limit of the figure, or None if it has no limit
     fit: Fit
 
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -29,9 +29,9 @@
 IDLE_S = 4.0
 IDLE_QUICK_S = 0.2
 STAGES = 4  # processing steps of a request: arrival, downstream call, its reply, end of the run
-REPLAYED = 50_000  # requests
+REPLAYED = 50_000  # number of replayed requests
 REPLAYED_QUICK = 500
-REPLAYED_SEARCH = 10_000  # requests in each step of the search
+REPLAYED_SEARCH = 10_000  # number of replayed requests in each step of the search
 HALVINGS = 10
 PROCESS_MB = Limit(float(MEMORY_MB), f"{MEMORY_MB} MB of the process, as configured")
 BY_PROCESS = "process time of the server"
@@ -63,9 +63,9 @@
     net_cpu_us: float  # CPU time per request above that of the idle server
     core: float  # share of a core used by the server
     waited: float  # run delay as a share of the time, in the quietest windows
-    p50_ms: float  # median in the quietest windows, as the next two
-    p99_ms: float
-    p999_ms: float
+    p50_ms: float  # median added latency in the quietest windows
+    p99_ms: float  # 99th percentile in the quietest windows
+    p999_ms: float  # 99.9th percentile in the quietest windows
     all_p99_ms: float  # 99th percentile over all windows
 
 
