--- a/otterrudder/admission/admission_queues.py
+++ b/otterrudder/admission/admission_queues.py
@@ -20,9 +20,9 @@
 # Share of the time until the soft deadline that may be spent queued; the rest is for calls and errors.
 QUEUE_WAIT_SHARE = 0.4
 MAX_QUEUE_WAIT_SHARE = 0.8  # upper bound of that share, for requests of the greatest weight
-MIN_EXPECTED_TIME_SHARE = 0.45  # of its expected time; a request with less time left cannot be on time
+MIN_EXPECTED_TIME_SHARE = 0.45  # share of its expected time; a request with less time left cannot be on time
 MIN_NEWCOMER_SHARE = 0.1  # minimum share of the starts that is assumed to go to newcomers
-MAX_KEY_SHARE = 0.25  # of the queued requests, for one session key or for all requests without a key
+MAX_KEY_SHARE = 0.25  # share of the queue for one session key, or for all requests without a key
 MIN_KEY_ALLOWANCE = 3  # requests that a session key may always have queued
 
 
--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -24,7 +24,7 @@
 LOWEST_LATENCY_GROWTH = 1.01  # factor per run, so that a single unusually fast run is forgotten
 MIN_MEAN_WEIGHT = 1 / 64  # weight of a new run in the long-term mean
 MEAN_RATIO_WEIGHT = 1 / 8  # weight of a new run in `latency_to_mean`
-MAX_MEAN_RATIO_SAMPLE = 3.0  # so that a single costly request does not make the server look slow
+MAX_MEAN_RATIO_SAMPLE = 3.0  # cap on a sample, so that one costly request does not make the server look slow
 
 
 class ClassLatencies:
--- a/otterrudder/admission/controller.py
+++ b/otterrudder/admission/controller.py
@@ -173,7 +173,7 @@
         if request is None:
             return
         request.is_completed = outcome is Outcome.OK
-        if outcome is Outcome.NEVER_STARTED:  # so a retry may run
+        if outcome is Outcome.NEVER_STARTED:  # a retry may then run
             request.may_have_run = False
         if outcome not in (Outcome.OK, Outcome.ERROR):  # the run produced no answer
             self.fail(request)
--- a/otterrudder/admission/deadlines.py
+++ b/otterrudder/admission/deadlines.py
@@ -3,7 +3,7 @@
 from otterrudder.admission.context import AdmissionContext, Stage
 from otterrudder.admission.requests import Request
 
-RETRY_WAIT_FACTOR = 2.0  # mean waits on this server that a retry is assumed to have spent on other servers
+RETRY_WAIT_FACTOR = 2.0  # assumed wait of a retry on other servers, in mean waits of this server
 MIN_TIME_LEFT_MS = 0.1  # a request with less time left is rejected at once
 
 
--- a/otterrudder/admission/deduplication.py
+++ b/otterrudder/admission/deduplication.py
@@ -75,7 +75,7 @@
             self._context.commands.append(EvictKey(request.request_id))
 
     def on_tick(self) -> None:
-        """Forgets which attempts never ran after one to two tick periods."""
+        """Drops the records of attempts that never ran. Each record is kept for one to two tick periods."""
         self._never_ran_last_period = self._never_ran
         self._never_ran = set()
 
--- a/otterrudder/admission/draining.py
+++ b/otterrudder/admission/draining.py
@@ -69,7 +69,7 @@
 
     def _stop(self, key: RequestScope | None) -> None:
         drain = self.drains.get(key)
-        if drain is None or self._context.now < drain.stops_at:  # resumed or restarted
+        if drain is None or self._context.now < drain.stops_at:  # the drain was ended or begun again
             return
         for request in list(self._context.requests.values()):
             if drain.scope.includes(request.class_index, request.tenant):
--- a/otterrudder/admission/load_reporter.py
+++ b/otterrudder/admission/load_reporter.py
@@ -17,7 +17,7 @@
 PRESSURE_STEP = 0.01  # change per tick for each TARGET_WAIT_SHARE above the target
 MAX_PRESSURE_EXCESS = 2.0  # maximum steps per tick, so that a burst does not raise the pressure to 1 at once
 PRESSURE_DECAY_FACTOR = 0.5  # factor on a decrease; slow, because all callers react to it at once
-MAX_CREDIT_FACTOR = 8.0  # credit of a caller without pressure, in even shares of the limit
+MAX_CREDIT_FACTOR = 8.0  # credit of a caller at zero pressure, as a multiple of its even share of the limit
 MAX_ADVERTISED_CRITICALITY = 0.3  # criticality below which callers hold requests back at full pressure
 
 # Rejections: estimate whether other servers are full too.
--- a/otterrudder/levels/level_parser.py
+++ b/otterrudder/levels/level_parser.py
@@ -19,7 +19,7 @@
 from otterrudder.levels.selector import Level, Threshold
 
 MIN_WINDOW_S = 1.0  # a shorter window has too few ticks to become full
-MAX_DURATION_S = 600.0  # of a window, a stay or a trial; a longer one is most likely in a wrong unit
+MAX_DURATION_S = 600.0  # maximum of a window, stay or trial; a longer one is probably in a wrong unit
 MIN_STAY_S = 0.1
 NEVER_LEFT = "the level could never be left"
 _SEVERITY = {kind: severity for severity, kind in enumerate(RestrictionKind, 1)}  # the mildest kind is first
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -111,8 +111,8 @@
     """The present stay on a level. Times are in ms."""
 
     since: float | None = None  # None until the first step, which provides the first time
-    below_exit_since: float | None = None  # since when all facts have met the exit condition
-    trial_since: float | None = None  # since when all but the demand facts have met the exit condition
+    below_exit_since: float | None = None  # time since which all facts have met the exit condition
+    trial_since: float | None = None  # time since which all but the demand facts have met it
     factor: float = 1.0  # multiplies the minimum stay and the exit window
 
 
--- a/otterrudder/net/connection_reaper.py
+++ b/otterrudder/net/connection_reaper.py
@@ -8,15 +8,15 @@
 from otterrudder import clock
 from otterrudder.net.gateway_connection import IDLE_REASON, GatewayConnection
 
-READ_TIMEOUT_MS = 10_000.0  # without the gateway reading any of its unsent output
+READ_TIMEOUT_MS = 10_000.0  # maximum time in which the gateway reads none of its pending answers
 PARTIAL_MESSAGE_TIMEOUT_MS = 1500.0  # gateways write a message in one go
 CROWDED_SHARE = 0.5  # share of the maximum number of connections above which idle ones are closed early
 # Idle times while connections are crowded, and when a connection must be closed at once to make room.
 CROWDED_IDLE_MS = 1000.0  # gateways return sooner or open another connection
-MIN_SILENT_MS = 100.0  # since connecting, without a message; gateways connect in order to send a request
-MIN_IDLE_MS = 250.0  # since the last answer; gateways retry a request that crosses the close
-MAX_CLOSED_AT_ONCE = 16  # to make room; each search for them examines all connections
-CLOSE_TIMEOUT_S = 0.02  # of a connection closed to make room: it has no unsent answers and no unread input
+MIN_SILENT_MS = 100.0  # time since connecting without a message; gateways connect to send a request
+MIN_IDLE_MS = 250.0  # time since the last answer; gateways retry a request that crosses the close
+MAX_CLOSED_AT_ONCE = 16  # connections closed to make room per search, which examines all connections
+CLOSE_TIMEOUT_S = 0.02  # time to close a connection to make room: it has no pending input or output
 MAKE_ROOM_REASON = "closed to make room for new connections"  # end reason of a connection
 
 
@@ -24,10 +24,10 @@
 class Timeouts:
     """Maximum times without activity on a connection, in ms."""
 
-    idle_ms: float = math.inf  # since the last activity, until `noMore` is sent
-    # From connecting to the first response: half of the time that gateways are promised.
+    idle_ms: float = math.inf  # time from the last activity until `noMore` is sent
+    # Time from connecting to the first response: half of the time that gateways are promised.
     first_response_ms: float = 1500.0
-    goaway_grace_ms: float = 1000.0  # from `noMore` to the close
+    goaway_grace_ms: float = 1000.0  # time from `noMore` to the close
 
     def crowded(self) -> "Timeouts":
         """Returns the shorter timeouts that apply while connections are crowded."""
--- a/otterrudder/net/control.py
+++ b/otterrudder/net/control.py
@@ -21,8 +21,8 @@
 
 VERSION = 1  # version of the format
 MAX_REQUEST_BYTES = 4096
-MAX_CONNECTIONS = 4  # for one or two operators
-TIMEOUT_S = 2.0  # for receiving a request and sending its reply
+MAX_CONNECTIONS = 4  # enough for one or two operators
+TIMEOUT_S = 2.0  # timeout for receiving a request and sending its reply
 SOCKET_MODE = 0o600
 READ_BYTES = 65536  # size of one read of a reply
 
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -82,7 +82,7 @@
         )
         self.service = ServiceState(len(request_classes), levels)
         self.is_healthy = False
-        self.busy_cores = UNKNOWN_CORES  # at the last tick, for the periodic log line
+        self.busy_cores = UNKNOWN_CORES  # value at the last tick, for the periodic log line
 
     @property
     def _admission(self) -> AdmissionController:
--- a/otterrudder/net/dispatcher.py
+++ b/otterrudder/net/dispatcher.py
@@ -21,7 +21,7 @@
 from otterrudder.net.loop_statistics import LoopStatistics
 from otterrudder.net.messages import Destination, DispatcherMessage
 
-GAUGE_QUERY_LEAD_MS = 6.0  # before a tick: covers a round trip to the runtime and a busy event loop
+GAUGE_QUERY_LEAD_MS = 6.0  # time before a tick: covers a round trip to the runtime and a busy event loop
 
 
 class MailboxEvent(msgspec.Struct, frozen=True, gc=False):
--- a/otterrudder/net/gateway_connection.py
+++ b/otterrudder/net/gateway_connection.py
@@ -16,8 +16,8 @@
 
 MAX_OPEN_REQUESTS = 32
 MAX_UNSENT_BYTES = 512 * 1024  # three times the size of 32 answers of maximum length
-MAX_PROTOCOL_ERRORS = 6  # the connection is closed at this many; a correct gateway makes none
-CLOSE_TIMEOUT_S = 0.5  # for the gateway to read its answers and close: many round trips
+MAX_PROTOCOL_ERRORS = 6  # protocol errors after which a connection is closed; a correct gateway makes none
+CLOSE_TIMEOUT_S = 0.5  # time for the gateway to read its answers and close: many round trips
 IDLE_REASON = "idle"  # end reason of a connection
 
 
--- a/otterrudder/net/gateway_listener.py
+++ b/otterrudder/net/gateway_listener.py
@@ -19,13 +19,13 @@
 BACKLOG = 1024  # connections that may wait to be accepted while the event loop is busy
 MIN_CONNECTIONS = 8  # accepted even if fewer descriptors are available
 SPARE_DESCRIPTORS = 24  # reserved for the runtime, service discovery, logs and the event loop
-MAX_ACCEPTED_AT_ONCE = 16  # before other tasks run; hundreds of connections may arrive together
+MAX_ACCEPTED_AT_ONCE = 16  # connections accepted before other tasks run; hundreds may arrive together
 FULL_PAUSE_S = 0.05  # pause in accepting when the connection limit is reached or descriptors run out
 CLOSING_PAUSE_S = 0.002  # pause in accepting while connections close to make room
-SWEEP_INTERVAL_S = 0.1  # between searches for connections to close
+SWEEP_INTERVAL_S = 0.1  # interval between searches for connections to close
 MAX_LOGGED_ERRORS = 5  # log lines on connections per second; further ones are only counted
-GOAWAY_GRACE_S = 0.1  # at the end of a drain, for requests that cross `noMore`: twice the maximum round trip
-FINAL_WRITE_TIMEOUT_S = 0.05  # after that, for writing pending answers; both end before the stop time
+GOAWAY_GRACE_S = 0.1  # time for requests that cross `noMore` in a drain: twice the maximum round trip
+FINAL_WRITE_TIMEOUT_S = 0.05  # time to write pending answers after the grace; both end before the stop
 # Errors that mean a lack of descriptors or memory rather than a fault of the connection.
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -83,7 +83,7 @@
         if self.sock.fileno() >= 0:  # the grace ended before all waiting connections were accepted
             self._accept_some(group)
             self.sock.close()
-        for connection in self.connections:  # without an await between the last read and the close
+        for connection in self.connections:  # no await between the last read and the close
             connection.stream.receive_pending()
             # The close waits for the answers to the last input.
             connection.stream.close(SERVER_SHUTDOWN, FINAL_WRITE_TIMEOUT_S)
--- a/otterrudder/net/lines.py
+++ b/otterrudder/net/lines.py
@@ -7,7 +7,7 @@
 
 from otterrudder.net.buffer import Buffer, ProtocolError
 
-MAX_LINE_BYTES = 512  # without a body; a line has an id, a name and some numbers
+MAX_LINE_BYTES = 512  # length of a line without its body; a line has an id, a name and some numbers
 MAX_BODY_BYTES = 60 * 1024  # results have up to 4 KiB, replies slightly more
 BUFFER_BYTES = 64 * 1024  # receive buffer; holds a body with its line
 MAX_DIGITS = 15  # digits of a whole number
--- a/otterrudder/net/messages.py
+++ b/otterrudder/net/messages.py
@@ -23,7 +23,7 @@
     GATEWAYS = "gateways"
     DISPATCHER = "dispatcher"
 
-    # The identity hash is faster, and each message is looked up by its destination. Members are singletons.
+    # Each message is looked up by its destination, and the identity hash is faster. Members are singletons.
     __hash__ = object.__hash__
 
 
--- a/otterrudder/net/records.py
+++ b/otterrudder/net/records.py
@@ -22,10 +22,10 @@
 # A connection idle for longer takes no call. The service may have dropped it and would reset it at the call,
 # which does not show whether the call ran. A new connection costs less than a failed request with an effect.
 MAX_IDLE_MS = 500.0
-PARTIAL_REPLY_TIMEOUT_MS = 250.0  # for a reply with a wrong length or a line without end
-SWEEP_INTERVAL_S = 0.1  # between searches for connections that are unused or stuck
-# Calls that a connection remembers, so that a copy of an earlier reply is not taken for the reply to the same
-# request's next call.
+PARTIAL_REPLY_TIMEOUT_MS = 250.0  # limits the wait for a reply with a wrong length or an endless line
+SWEEP_INTERVAL_S = 0.1  # interval between searches for connections that are unused or stuck
+# Number of calls that a connection remembers, so that a copy of an earlier reply is not taken for the reply
+# to the same request's next call.
 MAX_REMEMBERED_CALLS = 16
 MAX_UNSENT_BYTES = 1 << 20
 LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
--- a/otterrudder/net/requests.py
+++ b/otterrudder/net/requests.py
@@ -38,7 +38,7 @@
     class_index: int
     body: bytes
     idempotency_key: str  # "": none
-    digest: bytes  # of class and body
+    digest: bytes  # digest of the request class and the body
     is_answered: bool = False  # it was answered, or its caller has disconnected
     is_running: bool = False  # its run was started, and the end of the run is not known yet
     is_calling: bool = False  # its downstream call was sent and has not ended
--- a/otterrudder/net/runtime.py
+++ b/otterrudder/net/runtime.py
@@ -15,9 +15,9 @@
 
 FIRST_RETRY_MS = 20.0  # delay of the first reconnect; the runtime is most likely still running
 MAX_RETRY_MS = 500.0  # maximum delay of a reconnect, so that a started runtime is found soon
-MAX_UNSENT_BYTES = 8 << 20  # beyond that the runtime is assumed to hang, and the link is reconnected
+MAX_UNSENT_BYTES = 8 << 20  # with more unsent bytes, the runtime is assumed to hang and the link is reset
 RESTART_TOLERANCE_MS = 5000.0  # the start time moves by more after a restart, by less after a pause
-MOVE_TIMEOUT_S = 0.3  # for the old link to confirm the commands on it after the runtime's address changed
+MOVE_TIMEOUT_S = 0.3  # time for the old link to confirm its commands after an address change of the runtime
 LIMITS = sockets.StreamLimits(lines.BUFFER_BYTES, MAX_UNSENT_BYTES)
 ADDRESS_CHANGED = "the address has changed"  # end reason of a link
 MAX_QUOTED = 80  # characters of an invalid line that an error message quotes
@@ -89,7 +89,7 @@
             reason = await stream.serve()
             if reason == ADDRESS_CHANGED:
                 log.info(
-                    "runtime link moves to a new address",
+                    "runtime address changed; connecting to the new address",
                     address=self._address,
                     last_notice=self._last_notice,
                 )
@@ -152,7 +152,7 @@
     def _accept_notice(self, number: int) -> bool:
         """Returns whether the notice is new. Raises ProtocolError if an earlier notice was skipped."""
         if number <= self._last_notice:
-            log.warning("notice received twice", notice=number, last_notice=self._last_notice)
+            log.warning("ignoring a duplicate notice", notice=number, last_notice=self._last_notice)
             return False
         if number > self._last_notice + 1 and not self._is_replaying:
             raise ProtocolError(f"notice {number} follows notice {self._last_notice}")
--- a/otterrudder/net/sockets.py
+++ b/otterrudder/net/sockets.py
@@ -41,7 +41,7 @@
 
     max_message_bytes: int
     max_unsent_bytes: int
-    close_timeout_s: float = 0.0  # for writing answers and discarding input while closing
+    close_timeout_s: float = 0.0  # time for writing answers and discarding input while closing
 
 
 def _ignore_input(_: Buffer) -> None: ...
--- a/otterrudder/vrrp/keys.py
+++ b/otterrudder/vrrp/keys.py
@@ -76,7 +76,7 @@
             values = tomllib.loads(file.read().decode("utf-8"))
     except OSError as error:
         raise KeyFileError(f"cannot read {path}: {error.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError):  # their messages may quote a line with a secret
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError):  # the error may quote a secret
         raise KeyFileError(f"{name}: not TOML") from None
     return parse_keys(values, name)
 
--- a/otterrudder/vrrp/packet.py
+++ b/otterrudder/vrrp/packet.py
@@ -12,7 +12,7 @@
 VERSION = 3  # VRRPv3
 ADVERTISEMENT_TYPE = 1  # the only type that the RFC defines
 PROTOCOL = 112  # VRRP's IP protocol number, for the pseudo-header
-HOP_LIMIT = 255  # of sent messages; a message that was routed arrives with a lower value
+HOP_LIMIT = 255  # hop limit of sent messages; a routed message arrives with a lower value
 CENTISECOND_MS = 10.0
 MAX_INTERVAL_CS = 0xFFF  # centiseconds; the field has 12 bits
 MAX_ADDRESSES = 20  # maximum number of addresses in an advertisement; the field allows 255
@@ -58,7 +58,7 @@
 
     vrid: int  # 1 to 255
     priority: int  # 0 to 255
-    interval_ms: float  # between the sender's advertisements; a whole number of centiseconds on the wire
+    interval_ms: float  # interval between advertisements; a whole number of centiseconds on the wire
     addresses: tuple[Address, ...]  # at least one, all of the same IP version
 
 
--- a/otterrudder/vrrp/state_machine.py
+++ b/otterrudder/vrrp/state_machine.py
@@ -91,7 +91,7 @@
         self.preempt_delay = preempt_delay_ms
         self.accepts = accepts
         self.state = State.INITIALIZE
-        self.preempt_delay_until: float | None = None  # until when a higher-priority backup does not preempt
+        self.preempt_delay_until: float | None = None  # time until which this router does not preempt
         self.timer_number = 0
         self.timer_at = math.inf
 
--- a/otterrudder/vrrp/tracking.py
+++ b/otterrudder/vrrp/tracking.py
@@ -33,8 +33,8 @@
     def __init__(self, tracked: TrackedObject) -> None:
         self.tracked = tracked
         self.is_lowering = False
-        self.differs_since: float | None = None  # ms; since when the fact has differed from `is_lowering`
-        self.stopped_at: float | None = None  # ms; when the fact last stopped lowering the priority
+        self.differs_since: float | None = None  # start in ms of the difference from `is_lowering`
+        self.stopped_at: float | None = None  # when the fact last stopped lowering, in ms
         self.rise_factor = 1.0
 
     def step(self, now: float, is_bad: bool | None) -> None:
--- a/tests/fleet/test_cell_queue.py
+++ b/tests/fleet/test_cell_queue.py
@@ -73,7 +73,7 @@
 
 def test_text_of_a_queued_change_is_retained() -> None:
     harness = serving_fleet()
-    for number in range(40):  # more changes than finished ones are kept
+    for number in range(40):  # more than the 32 finished changes that are retained
         harness.enqueue(f"c{number}", "one" if number % 2 else f"two {number}")
     harness.run(120_000.0)
     assert [end.committed for end in harness.view().finished] == [True] * 32
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -66,7 +66,7 @@
     ]
     run = perform_one(EXPERIMENT, "wait", 1, rounds, 3)
     assert not run.broken, (run.broken, run.result.check.violations, run.result.rounds)
-    assert not run.result.missed, run.result.rounds  # must not depend on the order of events
+    assert not run.result.missed, run.result.rounds  # every fault was injected, whatever the order of events
     assert run.result.committed >= 4 and run.result.check.figures["repeats"] > 10
 
 
--- a/tests/fleet/test_fleet_store.py
+++ b/tests/fleet/test_fleet_store.py
@@ -417,7 +417,7 @@
     assert run("policy", "apply", str(first), "--first", "--note", "one") == (0, "version 1 is in force\n")
     code, text = run("policy", "diff", str(second))
     assert code == 1 and "-value = 2.0\n+value = 3.0" in text
-    assert run("policy", "apply", str(second), "--trial", "5")[0] == 2  # without a condition
+    assert run("policy", "apply", str(second), "--trial", "5")[0] == 2  # a trial requires a condition
     assert "figures are" in run("policy", "apply", str(second), "--trial", "5", "--if", "luck > 1")[1]
     code, text = run("policy", "apply", str(second), "--trial", "5", "--if", "given_up > 0.05")
     assert code == 0 and "on trial for 5 s: the fleet rolls back automatically if given_up > 0.05" in text
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -59,9 +59,9 @@
     engine.stop()
 
 
-async def wait_until(is_so: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     with anyio.fail_after(WAIT_S):
-        while not is_so():
+        while not condition():
             await anyio.sleep(0.01)
 
 
--- a/tests/net/test_gateway_connections.py
+++ b/tests/net/test_gateway_connections.py
@@ -53,7 +53,7 @@
     complete_request(runtime, mixed, A)
     mixed.send_request(B)
     runtime.expect_command("start", B)
-    mixed.send_request(B)  # is already open
+    mixed.send_request(B)  # a request with this id is already open
     assert "error" in mixed.read_answer()
     runtime.end_run(B)
     assert mixed.read_result() == b"done"
--- a/tests/net/test_records_pool.py
+++ b/tests/net/test_records_pool.py
@@ -42,7 +42,7 @@
     assert records.read_line() == b""  # closing the connection cancels its only call
     runtime.end_run(A, b"", outcome="cancelled")
     gateway.send_request(B)
-    assert runtime.read_command()[0][:2] == ["start", B]  # the cancelled call's reply is not delivered before
+    assert runtime.read_command()[0][:2] == ["start", B]  # the reply to the cancelled call was dropped
     runtime.end_run(B)
     assert gateway.read_answer()["id"] == rpc + 2
 
--- a/tests/net/test_runtime_link.py
+++ b/tests/net/test_runtime_link.py
@@ -147,7 +147,7 @@
 
 
 def migrated_settings() -> dict:
-    """The stand-ins' settings as the migration makes them."""
+    """Returns the settings of the tests after `otterrudder migrate` has converted them."""
     return migrate_settings(
         SETTINGS, {"familyInfo": {"callsOut": 1.0, "classSkipWorth": [0.5, 0.0]}}
     ).settings
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -81,7 +81,7 @@
                 unfinished.sock.sendall(unfinished.request_message(C)[:50])
 
         server.gateways._wait_until_closed = send_after_grace
-        server.dispatcher.post(server.dispatcher.core.begin_graceful_shutdown, 0.0)  # without time left
+        server.dispatcher.post(server.dispatcher.core.begin_graceful_shutdown, 0.0)  # no time left
         server.group.start_soon(server.dispatcher.run)
         await server.gateways.run(server.group)
         for gateway in (idle, partial):
@@ -221,7 +221,7 @@
             server.process.send_signal(number)
         server.process.send_signal(signal.SIGCONT)
         server.wait_for_log("draining: 1 in hand", lambda: runtime.answer_gauges(1))
-        server.process.send_signal(signal.SIGHUP)  # during the drain
+        server.process.send_signal(signal.SIGHUP)  # it arrives during the drain
         server.process.terminate()
         runtime.end_run(A)
         assert gateway.read_result() == b"done"
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -16,7 +16,7 @@
 
 
 def defined_names() -> set[str]:
-    """Modules, classes, functions, attributes, and methods behind their class, of the whole package."""
+    """Returns the names of the package's modules, classes, functions and attributes, and `Class.method`."""
     names: set[str] = set()
     for path in PACKAGE.rglob("*.py"):
         names.add(path.stem)
@@ -31,7 +31,7 @@
 
 
 def members(node: ast.ClassDef) -> set[str]:
-    """Methods, class attributes and attributes set on self."""
+    """Returns the names of a class's methods, its class attributes and the attributes set on `self`."""
     found: set[str] = set()
     for inner in ast.walk(node):
         if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef):
@@ -44,7 +44,7 @@
 
 
 def code_words(page: str) -> list[str]:
-    """What stands in backticks, without code blocks."""
+    """Returns the texts in backticks on a page, except those in code blocks."""
     text = re.sub(r"^```.*?^```", "", (ROOT / page).read_text(), flags=re.S | re.M)
     return re.findall(r"`([^`\n]+)`", text)
 
@@ -65,7 +65,7 @@
 
 
 def is_module(word: str) -> bool:
-    """Whether a dotted word is a module, or a name defined in one."""
+    """Returns whether a dotted word is a module, or a name in a module that exists."""
     parts = word.removeprefix("otterrudder.").split(".")
     candidates = [PACKAGE.joinpath(*parts), PACKAGE.joinpath(*parts[:-1])] if parts[1:] else [PACKAGE / word]
     return any(path.with_suffix(".py").exists() or path.is_dir() for path in candidates)
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -1,5 +1,5 @@
-"""The capacity benchmarks: laws are found again in figures made by them, and each row runs. Times are not
-tested."""
+"""Tests the capacity benchmarks: the fit recovers the law behind noisy figures, and each row runs. Times are
+not tested."""
 
 import json
 import math
@@ -19,39 +19,39 @@
 pytestmark = pytest.mark.exclusive
 
 SIZES = (10.0, 100.0, 1_000.0, 10_000.0, 100_000.0)
-COUNTS = {  # at the users' size
+EXPECTED_FIGURES = {  # figures that are known for the target size
     "policy/text": size.TENANTS * len("[tenants.tenant-100000]\nper_s = 5.0\n"),
     "listing/bytes": size.SERVERS * 2 * (len("BEAT n00000 ready") + 28),
     "store/events": size.SERVERS * 3,
     "decisions/memory": 250.0,
 }
-NOISE = 0.02  # relative, at the most
+NOISE = 0.02  # maximum relative error that `add_noise` adds
 
 
-def noisy(figure: float, chance: random.Random) -> float:
-    return figure * (1 + chance.uniform(-NOISE, NOISE))
+def add_noise(figure: float, generator: random.Random) -> float:
+    return figure * (1 + generator.uniform(-NOISE, NOISE))
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_line_is_found_again(seed: int) -> None:
-    chance = random.Random(seed)
-    found = fit(SIZES, [noisy(5.0 + 0.02 * n, chance) for n in SIZES])
-    assert found.taken.kind == "linear"
-    assert found.taken.second == pytest.approx(0.02, rel=3 * NOISE)
-    assert found.taken.at(1e6) == pytest.approx(20_005.0, rel=3 * NOISE)
-    assert found.taken.rms <= NOISE and found.taken.worst <= 2 * NOISE
-    assert found.other and found.other.kind == "power" and found.other.rms > found.taken.rms
+def test_fit_recovers_a_line(seed: int) -> None:
+    generator = random.Random(seed)
+    result = fit(SIZES, [add_noise(5.0 + 0.02 * n, generator) for n in SIZES])
+    assert result.taken.kind == "linear"
+    assert result.taken.second == pytest.approx(0.02, rel=3 * NOISE)
+    assert result.taken.at(1e6) == pytest.approx(20_005.0, rel=3 * NOISE)
+    assert result.taken.rms <= NOISE and result.taken.worst <= 2 * NOISE
+    assert result.other and result.other.kind == "power" and result.other.rms > result.taken.rms
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_power_law_is_found_again(seed: int) -> None:
-    chance = random.Random(seed)
-    found = fit(SIZES, [noisy(0.3 * n**1.7, chance) for n in SIZES])
-    assert found.taken.kind == "power"
-    assert found.taken.second == pytest.approx(1.7, abs=NOISE)
-    assert found.taken.first == pytest.approx(0.3, rel=5 * NOISE)
-    assert found.taken.rms <= NOISE
-    assert found.other and found.other.kind == "linear" and found.other.rms > found.taken.rms
+def test_fit_recovers_a_power_law(seed: int) -> None:
+    generator = random.Random(seed)
+    result = fit(SIZES, [add_noise(0.3 * n**1.7, generator) for n in SIZES])
+    assert result.taken.kind == "power"
+    assert result.taken.second == pytest.approx(1.7, abs=NOISE)
+    assert result.taken.first == pytest.approx(0.3, rel=5 * NOISE)
+    assert result.taken.rms <= NOISE
+    assert result.other and result.other.kind == "linear" and result.other.rms > result.taken.rms
 
 
 def test_the_residual_is_relative() -> None:
@@ -63,9 +63,9 @@
     assert law.rms == pytest.approx(math.sqrt(sum(r * r for r in residuals) / 4))
 
 
-def test_no_power_law_where_a_figure_is_nothing() -> None:
-    found = fit(SIZES, (0.0, 0.0, 1.0, 10.0, 100.0))
-    assert found.taken.kind == "linear" and found.other is None
+def test_fit_tries_no_power_law_if_a_figure_is_zero() -> None:
+    result = fit(SIZES, (0.0, 0.0, 1.0, 10.0, 100.0))
+    assert result.taken.kind == "linear" and result.other is None
 
 
 @pytest.mark.parametrize(
@@ -96,44 +96,45 @@
     assert slope_of(grows, 40.0).stretch == 10.0
 
 
-def test_what_was_played_is_not_worked_out_and_no_cost_falls_beyond_it() -> None:
-    bent = [1.0, 2.0, 3.0, 5.0]
-    assert slope_of(bent, 4.0).at_target == 5.0
+def test_target_uses_the_measured_figure_and_extrapolation_never_falls_below_the_last_one() -> None:
+    not_linear = [1.0, 2.0, 3.0, 5.0]
+    assert slope_of(not_linear, 4.0).at_target == 5.0
     assert slope_of([4.0, 3.0, 2.0, 1.0], 100.0).at_target == 1.0
 
 
-def test_held_up_to_ends_at_the_first_rate_that_is_late() -> None:
+def test_held_up_to_stops_before_the_first_rate_over_the_latency_limit() -> None:
     assert held_up_to([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
     assert held_up_to([50.0], [1.6]) == 0.0
 
 
-def test_the_replay_adds_the_own_time_and_the_waits() -> None:
-    calm = replayed_p99_ms(0.01, 1000.0, 300)  # nobody meets anybody
+def test_replay_adds_processing_and_queueing_times() -> None:
+    calm = replayed_p99_ms(0.01, 1000.0, 300)  # the rate is too low for requests to queue
     assert calm == pytest.approx(1.0)
     assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * calm
     wanted = wanted_us(451.0, 500)
     assert replayed_p99_ms(451.0, wanted, 500) <= size.ADDED_MS < replayed_p99_ms(451.0, wanted + 10, 500)
 
 
-def check_counts(told: list[dict[str, Any]]) -> None:
-    """Figures that no clock is in."""
-    for one in told:
-        if one["name"] in COUNTS:
-            assert one["at_target"] == pytest.approx(COUNTS[one["name"]], rel=0.2), one["name"]
+def check_figures(results: list[dict[str, Any]]) -> None:
+    """Checks the figures that do not depend on the speed of the machine."""
+    for result in results:
+        if result["name"] in EXPECTED_FIGURES:
+            expected = EXPECTED_FIGURES[result["name"]]
+            assert result["at_target"] == pytest.approx(expected, rel=0.2), result["name"]
 
 
 @pytest.mark.parametrize("row", ROWS)
 def test_each_row_runs(row: str) -> None:
-    result = CliRunner().invoke(main, ["--row", row, "--quick", "--json"])
-    assert result.exit_code == 0, result.output
-    told = [json.loads(line) for line in result.output.splitlines()]
-    assert told
-    check_counts(told)
-    for one in told:
-        assert one["name"].startswith(f"{row}/")
-        assert len(set(one["sizes"])) >= 4 and len(one["figures"]) == len(one["sizes"])
-        assert all(math.isfinite(figure) for figure in one["figures"])
-        assert one["fit"]["taken"]["kind"] in ("linear", "power") and one["verdict"]
+    command = CliRunner().invoke(main, ["--row", row, "--quick", "--json"])
+    assert command.exit_code == 0, command.output
+    results = [json.loads(line) for line in command.output.splitlines()]
+    assert results
+    check_figures(results)
+    for result in results:
+        assert result["name"].startswith(f"{row}/")
+        assert len(set(result["sizes"])) >= 4 and len(result["figures"]) == len(result["sizes"])
+        assert all(math.isfinite(figure) for figure in result["figures"])
+        assert result["fit"]["taken"]["kind"] in ("linear", "power") and result["verdict"]
 
 
 def test_text_output_names_law_residual_stretch_and_verdict() -> None:
