--- a/otterrudder/admission/concurrency_limiter.py
+++ b/otterrudder/admission/concurrency_limiter.py
@@ -9,7 +9,7 @@
 from otterrudder.admission.memory_budget import MemoryBudget
 from otterrudder.admission.requests import IN_FLIGHT_STATES, Request, RequestState
 
-CEILING_SHARE = 0.5  # share of the concurrency that the server survives
+CEILING_SHARE = 0.5  # maximum limit, as a share of the concurrency beyond which the server fails
 BUSY_CORES_SHARE = 0.9  # share of the cores in use at which the server counts as busy
 
 # Adaptation of the limit.
--- a/otterrudder/admission/settings.py
+++ b/otterrudder/admission/settings.py
@@ -21,7 +21,7 @@
     idempotency_entry_kb: float  # memory of a retained idempotency key
     max_idempotency_entries: float = math.inf
     can_stop_requests: bool  # running requests can be stopped
-    max_concurrency_per_core: float  # maximum number of running requests that a core survives
+    max_concurrency_per_core: float  # running requests per core beyond which the server fails
     is_cold_start: bool
     slow_start_from: float  # share of the capacity that a cold server starts with
     slow_start_ms: float  # time until a cold server is warm
--- a/otterrudder/fleet/member/parts.py
+++ b/otterrudder/fleet/member/parts.py
@@ -112,7 +112,7 @@
 
     @property
     def lease(self) -> int:
-        """The ID of its lease in the store; 0 if it has none."""
+        """The ID of the member's lease in the store; 0 if there is none."""
         return self.registration.lease
 
     @property
--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -92,7 +92,7 @@
     entered: str
     reason: Reason
     readings: tuple[Reading, ...]
-    min_stay_ms: float  # including damping
+    min_stay_ms: float  # minimum stay on the entered level, with damping
     damping_factor: float
     service_level: ServiceLevel
     is_reduction: bool  # whether the new level restricts more than the previous one
@@ -250,7 +250,7 @@
         return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
 
     def _update_below_exit(self, now: float) -> None:
-        """Updates since when the facts have met the exit condition, with and without the demand facts."""
+        """Updates the times since which the facts have met the exit condition, with and without demand facts."""
         stay = self._stay
         if not self.position or self.time_in_level(now) < self._level.exit_ms:
             stay.below_exit_since = None
--- a/otterrudder/net/core.py
+++ b/otterrudder/net/core.py
@@ -110,7 +110,7 @@
             for command in pending:
                 try:
                     self._execute(command)
-                except Exception as error:  # must not affect other requests
+                except Exception as error:  # a failure must not affect other requests
                     self._log("admission command failed", {"command": command, "error": repr(error)})
                     if request := self.requests.by_number.get(getattr(command, "request_id", 0)):
                         self.requests.fail(request)
@@ -140,7 +140,8 @@
         if key:
             digest = request_digest(class_index, fields.body)
             earlier_entry = self.idempotency.find(key)
-            if earlier_entry and earlier_entry.digest != digest:  # its response belongs to another request
+            # The retained response belongs to a request with another body or method.
+            if earlier_entry and earlier_entry.digest != digest:
                 reason = "dedupe was used with another body or method"
                 self.outbox.append((connection, RequestInvalid(rpc_id, reason)))
                 return
--- a/otterrudder/net/gateway_connection.py
+++ b/otterrudder/net/gateway_connection.py
@@ -60,7 +60,7 @@
             reason = await self.stream.serve()
             if reason not in (sockets.CLOSED_BY_PEER, IDLE_REASON, sockets.SERVER_SHUTDOWN):
                 self._owner.log_connection_error(reason)
-        except Exception:  # must not affect other connections
+        except Exception:  # a failure must not affect other connections
             log.exception("connection handler failed")
         finally:
             self._owner.remove(self)
--- a/otterrudder/net/jsonrpc.py
+++ b/otterrudder/net/jsonrpc.py
@@ -27,7 +27,7 @@
 MAX_LINE_BYTES = 16 * 1024  # leaves ample space for a body in base64 and all fields
 MAX_RPC_ID = 2**53  # ids count from 1; not all JSON readers can distinguish larger ones
 MAX_CLOCK_SKEW_MS = 3600e3  # maximum difference between the clocks of a gateway and this server
-MAX_TTL_MS = 86400e3  # one day; no caller waits longer
+MAX_TTL_MS = 86400e3  # maximum time to live of a request: one day; no caller waits longer
 MAX_SIZE_KB = 2000.0  # exclusive upper bound of a request's memory
 MAX_KEY_CHARACTERS = 64  # length of an idempotency key; keys are retained, so their size is limited
 
--- a/otterrudder/net/requests.py
+++ b/otterrudder/net/requests.py
@@ -31,17 +31,17 @@
 class PendingRequest(msgspec.Struct, eq=False):
     """A request that is not answered yet or whose run is not over."""
 
-    number: int  # its id at the admission controller
-    request_id: str  # its id in the protocols of gateways, runtime and records service
+    number: int  # the request's id at the admission controller
+    request_id: str  # the request's id in the protocols of gateways, runtime and records service
     connection: Any  # the connection to answer on; None once the request is closed
     rpc_id: int
     class_index: int
     body: bytes
     idempotency_key: str  # "": none
     digest: bytes  # digest of the request class and the body
-    is_answered: bool = False  # it was answered, or its caller has disconnected
-    is_running: bool = False  # its run was started, and the end of the run is not known yet
-    is_calling: bool = False  # its downstream call was sent and has not ended
+    is_answered: bool = False  # the request was answered, or its caller has disconnected
+    is_running: bool = False  # the run was started, and the end of the run is not known yet
+    is_calling: bool = False  # the downstream call was sent and has not ended
     # Tag of the gauges query whose answer confirms that the runtime has read the start or reply of the run,
     # or one of NOT_SENT, CONFIRMED and UNCERTAIN.
     delivery: float = NOT_SENT
--- a/otterrudder/net/serve.py
+++ b/otterrudder/net/serve.py
@@ -54,7 +54,7 @@
 
 
 async def _serve(configuration: Configuration, files: ServerFiles, optional: OptionalParts) -> None:
-    with anyio.open_signal_receiver(*SIGNALS) as signals:  # before gateways can connect
+    with anyio.open_signal_receiver(*SIGNALS) as signals:  # opened before gateways can connect
         parts = create_parts(configuration, optional)
         log.info("listening", address=configuration.listen, pid=os.getpid())
         log_levels(parts.dispatcher.core, optional.levels)
--- a/otterrudder/vrrp/configuration.py
+++ b/otterrudder/vrrp/configuration.py
@@ -15,7 +15,7 @@
 class Peer:
     """Another router of a group."""
 
-    address: Address  # its primary address
+    address: Address  # the router's primary address
     udp: SocketAddress  # the address of its UDP socket
 
 
--- a/otterrudder/vrrp/configuration_reader.py
+++ b/otterrudder/vrrp/configuration_reader.py
@@ -136,7 +136,8 @@
     hold_down = convert(values, HoldDown, location, VrrpConfigurationError)
     _check_range(hold_down.first_ms, 0.0, MAX_DELAY_MS, f"{location}.first_ms")
     _check_range(hold_down.max_ms, 0.0, MAX_DELAY_MS, f"{location}.most_ms")
-    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{location}.forget_ms")  # not 0: used as a divisor
+    # `forget_ms` is used as a divisor, so it must not be 0.
+    _check_range(hold_down.forget_ms, 1.0, MAX_DELAY_MS, f"{location}.forget_ms")
     return hold_down
 
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -81,7 +81,7 @@
 
 
 def rejection_of(text: str, local: LocalConfiguration) -> str:
-    """Why the policy is invalid; "" if it is valid."""
+    """Returns why the policy is invalid, "" if it is valid."""
     try:
         parse(text, local)
     except InvalidPolicyError as error:
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -40,7 +40,7 @@
     new.end_run(A, b"paid")
     assert gateway.read_result() == b"paid"
     assert server.reports.recv(100) == b"BEAT n3 ready"
-    server.process.send_signal(signal.SIGHUP)  # without any change
+    server.process.send_signal(signal.SIGHUP)  # a reload without any change
     server.wait_for_log("moved=[]", lambda: new.answer_gauges(1))
     old_reports.close()
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -88,7 +88,7 @@
             messages = [json.loads(line) for line in (await read_to_end(gateway)).splitlines()]
             assert [message.get("method") for message in messages[:1]] == ["noMore"]
             assert [message["error"]["code"] for message in messages[1:]] == [-32014]
-        assert b"noMore" in await read_to_end(unfinished)  # its partial message is not answered
+        assert b"noMore" in await read_to_end(unfinished)  # the partial message is not answered
         assert not server.runtime.started and not server.gateways.connections
 
     run_in_process(scenario)
--- a/tests/vrrp/test_failover.py
+++ b/tests/vrrp/test_failover.py
@@ -199,7 +199,7 @@
         time.sleep(0.04 * (turn % 5))  # within two intervals: before, while and after it steps down
         count += 1
         rpcs.append(send_request(gateway, count))
-        if turn % 2:  # it becomes master again while it drains, otherwise after all answers
+        if turn % 2:  # the server becomes master again while it drains, otherwise after all answers
             peer.is_advertising.clear()
         answers = 0
         while answers < 5:
