--- a/otterrudder/levels/selector.py
+++ b/otterrudder/levels/selector.py
@@ -250,7 +250,7 @@
         return level.min_stay_ms if self._history[level.name].left_at is not None else 0.0
 
     def _update_below_exit(self, now: float) -> None:
-        """Updates the times since which the facts have met the exit condition, with and without demand facts."""
+        """Updates since when all facts, and all but the demand facts, have met the exit condition."""
         stay = self._stay
         if not self.position or self.time_in_level(now) < self._level.exit_ms:
             stay.below_exit_since = None
