--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,7 +1,7 @@
-"""Tests that the paths and names in docs/ARCHITECTURE.md exist.
+"""docs/ARCHITECTURE.md names only what is there.
 
-Every word in backticks that looks like a path, a module, a class or a function is looked up in the tree, so
-that a renamed or removed one is corrected on the page as well.
+Each word in backticks that looks like a path, a module, a class or a function is looked up in the tree: a
+renamed or removed one fails here, so that the pages stay true.
 """
 
 import ast
@@ -16,7 +16,7 @@
 
 
 def defined_names() -> set[str]:
-    """Returns the names of modules, classes, functions, attributes and qualified methods of the package."""
+    """Returns the names of the package's modules, classes, functions and attributes, and `Class.method`."""
     names: set[str] = set()
     for path in PACKAGE.rglob("*.py"):
         names.add(path.stem)
@@ -31,20 +31,20 @@
 
 
 def members(node: ast.ClassDef) -> set[str]:
-    """Returns the methods, class attributes and instance attributes of a class."""
-    names: set[str] = set()
+    """Returns the names of a class's methods, its class attributes and the attributes set on `self`."""
+    found: set[str] = set()
     for inner in ast.walk(node):
         if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef):
-            names.add(inner.name)
+            found.add(inner.name)
         elif isinstance(inner, ast.Name) and isinstance(inner.ctx, ast.Store):
-            names.add(inner.id)
+            found.add(inner.id)
         elif isinstance(inner, ast.Attribute) and isinstance(inner.ctx, ast.Store):
-            names.add(inner.attr)
-    return names
+            found.add(inner.attr)
+    return found
 
 
 def code_words(page: str) -> list[str]:
-    """Returns the texts in backticks on a page, except in code blocks."""
+    """Returns the texts in backticks on a page, except those in code blocks."""
     text = re.sub(r"^```.*?^```", "", (ROOT / page).read_text(), flags=re.S | re.M)
     return re.findall(r"`([^`\n]+)`", text)
 
@@ -65,7 +65,7 @@
 
 
 def is_module(word: str) -> bool:
-    """Returns whether a dotted word is a module or a name defined in one."""
+    """Returns whether a dotted word is a module, or a name in a module that exists."""
     parts = word.removeprefix("otterrudder.").split(".")
     candidates = [PACKAGE.joinpath(*parts), PACKAGE.joinpath(*parts[:-1])] if parts[1:] else [PACKAGE / word]
     return any(path.with_suffix(".py").exists() or path.is_dir() for path in candidates)
