--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.laws import TooFewSizesError, fit
 from benchmarks.capacity.rows import ROWS
 from benchmarks.capacity.slope import Limit, Series, Slope
-from benchmarks.capacity.sockets import highest_rate_in_limit, replayed_p99_ms, max_cpu_us
+from benchmarks.capacity.sockets import highest_rate_in_limit, max_cpu_us, replayed_p99_ms
 
 pytestmark = pytest.mark.exclusive
 
