--- a/benchmarks/capacity/standins.py
+++ b/benchmarks/capacity/standins.py
@@ -1,5 +1,7 @@
-"""One server process, and what it talks to, in this process: a runtime and a records service that answer at
-once, and callers that ask by open loop. Each answer's own time here is known, and taken off."""
+"""Runs one server process against a fake runtime and a fake records service, which answer at once, and
+open-loop callers. All fakes run in this process. The time that they spend on a request is subtracted from its
+latency.
+"""
 
 import asyncio
 import base64
@@ -21,28 +23,28 @@
 from otterrudder.lab.processes.link import free_port
 
 ROOT = Path(__file__).parents[2]
-BODY = b"b" * 256  # bytes of a request, of a call, of its reply and of a result
+BODY = b"b" * 256  # body of a request, of a downstream call, of its reply and of a result
 TTL_MS = 4000
-UP_S = 20.0  # s that a server may take until a check passes
-LOOK_S = 0.02  # s between looks whether it is
-LINKS = 8  # connections that requests are spread over
-SOCKETS = 20_000  # descriptors that the server is told of
-MEMORY_MB = 192  # that the server is told of, as in README.md
-RUN_MS = 0.1  # that the runtime says a run took
+START_TIMEOUT_S = 20.0  # time limit for the first successful health check, in s
+POLL_INTERVAL_S = 0.02
+GATEWAY_CONNECTIONS = 8  # connections over which requests are distributed
+SOCKETS = 20_000  # configured limit of file descriptors
+MEMORY_MB = 192  # configured memory limit, as in README.md
+RUN_MS = 0.1  # duration of a run, in ms, as reported by the runtime
 
 
 @dataclass(slots=True)
-class Books:
-    """What was asked, when, and what of the time until the answer was spent here."""
+class RequestLog:
+    """Send times and added latencies of requests, and the time `fake_s` that the fakes spent on them."""
 
-    sent: dict[int, float] = field(default_factory=dict)  # s, by the number of a request
-    own_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by call
+    sent: dict[int, float] = field(default_factory=dict)  # send time in s, by request number
+    fake_s: dict[str, float] = field(default_factory=lambda: defaultdict(float))  # by request id
     added_ms: list[float] = field(default_factory=list)
-    unserved: int = 0  # answered otherwise than by a result
+    unserved: int = 0  # requests that were answered without a result
 
 
-class Lines(asyncio.Protocol):
-    """Lines that end in CR LF, some with a body behind them."""
+class LineProtocol(asyncio.Protocol):
+    """Protocol of lines that end in CR LF. Some lines are followed by a body."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -61,64 +63,66 @@
             if len(self.data) < end + 2 + size:
                 return
             self.data = self.data[end + 2 + size :]
-            self.hear(words, began)
+            self.handle_line(words, began)
 
     def has_body(self, words: list[str]) -> bool:
         raise NotImplementedError
 
-    def hear(self, words: list[str], began: float) -> None:
-        """`began`: when the bytes came."""
+    def handle_line(self, words: list[str], began: float) -> None:
+        """Handles one line. `began` is the time at which its bytes were received."""
         raise NotImplementedError
 
 
-class Runtime(Lines):
-    """Each run wants one call at once, and is over at once when it has the reply."""
+class Runtime(LineProtocol):
+    """Fake runtime. Each run makes one downstream call at once and ends as soon as it has the reply."""
 
-    def __init__(self, books: Books) -> None:
+    def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
-        self.books, self.number = books, 0
+        self.request_log, self.number = request_log, 0
 
     def has_body(self, words: list[str]) -> bool:
         return words[0] in ("start", "give")
 
-    def hear(self, words: list[str], began: float) -> None:
+    def handle_line(self, words: list[str], began: float) -> None:
         if words[0] == "sync":
             self.transport.write(b"ready hot 60000\r\n")
         elif words[0] == "gauges":
             self.transport.write(f"load {words[1]} 0.2 1 0.1 5\r\n".encode())
         elif words[0] == "start":
-            self.notify("wants", f"{words[1]} {len(BODY)}", words[1], began)
+            self.send_notification("wants", f"{words[1]} {len(BODY)}", words[1], began)
         elif words[0] == "give":
-            self.notify("end", f"{words[1]} complete {RUN_MS} {len(BODY)}", words[1], began)
+            self.send_notification("end", f"{words[1]} complete {RUN_MS} {len(BODY)}", words[1], began)
 
-    def notify(self, word: str, rest: str, call: str, began: float) -> None:
+    def send_notification(self, message_type: str, rest: str, call: str, began: float) -> None:
         self.number += 1
-        self.transport.write(f"{word} {self.number} {rest}\r\n".encode() + BODY + b"\r\n")
-        self.books.own_s[call] += time.perf_counter() - began
+        self.transport.write(f"{message_type} {self.number} {rest}\r\n".encode() + BODY + b"\r\n")
+        self.request_log.fake_s[call] += time.perf_counter() - began
 
 
-class Records(Lines):
-    def __init__(self, books: Books) -> None:
+class Records(LineProtocol):
+    """Fake records service that completes each operation at once."""
+
+    def __init__(self, request_log: RequestLog) -> None:
         super().__init__()
-        self.books = books
+        self.request_log = request_log
 
     def has_body(self, words: list[str]) -> bool:
         return words[0] == "OP"
 
-    def hear(self, words: list[str], began: float) -> None:
+    def handle_line(self, words: list[str], began: float) -> None:
         if words[0] == "OP":
             self.transport.write(f"{words[1]} DONE {len(BODY)}\r\n".encode() + BODY + b"\r\n")
-            self.books.own_s[words[1]] += time.perf_counter() - began
+            self.request_log.fake_s[words[1]] += time.perf_counter() - began
 
 
 class Caller(asyncio.Protocol):
-    """One connection."""
+    """One gateway connection to the server."""
 
-    def __init__(self, books: Books) -> None:
-        self.books, self.data, self.count = books, b"", 0
-        self.numbers: dict[int, int] = {}  # of requests, by the id of their request
-        self.checked = asyncio.Event()  # the last check is answered
-        self.has_passed = False  # that one
+    def __init__(self, request_log: RequestLog) -> None:
+        self.request_log, self.data, self.count = request_log, b"", 0
+        self.numbers: dict[int, int] = {}  # request numbers by JSON-RPC id
+        self.check_answered = asyncio.Event()  # set when the last health check is answered
+        self.is_healthy = False  # result of the last health check
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -126,14 +130,14 @@
         self.transport = transport
 
     async def check(self) -> bool:
-        """Whether the server says that it is well."""
-        self.checked.clear()
+        """Sends a health check and returns whether it passed."""
+        self.check_answered.clear()
         self._send("check", {})
-        await asyncio.wait_for(self.checked.wait(), UP_S)
-        return self.has_passed
+        await asyncio.wait_for(self.check_answered.wait(), START_TIMEOUT_S)
+        return self.is_healthy
 
-    def ask(self, number: int) -> None:
-        """A request; each second one is referenced."""
+    def send_request(self, number: int) -> None:
+        """Sends a request. Every second request has an idempotency key."""
         call, is_pay = f"{number:016x}", number % 2 == 0
         params: dict[str, object] = dict(
             call=call,
@@ -148,7 +152,7 @@
         params |= {"dedupe": call * 2} if is_pay else {}
         self.numbers[self.count + 1] = number
         self._send("pay" if is_pay else "look", params)
-        self.books.sent[number] = time.perf_counter()
+        self.request_log.sent[number] = time.perf_counter()
 
     def _send(self, method: str, params: dict[str, object]) -> None:
         self.count += 1
@@ -159,66 +163,70 @@
         now = time.perf_counter()
         *lines, self.data = (self.data + data).split(b"\n")
         for line in lines:
-            told = json.loads(line)
-            number = self.numbers.pop(told.get("id"), 0)
+            message = json.loads(line)
+            number = self.numbers.pop(message.get("id"), 0)
             if not number:
-                self.has_passed = bool(told.get("result", {}).get("pass"))
-                self.checked.set()
+                self.is_healthy = bool(message.get("result", {}).get("pass"))
+                self.check_answered.set()
                 continue
-            took = now - self.books.sent.pop(number, now) - self.books.own_s.pop(f"{number:016x}", 0.0)
-            if "result" in told:
-                self.books.added_ms.append(took * 1000)
+            took = (
+                now
+                - self.request_log.sent.pop(number, now)
+                - self.request_log.fake_s.pop(f"{number:016x}", 0.0)
+            )
+            if "result" in message:
+                self.request_log.added_ms.append(took * 1000)
             else:
-                self.books.unserved += 1
+                self.request_log.unserved += 1
 
 
-class Site:
-    """A server that runs, and what it talks to."""
+class RunningServer:
+    """A running server with its connections."""
 
-    def __init__(self, books: Books, address: tuple[str, int], pid: int) -> None:
-        self.books, self.address, self.pid = books, address, pid
+    def __init__(self, request_log: RequestLog, address: tuple[str, int], pid: int) -> None:
+        self.request_log, self.address, self.pid = request_log, address, pid
         self.callers: list[Caller] = []
         self.number = 0
 
     async def connect(self, count: int) -> list[Caller]:
-        """So many more connections, each of which has been answered once."""
+        """Opens `count` more connections and waits for a health check on each."""
         loop = asyncio.get_running_loop()
         new: list[Caller] = []
         for _ in range(count):
-            _, caller = await loop.create_connection(lambda: Caller(self.books), *self.address)
+            _, caller = await loop.create_connection(lambda: Caller(self.request_log), *self.address)
             await caller.check()
             new.append(caller)
         self.callers += new
         return new
 
     async def load(self, per_s: float, span_s: float, seed: int) -> int:
-        """Asks by open loop, at drawn times; how many were asked."""
-        chance, loop = random.Random(seed), asyncio.get_running_loop()
+        """Sends requests in an open loop with random intervals. Returns the number of requests sent."""
+        rng, loop = random.Random(seed), asyncio.get_running_loop()
         began, due, asked = loop.time(), 0.0, 0
-        while (due := due + chance.expovariate(per_s)) < span_s:
+        while (due := due + rng.expovariate(per_s)) < span_s:
             if (wait := began + due - loop.time()) > 0:
                 await asyncio.sleep(wait)
             self.number += 1
             asked += 1
-            self.callers[self.number % len(self.callers)].ask(self.number)
+            self.callers[self.number % len(self.callers)].send_request(self.number)
         await asyncio.sleep(max(began + span_s - loop.time(), 0.0))
         return asked
 
-    async def until_answered(self) -> None:
-        """Or until the callers would have given up."""
+    async def wait_for_answers(self) -> None:
+        """Waits until all requests are answered or have expired."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TTL_MS / 1000):
-                while self.books.sent:
-                    await asyncio.sleep(LOOK_S)
-        self.books.sent.clear()
+                while self.request_log.sent:
+                    await asyncio.sleep(POLL_INTERVAL_S)
+        self.request_log.sent.clear()
 
 
 @contextlib.asynccontextmanager
-async def serving() -> AsyncIterator[Site]:
-    """One server process by the operators' words, ready; it is gone at the end."""
-    loop, books = asyncio.get_running_loop(), Books()
-    runtimes = await loop.create_server(lambda: Runtime(books), "127.0.0.1", 0)
-    records = await loop.create_server(lambda: Records(books), "127.0.0.1", 0)
+async def running_server() -> AsyncIterator[RunningServer]:
+    """Starts a server process by the operators' command, waits until it is healthy, and kills it at exit."""
+    loop, request_log = asyncio.get_running_loop(), RequestLog()
+    runtimes = await loop.create_server(lambda: Runtime(request_log), "127.0.0.1", 0)
+    records = await loop.create_server(lambda: Records(request_log), "127.0.0.1", 0)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as listing, tempfile.TemporaryDirectory() as folder:
         listing.bind(("127.0.0.1", 0))
         address = ("127.0.0.1", free_port())
@@ -232,8 +240,8 @@
                 stderr=log,
             )
         try:
-            site = Site(books, address, process.pid)
-            await _until_up(site)
+            site = RunningServer(request_log, address, process.pid)
+            await _wait_until_healthy(site)
             yield site
         finally:
             process.kill()
@@ -266,13 +274,13 @@
     }
 
 
-async def _until_up(site: Site) -> None:
-    ends = time.monotonic() + UP_S
-    while time.monotonic() < ends:
-        with contextlib.suppress(OSError):  # nobody listens yet
+async def _wait_until_healthy(site: RunningServer) -> None:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
+        with contextlib.suppress(OSError):  # the server does not listen yet
             if not site.callers:
                 await site.connect(1)
             if await site.callers[0].check():
                 return
-        await asyncio.sleep(LOOK_S)
-    raise TimeoutError(f"the server is not up within {UP_S:g} s")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise TimeoutError(f"the server passed no health check within {START_TIMEOUT_S:g} s")
--- a/tests/test_capacity_benchmarks.py
+++ b/tests/test_capacity_benchmarks.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.laws import TooFewSizesError, fit
 from benchmarks.capacity.rows import ROWS
 from benchmarks.capacity.slope import Limit, Series, Slope
-from benchmarks.capacity.sockets import held_up_to, replayed_p99_ms, wanted_us
+from benchmarks.capacity.sockets import highest_rate_in_limit, max_cpu_us, replayed_p99_ms
 
 pytestmark = pytest.mark.exclusive
 
@@ -88,12 +88,12 @@
 
 
 def test_verdicts() -> None:
-    grows = [1.0, 2.0, 3.0, 4.0]
-    assert slope_of(grows, 40.0).verdict == "no limit named"
-    assert slope_of(grows, 40.0, Limit(20.0, "")).verdict == "does not carry, by a factor of 2"
-    assert slope_of(grows, 40.0, Limit(400.0, "")).verdict == "carries, with 10 times to spare"
-    assert slope_of(grows, 40.0, Limit(42.0, "")).verdict == "carries, with nothing to spare"
-    assert slope_of(grows, 40.0).stretch == 10.0
+    linear = [1.0, 2.0, 3.0, 4.0]
+    assert slope_of(linear, 40.0).verdict == "no limit named"
+    assert slope_of(linear, 40.0, Limit(20.0, "")).verdict == "does not carry, by a factor of 2"
+    assert slope_of(linear, 40.0, Limit(400.0, "")).verdict == "carries, with 10 times to spare"
+    assert slope_of(linear, 40.0, Limit(42.0, "")).verdict == "carries, with nothing to spare"
+    assert slope_of(linear, 40.0).stretch == 10.0
 
 
 def test_target_uses_the_measured_figure_and_extrapolation_never_falls_below_the_last_one() -> None:
@@ -102,17 +102,17 @@
     assert slope_of([4.0, 3.0, 2.0, 1.0], 100.0).at_target == 1.0
 
 
-def test_held_up_to_stops_before_the_first_rate_over_the_latency_limit() -> None:
-    assert held_up_to([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
-    assert held_up_to([50.0], [1.6]) == 0.0
+def test_highest_rate_in_limit_stops_before_the_first_rate_over_the_latency_limit() -> None:
+    assert highest_rate_in_limit([50.0, 100.0, 150.0], [1.0, 1.6, 1.0]) == 50.0
+    assert highest_rate_in_limit([50.0], [1.6]) == 0.0
 
 
 def test_replay_adds_processing_and_queueing_times() -> None:
-    calm = replayed_p99_ms(0.01, 1000.0, 300)  # the rate is too low for requests to queue
-    assert calm == pytest.approx(1.0)
-    assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * calm
-    wanted = wanted_us(451.0, 500)
-    assert replayed_p99_ms(451.0, wanted, 500) <= size.ADDED_MS < replayed_p99_ms(451.0, wanted + 10, 500)
+    unloaded_ms = replayed_p99_ms(0.01, 1000.0, 300)  # the rate is too low for requests to queue
+    assert unloaded_ms == pytest.approx(1.0)
+    assert replayed_p99_ms(800.0, 1000.0, 3000) > 2 * unloaded_ms
+    max_cpu = max_cpu_us(451.0, 500)
+    assert replayed_p99_ms(451.0, max_cpu, 500) <= size.ADDED_MS < replayed_p99_ms(451.0, max_cpu + 10, 500)
 
 
 def check_figures(results: list[dict[str, Any]]) -> None:
